--- /dev/null
+++ b/src/lab/java/org/snowturn/lab/Digest.java
@@ -0,0 +1,163 @@
+package org.snowturn.lab;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.NotDirectoryException;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.Callable;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.concurrent.Future;
+import org.snowturn.sim.BehaviorDigest;
+import org.snowturn.sim.Simulation;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Model.CommandSpec;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.ParameterException;
+import picocli.CommandLine.Spec;
+
+/**
+ * The command {@code digest}: plays the scenarios in simulated time and writes a hash of what the
+ * controllers send in each, one line a run, to be compared with the hashes of another version.
+ */
+@Command(
+    name = "digest",
+    mixinStandardHelpOptions = true,
+    description = "Writes or compares a digest of the controllers' behavior in each scenario.")
+final class Digest implements Callable<Integer> {
+  private static final int DIFFERENT = 1;
+  private static final int MAX_JOBS = 64;
+  private static final int OVERLAPPING_SEEDS = 80;
+  private static final int TARGETED_SEEDS = 112;
+  private static final String SEPARATOR = ": ";
+
+  @Spec private CommandSpec spec;
+
+  @Option(names = "--scenarios", description = "Folder. Default: ${DEFAULT-VALUE}.")
+  private Path scenarios = Path.of("src", "test", "resources", "scenarios");
+
+  @Option(names = "--only", description = "Plays only runs whose names begin so.")
+  private String prefix = "";
+
+  @Option(names = "--every", description = "Plays only every Nth run. Default: ${DEFAULT-VALUE}.")
+  private int every = 1;
+
+  @Option(names = "--jobs", description = "Runs at a time. Default: ${DEFAULT-VALUE}.")
+  private int jobs = 4;
+
+  @Option(names = "--out", description = "Writes the digests to this file.")
+  private Path out;
+
+  @Option(names = "--compare", description = "Compares with the digests in this file.")
+  private Path baseline;
+
+  @Override
+  public Integer call() throws IOException, InterruptedException {
+    try {
+      checkOptions();
+      Map<String, String> expected = baseline == null ? Map.of() : read(baseline);
+      Map<String, String> digests = play(selected());
+      if (out != null) {
+        List<String> lines = new ArrayList<>();
+        digests.forEach((name, digest) -> lines.add(name + SEPARATOR + digest));
+        Files.write(out, lines);
+      }
+      return baseline == null ? summary(digests) : compare(expected, digests);
+    } catch (BadPlanException e) {
+      throw new ParameterException(spec.commandLine(), e.getMessage());
+    }
+  }
+
+  private void checkOptions() throws BadPlanException {
+    if (every < 1) {
+      throw new BadPlanException("--every: must be at least 1");
+    }
+    if (jobs < 1 || jobs > MAX_JOBS) {
+      throw new BadPlanException("--jobs: must be from 1 to " + MAX_JOBS);
+    }
+    if (out == null && baseline == null) {
+      throw new BadPlanException("--out or --compare is needed");
+    }
+  }
+
+  private List<Simulation> selected() throws IOException, BadPlanException {
+    List<Simulation> all = new ArrayList<>();
+    try {
+      all.addAll(Simulation.ofFiles(scenarios));
+    } catch (NotDirectoryException | java.nio.file.NoSuchFileException e) {
+      throw new BadPlanException("--scenarios: no folder " + scenarios);
+    }
+    all.addAll(Simulation.ofOverlappingFaults(1, OVERLAPPING_SEEDS));
+    all.addAll(Simulation.ofTargetedFaults(1, TARGETED_SEEDS));
+    List<Simulation> selected = new ArrayList<>();
+    for (int i = 0; i < all.size(); i += every) {
+      if (all.get(i).name().startsWith(prefix)) {
+        selected.add(all.get(i));
+      }
+    }
+    if (selected.isEmpty()) {
+      throw new BadPlanException("--only: no run begins with " + prefix);
+    }
+    return selected;
+  }
+
+  private Map<String, String> play(List<Simulation> simulations)
+      throws IOException, InterruptedException {
+    ExecutorService pool = Executors.newFixedThreadPool(jobs);
+    try {
+      Map<String, Future<String>> running = new LinkedHashMap<>();
+      for (Simulation simulation : simulations) {
+        running.put(simulation.name(), pool.submit(() -> BehaviorDigest.of(simulation)));
+      }
+      Map<String, String> digests = new LinkedHashMap<>();
+      for (Map.Entry<String, Future<String>> run : running.entrySet()) {
+        digests.put(run.getKey(), run.getValue().get());
+      }
+      return digests;
+    } catch (ExecutionException e) {
+      throw new IOException("a run failed: " + e.getCause(), e);
+    } finally {
+      pool.shutdownNow();
+    }
+  }
+
+  private static Map<String, String> read(Path file) throws IOException, BadPlanException {
+    if (!Files.isRegularFile(file)) {
+      throw new BadPlanException("--compare: no file " + file);
+    }
+    Map<String, String> digests = new LinkedHashMap<>();
+    for (String line : Files.readAllLines(file)) {
+      int separator = line.indexOf(SEPARATOR);
+      if (separator < 0) {
+        throw new BadPlanException("--compare: not a line of digests: " + line);
+      }
+      digests.put(line.substring(0, separator), line.substring(separator + SEPARATOR.length()));
+    }
+    return digests;
+  }
+
+  private int summary(Map<String, String> digests) {
+    spec.commandLine().getOut().println(digests.size() + " digests written to " + out);
+    return 0;
+  }
+
+  private int compare(Map<String, String> expected, Map<String, String> digests) {
+    int different = 0;
+    for (Map.Entry<String, String> run : digests.entrySet()) {
+      String before = expected.getOrDefault(run.getKey(), "none");
+      if (!before.equals(run.getValue())) {
+        different++;
+        spec.commandLine().getOut().println(run.getKey() + ": " + before + " -> " + run.getValue());
+      }
+    }
+    spec.commandLine()
+        .getOut()
+        .println(digests.size() - different + " equal, " + different + " different");
+    return different == 0 ? 0 : DIFFERENT;
+  }
+}
--- a/src/lab/java/org/snowturn/lab/Lab.java
+++ b/src/lab/java/org/snowturn/lab/Lab.java
@@ -10,7 +10,7 @@
 @Command(
     name = "snowturn-lab",
     mixinStandardHelpOptions = true,
-    subcommands = {Scale.class, Soak.class, Capacity.class, Days.class},
+    subcommands = {Scale.class, Soak.class, Capacity.class, Digest.class, Days.class},
     description = "Scale and soak runs of real controllers, tables, and days of one's own.")
 public final class Lab {
   Lab() {}
--- /dev/null
+++ b/src/lab/java/org/snowturn/sim/EffectObserver.java
@@ -0,0 +1,17 @@
+package org.snowturn.sim;
+
+import org.snowturn.core.Effect;
+
+/** Observes every effect of the controllers in a simulation. */
+interface EffectObserver {
+  /** Observes nothing. */
+  EffectObserver NONE = (atMs, node, effect) -> {};
+
+  /**
+   * Called before an effect is performed.
+   *
+   * @param atMs simulated time in milliseconds
+   * @param node the controller that the effect comes from
+   */
+  void sent(long atMs, String node, Effect effect);
+}
--- a/src/lab/java/org/snowturn/sim/Scenario.java
+++ b/src/lab/java/org/snowturn/sim/Scenario.java
@@ -22,6 +22,9 @@
   /** The world of the last run, for whoever wants to look closer. */
   World last;
 
+  /** Is told of everything that the controllers of a run send. */
+  EffectObserver observer = EffectObserver.NONE;
+
   static Scenario read(Path file) throws IOException {
     return of(Files.readAllLines(file));
   }
@@ -56,6 +59,7 @@
   List<String> run(long seed) throws IOException, MalformedException {
     World w = new World(seed, settings(), tunables());
     last = w;
+    w.observer = observer;
     if (options.containsKey("boot")) {
       w.cloud.bootMs = ms(options.get("boot"));
     }
--- /dev/null
+++ b/src/lab/java/org/snowturn/sim/TargetedFaults.java
@@ -0,0 +1,161 @@
+package org.snowturn.sim;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import java.util.SplittableRandom;
+import java.util.random.RandomGenerator;
+
+/**
+ * Draws a scenario from a seed: overlapping faults like those of {@link OverlappingFaults}, but
+ * each scenario begins where one guard is all that holds a rule (a cluster without a spare place, a
+ * team at its limit, tasks with long to go, writes or commands held up), and draws when the faults,
+ * cancellations and changes of leader fall into it.
+ */
+final class TargetedFaults {
+  private final RandomGenerator r;
+  private final int kind;
+  private final List<String> text = new ArrayList<>();
+
+  TargetedFaults(int seed) {
+    r = new SplittableRandom(seed);
+    kind = seed % 7;
+  }
+
+  List<String> scenario() {
+    text.add("workers 2 10 30");
+    switch (kind) {
+      case 0 -> teamsAtTheirLimits();
+      case 1 -> startsBesideLateWrites();
+      case 2 -> commandsHeldUpWhileRoomIsMade();
+      case 3 -> machinesThatAreUpAtOnce();
+      case 4 -> cancellationsThatALeaderDoesNotHear();
+      case 5 -> reportsOfEarlierSessions();
+      default -> startsOfWhatIsCancelled();
+    }
+    text.add("until 260");
+    text.add("expect all-over");
+    return text;
+  }
+
+  private void at(double s, String event, Object... args) {
+    text.add(String.format(Locale.ROOT, "at %.2f ", s) + String.format(Locale.ROOT, event, args));
+  }
+
+  private double between(double least, double most) {
+    return least + r.nextDouble(most - least);
+  }
+
+  private void teamsAtTheirLimits() {
+    text.add("teams t:12 u:10");
+    text.add("capacity 0");
+    text.add("machines 6");
+    at(9, "submit wk-000001..wk-000006 batch tasks=2 cpus=1 run=300 ordinary=1 team=t");
+    at(9, "submit wk-000011..wk-000015 batch tasks=2 cpus=1 run=300 ordinary=1 team=u");
+    at(12, "submit wk-000021..wk-000026 batch tasks=4 cpus=1 run=15 ordinary=1 team=t");
+    at(12, "submit wk-000031..wk-000036 batch tasks=4 cpus=1 run=15 ordinary=1 team=u");
+    double from = between(16, 24);
+    for (int id : new int[] {1, 2, 3, 4, 5, 6, 11, 12, 13, 14, 15}) {
+      at(from + between(0, 12), "cancel wk-%06d", id);
+    }
+    for (int i = 0; i < 3; i++) {
+      String kind =
+          List.of("isolate-many", "hang-many", "deafen-many", "mute-many").get(r.nextInt(4));
+      at(from + between(-3, 8), "%s %d %.2f", kind, 1 + r.nextInt(4), between(3, 25));
+    }
+    at(from + between(0, 10), "crash leader? %.2f", between(0.1, 4));
+  }
+
+  private void startsBesideLateWrites() {
+    text.add("capacity 6");
+    text.add("machines 12");
+    at(7, "late-txns %.2f 14", between(0.2, 0.5));
+    for (int i = 0; i < 12; i++) {
+      int id = 100 + 10 * i;
+      at(8 + i, "submit wk-%06d..wk-%06d batch tasks=3 cpus=1 run=9", id, id + 2);
+    }
+    for (int i = 0; i < 4; i++) {
+      at(9 + 3 * i + between(0, 3), "crash leader? %.2f", between(0.05, 0.4));
+    }
+    at(between(10, 20), "lose-replies %.2f 6", between(0.2, 0.7));
+  }
+
+  private void commandsHeldUpWhileRoomIsMade() {
+    text.add("capacity 0");
+    text.add("machines 6");
+    text.add("workers 1 10 30");
+    double from = between(9, 12);
+    at(from, "late-commands %.2f %.2f", between(3, 12), between(8, 30));
+    at(from + 0.1, "submit wk-000001..wk-000006 batch tasks=6 cpus=1 run=30 rank=low ordinary=1");
+    double room = from + between(1, 6);
+    at(room, "submit wk-000011..wk-000014 service tasks=9 cpus=1 rank=production ordinary=1");
+    at(room + between(0.5, 9), "cancel wk-000011..wk-000014");
+    at(room + between(0, 9), "cancel wk-000001");
+  }
+
+  private void machinesThatAreUpAtOnce() {
+    text.add("boot 0.3");
+    text.add("capacity 9");
+    text.add("machines 0");
+    double from = between(3, 5);
+    at(from, "submit wk-000001..wk-000006 batch tasks=4 cpus=2 run=20");
+    at(from, "late-txns %.2f %.2f", between(0.3, 0.6), between(4, 12));
+    for (int i = 0; i < 4; i++) {
+      at(from + 1 + 2.5 * i + between(0, 2.5), "crash leader? %.2f", between(0.05, 0.3));
+      at(from + 2 * i, "submit wk-%06d batch tasks=8 cpus=2 run=12", 11 + i);
+    }
+    at(between(20, 30), "die %d", 2 + r.nextInt(4));
+  }
+
+  private void cancellationsThatALeaderDoesNotHear() {
+    text.add("capacity 6");
+    text.add("machines 9");
+    at(3, "submit wk-000011..wk-000018 batch tasks=3 cpus=1 run=300 ordinary=1");
+    for (double from : new double[] {20, 110}) {
+      // Its peers can tell it, or those that know end before they do.
+      boolean untold = r.nextBoolean();
+      double refused = from + between(-0.3, 0.3);
+      at(refused, "refuse leader? %.2f", between(10, 16));
+      if (untold) {
+        at(refused + between(-0.1, 0.1), "cut leader? peers %.2f", between(0.8, 1.6));
+      }
+      for (int i = 0; i < 4; i++) {
+        at(from + between(0, 1.4), "cancel wk-%06d", (from < 100 ? 11 : 15) + i);
+      }
+      double out = from + between(0.8, 1.6);
+      at(out, "outage %.2f", between(40, 65));
+      if (untold) {
+        at(out + between(0, 0.3), "crash standbys %.2f", r.nextBoolean() ? 0.2 : 20);
+      }
+    }
+  }
+
+  private void reportsOfEarlierSessions() {
+    text.add("capacity 0");
+    text.add("machines 6");
+    at(3, "submit wk-000001..wk-000006 batch tasks=7 cpus=1 run=%.2f ordinary=1", between(6, 20));
+    double from = between(14, 20);
+    at(from - 5, r.nextBoolean() ? "copies 25 70" : "keep-reports 70");
+    at(from, "isolate-many %d %.2f", 2 + r.nextInt(4), between(10.2, 15));
+    at(from + between(2, 20), "hang-many %d %.2f", 1 + r.nextInt(3), between(8, 14));
+    for (int i = 0; i < 3; i++) {
+      at(from + between(0, 45), "crash leader? %.2f", between(0.1, 3));
+    }
+    at(from + between(0, 20), "submit wk-000011..wk-000016 batch tasks=7 cpus=1 run=8 ordinary=1");
+  }
+
+  private void startsOfWhatIsCancelled() {
+    text.add("capacity 0");
+    text.add("machines 4");
+    at(3, "submit wk-000001..wk-000004 batch tasks=2 cpus=1 run=6 ordinary=1");
+    double from = between(17, 20);
+    double held = between(6, 38);
+    at(from, "late-commands %.2f %.2f", held, between(1, 3));
+    at(from + 0.1, "submit wk-000011..wk-000016 batch tasks=3 cpus=1 run=200 ordinary=1");
+    at(from + between(0.3, 2), "cancel wk-000011..wk-000016");
+    at(from + held + between(-0.5, 1.5), "isolate-many 4 %.2f", between(5, 45));
+    if (r.nextBoolean()) {
+      at(from + between(0, held), "crash leader? %.2f", between(0.1, 3));
+    }
+  }
+}
--- a/src/lab/java/org/snowturn/sim/World.java
+++ b/src/lab/java/org/snowturn/sim/World.java
@@ -79,6 +79,9 @@
   /** Is told of every message that the stand-ins of a world in real time take or give. */
   MessageLog messages = MessageLog.NONE;
 
+  /** Is told of everything that the controllers send. */
+  EffectObserver observer = EffectObserver.NONE;
+
   /** When the answer to a check-in that a worker is just taking in left its node. */
   long answerLeftAt;
 
@@ -371,6 +374,7 @@
     }
 
     void perform(Effect e) {
+      observer.sent(now, name, e);
       if (e instanceof Effect.Answer a) {
         Exchange x = exchanges.remove(a.exchange());
         if (x != null) {
--- a/src/test/java/org/snowturn/lab/LabCommandsTest.java
+++ b/src/test/java/org/snowturn/lab/LabCommandsTest.java
@@ -55,6 +55,20 @@
     refusedInOneLine("scale", options);
   }
 
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "--jobs 0",
+        "--every 0",
+        "--only nothing-begins-so",
+        "--scenarios not-there",
+        "--compare not-there.txt",
+        "--nothing"
+      })
+  void wrongDigestsAreRefusedAndPlayNothing(String options) {
+    refusedInOneLine("digest", options);
+  }
+
   private void refusedInOneLine(String command, String options) {
     String all = command + " --out " + dir.resolve("out") + " " + options;
     assertEquals(BAD_INPUT, run(all.trim().split(" ")), errors.toString());
--- /dev/null
+++ b/src/test/java/org/snowturn/sim/BehaviorDigestTest.java
@@ -0,0 +1,71 @@
+package org.snowturn.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.snowturn.core.Effect;
+import org.snowturn.core.PeerRecord;
+import org.snowturn.wire.Command;
+
+class BehaviorDigestTest {
+  private static final Simulation SMALL =
+      new Simulation(
+          "small",
+          List.of(
+              "at 5 submit wk-000001 batch tasks=3 run=8",
+              "at 12 crash leader 1",
+              "until 40",
+              "expect done wk-000001"),
+          7);
+
+  private static String digestOf(Effect... effects) {
+    BehaviorDigest digest = new BehaviorDigest();
+    for (Effect effect : effects) {
+      digest.sent(1_000, "n0", effect);
+    }
+    return digest.value();
+  }
+
+  private static Effect start(long attempt) {
+    Command command = new Command(Command.Op.START, "wk-000001", 0, attempt, 0);
+    return call(Command.direct(1, 1, List.of(command)));
+  }
+
+  private static Effect call(JsonNode body) {
+    return new Effect.Call(3, Effect.Target.WORKER, "w:1", "POST", "/commands", body, 4_000);
+  }
+
+  @Test
+  void theSameRunHasTheSameDigest() throws Exception {
+    assertEquals(BehaviorDigest.of(SMALL), BehaviorDigest.of(SMALL));
+  }
+
+  @Test
+  void anotherSeedHasAnotherDigest() throws Exception {
+    Simulation other = new Simulation("small", SMALL.text(), SMALL.seed() + 1);
+    assertNotEquals(BehaviorDigest.of(SMALL), BehaviorDigest.of(other));
+  }
+
+  @Test
+  void oneChangedCommandChangesIt() {
+    assertNotEquals(digestOf(start(1)), digestOf(start(2)));
+  }
+
+  @Test
+  void aChangedAnswerOrPeerMessageChangesIt() {
+    assertNotEquals(
+        digestOf(new Effect.Answer(1, 200, null, 0)), digestOf(new Effect.Answer(1, 503, null, 0)));
+    assertNotEquals(
+        digestOf(new Effect.ToPeers(new PeerRecord.Status("n0", true))),
+        digestOf(new Effect.ToPeers(new PeerRecord.Status("n0", false))));
+  }
+
+  @Test
+  void logLinesAreLeftOut() {
+    Effect line = new Effect.Event(Effect.Severity.INFO, "event=any");
+    assertEquals(digestOf(call(null)), digestOf(call(null), line));
+  }
+}
