--- a/src/main/java/org/snowturn/cloud/CloudClient.java
+++ b/src/main/java/org/snowturn/cloud/CloudClient.java
@@ -15,7 +15,7 @@
   }
 
   /** Makes the call and hands in its reply. */
-  public void call(Effect.Call c, Consumer<Input> reply) {
-    caller.call(c, reply);
+  public void call(Effect.Call call, Consumer<Input> reply) {
+    caller.call(call, reply);
   }
 }
--- /dev/null
+++ b/src/main/java/org/snowturn/cloud/package-info.java
@@ -0,0 +1,2 @@
+/** Client of the cloud that rents machines. */
+package org.snowturn.cloud;
--- a/src/main/java/org/snowturn/config/SettingsReader.java
+++ b/src/main/java/org/snowturn/config/SettingsReader.java
@@ -123,19 +123,19 @@
   }
 
   private JsonNode table(JsonNode in, String name, String at) throws SettingsException {
-    JsonNode n = in.path(name);
-    if (!n.isObject()) {
-      throw bad(at + name, n.isMissingNode() ? "missing" : "table expected");
+    JsonNode node = in.path(name);
+    if (!node.isObject()) {
+      throw bad(at + name, node.isMissingNode() ? "missing" : "table expected");
     }
-    return n;
+    return node;
   }
 
   private String text(JsonNode in, String name, String at) throws SettingsException {
-    JsonNode n = in.path(name);
-    if (!n.isTextual() || n.textValue().isBlank()) {
-      throw bad(at + name, n.isMissingNode() ? "missing" : "text expected");
+    JsonNode node = in.path(name);
+    if (!node.isTextual() || node.textValue().isBlank()) {
+      throw bad(at + name, node.isMissingNode() ? "missing" : "text expected");
     }
-    return n.textValue();
+    return node.textValue();
   }
 
   /** What a team is guaranteed may not be more than what it may use. */
@@ -158,14 +158,14 @@
 
   private double number(JsonNode in, String name, String at, double min, Double absent)
       throws SettingsException {
-    JsonNode n = in.path(name);
-    if (n.isMissingNode() && absent != null) {
+    JsonNode node = in.path(name);
+    if (node.isMissingNode() && absent != null) {
       return absent;
     }
-    if (!n.isNumber()) {
-      throw bad(at + name, n.isMissingNode() ? "missing" : "number expected");
+    if (!node.isNumber()) {
+      throw bad(at + name, node.isMissingNode() ? "missing" : "number expected");
     }
-    double v = n.doubleValue();
+    double v = node.doubleValue();
     if (!(v >= min) || v > 1e12) {
       throw bad(at + name, "must be at least " + min);
     }
--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -5,17 +5,17 @@
 import java.util.Map;
 import org.snowturn.config.Settings;
 import org.snowturn.config.Tunables;
-import org.snowturn.core.admission.Admission;
-import org.snowturn.core.authority.CancellationWatermark;
-import org.snowturn.core.authority.Election;
-import org.snowturn.core.calls.Calls;
-import org.snowturn.core.model.Catalog;
-import org.snowturn.core.reach.ConnectivityMonitor;
-import org.snowturn.core.reach.Relays;
-import org.snowturn.core.store.FormatGate;
-import org.snowturn.core.term.Leader;
-import org.snowturn.core.users.JobApi;
-import org.snowturn.core.users.LiveJobCache;
+import org.snowturn.core.admission.RateAllocator;
+import org.snowturn.core.api.JobApi;
+import org.snowturn.core.api.LiveJobCache;
+import org.snowturn.core.connectivity.ConnectivityMonitor;
+import org.snowturn.core.connectivity.StateRequestRelay;
+import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.election.CancellationWatermark;
+import org.snowturn.core.election.Election;
+import org.snowturn.core.leader.Leader;
+import org.snowturn.core.model.MachineTypes;
+import org.snowturn.core.storage.FormatGate;
 import org.snowturn.wire.Command;
 
 /**
@@ -26,16 +26,16 @@
   /** For so long after its authority has ended, a leader sends workers to a peer. */
   private static final long SENT_ON_MS = 3_000;
 
-  private final Calls calls;
+  private final CoreRuntime runtime;
   private final Settings settings;
   private final Tunables tunables;
-  private final Catalog catalog;
+  private final MachineTypes machineTypes;
   private final FormatGate gate;
   private final JobApi jobApi;
   private final Election election;
-  private final ConnectivityMonitor surroundings;
-  private final Relays relays;
-  private final Admission admission;
+  private final ConnectivityMonitor connectivity;
+  private final StateRequestRelay relays;
+  private final RateAllocator rateAllocator;
   private final LiveJobCache liveJobs;
   private final CancellationWatermark watermark;
   private Leader leader;
@@ -50,32 +50,33 @@
   public Controller(Settings settings, Tunables tunables, String incarnation, long startedMs) {
     this.settings = settings;
     this.tunables = tunables;
-    calls = new Calls(incarnation.hashCode());
-    admission =
-        new Admission(
+    runtime = new CoreRuntime(incarnation.hashCode());
+    rateAllocator =
+        new RateAllocator(
             settings.peers().stream().map(Settings.Peer::node).toList(),
             settings.stateLimits().least(settings.nextStateLimits()).rps(),
             settings.stateLimits().least(settings.nextStateLimits()).writeRps(),
-            calls.random(),
+            runtime.random(),
             startedMs);
-    calls.keep(admission.budget());
-    watermark = new CancellationWatermark(settings, calls, incarnation);
+    runtime.limitStateRequests(rateAllocator.budget());
+    watermark = new CancellationWatermark(settings, runtime, incarnation);
     watermark.listen(this::cancelled);
-    liveJobs = new LiveJobCache(settings, calls, proofs());
-    catalog = new Catalog(calls);
-    election = new Election(settings, tunables, calls, watermark, incarnation, startedMs);
-    gate = new FormatGate(settings, calls);
-    surroundings = new ConnectivityMonitor(settings, calls, election::stateOkAt);
-    election.holdBackIf(surroundings::betterElsewhere);
-    relays = new Relays(settings, calls, surroundings, () -> surroundings.mine().state());
+    liveJobs = new LiveJobCache(settings, runtime, proofs());
+    machineTypes = new MachineTypes(runtime);
+    election = new Election(settings, tunables, runtime, watermark, incarnation, startedMs);
+    gate = new FormatGate(settings, runtime);
+    connectivity = new ConnectivityMonitor(settings, runtime, election::stateOkAt);
+    election.holdBackIf(connectivity::betterElsewhere);
+    relays =
+        new StateRequestRelay(settings, runtime, connectivity, () -> connectivity.mine().state());
     jobApi =
         new JobApi(
             settings,
-            calls,
-            catalog,
+            runtime,
+            machineTypes,
             gate,
             relays,
-            admission.gate(),
+            rateAllocator.gate(),
             liveJobs,
             election::stateHealthy,
             cancelledJobs());
@@ -123,17 +124,17 @@
 
   /** Writes a line of the log for each task, report and answer as well. */
   public void logDetails(boolean on) {
-    calls.events().debug(on);
+    runtime.events().debug(on);
   }
 
   /** Takes one input and returns what is to be done. */
   public List<Effect> handle(long nowMs, long wallMs, Input input) {
-    calls.at(nowMs, wallMs);
+    runtime.setTime(nowMs, wallMs);
     if (input instanceof Input.Tick) {
       tick();
-    } else if (input instanceof Input.Reply r) {
-      calls.reply(r);
-    } else if (input instanceof Input.CheckIn c) {
+    } else if (input instanceof Input.Reply reply) {
+      runtime.handleReply(reply);
+    } else if (input instanceof Input.HeartbeatReceived c) {
       checkIn(c);
     } else if (input instanceof Input.Submit s) {
       jobApi.submit(s.exchange(), s.spec());
@@ -144,12 +145,12 @@
     } else if (input instanceof Input.FromPeer p) {
       fromPeer(p);
     }
-    calls.settle();
+    runtime.rejectUnbudgeted();
     follow();
     if (leader != null) {
       leader.flush();
     }
-    return calls.drain();
+    return runtime.drainEffects();
   }
 
   /** Whether this node may give commands now. */
@@ -166,48 +167,49 @@
     return election.stateHealthy()
         || relays.possible()
         || settings.peers().isEmpty()
-        || (surroundings.hearsPeers() && !election.peersReachState());
+        || (connectivity.hearsPeers() && !election.peersReachState());
   }
 
   /** Figures for operators. */
   public Map<String, Double> gauges() {
-    Map<String, Double> g = new HashMap<>();
-    g.put("snowturn.format.gate", gate.open() ? 1.0 : 0.0);
-    g.put("snowturn.relayed", (double) relays.relayed());
-    g.putAll(surroundings.gauges());
-    g.putAll(watermark.gauges());
-    g.putAll(admission.gauges(calls.now()));
-    g.put("snowturn.picture.jobs", (double) liveJobs.size());
-    g.put("snowturn.picture.proofs", (double) liveJobs.proofs());
-    g.put("snowturn.picture.loads", (double) liveJobs.loads());
-    g.put("snowturn.picture.waiting", (double) liveJobs.waiting());
+    Map<String, Double> gauges = new HashMap<>();
+    gauges.put("snowturn.format.gate", gate.open() ? 1.0 : 0.0);
+    gauges.put("snowturn.relayed", (double) relays.relayed());
+    gauges.putAll(connectivity.gauges());
+    gauges.putAll(watermark.gauges());
+    gauges.putAll(rateAllocator.gauges(runtime.now()));
+    gauges.put("snowturn.picture.jobs", (double) liveJobs.size());
+    gauges.put("snowturn.picture.proofs", (double) liveJobs.proofs());
+    gauges.put("snowturn.picture.loads", (double) liveJobs.loads());
+    gauges.put("snowturn.picture.waiting", (double) liveJobs.waiting());
     if (leader != null) {
-      g.putAll(leader.gauges());
+      gauges.putAll(leader.gauges());
     }
-    return g;
+    return gauges;
   }
 
   private void tick() {
-    calls.tick();
-    catalog.tick();
+    runtime.tick();
+    machineTypes.tick();
     election.tick();
     gate.tick();
     liveJobs.tick();
     admit();
     follow();
-    authorityAt = election.hasAuthority() ? calls.now() : authorityAt;
+    authorityAt = election.hasAuthority() ? runtime.now() : authorityAt;
     if (leader != null) {
       leader.tick();
     }
-    boolean names = leader != null && surroundings.wantsSample();
-    surroundings.tick(
+    boolean names = leader != null && connectivity.wantsSample();
+    connectivity.tick(
         leader != null, names ? leader.someWorkers(ConnectivityMonitor.SAMPLE) : List.of());
   }
 
   private void admit() {
-    admission.led(leader == null ? 0 : leader.changesMade());
-    if (admission.tick(calls.now())) {
-      calls.toPeers(new PeerRecord.Need(settings.node(), admission.mine(calls.now())));
+    rateAllocator.led(leader == null ? 0 : leader.changesMade());
+    if (rateAllocator.tick(runtime.now())) {
+      runtime.broadcast(
+          new PeerMessage.RateDemandReport(settings.node(), rateAllocator.mine(runtime.now())));
     }
   }
 
@@ -221,26 +223,26 @@
       liveJobs.refresh(); // workers are answered as far as cancellations are known
       leader =
           new Leader(
-              calls,
+              runtime,
               settings,
               tunables,
               election,
               watermark,
-              catalog,
+              machineTypes,
               gate,
               jobApi,
-              surroundings,
-              rate -> admission.mayLead(rate, calls.now()));
+              connectivity,
+              rate -> rateAllocator.mayLead(rate, runtime.now()));
     }
   }
 
-  private void checkIn(Input.CheckIn c) {
-    surroundings.workerHeard();
+  private void checkIn(Input.HeartbeatReceived c) {
+    connectivity.workerHeard();
     if (leader != null && election.hasAuthority()) {
-      leader.checkIn(c.exchange(), c.report());
+      leader.checkIn(c.exchange(), c.heartbeat());
       return;
     }
-    calls.answer(
+    runtime.answer(
         c.exchange(), 421, Command.elsewhere(leader != null ? anyPeer() : election.leader()));
   }
 
@@ -251,28 +253,28 @@
    */
   private String anyPeer() {
     List<Settings.Peer> peers = settings.peers();
-    if (calls.now() - authorityAt > SENT_ON_MS) {
+    if (runtime.now() - authorityAt > SENT_ON_MS) {
       return null; // nobody leads: sent to and fro at once, a thousand workers would be a flood
     }
-    return peers.isEmpty() ? null : peers.get(calls.random().nextInt(peers.size())).node();
+    return peers.isEmpty() ? null : peers.get(runtime.random().nextInt(peers.size())).node();
   }
 
   private void fromPeer(Input.FromPeer p) {
-    if (p.message() instanceof PeerRecord.Progress g) {
+    if (p.message() instanceof PeerMessage.JobProgress g) {
       jobApi.progress(g);
-    } else if (p.message() instanceof PeerRecord.Need m) {
-      admission.told(m.from(), m.need(), calls.now());
-    } else if (p.message() instanceof PeerRecord.Reaches m) {
-      surroundings.told(m);
-    } else if (p.message() instanceof PeerRecord.Sample m) {
-      surroundings.told(m);
-    } else if (p.message() instanceof PeerRecord.Relay m) {
+    } else if (p.message() instanceof PeerMessage.RateDemandReport m) {
+      rateAllocator.told(m.from(), m.demand(), runtime.now());
+    } else if (p.message() instanceof PeerMessage.ConnectivityReport m) {
+      connectivity.told(m);
+    } else if (p.message() instanceof PeerMessage.WorkerSample m) {
+      connectivity.told(m);
+    } else if (p.message() instanceof PeerMessage.RelayRequest m) {
       relays.asked(m);
-    } else if (p.message() instanceof PeerRecord.Relayed m) {
+    } else if (p.message() instanceof PeerMessage.RelayReply m) {
       relays.answered(m);
-    } else if (p.message() instanceof PeerRecord.AskCancelled m) {
+    } else if (p.message() instanceof PeerMessage.CancellationsRequest m) {
       watermark.asked(m);
-    } else if (p.message() instanceof PeerRecord.Cancelled m) {
+    } else if (p.message() instanceof PeerMessage.CancellationsReply m) {
       watermark.heard(m);
     } else {
       election.fromPeer(p.message());
--- a/src/main/java/org/snowturn/core/Effect.java
+++ b/src/main/java/org/snowturn/core/Effect.java
@@ -28,7 +28,7 @@
   record Answer(long exchange, int status, JsonNode body, int retryAfterS) implements Effect {}
 
   /** A record for every peer. */
-  record ToPeers(PeerRecord message) implements Effect {}
+  record Broadcast(PeerMessage message) implements Effect {}
 
   /** A decision worth a line at info. */
   record Note(String text) implements Effect {}
--- a/src/main/java/org/snowturn/core/Input.java
+++ b/src/main/java/org/snowturn/core/Input.java
@@ -1,8 +1,8 @@
 package org.snowturn.core;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import org.snowturn.wire.Heartbeat;
 import org.snowturn.wire.JobSpec;
-import org.snowturn.wire.Report;
 
 /** Everything that can happen to a controller. */
 public sealed interface Input {
@@ -24,7 +24,7 @@
   }
 
   /** A worker reports; the answer goes to this exchange. */
-  record CheckIn(long exchange, Report report) implements Input {}
+  record HeartbeatReceived(long exchange, Heartbeat heartbeat) implements Input {}
 
   /** A user submits. */
   record Submit(long exchange, JobSpec spec) implements Input {}
@@ -36,5 +36,5 @@
   record Cancel(long exchange, String job) implements Input {}
 
   /** A peer's record arrived. */
-  record FromPeer(PeerRecord message) implements Input {}
+  record FromPeer(PeerMessage message) implements Input {}
 }
--- a/src/main/java/org/snowturn/core/admission/SubmitGate.java
+++ b/src/main/java/org/snowturn/core/admission/AdmissionController.java
@@ -13,7 +13,7 @@
  * node keeps to its part; when that runs low, classes and teams that had more than their equal part
  * lately stand back for those that had less.
  */
-public final class SubmitGate {
+public final class AdmissionController {
   /** Users try for 60 s, whatever they are told: they must find time for several tries. */
   private static final int MOST_RETRY_S = 5;
 
@@ -31,16 +31,16 @@
   private static final double LEAST_BURST = 3;
 
   private final RandomGenerator random;
-  private final Meter asked = new Meter(3_000);
-  private final Meter refused = new Meter(3_000);
-  private final Map<String, Meter> taken = new HashMap<>();
+  private final RateMeter asked = new RateMeter(3_000);
+  private final RateMeter refused = new RateMeter(3_000);
+  private final Map<String, RateMeter> taken = new HashMap<>();
   private double rate;
   private double left;
   private long filledAt;
   private long tightUntil = Long.MIN_VALUE;
 
   /** A full part of so many changes a second. */
-  public SubmitGate(RandomGenerator random, double rate, long nowMs) {
+  public AdmissionController(RandomGenerator random, double rate, long nowMs) {
     this.random = random;
     this.rate = rate;
     this.left = burst();
@@ -93,18 +93,18 @@
     if (taken.size() >= MOST_GROUPS) {
       taken.values().removeIf(m -> m.perSecond(nowMs) < 1e-3);
     }
-    taken.computeIfAbsent(group, g -> new Meter(LATELY_MS)).add(changes, nowMs);
+    taken.computeIfAbsent(group, g -> new RateMeter(LATELY_MS)).add(changes, nowMs);
     return true;
   }
 
   private boolean hadMoreThanItsPart(String group, long nowMs) {
-    Meter mine = taken.get(group);
+    RateMeter mine = taken.get(group);
     if (mine == null) {
       return false;
     }
     double all = 0;
     int groups = 0;
-    for (Meter m : taken.values()) {
+    for (RateMeter m : taken.values()) {
       double had = m.perSecond(nowMs);
       all += had;
       groups += had > 0.01 ? 1 : 0;
--- a/src/main/java/org/snowturn/core/admission/Shares.java
+++ b/src/main/java/org/snowturn/core/admission/FairShares.java
@@ -5,8 +5,8 @@
 /**
  * Divides a rate among those who need it: nobody gets more than it needs, nor less than is fair.
  */
-public final class Shares {
-  private Shares() {}
+public final class FairShares {
+  private FairShares() {}
 
   /**
    * Max-min fair shares by weight: whoever needs less than its part leaves the rest to the others.
--- a/src/main/java/org/snowturn/core/admission/Floors.java
+++ b/src/main/java/org/snowturn/core/admission/MinimumShares.java
@@ -15,7 +15,7 @@
  * <p>It costs a flood what it gives: no more than {@link #TOGETHER} of the room, however many
  * groups starve, and nothing while nobody waits for long.
  */
-public final class Floors {
+public final class MinimumShares {
   /** Who waits less than this is served by the ordinary order. */
   private static final double PATIENCE_S = 15;
 
@@ -32,7 +32,7 @@
 
   private static final class Group {
     final String name;
-    final Meter given = new Meter(LATELY_MS);
+    final RateMeter given = new RateMeter(LATELY_MS);
     double waitS;
     long waiting;
     long arrived;
@@ -44,7 +44,7 @@
 
   private final Map<String, Integer> byName = new HashMap<>();
   private final List<Group> groups = new ArrayList<>();
-  private final Meter all = new Meter(LATELY_MS);
+  private final RateMeter all = new RateMeter(LATELY_MS);
   private long now;
   private int starving;
 
@@ -105,15 +105,15 @@
    * For operators: of each group the longest wait, and what part of its tasks does not wait for it.
    */
   public Map<String, Double> gauges() {
-    Map<String, Double> g = new TreeMap<>();
+    Map<String, Double> gauges = new TreeMap<>();
     for (Group x : groups) {
       String label = "{group=\"" + x.name + "\"}";
-      g.put("snowturn.wait.longest.seconds" + label, x.waitS);
-      g.put(
+      gauges.put("snowturn.wait.longest.seconds" + label, x.waitS);
+      gauges.put(
           "snowturn.served.share" + label,
           1 - Math.min(1.0, (double) x.waiting / Math.max(1, x.arrived)));
-      g.put("snowturn.room.given.cpus" + label, x.given.perSecond(now));
+      gauges.put("snowturn.room.given.cpus" + label, x.given.perSecond(now));
     }
-    return g;
+    return gauges;
   }
 }
--- a/src/main/java/org/snowturn/core/admission/Guarantees.java
+++ b/src/main/java/org/snowturn/core/admission/QuotaGuarantees.java
@@ -15,7 +15,7 @@
  *
  * <p>Worked out anew from the jobs that there are, so a new leader has it from the records alone.
  */
-public final class Guarantees {
+public final class QuotaGuarantees {
   private static final double SLACK = 1e-6;
 
   /** What a job asks of its team's guarantee, all of its tasks together. */
@@ -58,10 +58,10 @@
   private final Map<String, Double> held = new TreeMap<>();
 
   /** Of these teams, those that have a guarantee. */
-  public Guarantees(Iterable<Settings.Team> teams) {
-    for (Settings.Team t : teams) {
-      if (t.cpus() > 0 || t.gpus() > 0) {
-        guaranteed.put(t.name(), t);
+  public QuotaGuarantees(Iterable<Settings.Team> teams) {
+    for (Settings.Team team : teams) {
+      if (team.cpus() > 0 || team.gpus() > 0) {
+        guaranteed.put(team.name(), team);
       }
     }
   }
@@ -94,13 +94,13 @@
 
   /** For operators: of each team with a guarantee, its CPUs and how many of them are claimed. */
   public Map<String, Double> gauges() {
-    Map<String, Double> g = new TreeMap<>();
+    Map<String, Double> gauges = new TreeMap<>();
     guaranteed.forEach(
-        (name, t) -> {
+        (name, team) -> {
           String label = "{team=\"" + name + "\"}";
-          g.put("snowturn.guarantee.cpus" + label, t.cpus());
-          g.put("snowturn.guarantee.claimed.cpus" + label, held.getOrDefault(name, 0.0));
+          gauges.put("snowturn.guarantee.cpus" + label, team.cpus());
+          gauges.put("snowturn.guarantee.claimed.cpus" + label, held.getOrDefault(name, 0.0));
         });
-    return g;
+    return gauges;
   }
 }
--- a/src/main/java/org/snowturn/core/admission/Admission.java
+++ b/src/main/java/org/snowturn/core/admission/RateAllocator.java
@@ -10,14 +10,14 @@
  * What this node may take of the state service's rates, and what it tells its peers of its needs.
  * Pure: time comes in, decisions go out.
  */
-public final class Admission {
+public final class RateAllocator {
   private static final long TELL_MS = 300;
 
   private final double requestRate;
   private final double changeRate;
-  private final Needs needs;
-  private final StateBudget budget;
-  private final SubmitGate gate;
+  private final RateDemands needs;
+  private final StateRequestBudget budget;
+  private final AdmissionController admissionController;
   private double led;
   private long tellAt = Long.MIN_VALUE;
 
@@ -27,7 +27,7 @@
    * @param requestRate requests a second that the state service takes of all nodes
    * @param changeRate changes a second, likewise: the smaller one if it is to become smaller
    */
-  public Admission(
+  public RateAllocator(
       List<String> peers,
       double requestRate,
       double changeRate,
@@ -35,24 +35,26 @@
       long nowMs) {
     this.requestRate = requestRate;
     this.changeRate = changeRate;
-    needs = new Needs(peers);
-    budget = new StateBudget(needs.requests(requestRate, nowMs), nowMs);
-    gate = new SubmitGate(random, needs.submitted(Needs.Need.NONE, changeRate, nowMs), nowMs);
+    needs = new RateDemands(peers);
+    budget = new StateRequestBudget(needs.requests(requestRate, nowMs), nowMs);
+    admissionController =
+        new AdmissionController(
+            random, needs.submitted(RateDemands.Demand.NONE, changeRate, nowMs), nowMs);
   }
 
   /** This node's part of the requests. */
-  public StateBudget budget() {
+  public StateRequestBudget budget() {
     return budget;
   }
 
   /** This node's part of the changes that users ask for. */
-  public SubmitGate gate() {
-    return gate;
+  public AdmissionController gate() {
+    return admissionController;
   }
 
   /** A peer tells what it needs. */
-  public void told(String from, Needs.Need need, long nowMs) {
-    needs.told(from, need, nowMs);
+  public void told(String from, RateDemands.Demand demand, long nowMs) {
+    needs.told(from, demand, nowMs);
   }
 
   /** The changes a second that a term of this node has to write; 0 without one. */
@@ -71,32 +73,32 @@
       return false;
     }
     tellAt = nowMs + TELL_MS;
-    Needs.Need mine = mine(nowMs);
+    RateDemands.Demand mine = mine(nowMs);
     budget.rate(needs.requests(requestRate, nowMs), nowMs);
-    gate.rate(needs.submitted(mine, changeRate, nowMs), nowMs);
+    admissionController.rate(needs.submitted(mine, changeRate, nowMs), nowMs);
     return true;
   }
 
   /** What this node needs. */
-  public Needs.Need mine(long nowMs) {
-    return new Needs.Need(budget.asked(nowMs), gate.asked(nowMs), led);
+  public RateDemands.Demand mine(long nowMs) {
+    return new RateDemands.Demand(budget.asked(nowMs), admissionController.asked(nowMs), led);
   }
 
   /** Figures for operators. */
   public Map<String, Double> gauges(long nowMs) {
-    Map<String, Double> g = new HashMap<>();
-    g.put("snowturn.admission.requests.share", budget.perSecond());
-    g.put("snowturn.admission.requests.asked", budget.asked(nowMs));
-    g.put("snowturn.admission.requests.refused.there", (double) budget.refusedThere());
-    g.put("snowturn.admission.submissions.asked", gate.asked(nowMs));
-    g.put("snowturn.admission.submissions.pressure", gate.refusedShare(nowMs));
-    g.put("snowturn.admission.peers.heard", (double) needs.heard(nowMs));
-    for (Purpose p : Purpose.values()) {
-      String name = p.name().toLowerCase(Locale.ROOT);
-      g.put(
+    Map<String, Double> gauges = new HashMap<>();
+    gauges.put("snowturn.admission.requests.share", budget.perSecond());
+    gauges.put("snowturn.admission.requests.asked", budget.asked(nowMs));
+    gauges.put("snowturn.admission.requests.refused.there", (double) budget.refusedThere());
+    gauges.put("snowturn.admission.submissions.asked", admissionController.asked(nowMs));
+    gauges.put("snowturn.admission.submissions.pressure", admissionController.refusedShare(nowMs));
+    gauges.put("snowturn.admission.peers.heard", (double) needs.heard(nowMs));
+    for (RequestClass requestClass : RequestClass.values()) {
+      String name = requestClass.name().toLowerCase(Locale.ROOT);
+      gauges.put(
           "snowturn.admission.requests.refused{purpose=\"" + name + "\"}",
-          (double) budget.refused(p));
+          (double) budget.refused(requestClass));
     }
-    return g;
+    return gauges;
   }
 }
--- a/src/main/java/org/snowturn/core/admission/Needs.java
+++ b/src/main/java/org/snowturn/core/admission/RateDemands.java
@@ -15,7 +15,7 @@
  * part at once, and those whose part shrinks by it learn of it a record later: for so long, all
  * nodes together may take more than there is, by no more than the part that had been lent.
  */
-public final class Needs {
+public final class RateDemands {
   /** Records come every 300 ms; three may be lost. */
   static final long STALE_MS = 1_200;
 
@@ -40,32 +40,32 @@
    * @param submitted changes that its users ask for
    * @param led changes that its term has to write; 0 for a node that does not lead
    */
-  public record Need(double requests, double submitted, double led) {
+  public record Demand(double requests, double submitted, double led) {
     /** A need of nothing. */
-    public static final Need NONE = new Need(0, 0, 0);
+    public static final Demand NONE = new Demand(0, 0, 0);
   }
 
-  private record Told(Need need, long at) {}
+  private record Told(Demand demand, long at) {}
 
   private final Map<String, Told> told = new HashMap<>();
   private final List<String> peers;
 
   /** Among this node and its peers, by their names. */
-  public Needs(List<String> peers) {
+  public RateDemands(List<String> peers) {
     this.peers = List.copyOf(peers);
   }
 
   /** A peer tells; who is no peer is not heard. */
-  public void told(String from, Need need, long nowMs) {
+  public void told(String from, Demand demand, long nowMs) {
     boolean sane =
-        need.requests >= 0
-            && need.requests < 1e6
-            && need.submitted >= 0
-            && need.submitted < 1e6
-            && need.led >= 0
-            && need.led < 1e6;
+        demand.requests >= 0
+            && demand.requests < 1e6
+            && demand.submitted >= 0
+            && demand.submitted < 1e6
+            && demand.led >= 0
+            && demand.led < 1e6;
     if (sane && peers.contains(from)) {
-      told.put(from, new Told(need, nowMs));
+      told.put(from, new Told(demand, nowMs));
     }
   }
 
@@ -89,39 +89,39 @@
 
   /** The requests a second that this node may make, of so many for all. */
   public double requests(double rate, long nowMs) {
-    return part(rate * USED, Need::requests, nowMs);
+    return part(rate * USED, Demand::requests, nowMs);
   }
 
   /** The changes a second that this node's users may ask for, of so many for all. */
-  public double submitted(Need mine, double rate, long nowMs) {
+  public double submitted(Demand mine, double rate, long nowMs) {
     double led = mine.led;
     boolean unknown = false;
     for (String p : peers) {
-      led = fresh(p, nowMs) ? Math.max(led, told.get(p).need.led) : led;
+      led = fresh(p, nowMs) ? Math.max(led, told.get(p).demand.led) : led;
       unknown |= !fresh(p, nowMs);
     }
     double all = Math.max(rate * USERS, unknown ? 0 : rate * USED - led);
-    return part(all, Need::submitted, nowMs);
+    return part(all, Demand::submitted, nowMs);
   }
 
   /** This node's part of so much: what the peers need is theirs, what nobody else needs is ours. */
-  private double part(double all, ToDoubleFunction<Need> of, long nowMs) {
+  private double part(double all, ToDoubleFunction<Demand> of, long nowMs) {
     double equal = all / nodes();
     double[] needs = new double[nodes()];
     needs[0] = Double.MAX_VALUE;
     for (int i = 0; i < peers.size(); i++) {
       String p = peers.get(i);
-      double need = fresh(p, nowMs) ? of.applyAsDouble(told.get(p).need) : equal;
+      double need = fresh(p, nowMs) ? of.applyAsDouble(told.get(p).demand) : equal;
       needs[i + 1] = Math.max(need * 1.2, equal * KEPT);
     }
-    return Math.max(equal, Shares.of(needs, all)[0]);
+    return Math.max(equal, FairShares.of(needs, all)[0]);
   }
 
   /** The changes a second that a term of this node may write, of so many for all. */
-  public double led(Need mine, double rate, long nowMs) {
+  public double led(Demand mine, double rate, long nowMs) {
     double users = mine.submitted;
     for (String p : peers) {
-      users += fresh(p, nowMs) ? told.get(p).need.submitted : rate * (USED - LED_MOST) / nodes();
+      users += fresh(p, nowMs) ? told.get(p).demand.submitted : rate * (USED - LED_MOST) / nodes();
     }
     return Math.max(rate * LED_LEAST, Math.min(rate * LED_MOST, rate * USED - users));
   }
--- a/src/main/java/org/snowturn/core/admission/Meter.java
+++ b/src/main/java/org/snowturn/core/admission/RateMeter.java
@@ -1,13 +1,13 @@
 package org.snowturn.core.admission;
 
 /** How often something happens a second, lately: an average that forgets. */
-public final class Meter {
+public final class RateMeter {
   private final double lifeMs;
   private double sum;
   private long at;
 
   /** Forgets two thirds of what was within {@code lifeMs}. */
-  public Meter(long lifeMs) {
+  public RateMeter(long lifeMs) {
     this.lifeMs = lifeMs;
   }
 
--- a/src/main/java/org/snowturn/core/admission/Purpose.java
+++ b/src/main/java/org/snowturn/core/admission/RequestClass.java
@@ -1,7 +1,7 @@
 package org.snowturn.core.admission;
 
 /** What a call to the state service is for, in the order in which calls go without. */
-public enum Purpose {
+public enum RequestClass {
   /** What a node's authority rests on: never refused here, and counted before all others. */
   AUTHORITY(0, 0),
 
@@ -26,7 +26,7 @@
   /** Beyond its floor it leaves so much of a second's share to those before it. */
   final double leaves;
 
-  Purpose(double floor, double leaves) {
+  RequestClass(double floor, double leaves) {
     this.floor = floor;
     this.leaves = leaves;
   }
--- a/src/main/java/org/snowturn/core/admission/StateBudget.java
+++ b/src/main/java/org/snowturn/core/admission/StateRequestBudget.java
@@ -6,13 +6,13 @@
 /**
  * This node's part of the state service's requests, and what it goes to. A call that the service
  * would refuse costs it as much as one that it takes, and what it refuses in a flood are leases'
- * renewals as likely as polls: so the part is kept here, by the order of {@link Purpose}, with a
- * floor for each.
+ * renewals as likely as polls: so the part is kept here, by the order of {@link RequestClass}, with
+ * a floor for each.
  *
- * <p>The part is what the nodes agree on ({@link Needs}). A refusal by the service for its rate
- * says that somebody takes too much, whoever it is: the part shrinks, and grows back.
+ * <p>The part is what the nodes agree on ({@link RateDemands}). A refusal by the service for its
+ * rate says that somebody takes too much, whoever it is: the part shrinks, and grows back.
  */
-public final class StateBudget {
+public final class StateRequestBudget {
   /** A refusal leaves so much of what was allowed; no more than one counts in a while. */
   private static final double SHRINK = 0.85;
 
@@ -23,12 +23,12 @@
   /** Renewals and floors may overdraw, but not so much that nothing is left for long. */
   private static final double MOST_OVERDRAWN_S = 0.4;
 
-  private final Meter asked = new Meter(2_000);
+  private final RateMeter asked = new RateMeter(2_000);
 
   /** What each purpose may still take of its floor, whatever the others have taken. */
-  private final Map<Purpose, Double> floors = new EnumMap<>(Purpose.class);
+  private final Map<RequestClass, Double> floors = new EnumMap<>(RequestClass.class);
 
-  private final Map<Purpose, Long> refused = new EnumMap<>(Purpose.class);
+  private final Map<RequestClass, Long> refused = new EnumMap<>(RequestClass.class);
   private double rate;
   private double left;
   private double pressure = 1;
@@ -37,12 +37,12 @@
   private long refusals;
 
   /** A full budget of so many requests a second. */
-  public StateBudget(double rate, long nowMs) {
+  public StateRequestBudget(double rate, long nowMs) {
     this.rate = rate;
     this.filledAt = nowMs;
-    for (Purpose p : Purpose.values()) {
-      floors.put(p, rate * p.floor);
-      refused.put(p, 0L);
+    for (RequestClass requestClass : RequestClass.values()) {
+      floors.put(requestClass, rate * requestClass.floor);
+      refused.put(requestClass, 0L);
     }
     left = rate;
   }
@@ -58,16 +58,18 @@
   }
 
   /** Takes one call out of the budget, or says that it must not be made. */
-  public boolean take(Purpose p, long nowMs) {
+  public boolean take(RequestClass requestClass, long nowMs) {
     fill(nowMs);
     asked.add(1, nowMs);
-    boolean floor = floors.get(p) >= 1 && left - 1 > -allowed() * MOST_OVERDRAWN_S;
-    if (p != Purpose.AUTHORITY && !floor && left - 1 < allowed() * p.leaves) {
-      refused.merge(p, 1L, Long::sum);
+    boolean floor = floors.get(requestClass) >= 1 && left - 1 > -allowed() * MOST_OVERDRAWN_S;
+    if (requestClass != RequestClass.AUTHORITY
+        && !floor
+        && left - 1 < allowed() * requestClass.leaves) {
+      refused.merge(requestClass, 1L, Long::sum);
       return false;
     }
     left = Math.max(left - 1, -allowed() * MOST_OVERDRAWN_S);
-    floors.merge(p, -1.0, (had, minus) -> Math.max(0, had + minus));
+    floors.merge(requestClass, -1.0, (had, minus) -> Math.max(0, had + minus));
     return true;
   }
 
@@ -89,9 +91,9 @@
     filledAt = nowMs;
     pressure = Math.min(1, pressure + GROW_PER_S * s);
     left = Math.min(allowed(), left + allowed() * s);
-    for (Purpose p : Purpose.values()) {
-      double floor = allowed() * p.floor;
-      floors.put(p, Math.min(Math.max(1, floor), floors.get(p) + floor * s));
+    for (RequestClass requestClass : RequestClass.values()) {
+      double floor = allowed() * requestClass.floor;
+      floors.put(requestClass, Math.min(Math.max(1, floor), floors.get(requestClass) + floor * s));
     }
   }
 
@@ -106,8 +108,8 @@
   }
 
   /** How many calls were not made for want of budget. */
-  public long refused(Purpose p) {
-    return refused.get(p);
+  public long refused(RequestClass requestClass) {
+    return refused.get(requestClass);
   }
 
   /** How many calls the service refused for its rate. */
--- a/src/main/java/org/snowturn/core/users/JobApi.java
+++ b/src/main/java/org/snowturn/core/api/JobApi.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.users;
+package org.snowturn.core.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -13,21 +13,23 @@
 import java.util.function.BooleanSupplier;
 import org.snowturn.config.Settings;
 import org.snowturn.core.Outcome;
-import org.snowturn.core.PeerRecord;
-import org.snowturn.core.admission.Purpose;
-import org.snowturn.core.admission.SubmitGate;
-import org.snowturn.core.calls.Calls;
-import org.snowturn.core.model.Catalog;
+import org.snowturn.core.PeerMessage;
+import org.snowturn.core.admission.AdmissionController;
+import org.snowturn.core.admission.RequestClass;
+import org.snowturn.core.connectivity.StateRequestRelay;
+import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.effects.LogEvent;
+import org.snowturn.core.effects.LogField;
 import org.snowturn.core.model.LiveJobs;
+import org.snowturn.core.model.MachineTypes;
 import org.snowturn.core.model.Quota;
-import org.snowturn.core.reach.Relays;
-import org.snowturn.core.records.Keys;
-import org.snowturn.core.records.LruMap;
-import org.snowturn.core.records.StoredJob;
-import org.snowturn.core.store.FormatGate;
-import org.snowturn.core.store.JobFinder;
+import org.snowturn.core.storage.FormatGate;
+import org.snowturn.core.storage.JobLookup;
+import org.snowturn.core.storage.JobRecord;
+import org.snowturn.core.storage.LruMap;
+import org.snowturn.core.storage.StorageKeys;
 import org.snowturn.wire.JobSpec;
-import org.snowturn.wire.JobView;
+import org.snowturn.wire.JobStatus;
 import org.snowturn.wire.Json;
 import org.snowturn.wire.MalformedException;
 import org.snowturn.wire.StateMessage;
@@ -59,43 +61,43 @@
 
   private static final int REMEMBERED = 20_000;
   private final Settings settings;
-  private final Calls calls;
-  private final Catalog catalog;
+  private final CoreRuntime runtime;
+  private final MachineTypes machineTypes;
   private final BooleanSupplier stateHealthy;
   private final CancelledJobs cancelled;
   private final FormatGate format;
-  private final Relays relays;
-  private final SubmitGate gate;
+  private final StateRequestRelay relays;
+  private final AdmissionController admissionController;
   private final LiveJobCache liveJobs;
-  private final Map<String, JobView> over = new LruMap<>(REMEMBERED);
+  private final Map<String, JobStatus> over = new LruMap<>(REMEMBERED);
 
   /** Jobs known to have been accepted, and whether they are services: neither ever changes. */
   private final Map<String, Boolean> accepted = new LruMap<>(5_000);
 
-  private final Map<String, PeerRecord.Progress> progress = new LruMap<>(5_000);
+  private final Map<String, PeerMessage.JobProgress> progress = new LruMap<>(5_000);
 
   public JobApi(
       Settings settings,
-      Calls calls,
-      Catalog catalog,
+      CoreRuntime runtime,
+      MachineTypes machineTypes,
       FormatGate format,
-      Relays relays,
-      SubmitGate gate,
+      StateRequestRelay relays,
+      AdmissionController admissionController,
       LiveJobCache liveJobs,
       BooleanSupplier stateHealthy,
       CancelledJobs cancelled) {
     this.cancelled = cancelled;
     this.relays = relays;
-    this.gate = gate;
+    this.admissionController = admissionController;
     this.liveJobs = liveJobs;
     this.format = format;
     this.stateHealthy = stateHealthy;
     this.settings = settings;
-    this.calls = calls;
-    this.catalog = catalog;
+    this.runtime = runtime;
+    this.machineTypes = machineTypes;
   }
 
-  public void progress(PeerRecord.Progress p) {
+  public void progress(PeerMessage.JobProgress p) {
     progress.put(p.job(), p);
   }
 
@@ -111,7 +113,7 @@
   /** The state service takes no more changes for now. */
   private void heed(int status) {
     if (status == 429) {
-      gate.refusedThere(calls.now());
+      admissionController.refusedThere(runtime.now());
     }
   }
 
@@ -119,32 +121,32 @@
    * Tells a user a job's state. Whoever hears of a cancellation may rely on it from then on, so it
    * is listed for the leader first.
    */
-  private void answer(long exchange, JobView view, JsonNode body) {
-    if (view.phase() == JobView.Phase.ABORTED) {
+  private void answer(long exchange, JobStatus view, JsonNode body) {
+    if (view.phase() == JobStatus.Phase.ABORTED) {
       cancelled.tell(view.id());
     }
-    if (calls.events().debug()) {
-      calls
+    if (runtime.events().debug()) {
+      runtime
           .events()
-          .debug("user_answer")
-          .with("job", view.id())
-          .with("phase", view.phase().wire())
+          .debug(LogEvent.USER_ANSWER)
+          .with(LogField.JOB, view.id())
+          .with(LogField.PHASE, view.phase().wire())
           .write();
     }
-    calls.answer(exchange, 200, body);
+    runtime.answer(exchange, 200, body);
   }
 
   /** Not now: with a time to come back that grows with the pressure. */
   private void refuse(long exchange) {
-    calls.refuse(exchange, 503, gate.retryAfterS(calls.now()));
+    runtime.answerUnavailable(exchange, 503, admissionController.retryAfterS(runtime.now()));
   }
 
   public void submit(long exchange, JobSpec spec) {
     if (refusedForNow(exchange)) {
       return;
     }
-    String never = catalog.known() ? whyNever(spec) : null;
-    if (!catalog.known() || never != null) {
+    String never = machineTypes.known() ? whyNever(spec) : null;
+    if (!machineTypes.known() || never != null) {
       unlessKnown(exchange, spec, never);
     } else if (spec.awaits().isEmpty()) {
       write(exchange, spec);
@@ -165,7 +167,7 @@
           if (view != null) {
             answer(exchange, view, view.brief());
           } else if (never != null) {
-            calls.answer(exchange, 422, Json.object().put("error", never));
+            runtime.answer(exchange, 422, Json.object().put("error", never));
           } else {
             refuse(exchange);
           }
@@ -184,10 +186,10 @@
         services.put(id, service);
       }
     }
-    JobFinder.find(
-        calls,
-        Purpose.USERS,
-        JobFinder.LIVE_FIRST,
+    JobLookup.find(
+        runtime,
+        RequestClass.USERS,
+        JobLookup.LIVE_FIRST,
         unknown,
         FIND_WITHIN_MS,
         (found, complete) -> {
@@ -219,7 +221,7 @@
   }
 
   private void write(long exchange, JobSpec spec) {
-    if (!gate.admits(spec.jobClass() + "/" + spec.team(), 1, calls.now())) {
+    if (!admissionController.admits(spec.jobClass() + "/" + spec.team(), 1, runtime.now())) {
       // A known job's repeat is answered whatever the pressure, from what is at hand.
       if (accepted.containsKey(spec.id())
           || (liveJobs.known() && liveJobs.get(spec.id()) != null)) {
@@ -229,7 +231,7 @@
       }
       return;
     }
-    StoredJob job = new StoredJob(JobView.Phase.QUEUED, calls.wall(), spec);
+    JobRecord job = new JobRecord(JobStatus.Phase.QUEUED, runtime.wallMs(), spec);
     int room = format.limits().valueBytes();
     ObjectNode record = job.live();
     if (!format.open() || Json.bytes(record).length <= room) {
@@ -237,8 +239,8 @@
       return;
     }
     String text = Json.text(spec.toJson());
-    List<ObjectNode> parts = StoredJob.cut(text, room);
-    new PartsWriter(exchange, spec, job.inParts(StoredJob.nameOf(text, room), parts.size()), parts)
+    List<ObjectNode> parts = JobRecord.cut(text, room);
+    new PartsWriter(exchange, spec, job.inParts(JobRecord.nameOf(text, room), parts.size()), parts)
         .look();
   }
 
@@ -251,24 +253,24 @@
   private final class PartsWriter {
     private final long exchange;
     private final JobSpec spec;
-    private final StoredJob job;
+    private final JobRecord job;
     private final List<ObjectNode> parts;
     private final String prefix;
     private final BitSet stored = new BitSet();
     private long first;
 
-    PartsWriter(long exchange, JobSpec spec, StoredJob job, List<ObjectNode> parts) {
+    PartsWriter(long exchange, JobSpec spec, JobRecord job, List<ObjectNode> parts) {
       this.exchange = exchange;
       this.spec = spec;
       this.job = job;
       this.parts = parts;
-      this.prefix = Keys.parts(spec.id(), job.submission());
+      this.prefix = StorageKeys.parts(spec.id(), job.submission());
     }
 
     /** Learns what an earlier try has stored already. */
     void look() {
       relays.state(
-          Purpose.USERS,
+          RequestClass.USERS,
           "GET",
           "/kv?prefix=" + prefix + "&most=1000",
           null,
@@ -284,17 +286,17 @@
                 return;
               }
             } catch (MalformedException e) {
-              calls.note("unusable parts of " + spec.id() + ": " + e.getMessage());
+              runtime.note("unusable parts of " + spec.id() + ": " + e.getMessage());
             }
             refuse(exchange);
           });
     }
 
-    private void found(StateMessage.Entry e) {
-      int index = Integer.parseInt(e.key().substring(prefix.length()));
+    private void found(StateMessage.Entry entry) {
+      int index = Integer.parseInt(entry.key().substring(prefix.length()));
       stored.set(index);
       if (index == 0) {
-        first = e.stamp();
+        first = entry.stamp();
       }
     }
 
@@ -309,13 +311,13 @@
         written.set(i);
         i = stored.nextClearBit(i + 1);
       }
-      gate.spend(apply.size(), calls.now());
+      admissionController.spend(apply.size(), runtime.now());
       if (apply.isEmpty()) {
         commit(exchange, spec, job.live(), List.of(new Condition(prefix + 0, first)));
         return;
       }
       relays.state(
-          Purpose.USERS,
+          RequestClass.USERS,
           "POST",
           "/txn",
           StateMessage.txn(when, apply),
@@ -329,7 +331,7 @@
                 return;
               }
             } catch (MalformedException e) {
-              calls.note("unusable reply to a part of " + spec.id() + ": " + e.getMessage());
+              runtime.note("unusable reply to a part of " + spec.id() + ": " + e.getMessage());
             }
             unlessKnown(exchange, spec, null);
           });
@@ -337,22 +339,23 @@
   }
 
   private static List<Condition> isNew(String id) {
-    return List.of(new Condition(Keys.job(id), 0), new Condition(Keys.over(id), 0));
+    return List.of(new Condition(StorageKeys.job(id), 0), new Condition(StorageKeys.over(id), 0));
   }
 
   private void commit(long exchange, JobSpec spec, ObjectNode record, List<Condition> parts) {
     List<Condition> when = new ArrayList<>(isNew(spec.id()));
     when.addAll(parts);
     relays.state(
-        Purpose.USERS,
+        RequestClass.USERS,
         "POST",
         "/txn",
-        StateMessage.txn(when, List.of(Change.put(Keys.job(spec.id()), record))),
+        StateMessage.txn(when, List.of(Change.put(StorageKeys.job(spec.id()), record))),
         TIMEOUT_MS,
         (outcome, status, reply) -> {
           if (outcome == Outcome.ANSWERED && status == 200) {
             accepted.put(spec.id(), spec.service());
-            calls.answer(exchange, 201, new JobView(spec.id(), JobView.Phase.QUEUED, 0, 0).brief());
+            runtime.answer(
+                exchange, 201, new JobStatus(spec.id(), JobStatus.Phase.QUEUED, 0, 0).brief());
           } else if (outcome == Outcome.ANSWERED && status == 409) {
             unlessKnown(exchange, spec, null);
           } else {
@@ -372,7 +375,7 @@
     if (team == null) {
       return "unknown team";
     }
-    if (!catalog.canHold(spec)) {
+    if (!machineTypes.canHold(spec)) {
       return "a task fits no allowed machine type";
     }
     if (spec.zone() != null && !settings.zones().contains(spec.zone())) {
@@ -395,7 +398,7 @@
         id,
         view -> {
           if (view == null) {
-            calls.answer(exchange, 404, null);
+            runtime.answer(exchange, 404, null);
           } else {
             answer(exchange, view, view.full());
           }
@@ -404,7 +407,7 @@
 
   private interface Found {
     /** The job's state, or null if nobody submitted it. */
-    void on(JobView view);
+    void on(JobStatus view);
   }
 
   /**
@@ -412,7 +415,7 @@
    * proven fresh, and else from the records themselves.
    */
   private void lookUp(long exchange, String id, Found then) {
-    JobView known = over.get(id);
+    JobStatus known = over.get(id);
     if (known != null) {
       then.on(known);
     } else if (liveJobs.known() && relays.direct()) {
@@ -423,7 +426,8 @@
               refuse(exchange);
             } else if (live != null) {
               then.on(
-                  liveView(id, live.cancelled() ? JobView.Phase.ABORTED : JobView.Phase.QUEUED));
+                  liveView(
+                      id, live.cancelled() ? JobStatus.Phase.ABORTED : JobStatus.Phase.QUEUED));
             } else {
               readOver(exchange, id, () -> readBoth(exchange, id, then), then);
             }
@@ -462,9 +466,9 @@
 
   private void readOver(long exchange, String id, Runnable absent, Found then) {
     readOne(
-        Purpose.USERS,
+        RequestClass.USERS,
         exchange,
-        Keys.over(id),
+        StorageKeys.over(id),
         done -> {
           if (done == null) {
             absent.run();
@@ -477,13 +481,13 @@
   /** Reads a live record, then what remains of a job that is over: records only move that way. */
   private void readBoth(long exchange, String id, Found then) {
     readOne(
-        Purpose.READS,
+        RequestClass.READS,
         exchange,
-        Keys.job(id),
+        StorageKeys.job(id),
         live -> {
           if (live != null
-              && !StoredJob.phaseOf(live.value()).terminal()
-              && mayNeedCancelled(StoredJob.awaits(live.value()))) {
+              && !JobRecord.phaseOf(live.value()).terminal()
+              && mayNeedCancelled(JobRecord.awaits(live.value()))) {
             refuse(exchange);
           } else if (live != null) {
             then.on(view(id, live.value()));
@@ -493,13 +497,13 @@
         });
   }
 
-  private JobView view(String id, JsonNode value) {
-    JobView.Phase phase = StoredJob.phaseOf(value);
+  private JobStatus view(String id, JsonNode value) {
+    JobStatus.Phase phase = JobRecord.phaseOf(value);
     if (phase.terminal()) {
-      PeerRecord.Progress p = progress.get(id);
+      PeerMessage.JobProgress p = progress.get(id);
       int tasks = value.has("n") ? value.path("n").asInt() : value.path("s").path("flakes").asInt();
-      int done = phase == JobView.Phase.DONE ? tasks : p == null ? 0 : p.done();
-      JobView v = new JobView(id, phase, done, 0);
+      int done = phase == JobStatus.Phase.DONE ? tasks : p == null ? 0 : p.done();
+      JobStatus v = new JobStatus(id, phase, done, 0);
       over.put(id, v);
       progress.remove(id);
       return v;
@@ -508,26 +512,26 @@
   }
 
   /** A job with a live record, which may be cancelled. */
-  private JobView liveView(String id, JobView.Phase phase) {
-    PeerRecord.Progress p = progress.get(id);
+  private JobStatus liveView(String id, JobStatus.Phase phase) {
+    PeerMessage.JobProgress p = progress.get(id);
     if (phase.terminal()) {
-      JobView v = new JobView(id, phase, p == null ? 0 : p.done(), 0);
+      JobStatus v = new JobStatus(id, phase, p == null ? 0 : p.done(), 0);
       over.put(id, v);
       progress.remove(id);
       return v;
     }
     if (p == null) {
-      return new JobView(id, phase, 0, 0);
+      return new JobStatus(id, phase, 0, 0);
     }
-    JobView.Phase shown = p.running() > 0 ? JobView.Phase.RUNNING : phase;
-    return new JobView(id, shown, p.done(), p.running());
+    JobStatus.Phase shown = p.running() > 0 ? JobStatus.Phase.RUNNING : phase;
+    return new JobStatus(id, shown, p.done(), p.running());
   }
 
   private interface Read {
     void on(StateMessage.Entry entry);
   }
 
-  private void readOne(Purpose purpose, long exchange, String key, Read then) {
+  private void readOne(RequestClass purpose, long exchange, String key, Read then) {
     relays.state(
         purpose,
         "GET",
@@ -544,7 +548,7 @@
               then.on(StateMessage.entry(body));
               return;
             } catch (MalformedException e) {
-              calls.note("unusable record " + key + ": " + e.getMessage());
+              runtime.note("unusable record " + key + ": " + e.getMessage());
             }
           }
           refuse(exchange);
@@ -552,7 +556,7 @@
   }
 
   public void cancel(long exchange, String id) {
-    JobView known = over.get(id);
+    JobStatus known = over.get(id);
     if (known != null) {
       answer(exchange, known, known.brief());
     } else if (!refusedForNow(exchange)) {
@@ -562,17 +566,17 @@
 
   private void cancel(long exchange, String id, int tries) {
     readOne(
-        Purpose.USERS,
+        RequestClass.USERS,
         exchange,
-        Keys.job(id),
+        StorageKeys.job(id),
         live -> {
-          if (live == null || StoredJob.phaseOf(live.value()).terminal()) {
+          if (live == null || JobRecord.phaseOf(live.value()).terminal()) {
             lookUp(
                 exchange,
                 id,
                 view -> {
                   if (view == null) {
-                    calls.answer(exchange, 404, null);
+                    runtime.answer(exchange, 404, null);
                   } else if (view.phase().terminal()) {
                     answer(exchange, view, view.brief());
                   } else {
@@ -586,21 +590,21 @@
   }
 
   private void writeCancel(long exchange, String id, StateMessage.Entry live, int tries) {
-    gate.spend(1, calls.now());
-    JsonNode value = StoredJob.cancelled(live.value(), format.limits().valueBytes());
+    admissionController.spend(1, runtime.now());
+    JsonNode value = JobRecord.cancelled(live.value(), format.limits().valueBytes());
     JsonNode body =
         StateMessage.txn(
-            List.of(new Condition(Keys.job(id), live.stamp())),
-            List.of(Change.put(Keys.job(id), value)));
+            List.of(new Condition(StorageKeys.job(id), live.stamp())),
+            List.of(Change.put(StorageKeys.job(id), value)));
     relays.state(
-        Purpose.USERS,
+        RequestClass.USERS,
         "POST",
         "/txn",
         body,
         TIMEOUT_MS,
         (outcome, status, reply) -> {
           if (outcome == Outcome.ANSWERED && status == 200) {
-            JobView aborted = new JobView(id, JobView.Phase.ABORTED, 0, 0);
+            JobStatus aborted = new JobStatus(id, JobStatus.Phase.ABORTED, 0, 0);
             over.put(id, aborted);
             answer(exchange, aborted, aborted.brief());
           } else if (outcome == Outcome.ANSWERED && status == 409 && tries > 1) {
--- a/src/main/java/org/snowturn/core/users/LiveJobCache.java
+++ b/src/main/java/org/snowturn/core/api/LiveJobCache.java
@@ -1,19 +1,19 @@
-package org.snowturn.core.users;
+package org.snowturn.core.api;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayDeque;
 import java.util.List;
 import org.snowturn.config.Settings;
 import org.snowturn.core.Outcome;
-import org.snowturn.core.admission.Purpose;
-import org.snowturn.core.calls.Calls;
+import org.snowturn.core.admission.RequestClass;
+import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.LiveJobs;
-import org.snowturn.core.records.Keys;
-import org.snowturn.core.records.StoredJob;
 import org.snowturn.core.recovery.Backoff;
-import org.snowturn.core.store.Loader;
-import org.snowturn.wire.JobView;
+import org.snowturn.core.storage.JobRecord;
+import org.snowturn.core.storage.RangeReader;
+import org.snowturn.core.storage.StorageKeys;
+import org.snowturn.wire.JobStatus;
 import org.snowturn.wire.MalformedException;
 import org.snowturn.wire.StateMessage;
 
@@ -53,12 +53,12 @@
 
   private record Asker(long until, Runnable fresh, Runnable unknown) {}
 
-  private final Calls calls;
+  private final CoreRuntime runtime;
   private final Listener listener;
   private final long everyMs;
   private final long refreshMs;
   private final LiveJobs jobs =
-      new LiveJobs(Keys.JOBS, LiveJobCache::isCancelled, StoredJob::awaits);
+      new LiveJobs(StorageKeys.JOBS, LiveJobCache::isCancelled, JobRecord::awaits);
   private final Backoff backoff;
   private ArrayDeque<Asker> waiting = new ArrayDeque<>();
   private boolean busy;
@@ -67,10 +67,10 @@
   private long proofs;
   private long loads;
 
-  public LiveJobCache(Settings settings, Calls calls, Listener listener) {
-    this.calls = calls;
+  public LiveJobCache(Settings settings, CoreRuntime runtime, Listener listener) {
+    this.runtime = runtime;
     this.listener = listener;
-    this.backoff = calls.backoff(LEAST_EVERY_MS, 1_000);
+    this.backoff = runtime.backoff(LEAST_EVERY_MS, 1_000);
     Settings.Workers w = settings.workers();
     long spare = (long) (1000 * (w.cancelS() - w.leaseS()) / 4);
     this.refreshMs = Math.max(REFRESH_LEAST_MS, Math.min(REFRESH_MOST_MS, spare));
@@ -98,7 +98,7 @@
       unknown.run();
       return;
     }
-    waiting.add(new Asker(calls.now() + PATIENCE_MS, fresh, unknown));
+    waiting.add(new Asker(runtime.now() + PATIENCE_MS, fresh, unknown));
     step();
   }
 
@@ -108,14 +108,14 @@
   }
 
   public void tick() {
-    while (!waiting.isEmpty() && waiting.peek().until <= calls.now()) {
+    while (!waiting.isEmpty() && waiting.peek().until <= runtime.now()) {
       waiting.poll().unknown.run();
     }
     step();
   }
 
   private void step() {
-    long now = calls.now();
+    long now = runtime.now();
     boolean wanted = !waiting.isEmpty() || now - freshAt >= refreshMs;
     if (busy || now < nextAt || !wanted) {
       return;
@@ -134,15 +134,15 @@
     ArrayDeque<Asker> covered = waiting;
     waiting = new ArrayDeque<>();
     proofs++;
-    long sentAt = calls.now();
-    calls.watch(
-        Purpose.PROOFS,
-        "/watch?prefix=" + Keys.JOBS + "&since=" + jobs.revision() + "&hold_ms=0",
+    long sentAt = runtime.now();
+    runtime.watchState(
+        RequestClass.PROOFS,
+        "/watch?prefix=" + StorageKeys.JOBS + "&since=" + jobs.revision() + "&hold_ms=0",
         TIMEOUT_MS,
         (outcome, status, body) -> {
           busy = false;
           if (outcome == Outcome.ANSWERED && status == 200 && follow(body)) {
-            freshAt = calls.now();
+            freshAt = runtime.now();
             listener.complete(sentAt);
             backoff.reset();
             covered.forEach(a -> a.fresh.run());
@@ -153,7 +153,7 @@
           }
           covered.addAll(waiting);
           waiting = covered;
-          nextAt = calls.now() + backoff.next(calls.retryAfterMs());
+          nextAt = runtime.now() + backoff.next(runtime.retryAfterMs());
         });
   }
 
@@ -168,35 +168,37 @@
       changes.forEach(this::tellIfCancelled);
       return true;
     } catch (MalformedException e) {
-      calls.note("unusable changes of jobs: " + e.getMessage());
+      runtime.note("unusable changes of jobs: " + e.getMessage());
       jobs.drop();
       return false;
     }
   }
 
-  private void tellIfCancelled(StateMessage.Entry e) {
-    if (e.key().startsWith(Keys.JOBS) && e.value() != null && isCancelled(e.value())) {
-      listener.cancelled(e.key().substring(Keys.JOBS.length()));
+  private void tellIfCancelled(StateMessage.Entry entry) {
+    if (entry.key().startsWith(StorageKeys.JOBS)
+        && entry.value() != null
+        && isCancelled(entry.value())) {
+      listener.cancelled(entry.key().substring(StorageKeys.JOBS.length()));
     }
   }
 
   private static boolean isCancelled(JsonNode value) {
-    return StoredJob.phaseOf(value) == JobView.Phase.ABORTED;
+    return JobRecord.phaseOf(value) == JobStatus.Phase.ABORTED;
   }
 
   private void load() {
     loads++;
-    long sentAt = calls.now();
-    new Loader(calls, Purpose.PROOFS, () -> false)
+    long sentAt = runtime.now();
+    new RangeReader(runtime, RequestClass.PROOFS, () -> false)
         .read(
-            Keys.JOBS,
+            StorageKeys.JOBS,
             range -> {
               busy = false;
               jobs.load(range.entries(), range.epoch());
               range.entries().forEach(this::tellIfCancelled);
               listener.complete(sentAt);
               backoff.reset();
-              nextAt = calls.now();
+              nextAt = runtime.now();
               step();
             });
   }
--- /dev/null
+++ b/src/main/java/org/snowturn/core/api/package-info.java
@@ -0,0 +1,2 @@
+/** Users' requests: submissions, status queries, cancellations. */
+package org.snowturn.core.api;
--- a/src/main/java/org/snowturn/core/act/AttemptGuard.java
+++ b/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
@@ -1,15 +1,17 @@
-package org.snowturn.core.act;
+package org.snowturn.core.assignment;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
-import org.snowturn.core.act.Invariants.Invariant;
-import org.snowturn.core.calls.Calls;
-import org.snowturn.core.evidence.AttemptView;
-import org.snowturn.core.evidence.EndEvidence;
+import org.snowturn.core.assignment.Invariants.Invariant;
+import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.effects.LogEvent;
+import org.snowturn.core.effects.LogField;
+import org.snowturn.core.health.AttemptSnapshot;
+import org.snowturn.core.health.EndEvidence;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
-import org.snowturn.core.model.MachineBook;
+import org.snowturn.core.model.MachineIndex;
 import org.snowturn.wire.CloudMachine;
 import org.snowturn.wire.Command;
 
@@ -18,8 +20,8 @@
  * whether a start may leave. Nothing is released and no start is sent past it.
  */
 public final class AttemptGuard {
-  private final Calls calls;
-  private final MachineBook machines;
+  private final CoreRuntime runtime;
+  private final MachineIndex machines;
   private final long token;
   private final long lapseMs;
   private final Invariants invariants;
@@ -30,12 +32,12 @@
    *
    * @param lapseMs how long after the last possible answer a session has certainly ended
    */
-  public AttemptGuard(Calls calls, MachineBook machines, long token, long lapseMs) {
-    this.calls = calls;
+  public AttemptGuard(CoreRuntime runtime, MachineIndex machines, long token, long lapseMs) {
+    this.runtime = runtime;
     this.machines = machines;
     this.token = token;
     this.lapseMs = lapseMs;
-    this.invariants = new Invariants(calls);
+    this.invariants = new Invariants(runtime);
   }
 
   /** Whether the evidence proves that a bound task's attempt has ended, or never began. */
@@ -46,41 +48,41 @@
       return false;
     }
     ends.merge(evidence.kind(), 1L, Long::sum);
-    if (calls.events().debug()) {
-      Machine machine = machines.get(job.machine[task]);
-      calls
+    if (runtime.events().debug()) {
+      Machine machine = machines.get(job.machineOf[task]);
+      runtime
           .events()
-          .debug("release")
-          .with("task", job.spec.id() + "/" + task)
-          .with("attempt", job.attempt[task])
-          .with("machine", machine.id)
-          .with("session", job.session[task])
-          .with("token", token)
-          .with("evidence", evidence.kind())
-          .with("last_answer_ms_ago", calls.now() - machine.lastAnswerAt)
+          .debug(LogEvent.ASSIGNMENT_RELEASED)
+          .with(LogField.TASK, job.spec.id() + "/" + task)
+          .with(LogField.ATTEMPT, job.attemptOf[task])
+          .with(LogField.MACHINE, machine.id)
+          .with(LogField.AGENT_EPOCH, job.epoch[task])
+          .with(LogField.TOKEN, token)
+          .with(LogField.EVIDENCE, evidence.kind())
+          .with(LogField.LAST_ANSWER_MS_AGO, runtime.now() - machine.lastAnswerAt)
           .write();
     }
     return true;
   }
 
-  private AttemptView view(Job job, int task) {
-    Machine machine = machines.get(job.machine[task]);
-    return new AttemptView(
+  private AttemptSnapshot view(Job job, int task) {
+    Machine machine = machines.get(job.machineOf[task]);
+    return new AttemptSnapshot(
         token,
-        calls.now(),
-        job.session[task],
-        job.state[task] != Job.PLACING,
-        job.inherited.get(task),
+        runtime.now(),
+        job.epoch[task],
+        job.stateOf[task] != Job.PLACING,
+        job.adopted.get(task),
         job.stopping.get(task),
-        ReportCases.inDoubt(machine, job.attempt[task], task),
-        machine.deleted,
+        ReconciliationCases.inDoubt(machine, job.attemptOf[task], task),
+        machine.terminationConfirmed,
         machine.cloudState == CloudMachine.State.FAILED,
         machine.lastAnswerAt,
         lapseMs);
   }
 
   private static String subject(Job job, int task) {
-    return job.spec.id() + "/" + task + "#" + job.attempt[task];
+    return job.spec.id() + "/" + task + "#" + job.attemptOf[task];
   }
 
   /** Whether a start may leave for a machine; {@code job} is null if it is not live. */
@@ -97,19 +99,19 @@
 
   private static String objection(Machine machine, Job job, Command start) {
     int task = start.task();
-    if (job == null || !job.isBound(task)) {
+    if (job == null || !job.isAssigned(task)) {
       return "the task is on no machine";
     }
-    if (job.attempt[task] != start.attempt() || job.machine[task] != machine.index) {
+    if (job.attemptOf[task] != start.attempt() || job.machineOf[task] != machine.index) {
       return "the task has another attempt";
     }
-    if (job.state[task] == Job.PLACING) {
+    if (job.stateOf[task] == Job.PLACING) {
       return "its placement is not durable";
     }
-    if (job.session[task] != machine.session) {
+    if (job.epoch[task] != machine.epoch) {
       return "it was placed in another session";
     }
-    return job.unwanted() ? "its job is cancelled" : null;
+    return job.isCancelled() ? "its job is cancelled" : null;
   }
 
   /** How often each kind of evidence ended an attempt, and what was refused. */
--- a/src/main/java/org/snowturn/core/act/Outbox.java
+++ b/src/main/java/org/snowturn/core/assignment/CommandQueue.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.act;
+package org.snowturn.core.assignment;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -7,18 +7,18 @@
 import java.util.Map;
 import org.snowturn.core.Effect;
 import org.snowturn.core.Outcome;
-import org.snowturn.core.calls.Calls;
-import org.snowturn.core.model.Commands;
+import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.model.CommandChannel;
 import org.snowturn.core.model.Machine;
 import org.snowturn.wire.Command;
+import org.snowturn.wire.Heartbeat;
 import org.snowturn.wire.MalformedException;
-import org.snowturn.wire.Report;
 
 /**
  * Direct commands to one machine, one message at a time. What gets no answer is not repeated here:
  * the next report's response carries every command that still matters.
  */
-public final class Outbox implements Commands {
+public final class CommandQueue implements CommandChannel {
   private static final int TIMEOUT_MS = 2000;
 
   /** A machine that only has to say that it is there answers sooner. */
@@ -35,18 +35,18 @@
 
     long token();
 
-    void reported(Report report);
+    void reported(Heartbeat heartbeat);
 
     /** Whether a start that was decided earlier may leave for the machine now. */
-    boolean mayStart(Machine m, Command start);
+    boolean mayStart(Machine machine, Command start);
 
     /** The outbox has something to send and is not in the queue yet. */
-    void wantsToSend(Outbox o);
+    void readyToSend(CommandQueue queue);
 
-    void unanswered(Machine m);
+    void unanswered(Machine machine);
   }
 
-  private final Calls calls;
+  private final CoreRuntime runtime;
   private final Host host;
   private final Machine machine;
   private final Map<String, Command> queue = new LinkedHashMap<>();
@@ -54,46 +54,46 @@
   private boolean probe;
   private boolean queued;
 
-  public Outbox(Calls calls, Host host, Machine machine) {
-    this.calls = calls;
+  public CommandQueue(CoreRuntime runtime, Host host, Machine machine) {
+    this.runtime = runtime;
     this.host = host;
     this.machine = machine;
   }
 
   @Override
-  public void add(Command c) {
-    queue.put(key(c), c);
+  public void add(Command command) {
+    queue.put(key(command), command);
     want();
   }
 
   @Override
-  public void withdraw(Command c) {
+  public void withdraw(Command command) {
     if (!queue.isEmpty()) {
-      queue.remove(key(c));
+      queue.remove(key(command));
     }
   }
 
-  private static String key(Command c) {
-    return c.op() + c.job() + "/" + c.task() + "#" + c.attempt();
+  private static String key(Command command) {
+    return command.op() + command.job() + "/" + command.task() + "#" + command.attempt();
   }
 
   /** Only outboxes with something to send are looked at: most machines have nothing. */
   private void want() {
     if (!queued && !busy) {
       queued = true;
-      host.wantsToSend(this);
+      host.readyToSend(this);
     }
   }
 
   /** Sends a message even without commands, to learn what the machine runs. */
   @Override
-  public void ask() {
+  public void probe() {
     probe = true;
     want();
   }
 
   /** One number for an attempt of a task; attempts of a gang's tasks are the same. */
-  public static long doubt(long attempt, int task) {
+  public static long attemptKey(long attempt, int task) {
     return attempt * 131_072 + task;
   }
 
@@ -120,12 +120,13 @@
     if (busy
         || machine.addr == null
         || (queue.isEmpty() && !probe)
-        || machine.gone
+        || machine.terminated
         || !host.hasAuthority()) {
       return;
     }
     List<Command> commands = new ArrayList<>(queue.values());
-    commands.removeIf(c -> c.op() == Command.Op.START && !host.mayStart(machine, c));
+    commands.removeIf(
+        command -> command.op() == Command.Op.START && !host.mayStart(machine, command));
     queue.clear();
     if (commands.isEmpty() && !probe) {
       return;
@@ -134,17 +135,18 @@
     busy = true;
     // From here until an answer the starts may be executed at any later time of the session.
     List<Long> doubts = new ArrayList<>();
-    for (Command c : commands) {
-      if (c.op() == Command.Op.START && machine.startsInDoubt.add(doubt(c.attempt(), c.task()))) {
-        doubts.add(doubt(c.attempt(), c.task()));
+    for (Command command : commands) {
+      if (command.op() == Command.Op.START
+          && machine.startsInDoubt.add(attemptKey(command.attempt(), command.task()))) {
+        doubts.add(attemptKey(command.attempt(), command.task()));
       }
     }
     // Not known of a machine on which an earlier leader had nothing: most are in their first, and
     // the others refuse and tell.
-    long session = Math.max(FIRST_SESSION, machine.session);
-    CommandLog.write(calls, "direct", machine, session, host.token(), commands);
-    long sentAt = calls.now();
-    calls.call(
+    long session = Math.max(FIRST_SESSION, machine.epoch);
+    CommandLog.write(runtime, "direct", machine, session, host.token(), commands);
+    long sentAt = runtime.now();
+    runtime.call(
         Effect.Target.WORKER,
         machine.addr,
         "POST",
@@ -165,19 +167,19 @@
     }
     if (outcome == Outcome.ANSWERED && (status == 200 || status == 409)) {
       try {
-        host.reported(Report.parse(body));
-        if (status == 409 && machine.session > session) {
-          ask(); // a new leader did not know the session: now the machine can learn the token
+        host.reported(Heartbeat.parse(body));
+        if (status == 409 && machine.epoch > session) {
+          probe(); // a new leader did not know the session: now the machine can learn the token
         }
         return;
       } catch (MalformedException e) {
-        calls.note("report of " + machine.id + " ignored: " + e.getMessage());
+        runtime.note("report of " + machine.id + " ignored: " + e.getMessage());
       }
     }
     // What is refused at once says that there was no socket, here or there: not that nothing gets
     // in.
-    if (calls.now() - sentAt >= IN_VAIN_MS) {
-      machine.contact.unanswered(calls.now());
+    if (runtime.now() - sentAt >= IN_VAIN_MS) {
+      machine.reachability.unanswered(runtime.now());
     }
     host.unanswered(machine);
   }
--- a/src/main/java/org/snowturn/core/act/JobGraph.java
+++ b/src/main/java/org/snowturn/core/assignment/DependencyGraph.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.act;
+package org.snowturn.core.assignment;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayDeque;
@@ -11,15 +11,15 @@
 import java.util.Map;
 import java.util.Set;
 import org.snowturn.core.Outcome;
-import org.snowturn.core.admission.Purpose;
-import org.snowturn.core.calls.Calls;
+import org.snowturn.core.admission.RequestClass;
+import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.model.Job;
-import org.snowturn.core.records.Keys;
-import org.snowturn.core.records.LruMap;
-import org.snowturn.core.store.FormatGate;
-import org.snowturn.core.store.JobFinder;
-import org.snowturn.core.store.Writer;
-import org.snowturn.wire.JobView;
+import org.snowturn.core.storage.FormatGate;
+import org.snowturn.core.storage.JobLookup;
+import org.snowturn.core.storage.LruMap;
+import org.snowturn.core.storage.RecordWriter;
+import org.snowturn.core.storage.StorageKeys;
+import org.snowturn.wire.JobStatus;
 import org.snowturn.wire.MalformedException;
 import org.snowturn.wire.Priority;
 import org.snowturn.wire.StateMessage;
@@ -31,7 +31,7 @@
  * done, cancelled when one of them is, and until then lends its priority and its deadline to those
  * it waits for. All of it follows from stored records, so every leader comes to the same.
  */
-public final class JobGraph implements Ledger.Listener {
+public final class DependencyGraph implements TaskAssignments.Listener {
   private static final long LOOK_AGAIN_MS = 500;
   private static final long LOOK_WITHIN_MS = 10_000;
   private static final long RECOUNT_MS = 250;
@@ -43,16 +43,16 @@
    */
   private static final double STAGE_S = 1;
 
-  private final Calls calls;
+  private final CoreRuntime runtime;
   private final FormatGate gate;
-  private final Ledger ledger;
-  private final Writer writer;
+  private final TaskAssignments assignments;
+  private final RecordWriter writer;
 
   /** By the id of a job that is not known to be over: the jobs that wait for it. */
   private final Map<String, Set<Job>> waiting = new HashMap<>();
 
   private final Set<String> unknown = new LinkedHashSet<>();
-  private final Map<String, JobView.Phase> over = new LruMap<>(REMEMBERED);
+  private final Map<String, JobStatus.Phase> over = new LruMap<>(REMEMBERED);
   private final ArrayDeque<Job> joined = new ArrayDeque<>();
   private final Set<Job> toCancel = new LinkedHashSet<>();
   private final Set<Job> cancelling = new HashSet<>();
@@ -61,43 +61,44 @@
   private boolean recount;
   private long recountAt;
 
-  public JobGraph(Calls calls, FormatGate gate, Ledger ledger, Writer writer) {
-    this.calls = calls;
+  public DependencyGraph(
+      CoreRuntime runtime, FormatGate gate, TaskAssignments assignments, RecordWriter writer) {
+    this.runtime = runtime;
     this.gate = gate;
-    this.ledger = ledger;
+    this.assignments = assignments;
     this.writer = writer;
   }
 
   /** How many jobs wait for others. */
   public int waitingJobs() {
     int n = 0;
-    for (Job j : ledger.jobs()) {
-      n += j.waits() ? 1 : 0;
+    for (Job job : assignments.jobs()) {
+      n += job.awaitsDependencies() ? 1 : 0;
     }
     return n;
   }
 
   @Override
-  public void joined(Job j) {
-    if (j.waits()) {
-      joined.add(j); // looked at once all records that came together are known
+  public void joined(Job job) {
+    if (job.awaitsDependencies()) {
+      joined.add(job); // looked at once all records that came together are known
     }
   }
 
   @Override
-  public void cancelled(Job j) {
-    leave(j);
+  public void cancelled(Job job) {
+    leave(job);
     recount = true;
-    aborted(j.spec.id());
+    aborted(job.spec.id());
   }
 
   @Override
-  public void over(Job j, JobView.Phase phase) {
-    leave(j);
-    over(j.spec.id(), phase);
+  public void over(Job job, JobStatus.Phase phase) {
+    leave(job);
+    over(job.spec.id(), phase);
   }
 
-  private void over(String id, JobView.Phase phase) {
+  private void over(String id, JobStatus.Phase phase) {
     if (phase == null) {
       if (waiting.containsKey(id)) {
         unknown.add(id);
@@ -105,7 +106,7 @@
       return;
     }
     over.put(id, phase);
-    if (phase == JobView.Phase.DONE) {
+    if (phase == JobStatus.Phase.DONE) {
       done(id);
     } else {
       aborted(id);
@@ -117,35 +118,35 @@
     while (!joined.isEmpty()) {
       join(joined.poll());
     }
-    if (!unknown.isEmpty() && !looking && calls.now() >= lookAt) {
+    if (!unknown.isEmpty() && !looking && runtime.now() >= lookAt) {
       lookUp();
     }
-    if (recount && calls.now() >= recountAt) {
+    if (recount && runtime.now() >= recountAt) {
       recount = false;
-      recountAt = calls.now() + RECOUNT_MS;
+      recountAt = runtime.now() + RECOUNT_MS;
       recount();
     }
     writeCancelled();
   }
 
-  private boolean live(Job j) {
-    return ledger.job(j.spec.id()) == j && !j.cancelled;
+  private boolean live(Job job) {
+    return assignments.job(job.spec.id()) == job && !job.cancelled;
   }
 
-  private void join(Job j) {
-    if (!live(j)) {
+  private void join(Job job) {
+    if (!live(job)) {
       return;
     }
-    for (String id : List.copyOf(j.unmet)) {
-      Job needed = ledger.job(id);
-      JobView.Phase phase =
-          needed != null && needed.cancelled ? JobView.Phase.ABORTED : over.get(id);
-      if (phase == JobView.Phase.DONE) {
-        j.unmet.remove(id);
+    for (String id : List.copyOf(job.unmetDependencies)) {
+      Job needed = assignments.job(id);
+      JobStatus.Phase phase =
+          needed != null && needed.cancelled ? JobStatus.Phase.ABORTED : over.get(id);
+      if (phase == JobStatus.Phase.DONE) {
+        job.unmetDependencies.remove(id);
         continue;
       }
-      waiting.computeIfAbsent(id, k -> new LinkedHashSet<>()).add(j);
-      if (phase == JobView.Phase.ABORTED) {
+      waiting.computeIfAbsent(id, k -> new LinkedHashSet<>()).add(job);
+      if (phase == JobStatus.Phase.ABORTED) {
         aborted(id);
         return;
       }
@@ -153,10 +154,10 @@
         unknown.add(id);
       }
     }
-    if (j.waits()) {
-      lend(j);
+    if (job.awaitsDependencies()) {
+      lend(job);
     } else {
-      release(j);
+      release(job);
     }
   }
 
@@ -166,22 +167,22 @@
     if (freed == null) {
       return;
     }
-    for (Job j : freed) {
-      j.unmet.remove(id);
-      if (!j.waits() && live(j)) {
-        release(j);
+    for (Job job : freed) {
+      job.unmetDependencies.remove(id);
+      if (!job.awaitsDependencies() && live(job)) {
+        release(job);
       }
     }
   }
 
-  private void release(Job j) {
-    j.releasedWall = calls.wall();
-    calls.note(
-        j.spec.id()
+  private void release(Job job) {
+    job.releasedWall = runtime.wallMs();
+    runtime.note(
+        job.spec.id()
             + " released "
-            + Math.round((j.releasedWall - j.submittedWall) / 100.0) / 10.0
+            + Math.round((job.releasedWall - job.submittedWall) / 100.0) / 10.0
             + " s after its submission");
-    ledger.somethingChanged();
+    assignments.markChanged();
   }
 
   /** All that need the job, directly or through others, are to be cancelled with it. */
@@ -189,20 +190,20 @@
     unknown.remove(id);
     ArrayDeque<String> ids = new ArrayDeque<>(List.of(id));
     while (!ids.isEmpty()) {
-      for (Job j : waiting.getOrDefault(ids.poll(), Set.of())) {
-        if (live(j) && !cancelling.contains(j) && toCancel.add(j)) {
-          ids.add(j.spec.id());
+      for (Job job : waiting.getOrDefault(ids.poll(), Set.of())) {
+        if (live(job) && !cancelling.contains(job) && toCancel.add(job)) {
+          ids.add(job.spec.id());
         }
       }
     }
   }
 
   /** The job waits for nothing any more: it is cancelled. */
-  private void leave(Job j) {
-    toCancel.remove(j);
-    for (String id : j.unmet) {
+  private void leave(Job job) {
+    toCancel.remove(job);
+    for (String id : job.unmetDependencies) {
       Set<Job> others = waiting.get(id);
-      if (others != null && others.remove(j) && others.isEmpty()) {
+      if (others != null && others.remove(job) && others.isEmpty()) {
         waiting.remove(id);
         unknown.remove(id);
       }
@@ -214,15 +215,15 @@
   private void lookUp() {
     looking = true;
     List<String> ids = List.copyOf(unknown);
-    JobFinder.find(
-        calls,
-        Purpose.WORK,
-        JobFinder.OVER_FIRST,
+    JobLookup.find(
+        runtime,
+        RequestClass.WORK,
+        JobLookup.OVER_FIRST,
         ids,
         LOOK_WITHIN_MS,
         (found, complete) -> {
           looking = false;
-          lookAt = complete ? calls.now() : calls.now() + LOOK_AGAIN_MS;
+          lookAt = complete ? runtime.now() : runtime.now() + LOOK_AGAIN_MS;
           for (String id : ids) {
             if (complete || found.containsKey(id)) {
               found(id, found.get(id));
@@ -231,21 +232,21 @@
         });
   }
 
-  private void found(String id, JobFinder.Fact fact) {
+  private void found(String id, JobLookup.Fact fact) {
     if (!unknown.contains(id)) {
       return; // known by now
     }
     if (fact == null) {
       // Accepted before the job that names it, so it must be there.
-      lookAt = calls.now() + LOOK_AGAIN_MS;
-      calls.note(id + " is awaited and not found");
+      lookAt = runtime.now() + LOOK_AGAIN_MS;
+      runtime.note(id + " is awaited and not found");
     } else if (!fact.live()) {
       over(id, fact.phase());
-    } else if (ledger.job(id) != null) {
+    } else if (assignments.job(id) != null) {
       unknown.remove(id);
     } else {
-      ledger.refresh(id);
-      lookAt = calls.now() + LOOK_AGAIN_MS;
+      assignments.rereadJob(id);
+      lookAt = runtime.now() + LOOK_AGAIN_MS;
     }
   }
 
@@ -255,9 +256,9 @@
     while (!toCancel.isEmpty()) {
       List<Job> batch = new ArrayList<>();
       int most = gate.limits().txnOps();
-      for (Job j : toCancel) {
+      for (Job job : toCancel) {
         if (batch.size() < most) {
-          batch.add(j);
+          batch.add(job);
         }
       }
       batch.forEach(toCancel::remove);
@@ -272,51 +273,51 @@
   private void writeCancelled(Collection<Job> batch) {
     List<Condition> when = new ArrayList<>();
     List<Change> apply = new ArrayList<>();
-    for (Job j : batch) {
-      String key = Keys.job(j.spec.id());
-      when.add(new Condition(key, j.stamp));
-      apply.add(Change.put(key, j.cancelledRecord().live()));
+    for (Job job : batch) {
+      String key = StorageKeys.job(job.spec.id());
+      when.add(new Condition(key, job.version));
+      apply.add(Change.put(key, job.cancelledRecord().live()));
     }
     writer.whole(
-        Writer.Turn.FIRST,
+        RecordWriter.Turn.FIRST,
         when,
         apply,
         (outcome, status, body) -> {
           if (outcome == Outcome.ANSWERED && status == 200) {
             batch.forEach(cancelling::remove);
-            batch.forEach(j -> cancelled(j, body));
+            batch.forEach(job -> cancelled(job, body));
           } else {
-            batch.forEach(j -> ledger.refresh(j.spec.id(), () -> retryCancel(j)));
+            batch.forEach(job -> assignments.rereadJob(job.spec.id(), () -> retryCancel(job)));
           }
         });
   }
 
-  private void cancelled(Job j, JsonNode body) {
+  private void cancelled(Job job, JsonNode body) {
     try {
-      ledger.record(j.spec.id(), j.cancelledRecord(), StateMessage.epoch(body));
+      assignments.addJob(job.spec.id(), job.cancelledRecord(), StateMessage.epoch(body));
     } catch (MalformedException e) {
-      ledger.refresh(j.spec.id());
+      assignments.rereadJob(job.spec.id());
     }
   }
 
-  private void retryCancel(Job j) {
-    cancelling.remove(j);
-    if (live(j) && j.waits()) {
-      toCancel.add(j);
+  private void retryCancel(Job job) {
+    cancelling.remove(job);
+    if (live(job) && job.awaitsDependencies()) {
+      toCancel.add(job);
     }
   }
 
   // --- priorities and deadlines ---
 
   private void recount() {
-    for (Job j : ledger.jobs()) {
-      ledger.reprioritize(j, j.spec.priority());
-      j.inheritedDue = Double.MAX_VALUE;
-      j.inheritedLateDue = Double.MAX_VALUE;
+    for (Job job : assignments.jobs()) {
+      assignments.reprioritize(job, job.spec.priority());
+      job.dependentsDeadline = Double.MAX_VALUE;
+      job.dependentsLateDeadline = Double.MAX_VALUE;
     }
-    for (Job j : List.copyOf(ledger.jobs())) {
-      if (j.waits() && live(j)) {
-        lend(j);
+    for (Job job : List.copyOf(assignments.jobs())) {
+      if (job.awaitsDependencies() && live(job)) {
+        lend(job);
       }
     }
   }
@@ -325,13 +326,13 @@
   private void lend(Job from) {
     ArrayDeque<Job> lenders = new ArrayDeque<>(List.of(from));
     while (!lenders.isEmpty()) {
-      Job j = lenders.poll();
-      double takesMs = 1000 * (STAGE_S + j.spec.estimateS());
-      double due = j.dueWall(1) - takesMs;
-      double lateDue = j.dueWall(1.5) - takesMs;
-      for (String id : j.unmet) {
-        Job needed = ledger.job(id);
-        if (needed != null && lendTo(needed, j.priority, due, lateDue)) {
+      Job job = lenders.poll();
+      double takesMs = 1000 * (STAGE_S + job.spec.estimateS());
+      double due = job.deadlineWallMs(1) - takesMs;
+      double lateDue = job.deadlineWallMs(1.5) - takesMs;
+      for (String id : job.unmetDependencies) {
+        Job needed = assignments.job(id);
+        if (needed != null && lendTo(needed, job.priority, due, lateDue)) {
           lenders.add(needed);
         }
       }
@@ -341,13 +342,13 @@
   private boolean lendTo(Job needed, Priority priority, double due, double lateDue) {
     boolean more =
         priority.compareTo(needed.priority) < 0
-            || due < needed.inheritedDue
-            || lateDue < needed.inheritedLateDue;
+            || due < needed.dependentsDeadline
+            || lateDue < needed.dependentsLateDeadline;
     if (priority.compareTo(needed.priority) < 0) {
-      ledger.reprioritize(needed, priority);
+      assignments.reprioritize(needed, priority);
     }
-    needed.inheritedDue = Math.min(needed.inheritedDue, due);
-    needed.inheritedLateDue = Math.min(needed.inheritedLateDue, lateDue);
+    needed.dependentsDeadline = Math.min(needed.dependentsDeadline, due);
+    needed.dependentsLateDeadline = Math.min(needed.dependentsLateDeadline, lateDue);
     return more;
   }
 }
--- a/src/main/java/org/snowturn/core/act/Invariants.java
+++ b/src/main/java/org/snowturn/core/assignment/Invariants.java
@@ -1,10 +1,12 @@
-package org.snowturn.core.act;
+package org.snowturn.core.assignment;
 
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.Map;
-import org.snowturn.core.calls.Calls;
-import org.snowturn.core.records.LruMap;
+import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.effects.LogEvent;
+import org.snowturn.core.effects.LogField;
+import org.snowturn.core.storage.LruMap;
 
 /**
  * What must hold whatever comes in. A violation is a fault of this program: what would break the
@@ -21,12 +23,12 @@
 
   private static final int REMEMBERED = 1_000;
 
-  private final Calls calls;
+  private final CoreRuntime runtime;
   private final Map<Invariant, Long> violations = new EnumMap<>(Invariant.class);
   private final Map<String, Boolean> logged = new LruMap<>(REMEMBERED);
 
-  Invariants(Calls calls) {
-    this.calls = calls;
+  Invariants(CoreRuntime runtime) {
+    this.runtime = runtime;
   }
 
   /**
@@ -38,12 +40,12 @@
   void violated(Invariant invariant, String subject, String evidence) {
     violations.merge(invariant, 1L, Long::sum);
     if (logged.put(invariant + subject, true) == null) {
-      calls
+      runtime
           .events()
-          .error("invariant_violated")
-          .with("invariant", invariant.name())
-          .with("attempt", subject)
-          .with("evidence", evidence)
+          .error(LogEvent.INVARIANT_VIOLATED)
+          .with(LogField.INVARIANT, invariant.name())
+          .with(LogField.ATTEMPT, subject)
+          .with(LogField.EVIDENCE, evidence)
           .write();
     }
   }
--- a/src/main/java/org/snowturn/core/act/Cancellations.java
+++ b/src/main/java/org/snowturn/core/assignment/KnownCancellations.java
@@ -1,7 +1,7 @@
-package org.snowturn.core.act;
+package org.snowturn.core.assignment;
 
 /** What this node knows of cancellations that users were told of, by whichever node. */
-public interface Cancellations {
+public interface KnownCancellations {
   /** Whether the job is known to be cancelled; that it is not known proves nothing. */
   boolean known(String job);
 
--- a/src/main/java/org/snowturn/core/act/MachineRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.act;
+package org.snowturn.core.assignment;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -9,14 +9,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.snowturn.core.calls.Calls;
+import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
-import org.snowturn.core.model.MachineBook;
-import org.snowturn.core.records.Keys;
-import org.snowturn.core.records.Slot;
-import org.snowturn.core.store.FormatGate;
-import org.snowturn.core.store.Writer;
+import org.snowturn.core.model.MachineIndex;
+import org.snowturn.core.storage.FormatGate;
+import org.snowturn.core.storage.PendingRecord;
+import org.snowturn.core.storage.RecordWriter;
+import org.snowturn.core.storage.StorageKeys;
 import org.snowturn.wire.Json;
 import org.snowturn.wire.StateMessage;
 
@@ -48,7 +48,7 @@
   private static final long STRIKES_EVERY_MS = 2_000;
 
   private static final class Page {
-    final Slot slot;
+    final PendingRecord record;
     final List<Machine> machines = new ArrayList<>();
     boolean splitting;
 
@@ -58,19 +58,20 @@
     long struckAt = Job.UNKNOWN;
     long imagesAt = Job.UNKNOWN;
 
-    Page(Slot slot) {
-      this.slot = slot;
+    Page(PendingRecord record) {
+      this.record = record;
     }
   }
 
-  private final Calls calls;
-  private final Writer writer;
-  private final MachineBook machines;
+  private final CoreRuntime runtime;
+  private final RecordWriter writer;
+  private final MachineIndex machines;
   private final FormatGate gate;
   private final List<Page> pages = new ArrayList<>();
 
-  public MachineRegistry(Calls calls, Writer writer, MachineBook machines, FormatGate gate) {
-    this.calls = calls;
+  public MachineRegistry(
+      CoreRuntime runtime, RecordWriter writer, MachineIndex machines, FormatGate gate) {
+    this.runtime = runtime;
     this.writer = writer;
     this.machines = machines;
     this.gate = gate;
@@ -87,8 +88,9 @@
     }
     double left = mostBytes() * MACHINES_SHARE;
     int n = 0;
-    for (Machine m : list) {
-      left -= EDGES_BYTES + m.id.length() + (m.addr == null ? 0 : m.addr.length());
+    for (Machine machine : list) {
+      left -=
+          EDGES_BYTES + machine.id.length() + (machine.addr == null ? 0 : machine.addr.length());
       if (left < 0) {
         break;
       }
@@ -97,9 +99,9 @@
     return Math.max(1, n);
   }
 
-  private boolean hasRoom(Page p, Machine m) {
+  private boolean hasRoom(Page p, Machine machine) {
     List<Machine> with = new ArrayList<>(p.machines);
-    with.add(m);
+    with.add(machine);
     return fitting(with) >= with.size();
   }
 
@@ -107,7 +109,8 @@
     while (pages.size() <= number) {
       int n = pages.size();
       pages.add(
-          new Page(writer.slot(Keys.REGISTRY + n, 0, () -> content(pages.get(n)), () -> null)));
+          new Page(
+              writer.slot(StorageKeys.REGISTRY + n, 0, () -> content(pages.get(n)), () -> null)));
     }
     return pages.get(number);
   }
@@ -117,11 +120,11 @@
       return null;
     }
     // Names may be long: a page that a value cannot hold would never be written at all.
-    ObjectNode o = content(p, Integer.MAX_VALUE);
-    for (int most = MOST_IMAGES; Json.bytes(o).length > mostBytes() && most >= 0; most -= 2) {
-      o = content(p, most);
+    ObjectNode object = content(p, Integer.MAX_VALUE);
+    for (int most = MOST_IMAGES; Json.bytes(object).length > mostBytes() && most >= 0; most -= 2) {
+      object = content(p, most);
     }
-    return o;
+    return object;
   }
 
   private ObjectNode content(Page p, int mostImages) {
@@ -129,34 +132,39 @@
   }
 
   private ObjectNode first(Page p, int mostImages) {
-    ObjectNode o = Json.object().put("v", Keys.VERSION);
-    ArrayNode all = o.putArray("m");
-    ImageNames names = new ImageNames(o, mostImages);
-    for (Machine m : p.machines) {
+    ObjectNode object = Json.object().put("v", StorageKeys.VERSION);
+    ArrayNode all = object.putArray("m");
+    ImageNames names = new ImageNames(object, mostImages);
+    for (Machine machine : p.machines) {
       ArrayNode e = all.addArray();
-      e.add(m.id).add(m.addr).add(m.type).add(machines.zoneName(m.zone)).add(m.spot);
-      names.add(m, e);
+      e.add(machine.id)
+          .add(machine.addr)
+          .add(machine.type)
+          .add(machines.zoneName(machine.zone))
+          .add(machine.spot);
+      names.add(machine, e);
     }
-    return o;
+    return object;
   }
 
   /** Types and zones are named once, so that many more machines fit a page. */
   private ObjectNode second(Page p, int mostImages) {
-    ObjectNode o = Json.object().put("v", Keys.SECOND);
-    ArrayNode kinds = o.putArray("k");
-    ArrayNode all = o.putArray("m");
-    ImageNames names = new ImageNames(o, mostImages);
+    ObjectNode object = Json.object().put("v", StorageKeys.SECOND);
+    ArrayNode kinds = object.putArray("k");
+    ArrayNode all = object.putArray("m");
+    ImageNames names = new ImageNames(object, mostImages);
     Map<ArrayNode, Integer> numbers = new HashMap<>();
-    for (Machine m : p.machines) {
-      ArrayNode kind = Json.array().add(m.type).add(machines.zoneName(m.zone)).add(m.spot);
+    for (Machine machine : p.machines) {
+      ArrayNode kind =
+          Json.array().add(machine.type).add(machines.zoneName(machine.zone)).add(machine.spot);
       Integer n = numbers.putIfAbsent(kind, numbers.size());
       if (n == null) {
         kinds.add(kind);
         n = numbers.size() - 1;
       }
-      names.add(m, all.addArray().add(m.id).add(m.addr).add(n));
+      names.add(machine, all.addArray().add(machine.id).add(machine.addr).add(n));
     }
-    return o;
+    return object;
   }
 
   /** The names of a page's images, each written once, and their numbers on the machines. */
@@ -171,13 +179,13 @@
     }
 
     /** Adds the numbers of the machine's images; the last used ones if not all. */
-    void add(Machine m, ArrayNode entry) {
+    void add(Machine machine, ArrayNode entry) {
       if (names == null) {
         return;
       }
       ArrayNode has = entry.addArray();
-      int skip = Math.max(0, m.images.size() - most);
-      for (Map.Entry<String, Double> image : m.images.entrySet()) {
+      int skip = Math.max(0, machine.images.size() - most);
+      for (Map.Entry<String, Double> image : machine.images.entrySet()) {
         if (skip-- > 0) {
           continue;
         }
@@ -192,24 +200,24 @@
   }
 
   /** Writes a machine down; it may get tasks once that is durable. */
-  public void enter(Machine m, Runnable onDurable) {
-    if (m.registryPage < 0) {
-      put(m, pageWithRoom(m));
+  public void register(Machine machine, Runnable onDurable) {
+    if (machine.registryPage < 0) {
+      put(machine, pageWithRoom(machine));
     }
-    writer.mark(page(m.registryPage).slot, URGENCY, onDurable);
+    writer.mark(page(machine.registryPage).record, URGENCY, onDurable);
   }
 
-  private int pageWithRoom(Machine m) {
+  private int pageWithRoom(Machine machine) {
     int n = 0;
-    while (page(n).splitting || !hasRoom(page(n), m)) {
+    while (page(n).splitting || !hasRoom(page(n), machine)) {
       n++;
     }
     return n;
   }
 
-  private void put(Machine m, int number) {
-    m.registryPage = number;
-    page(number).machines.add(m);
+  private void put(Machine machine, int number) {
+    machine.registryPage = number;
+    page(number).machines.add(machine);
   }
 
   /**
@@ -217,56 +225,56 @@
    *
    * @throws IllegalArgumentException if it cannot be read; some of it may have been told by then
    */
-  public void load(StateMessage.Entry e, Consumer<Machine> each) {
-    int number = Integer.parseInt(e.key().substring(Keys.REGISTRY.length()));
-    page(number).slot.stamp = e.stamp();
-    if (!e.value().path("m").isArray()) {
+  public void load(StateMessage.Entry entry, Consumer<Machine> each) {
+    int number = Integer.parseInt(entry.key().substring(StorageKeys.REGISTRY.length()));
+    page(number).record.stamp = entry.stamp();
+    if (!entry.value().path("m").isArray()) {
       throw new IllegalArgumentException("no list of machines");
     }
-    boolean second = e.value().path("v").asInt(Keys.VERSION) >= Keys.SECOND;
-    for (JsonNode v : e.value().path("m")) {
-      Machine m = machines.getOrCreate(v.path(0).asText());
+    boolean second = entry.value().path("v").asInt(StorageKeys.VERSION) >= StorageKeys.SECOND;
+    for (JsonNode value : entry.value().path("m")) {
+      Machine machine = machines.getOrAdd(value.path(0).asText());
       // The first format has type, zone and kind on each entry, the second has their number.
-      JsonNode kinds = e.value().path("k").path(v.path(2).asInt());
-      m.addr = v.path(1).asText(null);
-      m.type = (second ? kinds.path(0) : v.path(2)).asText(null);
-      m.zone = machines.zone((second ? kinds.path(1) : v.path(3)).asText());
-      m.spot = (second ? kinds.path(2) : v.path(4)).asBoolean();
-      for (JsonNode n : v.path(second ? 3 : 5)) {
-        JsonNode image = e.value().path("i").path(n.asInt());
-        m.touchImage(image.path(0).asText(), image.path(1).asDouble());
+      JsonNode kinds = entry.value().path("k").path(value.path(2).asInt());
+      machine.addr = value.path(1).asText(null);
+      machine.type = (second ? kinds.path(0) : value.path(2)).asText(null);
+      machine.zone = machines.zone((second ? kinds.path(1) : value.path(3)).asText());
+      machine.spot = (second ? kinds.path(2) : value.path(4)).asBoolean();
+      for (JsonNode node : value.path(second ? 3 : 5)) {
+        JsonNode image = entry.value().path("i").path(node.asInt());
+        machine.touchImage(image.path(0).asText(), image.path(1).asDouble());
       }
-      put(m, number);
-      each.accept(m);
+      put(machine, number);
+      each.accept(machine);
     }
   }
 
   /** Strikes out the machines that are gone with all that was on them, and notes new images. */
-  public void sweep() {
+  public void writeChangedPages() {
     for (Page p : List.copyOf(pages)) {
       if (p.splitting || split(p)) {
         continue; // written once it is short enough
       }
       boolean images = false;
       for (Iterator<Machine> it = p.machines.iterator(); it.hasNext(); ) {
-        Machine m = it.next();
-        if (m.gone && m.bound.isEmpty()) {
+        Machine machine = it.next();
+        if (machine.terminated && machine.assigned.isEmpty()) {
           it.remove();
-          m.registryPage = -1;
+          machine.registryPage = -1;
           p.struck = true;
         }
-        images |= m.imagesChanged;
+        images |= machine.imagesChanged;
       }
-      if (p.struck && calls.now() - p.struckAt > STRIKES_EVERY_MS) {
+      if (p.struck && runtime.now() - p.struckAt > STRIKES_EVERY_MS) {
         // The next leader takes what was placed there for ended: no waiting for a lease. Before
         // placements, then, but not for each machine of a wave that dies one after the other.
-        p.struckAt = calls.now();
+        p.struckAt = runtime.now();
         p.struck = false;
-        writer.mark(p.slot, URGENCY, null);
-      } else if (images && calls.now() - p.imagesAt > IMAGES_EVERY_MS) {
-        p.imagesAt = calls.now();
-        p.machines.forEach(m -> m.imagesChanged = false);
-        writer.mark(p.slot, Writer.CAN_WAIT, null);
+        writer.mark(p.record, URGENCY, null);
+      } else if (images && runtime.now() - p.imagesAt > IMAGES_EVERY_MS) {
+        p.imagesAt = runtime.now();
+        p.machines.forEach(machine -> machine.imagesChanged = false);
+        writer.mark(p.record, RecordWriter.CAN_WAIT, null);
       }
     }
   }
@@ -283,15 +291,15 @@
     p.splitting = true;
     List<Machine> moved = List.copyOf(p.machines.subList(fitting, p.machines.size()));
     int[] missing = {moved.size()};
-    for (Machine m : moved) {
-      m.registryPage = -1;
-      enter(
-          m,
+    for (Machine machine : moved) {
+      machine.registryPage = -1;
+      register(
+          machine,
           () -> {
             if (--missing[0] == 0) {
               p.machines.removeAll(moved);
               p.splitting = false;
-              writer.mark(p.slot, Writer.CAN_WAIT, null);
+              writer.mark(p.record, RecordWriter.CAN_WAIT, null);
             }
           });
     }
--- a/src/main/java/org/snowturn/core/act/TaskRecordLoader.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
@@ -1,36 +1,40 @@
-package org.snowturn.core.act;
+package org.snowturn.core.assignment;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import java.util.function.IntPredicate;
-import org.snowturn.core.calls.Calls;
+import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
-import org.snowturn.core.model.MachineBook;
+import org.snowturn.core.model.MachineIndex;
 import org.snowturn.core.model.TaskRecords;
-import org.snowturn.core.records.Keys;
-import org.snowturn.core.records.Slot;
-import org.snowturn.core.store.FormatGate;
-import org.snowturn.core.store.Writer;
+import org.snowturn.core.storage.FormatGate;
+import org.snowturn.core.storage.PendingRecord;
+import org.snowturn.core.storage.RecordWriter;
+import org.snowturn.core.storage.StorageKeys;
 
 /**
  * Takes over the stored records of tasks, in both formats, and goes from the first to the second.
  */
 final class TaskRecordLoader {
-  private final Calls calls;
+  private final CoreRuntime runtime;
   private final FormatGate gate;
-  private final Writer writer;
-  private final MachineBook machines;
-  private final Ledger ledger;
+  private final RecordWriter writer;
+  private final MachineIndex machines;
+  private final TaskAssignments assignments;
   private boolean registryComplete = true;
 
   TaskRecordLoader(
-      Calls calls, FormatGate gate, Writer writer, MachineBook machines, Ledger ledger) {
-    this.calls = calls;
+      CoreRuntime runtime,
+      FormatGate gate,
+      RecordWriter writer,
+      MachineIndex machines,
+      TaskAssignments assignments) {
+    this.runtime = runtime;
     this.gate = gate;
     this.writer = writer;
     this.machines = machines;
-    this.ledger = ledger;
+    this.assignments = assignments;
   }
 
   /** From now on, that a machine is on no page proves nothing. */
@@ -39,12 +43,12 @@
   }
 
   /** Takes over a stored record of tasks: results, and tasks that an earlier leader bound. */
-  void loadChunk(Job j, int chunk, JsonNode value, long stamp) {
-    if (chunk < 0 || chunk >= j.chunks.length) {
+  void loadChunk(Job job, int chunk, JsonNode value, long stamp) {
+    if (chunk < 0 || chunk >= job.taskRecords.length) {
       return;
     }
-    ledger.chunk(j, chunk).stamp = stamp;
-    load(j, value, j.layout.from(chunk), j.secondFormat, t -> true);
+    assignments.taskRecord(job, chunk).stamp = stamp;
+    load(job, value, job.layout.from(chunk), job.secondFormat, task -> true);
   }
 
   /**
@@ -52,21 +56,22 @@
    * no record of the second format tells of: those are newer, since nobody writes the first any
    * more.
    */
-  void loadOlderChunk(Job j, int chunk, JsonNode value, long stamp) {
-    Slot s = writer.slot(Keys.tasks(j.spec.id(), chunk), stamp, () -> null, () -> null);
-    j.olderChunks.add(s);
+  void loadOlderChunk(Job job, int chunk, JsonNode value, long stamp) {
+    PendingRecord record =
+        writer.slot(StorageKeys.tasks(job.spec.id(), chunk), stamp, () -> null, () -> null);
+    job.firstFormatRecords.add(record);
     load(
-        j,
+        job,
         value,
         chunk * gate.spans().first(),
         false,
-        t -> {
-          Slot newer = j.chunks[j.layout.recordOf(t)];
+        task -> {
+          PendingRecord newer = job.taskRecords[job.layout.recordOf(task)];
           return newer == null || newer.stamp == 0;
         });
   }
 
-  private void load(Job j, JsonNode value, int from, boolean secondFormat, IntPredicate tellsOf) {
+  private void load(Job job, JsonNode value, int from, boolean secondFormat, IntPredicate tellsOf) {
     TaskRecords.read(
         value,
         from,
@@ -83,27 +88,30 @@
             return secondFormat && registryComplete && (m == null || m.registryPage < 0);
           }
 
-          private boolean isNews(int t) {
-            return t >= 0 && t < j.state.length && j.state[t] == Job.PENDING && tellsOf.test(t);
+          private boolean isNews(int task) {
+            return task >= 0
+                && task < job.stateOf.length
+                && job.stateOf[task] == Job.PENDING
+                && tellsOf.test(task);
           }
 
           @Override
-          public void done(int t) {
-            if (isNews(t)) {
-              j.enter(t, Job.DONE);
-              j.pending--;
-              j.done++;
+          public void done(int task) {
+            if (isNews(task)) {
+              job.setState(task, Job.DONE);
+              job.pending--;
+              job.done++;
             }
           }
 
           @Override
-          public void placed(int t, long attempt, String machine, long session) {
-            if (isNews(t) && !struckOut(machine)) {
-              Machine m = machines.getOrCreate(machine);
+          public void placed(int task, long attempt, String machine, long session) {
+            if (isNews(task) && !struckOut(machine)) {
+              Machine m = machines.getOrAdd(machine);
               // An earlier leader may have answered it until now, whether or not it is on the
               // registry.
-              m.lastAnswerAt = Math.max(m.lastAnswerAt, calls.now());
-              ledger.inherit(j, t, m, attempt, session);
+              m.lastAnswerAt = Math.max(m.lastAnswerAt, runtime.now());
+              assignments.adopt(job, task, m, attempt, session);
             }
           }
         });
@@ -115,25 +123,25 @@
    */
   boolean useSecondFormat() {
     boolean left = false;
-    for (Job j : ledger.jobs()) {
-      if (j.secondFormat) {
+    for (Job job : assignments.jobs()) {
+      if (job.secondFormat) {
         continue;
       }
-      boolean unsettled = j.finishing;
-      for (Slot s : j.chunks) {
-        unsettled |= s != null && s.inFlight;
+      boolean unsettled = job.finishing;
+      for (PendingRecord record : job.taskRecords) {
+        unsettled |= record != null && record.inFlight;
       }
       left |= unsettled;
       if (!unsettled) {
-        useSecondFormat(j);
+        useSecondFormat(job);
       }
     }
     return left;
   }
 
-  private void useSecondFormat(Job j) {
-    Slot[] older = j.chunks;
-    j.useSecondFormat(gate.spans(), gate.limits().valueBytes(), machines);
+  private void useSecondFormat(Job job) {
+    PendingRecord[] older = job.taskRecords;
+    job.useSecondFormat(gate.spans(), gate.limits().valueBytes(), machines);
     for (int c = 0; c < older.length; c++) {
       if (older[c] == null || !older[c].dirty) {
         continue;
@@ -142,12 +150,12 @@
       int urgency = older[c].urgency;
       List<Runnable> actions = List.copyOf(older[c].onDurable);
       writer.clear(older[c]);
-      int first = c * j.layout.pieces();
-      int end = Math.min(first + j.layout.pieces(), j.chunks.length);
+      int first = c * job.layout.pieces();
+      int end = Math.min(first + job.layout.pieces(), job.taskRecords.length);
       int[] missing = {end - first};
       for (int p = first; p < end; p++) {
         writer.mark(
-            ledger.chunk(j, p),
+            assignments.taskRecord(job, p),
             urgency,
             () -> {
               if (--missing[0] == 0) {
--- a/src/main/java/org/snowturn/core/reach/Connectivity.java
+++ b/src/main/java/org/snowturn/core/connectivity/Connectivity.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.reach;
+package org.snowturn.core.connectivity;
 
 /**
  * What one node reaches, by its own clock: how long ago it was answered, in milliseconds.
--- a/src/main/java/org/snowturn/core/reach/ConnectivityMatrix.java
+++ b/src/main/java/org/snowturn/core/connectivity/ConnectivityMatrix.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.reach;
+package org.snowturn.core.connectivity;
 
 import java.util.Map;
 import java.util.TreeMap;
@@ -58,8 +58,10 @@
   public String withState(long nowMs) {
     String found = null;
     for (Map.Entry<String, Row> e : rows.entrySet()) {
-      Connectivity r = e.getValue().reach;
-      if (fresh(e.getValue(), nowMs) && r.state() && (found == null || r.workers())) {
+      Connectivity connectivity = e.getValue().reach;
+      if (fresh(e.getValue(), nowMs)
+          && connectivity.state()
+          && (found == null || connectivity.workers())) {
         found = e.getKey();
       }
     }
--- a/src/main/java/org/snowturn/core/reach/ConnectivityMonitor.java
+++ b/src/main/java/org/snowturn/core/connectivity/ConnectivityMonitor.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.reach;
+package org.snowturn.core.connectivity;
 
 import java.util.HashMap;
 import java.util.List;
@@ -7,8 +7,8 @@
 import org.snowturn.config.Settings;
 import org.snowturn.core.Effect;
 import org.snowturn.core.Outcome;
-import org.snowturn.core.PeerRecord;
-import org.snowturn.core.calls.Calls;
+import org.snowturn.core.PeerMessage;
+import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.model.Job;
 
 /**
@@ -26,7 +26,7 @@
   private static final int PROBE_TIMEOUT_MS = 1_000;
 
   private final Settings settings;
-  private final Calls calls;
+  private final CoreRuntime runtime;
   private final LongSupplier stateOkAt;
   private final ConnectivityMatrix matrix = new ConnectivityMatrix();
   private List<String> sample = List.of();
@@ -42,15 +42,15 @@
    *
    * @param stateOkAt when the last request that the state service answered was sent
    */
-  public ConnectivityMonitor(Settings settings, Calls calls, LongSupplier stateOkAt) {
+  public ConnectivityMonitor(Settings settings, CoreRuntime runtime, LongSupplier stateOkAt) {
     this.settings = settings;
-    this.calls = calls;
+    this.runtime = runtime;
     this.stateOkAt = stateOkAt;
   }
 
   /** A worker has reported here, or answered this node. */
   public void workerHeard() {
-    workersAt = calls.now();
+    workersAt = runtime.now();
   }
 
   /** What this node reaches. */
@@ -61,12 +61,12 @@
   private int age(long at) {
     return at == Job.UNKNOWN
         ? Connectivity.NEVER
-        : (int) Math.min(Integer.MAX_VALUE, calls.now() - at);
+        : (int) Math.min(Integer.MAX_VALUE, runtime.now() - at);
   }
 
   /** Whether a peer could serve where this node cannot. */
   public boolean betterElsewhere() {
-    return matrix.better(mine(), calls.now());
+    return matrix.better(mine(), runtime.now());
   }
 
   /** The same, or nobody tells, so that it is as good as any other guess. */
@@ -76,26 +76,26 @@
 
   /** Whether any peer has told lately what it reaches. */
   public boolean hearsPeers() {
-    return matrix.known(calls.now());
+    return matrix.known(runtime.now());
   }
 
   /** A peer that the state service answers, or null. */
   public String peerWithState() {
-    return matrix.withState(calls.now());
+    return matrix.withState(runtime.now());
   }
 
   /** Looks and tells; {@code workers} are some that a leader hears, empty on other nodes. */
   public void tick(boolean leading, List<String> workers) {
-    long now = calls.now();
+    long now = runtime.now();
     if (leading && !workers.isEmpty() && now >= sampleAt) {
       sampleAt = now + SAMPLE_EVERY_MS;
       sample = workers;
-      calls.toPeers(new PeerRecord.Sample(settings.node(), workers));
+      runtime.broadcast(new PeerMessage.WorkerSample(settings.node(), workers));
     }
     if (!leading && now >= probeAt && !sample.isEmpty()) {
       probeAt = now + PROBE_EVERY_MS;
       String addr = sample.get(next++ % sample.size());
-      calls.call(
+      runtime.call(
           Effect.Target.WORKER,
           addr,
           "GET",
@@ -113,24 +113,24 @@
       Connectivity mine = mine();
       if (shown == null || shown.state() != mine.state() || shown.workers() != mine.workers()) {
         shown = mine;
-        calls.note(settings.node() + " reaches " + words(mine));
+        runtime.note(settings.node() + " reaches " + words(mine));
       }
-      calls.toPeers(new PeerRecord.Reaches(settings.node(), mine));
+      runtime.broadcast(new PeerMessage.ConnectivityReport(settings.node(), mine));
     }
   }
 
   /** Whether it is time for a leader to name workers. */
   public boolean wantsSample() {
-    return calls.now() >= sampleAt;
+    return runtime.now() >= sampleAt;
   }
 
-  public void told(PeerRecord.Reaches r) {
-    if (isPeer(r.from()) && matrix.told(r.from(), r.reach(), calls.now())) {
-      calls.note(r.from() + " reaches " + words(r.reach()));
+  public void told(PeerMessage.ConnectivityReport r) {
+    if (isPeer(r.from()) && matrix.told(r.from(), r.reach(), runtime.now())) {
+      runtime.note(r.from() + " reaches " + words(r.reach()));
     }
   }
 
-  public void told(PeerRecord.Sample s) {
+  public void told(PeerMessage.WorkerSample s) {
     if (isPeer(s.from())) {
       sample = s.workers().size() <= SAMPLE ? s.workers() : s.workers().subList(0, SAMPLE);
     }
@@ -140,23 +140,23 @@
     return settings.peers().stream().anyMatch(p -> p.node().equals(node));
   }
 
-  private static String words(Connectivity r) {
+  private static String words(Connectivity connectivity) {
     return "the state service: "
-        + (r.state() ? "yes" : "no")
+        + (connectivity.state() ? "yes" : "no")
         + ", workers: "
-        + (r.workers() ? "yes" : "no");
+        + (connectivity.workers() ? "yes" : "no");
   }
 
   /** For each node, 1 where it reaches the state service and 1 where it reaches workers. */
   public Map<String, Double> gauges() {
-    Map<String, Double> g = new HashMap<>();
-    matrix.rows(calls.now()).forEach((node, reach) -> put(g, node, reach));
-    put(g, settings.node(), mine());
-    return g;
+    Map<String, Double> gauges = new HashMap<>();
+    matrix.rows(runtime.now()).forEach((node, reach) -> put(gauges, node, reach));
+    put(gauges, settings.node(), mine());
+    return gauges;
   }
 
-  private static void put(Map<String, Double> g, String node, Connectivity r) {
-    g.put("snowturn.reach.state{node=\"" + node + "\"}", r.state() ? 1.0 : 0.0);
-    g.put("snowturn.reach.workers{node=\"" + node + "\"}", r.workers() ? 1.0 : 0.0);
+  private static void put(Map<String, Double> gauges, String node, Connectivity connectivity) {
+    gauges.put("snowturn.reach.state{node=\"" + node + "\"}", connectivity.state() ? 1.0 : 0.0);
+    gauges.put("snowturn.reach.workers{node=\"" + node + "\"}", connectivity.workers() ? 1.0 : 0.0);
   }
 }
--- a/src/main/java/org/snowturn/core/reach/Relays.java
+++ b/src/main/java/org/snowturn/core/connectivity/StateRequestRelay.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.reach;
+package org.snowturn.core.connectivity;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.HashMap;
@@ -6,9 +6,9 @@
 import java.util.function.BooleanSupplier;
 import org.snowturn.config.Settings;
 import org.snowturn.core.Outcome;
-import org.snowturn.core.PeerRecord;
-import org.snowturn.core.admission.Purpose;
-import org.snowturn.core.calls.Calls;
+import org.snowturn.core.PeerMessage;
+import org.snowturn.core.admission.RequestClass;
+import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.wire.Json;
 
 /**
@@ -18,7 +18,7 @@
  * <p>What a peer does not answer stays unknown, as if the state service had not answered; only what
  * the peer says was not executed counts as refused.
  */
-public final class Relays {
+public final class StateRequestRelay {
   /** Longer ones do not fit a record that the version before this one would skip. */
   private static final int MOST_BYTES = 3_000;
 
@@ -26,10 +26,10 @@
   private static final int MOST_OPEN = 200;
 
   private final Settings settings;
-  private final Calls calls;
-  private final ConnectivityMonitor surroundings;
+  private final CoreRuntime runtime;
+  private final ConnectivityMonitor connectivity;
   private final BooleanSupplier ownLink;
-  private final Map<Long, Calls.Then> open = new HashMap<>();
+  private final Map<Long, CoreRuntime.ReplyHandler> open = new HashMap<>();
   private int forPeers;
   private long seq;
   private long relayed;
@@ -39,17 +39,20 @@
    *
    * @param ownLink whether the state service answers this node
    */
-  public Relays(
-      Settings settings, Calls calls, ConnectivityMonitor surroundings, BooleanSupplier ownLink) {
+  public StateRequestRelay(
+      Settings settings,
+      CoreRuntime runtime,
+      ConnectivityMonitor connectivity,
+      BooleanSupplier ownLink) {
     this.settings = settings;
-    this.calls = calls;
-    this.surroundings = surroundings;
+    this.runtime = runtime;
+    this.connectivity = connectivity;
     this.ownLink = ownLink;
     // A peer may still be about to answer what this node's former life asked: back within a
     // fraction
     // of a second, this one would take it for the answer to a question of its own, about another
     // job.
-    this.seq = calls.random().nextLong() >>> 2;
+    this.seq = runtime.random().nextLong() >>> 2;
   }
 
   /** Whether the state service answers this node itself. */
@@ -59,15 +62,20 @@
 
   /** Whether there is any way to the state service. */
   public boolean possible() {
-    return ownLink.getAsBoolean() || surroundings.peerWithState() != null;
+    return ownLink.getAsBoolean() || connectivity.peerWithState() != null;
   }
 
   /** One call to the state service, whichever way. */
   public void state(
-      Purpose purpose, String method, String path, JsonNode body, int timeoutMs, Calls.Then then) {
-    String peer = ownLink.getAsBoolean() ? null : surroundings.peerWithState();
+      RequestClass purpose,
+      String method,
+      String path,
+      JsonNode body,
+      int timeoutMs,
+      CoreRuntime.ReplyHandler then) {
+    String peer = ownLink.getAsBoolean() ? null : connectivity.peerWithState();
     if (peer == null) {
-      calls.state(purpose, method, path, body, timeoutMs, then);
+      runtime.callState(purpose, method, path, body, timeoutMs, then);
       return;
     }
     boolean tooLong = body != null && Json.bytes(body).length > MOST_BYTES;
@@ -78,19 +86,20 @@
     long mine = ++seq;
     relayed++;
     open.put(mine, then);
-    calls.toPeers(new PeerRecord.Relay(settings.node(), peer, mine, method, path, body, timeoutMs));
-    calls.after(timeoutMs, () -> answer(mine, Outcome.UNKNOWN, 0, null));
+    runtime.broadcast(
+        new PeerMessage.RelayRequest(settings.node(), peer, mine, method, path, body, timeoutMs));
+    runtime.schedule(timeoutMs, () -> answer(mine, Outcome.UNKNOWN, 0, null));
   }
 
   private void answer(long id, Outcome outcome, int status, JsonNode body) {
-    Calls.Then then = open.remove(id);
+    CoreRuntime.ReplyHandler then = open.remove(id);
     if (then != null) {
       then.on(outcome, status, body);
     }
   }
 
   /** A peer asks: for this node only, and not handed on any further. */
-  public void asked(PeerRecord.Relay r) {
+  public void asked(PeerMessage.RelayRequest r) {
     if (!r.to().equals(settings.node())) {
       return;
     }
@@ -99,8 +108,8 @@
       return;
     }
     forPeers++;
-    calls.state(
-        Purpose.USERS,
+    runtime.callState(
+        RequestClass.USERS,
         r.method(),
         r.path(),
         r.body(),
@@ -112,13 +121,13 @@
         });
   }
 
-  private void reply(PeerRecord.Relay r, Outcome outcome, int status, JsonNode body) {
-    calls.toPeers(
-        new PeerRecord.Relayed(settings.node(), r.from(), r.seq(), outcome, status, body));
+  private void reply(PeerMessage.RelayRequest r, Outcome outcome, int status, JsonNode body) {
+    runtime.broadcast(
+        new PeerMessage.RelayReply(settings.node(), r.from(), r.seq(), outcome, status, body));
   }
 
   /** A peer answers. */
-  public void answered(PeerRecord.Relayed r) {
+  public void answered(PeerMessage.RelayReply r) {
     if (r.to().equals(settings.node())) {
       answer(r.seq(), r.outcome(), r.status(), r.body());
     }
--- a/src/main/java/org/snowturn/core/reach/WorkerSilence.java
+++ b/src/main/java/org/snowturn/core/connectivity/WorkerSilence.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.reach;
+package org.snowturn.core.connectivity;
 
 /**
  * Whether a leader is heard by workers at all. Reports that stop altogether are the leader's own
--- a/src/main/java/org/snowturn/core/calls/Calls.java
+++ b/src/main/java/org/snowturn/core/effects/CoreRuntime.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.calls;
+package org.snowturn.core.effects;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -11,15 +11,15 @@
 import org.snowturn.core.Effect;
 import org.snowturn.core.Input;
 import org.snowturn.core.Outcome;
-import org.snowturn.core.PeerRecord;
-import org.snowturn.core.admission.Purpose;
-import org.snowturn.core.admission.StateBudget;
+import org.snowturn.core.PeerMessage;
+import org.snowturn.core.admission.RequestClass;
+import org.snowturn.core.admission.StateRequestBudget;
 import org.snowturn.core.recovery.Backoff;
 
 /** Collects effects, and remembers what to do with each reply and when a time has come. */
-public final class Calls {
+public final class CoreRuntime {
   /** Continues after a reply. */
-  public interface Then {
+  public interface ReplyHandler {
     void on(Outcome outcome, int status, JsonNode body);
   }
 
@@ -36,33 +36,33 @@
   }
 
   /** A call that has no reply yet. */
-  private record Open(Then then, boolean countsRequests) {}
+  private record Open(ReplyHandler then, boolean countsRequests) {}
 
-  private final Map<Long, Open> waiting = new HashMap<>();
-  private StateBudget budget;
+  private final Map<Long, Open> openCalls = new HashMap<>();
+  private StateRequestBudget budget;
 
   /**
    * Calls that were not made for want of budget: told as refused once the present input is over.
    */
-  private List<Then> notMade = new ArrayList<>();
+  private List<ReplyHandler> rejected = new ArrayList<>();
 
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
   private final RandomGenerator random;
   private long timerOrder;
   private long retryAfterMs;
   private List<Effect> effects = new ArrayList<>();
-  private final EventLog events = new EventLog(e -> effects.add(e), this::wall);
+  private final EventLog events = new EventLog(effect -> effects.add(effect), this::wallMs);
   private long nextId = 1;
   private long now;
-  private long wall;
+  private long wallMs;
 
   /** All that is drawn at random is drawn from this seed. */
-  public Calls(long seed) {
+  public CoreRuntime(long seed) {
     random = new SplittableRandom(seed);
   }
 
   /** From now on, calls to the state service have to find room in this. */
-  public void keep(StateBudget b) {
+  public void limitStateRequests(StateRequestBudget b) {
     budget = b;
   }
 
@@ -90,12 +90,12 @@
   }
 
   /** In the handling of a reply that failed: does it once more when it is time. */
-  public void again(Backoff backoff, Runnable run) {
-    after(backoff.next(retryAfterMs), run);
+  public void retry(Backoff backoff, Runnable run) {
+    schedule(backoff.next(retryAfterMs), run);
   }
 
   /** Does something at the first tick after this time, in milliseconds. */
-  public void after(long ms, Runnable run) {
+  public void schedule(long ms, Runnable run) {
     timers.add(new Timer(now + ms, timerOrder++, run));
   }
 
@@ -106,39 +106,45 @@
     }
   }
 
-  public long wall() {
-    return wall;
+  public long wallMs() {
+    return wallMs;
   }
 
-  public void at(long nowMs, long wallMs) {
+  public void setTime(long nowMs, long wallMs) {
     now = nowMs;
-    wall = wallMs;
+    this.wallMs = wallMs;
   }
 
   /** What a term reads or writes. */
-  public void state(String method, String path, JsonNode body, int timeoutMs, Then then) {
-    state(Purpose.WORK, method, path, body, timeoutMs, then);
+  public void callState(
+      String method, String path, JsonNode body, int timeoutMs, ReplyHandler then) {
+    callState(RequestClass.WORK, method, path, body, timeoutMs, then);
   }
 
-  public void state(
-      Purpose purpose, String method, String path, JsonNode body, int timeoutMs, Then then) {
+  public void callState(
+      RequestClass purpose,
+      String method,
+      String path,
+      JsonNode body,
+      int timeoutMs,
+      ReplyHandler then) {
     if (mayAsk(purpose, then)) {
       call(Effect.Target.STATE, null, method, path, body, timeoutMs, then);
     }
   }
 
   /** A question for changes, which may be held open. */
-  public void watch(Purpose purpose, String path, int timeoutMs, Then then) {
+  public void watchState(RequestClass purpose, String path, int timeoutMs, ReplyHandler then) {
     if (mayAsk(purpose, then)) {
       call(Effect.Target.STATE_WATCH, null, "GET", path, null, timeoutMs, then);
     }
   }
 
-  private boolean mayAsk(Purpose purpose, Then then) {
+  private boolean mayAsk(RequestClass purpose, ReplyHandler then) {
     if (budget == null || budget.take(purpose, now)) {
       return true;
     }
-    notMade.add(then);
+    rejected.add(then);
     return false;
   }
 
@@ -146,15 +152,16 @@
    * Tells who asked that calls were refused here. Not at once: nobody expects an answer while still
    * asking.
    */
-  public void settle() {
-    List<Then> all = notMade;
-    notMade = new ArrayList<>();
+  public void rejectUnbudgeted() {
+    List<ReplyHandler> all = rejected;
+    rejected = new ArrayList<>();
     all.forEach(t -> t.on(Outcome.REFUSED, 0, null));
   }
 
   /** A call on which this node's authority rests: it waits for no others. */
-  public void authority(String method, String path, JsonNode body, int timeoutMs, Then then) {
-    mayAsk(Purpose.AUTHORITY, then);
+  public void callForAuthority(
+      String method, String path, JsonNode body, int timeoutMs, ReplyHandler then) {
+    mayAsk(RequestClass.AUTHORITY, then);
     call(Effect.Target.AUTHORITY, null, method, path, body, timeoutMs, then);
   }
 
@@ -165,11 +172,11 @@
       String path,
       JsonNode body,
       int timeoutMs,
-      Then then) {
+      ReplyHandler then) {
     long id = nextId++;
     boolean changes = path.equals("/txn"); // refused for either rate
     boolean state = target != Effect.Target.CLOUD && target != Effect.Target.WORKER;
-    waiting.put(id, new Open(then, state && !changes));
+    openCalls.put(id, new Open(then, state && !changes));
     effects.add(new Effect.Call(id, target, addr, method, path, body, timeoutMs));
   }
 
@@ -177,12 +184,12 @@
     effects.add(new Effect.Answer(exchange, status, body, 0));
   }
 
-  public void refuse(long exchange, int status, int retryAfterS) {
+  public void answerUnavailable(long exchange, int status, int retryAfterS) {
     effects.add(new Effect.Answer(exchange, status, null, retryAfterS));
   }
 
-  public void toPeers(PeerRecord message) {
-    effects.add(new Effect.ToPeers(message));
+  public void broadcast(PeerMessage message) {
+    effects.add(new Effect.Broadcast(message));
   }
 
   /** Structured lines for the log. */
@@ -194,19 +201,19 @@
     effects.add(new Effect.Note(text));
   }
 
-  public void reply(Input.Reply r) {
-    Open open = waiting.remove(r.call());
+  public void handleReply(Input.Reply reply) {
+    Open open = openCalls.remove(reply.call());
     if (open != null) {
-      if (r.status() == 429 && open.countsRequests && budget != null) {
+      if (reply.status() == 429 && open.countsRequests && budget != null) {
         budget.refusedThere(now);
       }
-      retryAfterMs = r.retryAfterMs();
-      open.then.on(r.outcome(), r.status(), r.body());
+      retryAfterMs = reply.retryAfterMs();
+      open.then.on(reply.outcome(), reply.status(), reply.body());
       retryAfterMs = 0;
     }
   }
 
-  public List<Effect> drain() {
+  public List<Effect> drainEffects() {
     List<Effect> out = effects;
     effects = new ArrayList<>();
     return out;
--- a/src/main/java/org/snowturn/core/calls/EventLog.java
+++ b/src/main/java/org/snowturn/core/effects/EventLog.java
@@ -1,5 +1,6 @@
-package org.snowturn.core.calls;
+package org.snowturn.core.effects;
 
+import java.util.Locale;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import org.snowturn.core.Effect;
@@ -11,6 +12,8 @@
  * where debugging is on, and cost nothing otherwise.
  */
 public final class EventLog {
+  private static final String AT_MS = "at_ms";
+
   private final Consumer<Effect> out;
   private final LongSupplier wallMs;
   private boolean debug;
@@ -31,17 +34,17 @@
   }
 
   /** Begins a line about something rare. */
-  public Line info(String event) {
+  public Line info(LogEvent event) {
     return new Line(Severity.INFO, event);
   }
 
   /** Begins a line about a violated invariant. */
-  public Line error(String event) {
+  public Line error(LogEvent event) {
     return new Line(Severity.ERROR, event);
   }
 
   /** Begins a line about a single task or message; ask {@link #debug()} first. */
-  public Line debug(String event) {
+  public Line debug(LogEvent event) {
     return new Line(Severity.DEBUG, event);
   }
 
@@ -50,16 +53,16 @@
     private final Severity severity;
     private final StringBuilder text;
 
-    private Line(Severity severity, String event) {
+    private Line(Severity severity, LogEvent event) {
       this.severity = severity;
-      this.text = new StringBuilder("event=").append(event);
-      with("at_ms", wallMs.getAsLong());
+      this.text = new StringBuilder("event=").append(event.text());
+      field(AT_MS).append(wallMs.getAsLong());
     }
 
     /** Adds a field; a text with spaces is put in quotes. */
-    public Line with(String key, String value) {
+    public Line with(LogField field, String value) {
       boolean quoted = value != null && value.indexOf(' ') >= 0;
-      text.append(' ').append(key).append('=');
+      field(field.text());
       if (quoted) {
         text.append('"').append(value.replace('"', '\'')).append('"');
       } else {
@@ -69,17 +72,27 @@
     }
 
     /** Adds a field. */
-    public Line with(String key, long value) {
-      text.append(' ').append(key).append('=').append(value);
+    public Line with(LogField field, long value) {
+      field(field.text()).append(value);
       return this;
     }
 
     /** Adds a field. */
-    public Line with(String key, boolean value) {
-      text.append(' ').append(key).append('=').append(value);
+    public Line with(LogField field, boolean value) {
+      field(field.text()).append(value);
       return this;
     }
 
+    /** Adds a field. */
+    public Line with(LogField field, double value) {
+      field(field.text()).append(String.format(Locale.ROOT, "%.2f", value));
+      return this;
+    }
+
+    private StringBuilder field(String name) {
+      return text.append(' ').append(name).append('=');
+    }
+
     /** Writes the line. */
     public void write() {
       out.accept(new Effect.Event(severity, text.toString()));
--- a/src/main/java/org/snowturn/core/authority/CancellationLog.java
+++ b/src/main/java/org/snowturn/core/election/CancellationLog.java
@@ -1,11 +1,11 @@
-package org.snowturn.core.authority;
+package org.snowturn.core.election;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.snowturn.core.PeerRecord;
+import org.snowturn.core.PeerMessage;
 
 /**
  * The cancellations that this process has told users of, numbered in the order in which it did. A
@@ -63,8 +63,8 @@
    *
    * @param heard null if nothing was
    */
-  PeerRecord.Cancelled part(
-      PeerRecord.Heard heard, String from, String to, long question, long now) {
+  PeerMessage.CancellationsReply part(
+      PeerMessage.LogPosition heard, String from, String to, long question, long now) {
     trim(now);
     long known = heard != null && heard.life().equals(life) ? heard.upTo() : 0;
     long after = Math.max(dropped, Math.min(known, last));
@@ -76,7 +76,7 @@
         }
       }
     }
-    return new PeerRecord.Cancelled(
+    return new PeerMessage.CancellationsReply(
         from, to, question, life, after, last, dropped, dropped == 0 ? 0 : now - droppedAt, jobs);
   }
 }
--- a/src/main/java/org/snowturn/core/authority/CancellationWatermark.java
+++ b/src/main/java/org/snowturn/core/election/CancellationWatermark.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.authority;
+package org.snowturn.core.election;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -6,10 +6,10 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import org.snowturn.config.Settings;
-import org.snowturn.core.PeerRecord;
-import org.snowturn.core.calls.Calls;
+import org.snowturn.core.PeerMessage;
+import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.model.Job;
-import org.snowturn.core.records.LruMap;
+import org.snowturn.core.storage.LruMap;
 import org.snowturn.wire.JobSpec;
 
 /**
@@ -49,7 +49,7 @@
     long knownUntil = Job.UNKNOWN;
   }
 
-  private final Calls calls;
+  private final CoreRuntime runtime;
   private final String node;
   private final long slackMs;
   private final long dueMs;
@@ -68,8 +68,8 @@
    *
    * @param incarnation a name that no other process of this node has had
    */
-  public CancellationWatermark(Settings settings, Calls calls, String incarnation) {
-    this.calls = calls;
+  public CancellationWatermark(Settings settings, CoreRuntime runtime, String incarnation) {
+    this.runtime = runtime;
     this.node = settings.node();
     this.told = new CancellationLog(incarnation);
     // A peer's late answer to the former life of this node must not be taken for one to this one.
@@ -84,9 +84,9 @@
    * before a cancellation just past the watermark is due. Where settings leave no such time nothing
    * could be served at all; then a lapse is late by what they lack.
    */
-  static long slackMs(Settings s) {
-    double lease = s.workers().leaseS() * 1000 * (1 + DRIFT);
-    double slack = (s.workers().cancelS() * 1000 - lease) * (1 - DRIFT) - MARGIN_MS;
+  static long slackMs(Settings settings) {
+    double lease = settings.workers().leaseS() * 1000 * (1 + DRIFT);
+    double slack = (settings.workers().cancelS() * 1000 - lease) * (1 - DRIFT) - MARGIN_MS;
     return (long) Math.max(LEAST_SLACK_MS, slack);
   }
 
@@ -97,7 +97,7 @@
 
   /** A user is about to be told by this node. */
   public void tell(String job) {
-    told.tell(job, calls.now());
+    told.tell(job, runtime.now());
     learn(job);
   }
 
@@ -122,7 +122,7 @@
 
   /** Every cancellation that was confirmed before this moment is known. */
   public long knownUntil() {
-    long until = calls.now(); // what this node itself confirms, it knows
+    long until = runtime.now(); // what this node itself confirms, it knows
     for (Peer p : peers.values()) {
       until = Math.min(until, Math.max(readUntil, p.knownUntil));
     }
@@ -139,12 +139,12 @@
    * cancellation that a user was told of after this moment.
    */
   public boolean lapsesInTime(long confirmedAfter) {
-    return calls.now() - confirmedAfter < slackMs;
+    return runtime.now() - confirmedAfter < slackMs;
   }
 
   /** How old the knowledge is, in milliseconds. */
   public long ageMs() {
-    return calls.now() - knownUntil();
+    return runtime.now() - knownUntil();
   }
 
   /** Whether a worker that is answered now would lapse in time for whatever is not known. */
@@ -162,35 +162,35 @@
 
   /** Asks the peers now and then. */
   public void tick(boolean leading) {
-    if (calls.now() - askedAt < (leading ? ASK_MS : FOLLOWER_ASKS_MS)) {
+    if (runtime.now() - askedAt < (leading ? ASK_MS : FOLLOWER_ASKS_MS)) {
       return;
     }
-    askedAt = calls.now();
-    asks.put(++askSeq, calls.now());
+    askedAt = runtime.now();
+    asks.put(++askSeq, runtime.now());
     if (asks.size() > MOST_ASKS) {
       asks.remove(asks.keySet().iterator().next());
     }
-    Map<String, PeerRecord.Heard> heard = new HashMap<>();
+    Map<String, PeerMessage.LogPosition> heard = new HashMap<>();
     peers.forEach(
         (name, p) -> {
           if (p.life != null) {
-            heard.put(name, new PeerRecord.Heard(p.life, p.upTo));
+            heard.put(name, new PeerMessage.LogPosition(p.life, p.upTo));
           }
         });
-    calls.toPeers(new PeerRecord.AskCancelled(node, askSeq, heard));
+    runtime.broadcast(new PeerMessage.CancellationsRequest(node, askSeq, heard));
   }
 
   /** A peer wants to hear what this node has told users. */
-  public void asked(PeerRecord.AskCancelled a) {
+  public void asked(PeerMessage.CancellationsRequest a) {
     if (!peers.containsKey(a.from())) {
       unusable++;
       return;
     }
-    calls.toPeers(told.part(a.heard().get(node), node, a.from(), a.seq(), calls.now()));
+    runtime.broadcast(told.part(a.heard().get(node), node, a.from(), a.seq(), runtime.now()));
   }
 
   /** A peer tells what it has told users, or a part of it. */
-  public void heard(PeerRecord.Cancelled c) {
+  public void heard(PeerMessage.CancellationsReply c) {
     if (!c.to().equals(node)) {
       return;
     }
@@ -203,11 +203,11 @@
     if (!c.life().equals(p.life)) {
       p.life = c.life();
       p.upTo = 0;
-      p.heardAt = calls.now();
+      p.heardAt = runtime.now();
     }
     // What the peer has dropped for its age counts as heard once the state service was read since.
     boolean skipped = c.after() > p.upTo;
-    long droppedAt = calls.now() - (long) (c.droppedAgeMs() * (1 - DRIFT));
+    long droppedAt = runtime.now() - (long) (c.droppedAgeMs() * (1 - DRIFT));
     if (skipped && (c.after() > c.dropped() || readUntil < droppedAt)) {
       return;
     }
--- a/src/main/java/org/snowturn/core/authority/Election.java
+++ b/src/main/java/org/snowturn/core/election/Election.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.authority;
+package org.snowturn.core.election;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.HashSet;
@@ -8,12 +8,14 @@
 import org.snowturn.config.Settings;
 import org.snowturn.config.Tunables;
 import org.snowturn.core.Outcome;
-import org.snowturn.core.PeerRecord;
-import org.snowturn.core.admission.Purpose;
-import org.snowturn.core.calls.Calls;
+import org.snowturn.core.PeerMessage;
+import org.snowturn.core.admission.RequestClass;
+import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.effects.LogEvent;
+import org.snowturn.core.effects.LogField;
 import org.snowturn.core.model.Job;
-import org.snowturn.core.records.Keys;
 import org.snowturn.core.recovery.Backoff;
+import org.snowturn.core.storage.StorageKeys;
 import org.snowturn.wire.Json;
 import org.snowturn.wire.MalformedException;
 import org.snowturn.wire.StateMessage;
@@ -73,7 +75,7 @@
   }
 
   private final Settings settings;
-  private final Calls calls;
+  private final CoreRuntime runtime;
   private final String incarnation;
   private final long ttlMs;
   private final long startedAt;
@@ -123,26 +125,29 @@
   public Election(
       Settings settings,
       Tunables tunables,
-      Calls calls,
+      CoreRuntime runtime,
       CancellationWatermark watermark,
       String incarnation,
       long startedAt) {
     this.startedAt = startedAt;
     this.watermark = watermark;
-    this.backoff = calls.backoff(RETRY_LEAST_MS, RETRY_MOST_MS);
+    this.backoff = runtime.backoff(RETRY_LEAST_MS, RETRY_MOST_MS);
     this.settings = settings;
-    this.calls = calls;
+    this.runtime = runtime;
     this.promises = new PeerPromises(settings.peers());
-    this.service = new StateServiceHealth(calls);
+    this.service = new StateServiceHealth(runtime);
     this.incarnation = incarnation;
     this.ttlMs = ttlMs(settings, tunables);
   }
 
   /** The lease's life: within a worker's lease a new leader must have been found by the workers. */
-  public static long ttlMs(Settings s, Tunables t) {
-    double ttl = t.leaderTtlS() > 0 ? t.leaderTtlS() : Math.min(2.5, s.workers().leaseS() * 0.25);
+  public static long ttlMs(Settings settings, Tunables tunables) {
+    double ttl =
+        tunables.leaderTtlS() > 0
+            ? tunables.leaderTtlS()
+            : Math.min(2.5, settings.workers().leaseS() * 0.25);
     // A cancellation must be carried out by the next leader even if its machine only lapses.
-    double most = s.workers().cancelS() - s.workers().leaseS() - 2;
+    double most = settings.workers().cancelS() - settings.workers().leaseS() - 2;
     return (long) (1000 * Math.max(0.5, Math.min(ttl, most)));
   }
 
@@ -166,7 +171,7 @@
    */
   public boolean hasAuthority() {
     return role == Role.LEADING
-        && (calls.now() < authorityUntil || promises.holdOfAll(calls.now()))
+        && (runtime.now() < authorityUntil || promises.holdOfAll(runtime.now()))
         && watermark.current();
   }
 
@@ -194,7 +199,7 @@
   }
 
   public void tick() {
-    long now = calls.now();
+    long now = runtime.now();
     if (tickedAt != Job.UNKNOWN && now - tickedAt > LATE_TICK_MS) {
       lateAt = now;
     }
@@ -228,7 +233,7 @@
           // A peer that reaches more goes first; but only once, so that somebody leads in any case.
           heldBack = true;
           nextAt = now + HOLD_BACK_MS;
-          calls.note("another node is better placed to lead: holding back");
+          runtime.note("another node is better placed to lead: holding back");
         } else {
           askLease();
         }
@@ -242,13 +247,13 @@
     String ground = ground();
     if (!ground.equals(loggedGround)) {
       loggedGround = ground;
-      calls
+      runtime
           .events()
-          .info("authority")
-          .with("token", token)
-          .with("ground", ground)
-          .with("lease", lease)
-          .with("until_ms", authorityUntil - calls.now())
+          .info(LogEvent.AUTHORITY_CHANGED)
+          .with(LogField.TOKEN, token)
+          .with(LogField.GROUND, ground)
+          .with(LogField.LEASE, lease)
+          .with(LogField.UNTIL_MS, authorityUntil - runtime.now())
           .write();
     }
   }
@@ -257,15 +262,15 @@
     if (role != Role.LEADING || !watermark.current()) {
       return "none";
     }
-    return calls.now() < authorityUntil
+    return runtime.now() < authorityUntil
         ? "lease"
-        : promises.holdOfAll(calls.now()) ? "promises" : "none";
+        : promises.holdOfAll(runtime.now()) ? "promises" : "none";
   }
 
   private void logCancellationsKnown() {
     if (wasCurrent != watermark.current()) {
       wasCurrent = !wasCurrent;
-      calls.note(
+      runtime.note(
           wasCurrent
               ? "cancellations are known again: workers are answered"
               : "cancellations "
@@ -275,36 +280,36 @@
   }
 
   private void tell() {
-    long now = calls.now();
+    long now = runtime.now();
     if (now < tellAt) {
       return;
     }
     boolean isNew = now < startedAt + PROMISE_MS + 200 && role != Role.LEADING;
     tellAt = now + (isNew ? TELL_NEW_MS : TELL_MS);
     if (role != Role.LEADING) {
-      calls.toPeers(
-          new PeerRecord.Status(settings.node(), service.answersNow(role == Role.LEADING)));
+      runtime.broadcast(
+          new PeerMessage.StandbyStatus(settings.node(), service.answersNow(role == Role.LEADING)));
       return;
     }
-    calls.toPeers(
-        new PeerRecord.Ask(
+    runtime.broadcast(
+        new PeerMessage.PromiseRequest(
             settings.node(), promises.request(now), token, renewFailingSince != Job.UNKNOWN));
   }
 
   /** Takes a peer's record. */
-  public void fromPeer(PeerRecord r) {
-    if (r instanceof PeerRecord.Status s) {
+  public void fromPeer(PeerMessage message) {
+    if (message instanceof PeerMessage.StandbyStatus s) {
       notLeading.add(s.from());
       service.heard(s.from(), s.stateOk());
-    } else if (r instanceof PeerRecord.Ask a) {
+    } else if (message instanceof PeerMessage.PromiseRequest a) {
       asked(a);
-    } else if (r instanceof PeerRecord.Promise p) {
+    } else if (message instanceof PeerMessage.Promise p) {
       promised(p);
-    } else if (r instanceof PeerRecord.Resign x) {
+    } else if (message instanceof PeerMessage.StepDown x) {
       endForPeer(x);
-    } else if (r instanceof PeerRecord.Offer o) {
+    } else if (message instanceof PeerMessage.LeaseHandover o) {
       offered(o);
-    } else if (r instanceof PeerRecord.LeaseEnded e) {
+    } else if (message instanceof PeerMessage.LeaseEnded e) {
       leaseEnded(e);
     }
   }
@@ -313,7 +318,7 @@
    * Promises nothing that it may not keep: not while a claim of its own may be executed, nor after
    * it has seen the leader's key vanish or a later leader's key.
    */
-  private void asked(PeerRecord.Ask a) {
+  private void asked(PeerMessage.PromiseRequest a) {
     service.heard(a.from(), !a.trouble());
     service.leaderInTrouble(a.trouble());
     if (role != Role.LEADING && a.token() >= knownToken) {
@@ -325,9 +330,9 @@
       return;
     }
     knownToken = a.token();
-    promisedUntil = Math.max(promisedUntil, calls.now() + PROMISE_MS);
-    calls.toPeers(
-        new PeerRecord.Promise(
+    promisedUntil = Math.max(promisedUntil, runtime.now() + PROMISE_MS);
+    runtime.broadcast(
+        new PeerMessage.Promise(
             settings.node(),
             a.seq(),
             a.token(),
@@ -335,26 +340,28 @@
             service.answersNow(role == Role.LEADING)));
   }
 
-  private void promised(PeerRecord.Promise p) {
+  private void promised(PeerMessage.Promise p) {
     service.heard(p.from(), p.stateOk());
     if (role != Role.LEADING || p.token() != token || !promises.take(p)) {
       return;
     }
     // A node that is behind with its work has not heard replies that were there.
-    boolean behind = calls.now() - RESIGN_MS < lateAt;
+    boolean behind = runtime.now() - RESIGN_MS < lateAt;
     boolean lost =
-        !behind && renewFailingSince != Job.UNKNOWN && calls.now() - renewFailingSince > RESIGN_MS;
+        !behind
+            && renewFailingSince != Job.UNKNOWN
+            && runtime.now() - renewFailingSince > RESIGN_MS;
     if (!lost || !p.stateOk()) {
       return;
     }
     if (offeredAt < renewFailingSince) {
-      offeredAt = calls.now();
+      offeredAt = runtime.now();
       // An offer may be taken up at any later time, so from now on only promises keep this term.
       authorityUntil = Long.MIN_VALUE;
       leaseOffered = true;
     }
-    if (calls.now() - offeredAt < OFFERED_MS) {
-      calls.toPeers(new PeerRecord.Offer(settings.node(), lease, token));
+    if (runtime.now() - offeredAt < OFFERED_MS) {
+      runtime.broadcast(new PeerMessage.LeaseHandover(settings.node(), lease, token));
     } else {
       // Of the version before, or too slow; what it said of the state service is news.
       resign("the state service answers " + p.from() + " but not this node");
@@ -365,7 +372,7 @@
    * Ends a lease at its holder's wish. That takes nothing from what was promised: this node claims
    * nothing before its promises have ended or the holder, told of it, has released them.
    */
-  private void offered(PeerRecord.Offer o) {
+  private void offered(PeerMessage.LeaseHandover o) {
     if (role == Role.LEADING) {
       return;
     }
@@ -373,38 +380,38 @@
         o.lease(),
         (outcome, status, body) -> {
           if (outcome == Outcome.ANSWERED && (status == 200 || status == 404)) {
-            calls.toPeers(new PeerRecord.LeaseEnded(settings.node(), o.token()));
+            runtime.broadcast(new PeerMessage.LeaseEnded(settings.node(), o.token()));
           }
         });
   }
 
-  private void leaseEnded(PeerRecord.LeaseEnded e) {
+  private void leaseEnded(PeerMessage.LeaseEnded e) {
     if (role == Role.LEADING && e.token() == token) {
       resign("the state service answers " + e.from() + " but not this node");
     }
   }
 
   private boolean mustNotClaim() {
-    return quiet || calls.now() < promisedUntil;
+    return quiet || runtime.now() < promisedUntil;
   }
 
   private void retryLater(Role next) {
     role = next;
     busy = false;
-    nextAt = calls.now() + backoff.next(calls.retryAfterMs());
+    nextAt = runtime.now() + backoff.next(runtime.retryAfterMs());
   }
 
   private void lookAgain() {
     role = Role.LOOKING;
     busy = false;
-    nextAt = calls.now();
+    nextAt = runtime.now();
   }
 
   private void look() {
     busy = true;
-    calls.authority(
+    runtime.callForAuthority(
         "GET",
-        "/kv?prefix=" + Keys.LEADER_PREFIX + "&most=5",
+        "/kv?prefix=" + StorageKeys.LEADER_PREFIX + "&most=5",
         null,
         CALL_MS,
         (outcome, status, body) -> {
@@ -437,8 +444,8 @@
       // promised it holds nobody back any more, and they are ahead of a process that has just
       // begun.
       long left = value.path("lease").asLong();
-      calls.toPeers(new PeerRecord.Resign(settings.node(), left, key.stamp()));
-      holdOffUntil = Math.max(holdOffUntil, notLeading.isEmpty() ? 0 : calls.now() + NEW_LIFE_MS);
+      runtime.broadcast(new PeerMessage.StepDown(settings.node(), left, key.stamp()));
+      holdOffUntil = Math.max(holdOffUntil, notLeading.isEmpty() ? 0 : runtime.now() + NEW_LIFE_MS);
       endLease(left);
       return;
     }
@@ -446,8 +453,8 @@
     heldBack = false;
   }
 
-  private void deleteLease(long id, Calls.Then then) {
-    calls.authority("DELETE", "/leases/" + id, null, CALL_MS, then);
+  private void deleteLease(long id, CoreRuntime.ReplyHandler then) {
+    runtime.callForAuthority("DELETE", "/leases/" + id, null, CALL_MS, then);
   }
 
   private void endLease(long id) {
@@ -456,7 +463,7 @@
         id,
         (outcome, status, body) -> {
           if (outcome != Outcome.ANSWERED && claimInDoubt) {
-            calls.again(backoff, () -> endLease(id)); // busy until then
+            runtime.retry(backoff, () -> endLease(id)); // busy until then
             return;
           }
           claimInDoubt = false;
@@ -471,7 +478,7 @@
   /**
    * A leader that can no longer serve told us so: end its lease if the state service answers us.
    */
-  private void endForPeer(PeerRecord.Resign r) {
+  private void endForPeer(PeerMessage.StepDown r) {
     if (role == Role.LEADING) {
       return;
     }
@@ -484,14 +491,14 @@
   private void vacant() {
     knownLeader = null;
     role = Role.LEASING;
-    nextAt = Math.max(calls.now(), holdOffUntil);
+    nextAt = Math.max(runtime.now(), holdOffUntil);
     tick();
   }
 
   private void askLease() {
     busy = true;
-    leaseSentAt = calls.now();
-    calls.authority(
+    leaseSentAt = runtime.now();
+    runtime.callForAuthority(
         "POST",
         "/leases",
         StateMessage.lease(ttlMs),
@@ -520,14 +527,15 @@
     busy = true;
     JsonNode value =
         Json.object()
-            .put("v", Keys.VERSION)
+            .put("v", StorageKeys.VERSION)
             .put("node", settings.node())
             .put("inc", incarnation)
             .put("lease", lease);
     JsonNode txn =
         StateMessage.txn(
-            List.of(new Condition(Keys.LEADER, 0)), List.of(new Change(Keys.LEADER, value, lease)));
-    calls.authority(
+            List.of(new Condition(StorageKeys.LEADER, 0)),
+            List.of(new Change(StorageKeys.LEADER, value, lease)));
+    runtime.callForAuthority(
         "POST",
         "/txn",
         txn,
@@ -539,7 +547,7 @@
               won(StateMessage.epoch(body));
               return;
             } catch (MalformedException e) {
-              calls.note("unusable reply to a claim: " + e.getMessage());
+              runtime.note("unusable reply to a claim: " + e.getMessage());
             }
           }
           if (outcome == Outcome.UNKNOWN) {
@@ -566,11 +574,11 @@
     promises.clear();
     knownToken = Math.max(knownToken, token);
     renewFailingSince = Job.UNKNOWN;
-    tellAt = calls.now();
+    tellAt = runtime.now();
     renewing = false;
     wasCurrent = true;
-    renewAt = calls.now() + ttlMs / 5;
-    calls.note("leading with token " + token + ", lease life " + ttlMs + " ms");
+    renewAt = runtime.now() + ttlMs / 5;
+    runtime.note("leading with token " + token + ", lease life " + ttlMs + " ms");
   }
 
   private void extend(long sentAt) {
@@ -579,9 +587,9 @@
 
   private void renew() {
     renewing = true;
-    long sentAt = calls.now();
+    long sentAt = runtime.now();
     long mine = generation;
-    calls.authority(
+    runtime.callForAuthority(
         "POST",
         "/leases/" + lease + "/renew",
         null,
@@ -604,7 +612,7 @@
             if (renewFailingSince == Job.UNKNOWN) {
               renewFailingSince = sentAt;
             }
-            renewAt = calls.now() + 250;
+            renewAt = runtime.now() + 250;
           }
         });
   }
@@ -614,7 +622,7 @@
     if (role != Role.LEADING) {
       return;
     }
-    calls.note("stepping down: " + why);
+    runtime.note("stepping down: " + why);
     generation++;
     authorityUntil = Long.MIN_VALUE;
     knownLeader = null;
@@ -624,18 +632,18 @@
   /** Gives up leadership so that another node can have it at once. */
   public void resign(String why) {
     long old = lease;
-    holdOffUntil = calls.now() + HOLD_OFF_MS;
+    holdOffUntil = runtime.now() + HOLD_OFF_MS;
     stepDown(why);
-    nextAt = calls.now() + 1000;
-    calls.toPeers(new PeerRecord.Resign(settings.node(), old, token));
+    nextAt = runtime.now() + 1000;
+    runtime.broadcast(new PeerMessage.StepDown(settings.node(), old, token));
     deleteLease(old, (o, s, b) -> {});
   }
 
   private void watch() {
     watching = true;
-    calls.watch(
-        Purpose.AUTHORITY,
-        "/watch?prefix=" + Keys.LEADER_PREFIX + "&since=" + watchFrom + "&hold_ms=5000",
+    runtime.watchState(
+        RequestClass.AUTHORITY,
+        "/watch?prefix=" + StorageKeys.LEADER_PREFIX + "&since=" + watchFrom + "&hold_ms=5000",
         7000,
         (outcome, status, body) -> {
           watching = false;
--- a/src/main/java/org/snowturn/core/authority/PeerPromises.java
+++ b/src/main/java/org/snowturn/core/election/PeerPromises.java
@@ -1,11 +1,11 @@
-package org.snowturn.core.authority;
+package org.snowturn.core.election;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.snowturn.config.Settings;
-import org.snowturn.core.PeerRecord;
+import org.snowturn.core.PeerMessage;
 
 /**
  * What a leader's peers have promised it: not to claim leadership for a while. A peer counts from
@@ -43,7 +43,7 @@
   }
 
   /** Takes a promise; tells whether it answers a request of this process. */
-  boolean take(PeerRecord.Promise promise) {
+  boolean take(PeerMessage.Promise promise) {
     Long asked = sentAt.get(promise.seq());
     if (asked == null) {
       return false;
--- a/src/main/java/org/snowturn/core/authority/StateServiceHealth.java
+++ b/src/main/java/org/snowturn/core/election/StateServiceHealth.java
@@ -1,11 +1,11 @@
-package org.snowturn.core.authority;
+package org.snowturn.core.election;
 
 import java.util.HashMap;
 import java.util.Map;
 import org.snowturn.core.Outcome;
-import org.snowturn.core.calls.Calls;
+import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.model.Job;
-import org.snowturn.core.records.Keys;
+import org.snowturn.core.storage.StorageKeys;
 
 /** Whether the state service answers this node, and whether it answers the peers. */
 final class StateServiceHealth {
@@ -28,15 +28,15 @@
   private static final long PEER_NEWS_MS = 1500;
   private static final int PROBE_TIMEOUT_MS = 1000;
 
-  private final Calls calls;
+  private final CoreRuntime runtime;
   private final Map<String, Long> peersAnsweredAt = new HashMap<>();
   private long troubledSince = Job.UNKNOWN;
   private long probeAt;
   private boolean probing;
   private long answeredAt = Job.UNKNOWN;
 
-  StateServiceHealth(Calls calls) {
-    this.calls = calls;
+  StateServiceHealth(CoreRuntime runtime) {
+    this.runtime = runtime;
   }
 
   /** When the last request that it answered was sent; {@link Job#UNKNOWN}: never. */
@@ -51,13 +51,13 @@
 
   /** Whether it has answered this node lately. */
   boolean healthy() {
-    return calls.now() - STATE_LOST_MS < answeredAt;
+    return runtime.now() - STATE_LOST_MS < answeredAt;
   }
 
   /** Whether a peer has said lately that it is answered. */
   boolean answersPeers() {
     for (long at : peersAnsweredAt.values()) {
-      if (calls.now() - PEER_NEWS_MS < at) {
+      if (runtime.now() - PEER_NEWS_MS < at) {
         return true;
       }
     }
@@ -67,7 +67,7 @@
   /** A peer says whether it is answered. */
   void heard(String peer, boolean answered) {
     if (answered) {
-      peersAnsweredAt.put(peer, calls.now());
+      peersAnsweredAt.put(peer, runtime.now());
     } else {
       peersAnsweredAt.remove(peer);
     }
@@ -78,22 +78,22 @@
     if (!trouble) {
       troubledSince = Job.UNKNOWN;
     } else if (troubledSince == Job.UNKNOWN) {
-      troubledSince = calls.now();
-      probeAt = Math.min(probeAt, calls.now());
+      troubledSince = runtime.now();
+      probeAt = Math.min(probeAt, runtime.now());
     }
   }
 
   /** One cheap read at a time tells whether the state service answers this node. */
   void probe(boolean leading) {
-    if (probing || calls.now() < probeAt) {
+    if (probing || runtime.now() < probeAt) {
       return;
     }
     probing = true;
-    long sentAt = calls.now();
+    long sentAt = runtime.now();
     probeAt = sentAt + (troubled(leading) ? PROBE_TROUBLED_MS : PROBE_MS);
-    calls.authority(
+    runtime.callForAuthority(
         "GET",
-        "/kv/" + Keys.LEADER,
+        "/kv/" + StorageKeys.LEADER,
         null,
         PROBE_TIMEOUT_MS,
         (outcome, status, body) -> {
@@ -106,11 +106,11 @@
 
   /** Whether it has answered so lately that peers may rely on it. */
   boolean answersNow(boolean leading) {
-    return calls.now() - (troubled(leading) ? OK_TROUBLED_MS : 2 * PROBE_MS) < answeredAt;
+    return runtime.now() - (troubled(leading) ? OK_TROUBLED_MS : 2 * PROBE_MS) < answeredAt;
   }
 
   /** Whether the leader has begun to say that the state service does not answer it. */
   private boolean troubled(boolean leading) {
-    return !leading && troubledSince != Job.UNKNOWN && calls.now() - troubledSince < TROUBLED_MS;
+    return !leading && troubledSince != Job.UNKNOWN && runtime.now() - troubledSince < TROUBLED_MS;
   }
 }
--- /dev/null
+++ b/src/main/java/org/snowturn/core/election/package-info.java
@@ -0,0 +1,2 @@
+/** Leader election: the lease, peers' promises, and how far cancellations are known. */
+package org.snowturn.core.election;
--- a/src/main/java/org/snowturn/core/evidence/AttemptView.java
+++ b/src/main/java/org/snowturn/core/health/AttemptSnapshot.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.evidence;
+package org.snowturn.core.health;
 
 /**
  * What the leader holds of an attempt that may be on a machine, at the moment at which its end is
@@ -16,7 +16,7 @@
  * @param lastAnswerMs when the machine's lease may last have been renewed, by any leader
  * @param lapseMs how long after that a session has certainly ended
  */
-public record AttemptView(
+public record AttemptSnapshot(
     long token,
     long nowMs,
     long session,
--- a/src/main/java/org/snowturn/core/evidence/EndEvidence.java
+++ b/src/main/java/org/snowturn/core/health/EndEvidence.java
@@ -1,8 +1,8 @@
-package org.snowturn.core.evidence;
+package org.snowturn.core.health;
 
 /**
  * What is offered as proof that an attempt has ended without a result, or that it never began. No
- * task waits again without one of these; {@link AttemptView#objection} judges whether it holds.
+ * task waits again without one of these; {@link AttemptSnapshot#objection} judges whether it holds.
  */
 public sealed interface EndEvidence {
   /** The name of this kind of evidence in logs and metrics; it stays the same. */
--- a/src/main/java/org/snowturn/core/evidence/FailureAttribution.java
+++ b/src/main/java/org/snowturn/core/health/FailureAttribution.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.evidence;
+package org.snowturn.core.health;
 
 import org.agrona.collections.Int2IntHashMap;
 import org.agrona.collections.Int2ObjectHashMap;
--- a/src/main/java/org/snowturn/core/evidence/Reachability.java
+++ b/src/main/java/org/snowturn/core/health/Reachability.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.evidence;
+package org.snowturn.core.health;
 
 /**
  * Whether a machine receives what it is sent. Its reports only tell what runs there: they may get
--- a/src/main/java/org/snowturn/core/term/TermRecovery.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.term;
+package org.snowturn.core.leader;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -9,27 +9,29 @@
 import java.util.function.BiConsumer;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.snowturn.core.act.Ledger;
-import org.snowturn.core.act.MachineRegistry;
-import org.snowturn.core.act.Reports;
-import org.snowturn.core.act.SubmissionParts;
-import org.snowturn.core.authority.CancellationWatermark;
-import org.snowturn.core.calls.Calls;
-import org.snowturn.core.model.Catalog;
+import org.snowturn.core.assignment.HeartbeatProcessor;
+import org.snowturn.core.assignment.MachineRegistry;
+import org.snowturn.core.assignment.SubmissionChunks;
+import org.snowturn.core.assignment.TaskAssignments;
+import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.effects.LogEvent;
+import org.snowturn.core.effects.LogField;
+import org.snowturn.core.election.CancellationWatermark;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
-import org.snowturn.core.model.MachineBook;
-import org.snowturn.core.records.Keys;
-import org.snowturn.core.records.StoredJob;
-import org.snowturn.core.recovery.Phase;
-import org.snowturn.core.recovery.Phases;
-import org.snowturn.core.recovery.Questions;
-import org.snowturn.core.store.FormatGate;
-import org.snowturn.core.store.Loader;
-import org.snowturn.core.store.Writer;
-import org.snowturn.wire.JobView;
+import org.snowturn.core.model.MachineIndex;
+import org.snowturn.core.model.MachineTypes;
+import org.snowturn.core.recovery.PacedProbes;
+import org.snowturn.core.recovery.RecoveryPhase;
+import org.snowturn.core.recovery.RecoveryProgress;
+import org.snowturn.core.storage.FormatGate;
+import org.snowturn.core.storage.JobRecord;
+import org.snowturn.core.storage.RangeReader;
+import org.snowturn.core.storage.RecordWriter;
+import org.snowturn.core.storage.StorageKeys;
+import org.snowturn.wire.Heartbeat;
+import org.snowturn.wire.JobStatus;
 import org.snowturn.wire.MalformedException;
-import org.snowturn.wire.Report;
 import org.snowturn.wire.StateMessage;
 
 /**
@@ -37,7 +39,7 @@
  * machines what of it is still so, a few at a time and the most useful first. It never holds back a
  * decision: whatever machine has shown the token may get work while others are still to be asked.
  */
-public final class TermRecovery {
+public final class LeaderRecovery {
   /** After a question without an answer, the same machine is asked again so much later. */
   private static final long AGAIN_MS = 500;
 
@@ -65,23 +67,23 @@
   /** After so long, what has not been heard is not waited for. */
   private static final long HEARD_MS = 2_500;
 
-  private final Calls calls;
-  private final Writer writer;
+  private final CoreRuntime runtime;
+  private final RecordWriter writer;
   private final CancellationWatermark watermark;
-  private final Catalog catalog;
+  private final MachineTypes machineTypes;
   private final FormatGate gate;
-  private final Ledger ledger;
-  private final MachineBook machines;
+  private final TaskAssignments assignments;
+  private final MachineIndex machines;
   private final MachineRegistry registry;
   private final BiConsumer<String, StateMessage.Entry> restarts;
   private final BooleanSupplier ended;
-  private final Phases phases;
-  private final Questions questions = new Questions(AGAIN_MS);
+  private final RecoveryProgress phases;
+  private final PacedProbes probes = new PacedProbes(AGAIN_MS);
 
   /** The last report of each machine that came while the records were being read. */
-  private final Map<Machine, Report> early = new LinkedHashMap<>();
+  private final Map<Machine, Heartbeat> early = new LinkedHashMap<>();
 
-  private final Map<String, Loader.Range> read = new LinkedHashMap<>();
+  private final Map<String, RangeReader.Range> read = new LinkedHashMap<>();
   private int toAsk;
   private long askingSince;
   private long heardAt = Job.UNKNOWN;
@@ -90,7 +92,7 @@
   private long tickedAt;
   private long lateAt;
   private long unreadable;
-  private Consumer<Map<Machine, Report>> then;
+  private Consumer<Map<Machine, Heartbeat>> then;
 
   /**
    * A term that has just been won.
@@ -98,35 +100,35 @@
    * @param restarts takes a job's id and its stored counter of restarts
    * @param ended whether the term is over: nothing more is to be done
    */
-  public TermRecovery(
-      Calls calls,
-      Writer writer,
+  public LeaderRecovery(
+      CoreRuntime runtime,
+      RecordWriter writer,
       CancellationWatermark watermark,
-      Catalog catalog,
+      MachineTypes machineTypes,
       FormatGate gate,
-      Ledger ledger,
-      MachineBook machines,
+      TaskAssignments assignments,
+      MachineIndex machines,
       MachineRegistry registry,
       BiConsumer<String, StateMessage.Entry> restarts,
       BooleanSupplier ended) {
-    this.calls = calls;
+    this.runtime = runtime;
     this.writer = writer;
     this.watermark = watermark;
-    this.catalog = catalog;
+    this.machineTypes = machineTypes;
     this.gate = gate;
-    this.ledger = ledger;
+    this.assignments = assignments;
     this.machines = machines;
     this.registry = registry;
     this.restarts = restarts;
     this.ended = ended;
-    this.phases = new Phases(calls.now());
-    this.tickedAt = calls.now();
-    this.lateAt = calls.now() - STEADY_MS;
+    this.phases = new RecoveryProgress(runtime.now());
+    this.tickedAt = runtime.now();
+    this.lateAt = runtime.now() - STEADY_MS;
   }
 
   /** Whether all records are known, so that decisions may be made. */
   public boolean loaded() {
-    return phases.reached(Phase.ASKING);
+    return phases.reached(RecoveryPhase.ASKING);
   }
 
   /** The revision from which on changes of jobs are to be watched. */
@@ -143,24 +145,24 @@
    * are read side by side. Users' records go on changing: parts of submissions are read before the
    * jobs, so that no accepted job lacks its parts.
    */
-  public void begin(Consumer<Map<Machine, Report>> then) {
+  public void begin(Consumer<Map<Machine, Heartbeat>> then) {
     this.then = then;
-    enter(Phase.READING);
+    enter(RecoveryPhase.READING);
     // First of all the gate: it tells in which format the records are that are to be written.
     gate.look(
         () -> {
           if (ended.getAsBoolean()) {
             return;
           }
-          read(Keys.REGISTRY);
-          read(Keys.TASKS2);
-          read(Keys.TASKS);
-          read(Keys.RESTARTS);
+          read(StorageKeys.REGISTRY);
+          read(StorageKeys.TASKS2);
+          read(StorageKeys.TASKS);
+          read(StorageKeys.RESTARTS);
           read(
-              Keys.PARTS,
+              StorageKeys.PARTS,
               () -> {
-                jobsAskedAt = calls.now();
-                read(Keys.JOBS);
+                jobsAskedAt = runtime.now();
+                read(StorageKeys.JOBS);
               });
         });
   }
@@ -171,21 +173,21 @@
 
   private void read(String prefix, Runnable next) {
     read.put(prefix, null);
-    long sentAt = calls.now();
-    new Loader(calls, ended)
+    long sentAt = runtime.now();
+    new RangeReader(runtime, ended)
         .read(
             prefix,
             range -> {
               if (ended.getAsBoolean()) {
                 return;
               }
-              calls
+              runtime
                   .events()
-                  .info("records_read")
-                  .with("prefix", prefix)
-                  .with("revision", range.epoch())
-                  .with("records", range.entries().size())
-                  .with("took_ms", calls.now() - sentAt)
+                  .info(LogEvent.RECORDS_READ)
+                  .with(LogField.PREFIX, prefix)
+                  .with(LogField.REVISION, range.epoch())
+                  .with(LogField.RECORDS, range.entries().size())
+                  .with(LogField.TOOK_MS, runtime.now() - sentAt)
                   .write();
               read.put(prefix, range);
               next.run();
@@ -196,50 +198,53 @@
   }
 
   /** Keeps the newest report of a machine until the records are known. */
-  public void keep(Machine m, Report r) {
-    Report before = early.get(m);
+  public void keep(Machine machine, Heartbeat heartbeat) {
+    Heartbeat before = early.get(machine);
     boolean older =
         before != null
-            && (r.session() < before.session()
-                || (r.session() == before.session() && r.seq() <= before.seq()));
+            && (heartbeat.epoch() < before.epoch()
+                || (heartbeat.epoch() == before.epoch() && heartbeat.seq() <= before.seq()));
     if (!older) {
-      early.put(m, r);
+      early.put(machine, heartbeat);
     }
   }
 
   private void taken() {
-    for (StateMessage.Entry e : read.get(Keys.REGISTRY).entries()) {
-      if (!readable(e, () -> registry.load(e, this::recorded))) {
-        ledger.registryIncomplete();
+    for (StateMessage.Entry entry : read.get(StorageKeys.REGISTRY).entries()) {
+      if (!readable(entry, () -> registry.load(entry, this::recorded))) {
+        assignments.registryIncomplete();
       }
     }
-    watchFrom = read.get(Keys.JOBS).epoch();
+    watchFrom = read.get(StorageKeys.JOBS).epoch();
     Set<String> quarantined = new HashSet<>();
     loadJobs(quarantined);
     List<StateMessage.Change> orphans = new ArrayList<>();
-    loadTasks(read.get(Keys.TASKS2), Keys.TASKS2, quarantined, orphans);
-    loadTasks(read.get(Keys.TASKS), Keys.TASKS, quarantined, orphans);
-    quarantined.forEach(ledger::quarantine);
-    for (StateMessage.Entry e : read.get(Keys.RESTARTS).entries()) {
-      readable(e, () -> restarts.accept(e.key().substring(Keys.RESTARTS.length()), e));
+    loadTasks(read.get(StorageKeys.TASKS2), StorageKeys.TASKS2, quarantined, orphans);
+    loadTasks(read.get(StorageKeys.TASKS), StorageKeys.TASKS, quarantined, orphans);
+    quarantined.forEach(assignments::quarantine);
+    for (StateMessage.Entry entry : read.get(StorageKeys.RESTARTS).entries()) {
+      readable(
+          entry,
+          () -> restarts.accept(entry.key().substring(StorageKeys.RESTARTS.length()), entry));
     }
     read.clear();
     writer.drop(List.of(), orphans);
     int bound = 0;
-    for (Job j : ledger.jobs()) {
-      bound += j.bound;
+    for (Job job : assignments.jobs()) {
+      bound += job.assigned;
     }
-    for (Machine m : machines.present()) {
-      for (long ref : Reports.copy(m.bound)) {
-        m.session = Math.max(m.session, ledger.job(ref).session[Ledger.task(ref)]);
+    for (Machine machine : machines.present()) {
+      for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
+        machine.epoch =
+            Math.max(machine.epoch, assignments.job(ref).epoch[TaskAssignments.task(ref)]);
       }
     }
     stopCancelled();
     watermark.read(jobsAskedAt);
-    enter(Phase.ASKING);
-    calls.note(
+    enter(RecoveryPhase.ASKING);
+    runtime.note(
         "took over "
-            + ledger.jobs().size()
+            + assignments.jobs().size()
             + " jobs, "
             + bound
             + " tasks on machines: "
@@ -248,7 +253,7 @@
     then.accept(early);
     early.clear();
     askAll();
-    ledger.retryFinishing();
+    assignments.retryFinishing();
   }
 
   private interface Reading {
@@ -256,23 +261,23 @@
   }
 
   /** One record that cannot be read never ends the start; it is named and counted. */
-  private boolean readable(StateMessage.Entry e, Reading reading) {
+  private boolean readable(StateMessage.Entry entry, Reading reading) {
     try {
       reading.run();
       return true;
     } catch (MalformedException | RuntimeException ex) {
       unreadable++;
-      calls.note("unusable record " + e.key() + ": " + ex.getMessage());
+      runtime.note("unusable record " + entry.key() + ": " + ex.getMessage());
       return false;
     }
   }
 
-  private void recorded(Machine m) {
-    m.shape = catalog.get(m.type);
-    m.imagesChanged = false;
-    m.lastAnswerAt = Math.max(m.lastAnswerAt, calls.now());
-    m.firstSeenAt = calls.now();
-    m.recorded = true;
+  private void recorded(Machine machine) {
+    machine.machineType = machineTypes.get(machine.type);
+    machine.imagesChanged = false;
+    machine.lastAnswerAt = Math.max(machine.lastAnswerAt, runtime.now());
+    machine.firstSeenAt = runtime.now();
+    machine.recorded = true;
   }
 
   /**
@@ -281,67 +286,67 @@
    * nothing is needed any more, whatever cannot be read.
    */
   private void loadJobs(Set<String> quarantined) {
-    List<StateMessage.Entry> parts = read.get(Keys.PARTS).entries();
-    Map<String, String> texts = StoredJob.texts(parts);
+    List<StateMessage.Entry> parts = read.get(StorageKeys.PARTS).entries();
+    Map<String, String> texts = JobRecord.texts(parts);
     Set<String> used = new HashSet<>();
-    for (StateMessage.Entry e : read.get(Keys.JOBS).entries()) {
-      String id = e.key().substring(Keys.JOBS.length());
-      if (StoredJob.phaseOf(e.value()) == JobView.Phase.ABORTED) {
+    for (StateMessage.Entry entry : read.get(StorageKeys.JOBS).entries()) {
+      String id = entry.key().substring(StorageKeys.JOBS.length());
+      if (JobRecord.phaseOf(entry.value()) == JobStatus.Phase.ABORTED) {
         watermark.learn(id);
       }
       boolean read =
           readable(
-              e,
+              entry,
               () -> {
-                StoredJob stored = StoredJob.parse(e.value());
-                List<String> keys = StoredJob.partKeys(id, stored.submission(), stored.parts());
+                JobRecord stored = JobRecord.parse(entry.value());
+                List<String> keys = JobRecord.partKeys(id, stored.submission(), stored.parts());
                 used.addAll(keys);
                 if (stored.incomplete() && texts.keySet().containsAll(keys)) {
-                  ledger.recordWith(id, stored, e.stamp(), texts);
+                  assignments.addChunkedJob(id, stored, entry.stamp(), texts);
                 } else {
-                  ledger.record(id, stored, e.stamp());
+                  assignments.addJob(id, stored, entry.stamp());
                 }
               });
-      if (!read && StoredJob.phaseOf(e.value()) != JobView.Phase.ABORTED) {
+      if (!read && JobRecord.phaseOf(entry.value()) != JobStatus.Phase.ABORTED) {
         quarantined.add(id);
-        String mine = Keys.PARTS + id + "/";
+        String mine = StorageKeys.PARTS + id + "/";
         parts.stream()
             .map(StateMessage.Entry::key)
             .filter(k -> k.startsWith(mine))
             .forEach(used::add);
       }
     }
-    new SubmissionParts(calls, writer).dropUnused(parts, used);
+    new SubmissionChunks(runtime, writer).dropUnused(parts, used);
   }
 
   private void loadTasks(
-      Loader.Range range,
+      RangeReader.Range range,
       String prefix,
       Set<String> quarantined,
       List<StateMessage.Change> orphans) {
-    boolean older = gate.open() && prefix.equals(Keys.TASKS);
-    for (StateMessage.Entry e : range.entries()) {
-      String rest = e.key().substring(prefix.length());
+    boolean older = gate.open() && prefix.equals(StorageKeys.TASKS);
+    for (StateMessage.Entry entry : range.entries()) {
+      String rest = entry.key().substring(prefix.length());
       int slash = rest.lastIndexOf('/');
       String id = slash < 0 ? rest : rest.substring(0, slash);
       if (quarantined.contains(id)) {
         continue;
       }
-      Job j = ledger.job(id);
+      Job job = assignments.job(id);
       boolean read =
           readable(
-              e,
+              entry,
               () -> {
                 int chunk = Integer.parseInt(rest.substring(slash + 1));
-                if (j == null) {
-                  orphans.add(StateMessage.Change.delete(e.key()));
+                if (job == null) {
+                  orphans.add(StateMessage.Change.delete(entry.key()));
                 } else if (older) {
-                  ledger.loadOlderChunk(j, chunk, e.value(), e.stamp());
+                  assignments.loadFirstFormatRecord(job, chunk, entry.value(), entry.stamp());
                 } else {
-                  ledger.loadChunk(j, chunk, e.value(), e.stamp());
+                  assignments.loadTaskRecord(job, chunk, entry.value(), entry.stamp());
                 }
               });
-      if (!read && j != null && !j.cancelled) {
+      if (!read && job != null && !job.cancelled) {
         quarantined.add(id);
       }
     }
@@ -350,16 +355,18 @@
   /** With the sessions known, the stops go out with the first questions. */
   private void stopCancelled() {
     int tasks = 0;
-    for (Job j : ledger.jobs()) {
-      for (int t = 0; j.unwanted() && j.bound > 0 && t < j.state.length; t++) {
-        if (j.isBound(t)) {
-          ledger.stop(j, t);
+    for (Job job : assignments.jobs()) {
+      for (int task = 0;
+          job.isCancelled() && job.assigned > 0 && task < job.stateOf.length;
+          task++) {
+        if (job.isAssigned(task)) {
+          assignments.stop(job, task);
           tasks++;
         }
       }
     }
     if (tasks > 0) {
-      calls.note(tasks + " tasks of cancelled jobs, placed by earlier leaders, to stop");
+      runtime.note(tasks + " tasks of cancelled jobs, placed by earlier leaders, to stop");
     }
   }
 
@@ -368,24 +375,24 @@
   private void askAll() {
     double replica = Double.MAX_VALUE;
     double task = Double.MAX_VALUE;
-    for (Job j : ledger.jobs()) {
-      if (j.wantsRoom() && j.pending > 0) {
-        if (j.spec.service()) {
-          replica = Math.min(replica, j.spec.cpus());
+    for (Job job : assignments.jobs()) {
+      if (job.wantsRoom() && job.pending > 0) {
+        if (job.spec.service()) {
+          replica = Math.min(replica, job.spec.cpus());
         } else {
-          task = Math.min(task, j.spec.cpus());
+          task = Math.min(task, job.spec.cpus());
         }
       }
     }
-    for (Machine m : machines.present()) {
-      if (m.recorded && !m.acknowledged) {
-        boolean reports = m.lastReportAt != Job.UNKNOWN;
-        long notBefore = reports ? calls.now() + COMES_BY_ITSELF_MS : 0;
-        questions.add(m.index, urgency(m, replica, task), notBefore);
+    for (Machine machine : machines.present()) {
+      if (machine.recorded && !machine.acknowledged) {
+        boolean reports = machine.lastHeartbeatAt != Job.UNKNOWN;
+        long notBefore = reports ? runtime.now() + COMES_BY_ITSELF_MS : 0;
+        probes.add(machine.index, urgency(machine, replica, task), notBefore);
       }
     }
-    toAsk = questions.unheard();
-    askingSince = calls.now();
+    toAsk = probes.unheard();
+    askingSince = runtime.now();
     ask();
   }
 
@@ -393,32 +400,32 @@
    * Room for waiting replicas first, then machines that have something to stop or hold replicas,
    * then room for waiting arrays: in this order the answers are worth most to users.
    */
-  private int urgency(Machine m, double replica, double task) {
-    double free = m.cpusFree();
+  private int urgency(Machine machine, double replica, double task) {
+    double free = machine.cpusFree();
     if (free >= replica) {
       return 0;
     }
     boolean replicas = false;
-    for (long ref : Reports.copy(m.bound)) {
-      Job j = ledger.job(ref);
-      if (j.stopping.get(Ledger.task(ref))) {
+    for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
+      Job job = assignments.job(ref);
+      if (job.stopping.get(TaskAssignments.task(ref))) {
         return 1;
       }
-      replicas |= j.spec.service();
+      replicas |= job.spec.service();
     }
     return replicas ? 2 : free >= task ? 3 : 4;
   }
 
   private void ask() {
     int next;
-    while ((next = questions.next(calls.now())) >= 0) {
-      Machine m = machines.get(next);
-      if (m.gone || m.deleting) {
-        questions.drop(next);
-      } else if (m.addr == null) {
-        questions.unanswered(next, calls.now(), false);
+    while ((next = probes.next(runtime.now())) >= 0) {
+      Machine machine = machines.get(next);
+      if (machine.terminated || machine.terminating) {
+        probes.drop(next);
+      } else if (machine.addr == null) {
+        probes.unanswered(next, runtime.now(), false);
       } else {
-        m.outbox.ask();
+        machine.commands.probe();
       }
     }
   }
@@ -429,23 +436,23 @@
    * not cost the work of tasks on the few machines that were first to answer.
    */
   public boolean mostHeard() {
-    return phases.reached(Phase.RECONCILED)
+    return phases.reached(RecoveryPhase.RECONCILED)
         || (loaded()
-            && (questions.unheard() * MOST <= toAsk || calls.now() - askingSince > HEARD_MS));
+            && (probes.unheard() * MOST <= toAsk || runtime.now() - askingSince > HEARD_MS));
   }
 
   /** The machine has shown itself, and whether it knows the present token. */
-  public void heard(Machine m) {
-    heardAt = calls.now();
+  public void heard(Machine machine) {
+    heardAt = runtime.now();
     if (!loaded()) {
       return;
     }
-    if (m.acknowledged) {
-      questions.heard(m.index, calls.now());
+    if (machine.acknowledged) {
+      probes.heard(machine.index, runtime.now());
       ask();
     } else {
       // It has the token from our answer now, and a higher token makes it report again at once.
-      questions.expect(m.index, calls.now() + COMES_BY_ITSELF_MS);
+      probes.expect(machine.index, runtime.now() + COMES_BY_ITSELF_MS);
     }
   }
 
@@ -454,65 +461,66 @@
    * the same time: else this node is cut off, and once it no longer is, the machines that are a
    * little later than others would be taken for dead.
    */
-  public void unanswered(Machine m) {
-    boolean othersHeard = calls.now() - heardAt < OTHERS_HEARD_MS;
-    questions.unanswered(m.index, calls.now(), othersHeard);
+  public void unanswered(Machine machine) {
+    boolean othersHeard = runtime.now() - heardAt < OTHERS_HEARD_MS;
+    probes.unanswered(machine.index, runtime.now(), othersHeard);
   }
 
   /**
    * Whether the machine's silence counts: it was asked again and again and did not answer, while
    * this node kept up with its work. Whose silence it is, others judge.
    */
-  public boolean askedInVain(Machine m) {
-    return calls.now() - lateAt >= STEADY_MS && questions.inVain(m.index, IN_VAIN_MS, calls.now());
+  public boolean askedInVain(Machine machine) {
+    return runtime.now() - lateAt >= STEADY_MS
+        && probes.inVain(machine.index, IN_VAIN_MS, runtime.now());
   }
 
   /** Whether the machine may turn out to be silent: it has left a question unanswered. */
-  public boolean doubtful(Machine m) {
-    return questions.unansweredOnce(m.index);
+  public boolean doubtful(Machine machine) {
+    return probes.unansweredOnce(machine.index);
   }
 
   public void tick() {
-    long now = calls.now();
+    long now = runtime.now();
     if (now - tickedAt > LATE_TICK_MS) {
       lateAt = now;
-      questions.late(now);
+      probes.late(now);
     } else if (now - tickedAt < PROMPT_TICK_MS) {
-      questions.punctual();
+      probes.punctual();
     }
     tickedAt = now;
     if (!loaded()) {
       return;
     }
     ask();
-    if (questions.unheard() == 0) {
-      enter(Phase.RECONCILED);
-      if (ledger.inherited() == 0 && enter(Phase.NORMAL)) {
-        calls.note("all is reconciled: " + phases + ", " + questions.asked() + " questions");
+    if (probes.unheard() == 0) {
+      enter(RecoveryPhase.RECONCILED);
+      if (assignments.unconfirmedAdopted() == 0 && enter(RecoveryPhase.NORMAL)) {
+        runtime.note("all is reconciled: " + phases + ", " + probes.asked() + " questions");
       }
     }
   }
 
   /** Machines that have ended or are about to be deleted need not be asked. */
   public void sweep() {
-    for (Machine m : machines.present()) {
-      if (m.deleting) {
-        questions.drop(m.index);
+    for (Machine machine : machines.present()) {
+      if (machine.terminating) {
+        probes.drop(machine.index);
       }
     }
   }
 
-  private boolean enter(Phase p) {
-    return phases.enter(p, calls.now());
+  private boolean enter(RecoveryPhase phase) {
+    return phases.enter(phase, runtime.now());
   }
 
   public Map<String, Double> gauges() {
     return Map.of(
         "snowturn.term.phase", (double) phases.now().ordinal(),
-        "snowturn.term.unheard", (double) questions.unheard(),
-        "snowturn.term.questions", (double) questions.asked(),
-        "snowturn.term.questions.window", (double) questions.window(),
-        "snowturn.term.tasks.unproven", (double) ledger.inherited(),
+        "snowturn.term.unheard", (double) probes.unheard(),
+        "snowturn.term.questions", (double) probes.asked(),
+        "snowturn.term.questions.window", (double) probes.window(),
+        "snowturn.term.tasks.unproven", (double) assignments.unconfirmedAdopted(),
         "snowturn.records.unreadable", (double) unreadable);
   }
 }
--- a/src/main/java/org/snowturn/core/model/Commands.java
+++ b/src/main/java/org/snowturn/core/model/CommandChannel.java
@@ -3,15 +3,15 @@
 import org.snowturn.wire.Command;
 
 /** The way in which a machine is given commands. */
-public interface Commands {
+public interface CommandChannel {
   /** Sends a command with the next message, once however often it is added. */
-  void add(Command c);
+  void add(Command command);
 
   /** Takes back a command that has not been sent yet. */
-  void withdraw(Command c);
+  void withdraw(Command command);
 
   /** Sends a message even without commands, to learn what the machine runs. */
-  void ask();
+  void probe();
 
   /** The machine's address has become known. */
   void resume();
--- a/src/main/java/org/snowturn/core/model/Samples.java
+++ b/src/main/java/org/snowturn/core/model/DoubleSamples.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** A growing list of numbers without boxing. */
-public final class Samples {
+public final class DoubleSamples {
   private double[] values = new double[8];
   private int size;
   private double[] sorted;
