--- a/src/main/java/org/snowturn/core/model/Job.java
+++ b/src/main/java/org/snowturn/core/model/Job.java
@@ -10,12 +10,12 @@
 import java.util.Set;
 import org.agrona.collections.Int2IntHashMap;
 import org.agrona.collections.IntHashSet;
-import org.snowturn.core.records.Slot;
-import org.snowturn.core.records.Spans;
-import org.snowturn.core.records.StoredJob;
-import org.snowturn.core.records.TaskLayout;
+import org.snowturn.core.storage.JobRecord;
+import org.snowturn.core.storage.PendingRecord;
+import org.snowturn.core.storage.RecordSizes;
+import org.snowturn.core.storage.TaskLayout;
 import org.snowturn.wire.JobSpec;
-import org.snowturn.wire.JobView;
+import org.snowturn.wire.JobStatus;
 import org.snowturn.wire.Priority;
 
 /**
@@ -46,17 +46,17 @@
   public final int index;
   public final JobSpec spec;
   public final long submittedWall;
-  public final byte[] state;
-  public final int[] machine;
-  public final long[] attempt;
-  public final long[] session;
-  public final long[] since;
+  public final byte[] stateOf;
+  public final int[] machineOf;
+  public final long[] attemptOf;
+  public final long[] epoch;
+  public final long[] stateSince;
 
   /** Tasks told to stop. */
   public final BitSet stopping = new BitSet();
 
   /** Tasks bound by an earlier leader and not yet seen by this one. */
-  public final BitSet inherited = new BitSet();
+  public final BitSet adopted = new BitSet();
 
   /** Tasks that were restarted once; counted by the stored record. */
   public final BitSet restarted = new BitSet();
@@ -65,14 +65,14 @@
   public final BitSet resultPending = new BitSet();
 
   /** The machine that a restarted task must not go back to. */
-  public final Int2IntHashMap avoid = new Int2IntHashMap(-1);
+  public final Int2IntHashMap excludedMachine = new Int2IntHashMap(-1);
 
   /** Which tasks share a record, and the records; another format's are kept until the end. */
   public TaskLayout layout;
 
   public boolean secondFormat;
-  public Slot[] chunks;
-  public final List<Slot> olderChunks = new ArrayList<>();
+  public PendingRecord[] taskRecords;
+  public final List<PendingRecord> firstFormatRecords = new ArrayList<>();
 
   /** What the placements of each record take of its value, and what they may; second format. */
   private int[] recordBytes;
@@ -82,32 +82,32 @@
   /** The most that one placement took so far. */
   private int entryBytes;
 
-  public final Samples runTimes = new Samples();
-  public final int[] boundInZone;
+  public final DoubleSamples runTimes = new DoubleSamples();
+  public final int[] assignedInZone;
 
   /** How many tasks of a service may be on each machine. */
   private final Int2IntHashMap onMachine = new Int2IntHashMap(0);
 
   /** The jobs that it awaits and that are not known to be durably done. */
-  public final Set<String> unmet;
+  public final Set<String> unmetDependencies;
 
   /** Names the parts of a record that is longer than a value, or null. */
   public String submission;
 
-  public int parts;
+  public int chunkCount;
 
   /** The highest priority of the job itself and of all that need it. */
   public Priority priority;
 
   /** What those that need it leave of their deadlines, and of one and a half times those. */
-  public double inheritedDue = Double.MAX_VALUE;
+  public double dependentsDeadline = Double.MAX_VALUE;
 
-  public double inheritedLateDue = Double.MAX_VALUE;
+  public double dependentsLateDeadline = Double.MAX_VALUE;
 
   /** When the last job that it needs was done; from then on its times count. */
   public long releasedWall;
 
-  public long stamp;
+  public long version;
   public boolean cancelled;
 
   /**
@@ -121,14 +121,14 @@
 
   public boolean finishing;
   public int pending;
-  public int bound;
+  public int assigned;
   public int running;
   public int done;
   public int restarts;
   public long backOffUntil;
 
   /** Room is being made for waiting tasks, so none more is made until then. */
-  public long roomUntil = UNKNOWN;
+  public long preemptingUntil = UNKNOWN;
 
   public int failures;
 
@@ -139,19 +139,19 @@
   public final IntHashSet failedOn = new IntHashSet();
 
   /** Trials in vain since it became suspect. */
-  public int trials;
+  public int probeCount;
 
   /** When a task was last placed. */
   public long placedWall;
 
   /** The dense index of its team's class, or -1 until it is known. */
-  public int group = -1;
+  public int shareGroup = -1;
 
   /** Whether it is within its team's guarantee, as the last plan had it. */
-  public boolean within;
+  public boolean withinGuarantee;
 
   /** Whether it was let go before others since its group had too little: it keeps what it got. */
-  public boolean byFloor;
+  public boolean byMinimumShare;
 
   /** The zone chosen for the whole of a gang, or -1. */
   public int gangZone = -1;
@@ -164,45 +164,46 @@
     this.submittedWall = submittedWall;
     this.releasedWall = submittedWall;
     this.priority = spec.priority();
-    this.unmet = spec.awaits().isEmpty() ? Set.of() : new LinkedHashSet<>(spec.awaits());
+    this.unmetDependencies =
+        spec.awaits().isEmpty() ? Set.of() : new LinkedHashSet<>(spec.awaits());
     int n = spec.tasks();
-    state = new byte[n];
-    machine = new int[n];
-    attempt = new long[n];
-    session = new long[n];
-    since = new long[n];
-    Arrays.fill(machine, -1);
-    boundInZone = new int[zones];
+    stateOf = new byte[n];
+    machineOf = new int[n];
+    attemptOf = new long[n];
+    epoch = new long[n];
+    stateSince = new long[n];
+    Arrays.fill(machineOf, -1);
+    assignedInZone = new int[zones];
     pending = n;
   }
 
   /** Starts with records of the first format, as the version in production writes them. */
   public void useFirstFormat(int span) {
-    layout = TaskLayout.first(state.length, span);
-    chunks = new Slot[layout.records()];
+    layout = TaskLayout.first(stateOf.length, span);
+    taskRecords = new PendingRecord[layout.records()];
   }
 
   /** Goes on with records of the second format; those of the first stay until the job is over. */
-  public void useSecondFormat(Spans spans, int valueBytes, MachineBook machines) {
-    if (chunks != null) {
-      Arrays.stream(chunks).filter(Objects::nonNull).forEach(olderChunks::add);
+  public void useSecondFormat(RecordSizes spans, int valueBytes, MachineIndex machines) {
+    if (taskRecords != null) {
+      Arrays.stream(taskRecords).filter(Objects::nonNull).forEach(firstFormatRecords::add);
     }
     secondFormat = true;
-    layout = TaskLayout.second(state.length, spans);
-    chunks = new Slot[layout.records()];
+    layout = TaskLayout.second(stateOf.length, spans);
+    taskRecords = new PendingRecord[layout.records()];
     recordBytes = new int[layout.records()];
     recordRoom = TaskLayout.room(valueBytes, layout.piece());
-    for (int t = 0; t < state.length; t++) {
-      if (isBound(t)) {
-        countInRecord(t, machines.get(machine[t]), 1);
+    for (int task = 0; task < stateOf.length; task++) {
+      if (isAssigned(task)) {
+        adjustRecordSize(task, machines.get(machineOf[task]), 1);
       }
     }
   }
 
   /** Keeps account of how full the records are, so that no placement makes one too long. */
-  public void countInRecord(int task, Machine m, int sign) {
+  public void adjustRecordSize(int task, Machine machine, int sign) {
     if (secondFormat) {
-      int bytes = TaskRecords.bytes(m);
+      int bytes = TaskRecords.bytes(machine);
       entryBytes = Math.max(entryBytes, bytes);
       recordBytes[layout.recordOf(task)] += sign * bytes;
     }
@@ -213,13 +214,13 @@
   }
 
   /** Whether it still waits for other jobs, and so has no part in anything yet. */
-  public boolean waits() {
-    return !unmet.isEmpty();
+  public boolean awaitsDependencies() {
+    return !unmetDependencies.isEmpty();
   }
 
   /** Whether it has tasks that could be placed now, room and quota aside. */
   public boolean wantsRoom() {
-    return pending > 0 && !unwanted() && !waits();
+    return pending > 0 && !isCancelled() && !awaitsDependencies();
   }
 
   public static long ref(int job, int task) {
@@ -227,13 +228,13 @@
   }
 
   /** Changes a task's state, and the count of running tasks with it. */
-  public void enter(int task, byte next) {
-    running += (next == RUNNING ? 1 : 0) - (state[task] == RUNNING ? 1 : 0);
-    state[task] = next;
+  public void setState(int task, byte next) {
+    running += (next == RUNNING ? 1 : 0) - (stateOf[task] == RUNNING ? 1 : 0);
+    stateOf[task] = next;
   }
 
   /** Keeps account of a service's tasks by machine. */
-  public void countOn(int machineIndex, int sign) {
+  public void adjustOnMachine(int machineIndex, int sign) {
     if (spec.service()) {
       int n = onMachine.get(machineIndex) + sign;
       if (n == 0) {
@@ -245,23 +246,23 @@
   }
 
   /** How many of a service's tasks may be on the machine. */
-  public int on(Machine m) {
-    return onMachine.get(m.index);
+  public int tasksOn(Machine machine) {
+    return onMachine.get(machine.index);
   }
 
-  public boolean isBound(int task) {
-    return state[task] >= PLACING && state[task] <= RUNNING;
+  public boolean isAssigned(int task) {
+    return stateOf[task] >= PLACING && stateOf[task] <= RUNNING;
   }
 
   /**
    * Whether the task is a replica that may be moved: not just started, and no other of it waits.
    */
-  public boolean settled(int task, long now) {
+  public boolean isMovable(int task, long now) {
     return spec.service()
-        && state[task] == RUNNING
+        && stateOf[task] == RUNNING
         && !stopping.get(task)
         && pending == 0
-        && now - since[task] > SETTLED_MS;
+        && now - stateSince[task] > SETTLED_MS;
   }
 
   /** A pending task whose record can take its placement, or -1. */
@@ -269,11 +270,11 @@
     if (pending == 0) {
       return -1;
     }
-    for (int i = 0; i < state.length; i++) {
-      int t = cursor + i < state.length ? cursor + i : cursor + i - state.length;
-      if (state[t] == PENDING && recordHasRoom(t)) {
-        cursor = t;
-        return t;
+    for (int i = 0; i < stateOf.length; i++) {
+      int task = cursor + i < stateOf.length ? cursor + i : cursor + i - stateOf.length;
+      if (stateOf[task] == PENDING && recordHasRoom(task)) {
+        cursor = task;
+        return task;
       }
     }
     return -1;
@@ -284,27 +285,27 @@
   }
 
   /** The wall-clock time by which it has to be done, or a far time. */
-  public double dueWall(double times) {
+  public double deadlineWallMs(double times) {
     double own =
         Double.isNaN(spec.deadlineS())
             ? Double.MAX_VALUE
             : submittedWall + spec.deadlineS() * 1000 * times;
-    return Math.min(own, times > 1 ? inheritedLateDue : inheritedDue);
+    return Math.min(own, times > 1 ? dependentsLateDeadline : dependentsDeadline);
   }
 
   /** Whether nothing of it is to run any more. */
-  public boolean unwanted() {
+  public boolean isCancelled() {
     return cancelled || cancelConfirmed;
   }
 
   /** The record that it has once it is cancelled, without what only its starts need. */
-  public StoredJob cancelledRecord() {
-    return new StoredJob(
-        JobView.Phase.ABORTED, submittedWall, spec.withoutStart(), submission, parts, false);
+  public JobRecord cancelledRecord() {
+    return new JobRecord(
+        JobStatus.Phase.ABORTED, submittedWall, spec.withoutStart(), submission, chunkCount, false);
   }
 
   /** The stored form of one of its records. */
-  public JsonNode chunkJson(int chunk, MachineBook machines) {
+  public JsonNode taskRecordJson(int chunk, MachineIndex machines) {
     return secondFormat
         ? TaskRecords.second(this, chunk, machines)
         : TaskRecords.first(this, chunk, machines);
--- a/src/main/java/org/snowturn/core/model/LiveJobs.java
+++ b/src/main/java/org/snowturn/core/model/LiveJobs.java
@@ -76,20 +76,21 @@
     revision = epoch;
   }
 
-  private void take(StateMessage.Entry e) {
-    if (!e.key().startsWith(prefix)) {
+  private void take(StateMessage.Entry entry) {
+    if (!entry.key().startsWith(prefix)) {
       return;
     }
-    String id = e.key().substring(prefix.length());
+    String id = entry.key().substring(prefix.length());
     Seen known = live.get(id);
     // A page may be younger than the changes that are told after it.
-    if (known != null && known.stamp >= e.stamp()) {
+    if (known != null && known.stamp >= entry.stamp()) {
       return;
     }
-    if (e.value() == null) {
+    if (entry.value() == null) {
       live.remove(id);
     } else {
-      live.put(id, new Seen(e.stamp(), cancelled.test(e.value()), awaits.apply(e.value())));
+      live.put(
+          id, new Seen(entry.stamp(), cancelled.test(entry.value()), awaits.apply(entry.value())));
     }
   }
 
--- a/src/main/java/org/snowturn/core/model/Machine.java
+++ b/src/main/java/org/snowturn/core/model/Machine.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.agrona.collections.LongHashSet;
-import org.snowturn.core.evidence.Reachability;
+import org.snowturn.core.health.Reachability;
 import org.snowturn.wire.CloudMachine;
 import org.snowturn.wire.JobSpec;
 import org.snowturn.wire.MachineType;
@@ -17,24 +17,24 @@
   public String type;
   public int zone;
   public boolean spot;
-  public MachineType shape;
+  public MachineType machineType;
 
-  public long session;
-  public long seq = -1;
+  public long epoch;
+  public long heartbeatSeq = -1;
 
   /** The highest session in which everything has certainly ended. */
-  public long deadSession = -1;
+  public long endedEpoch = -1;
 
-  public long lastReportAt = Job.UNKNOWN;
+  public long lastHeartbeatAt = Job.UNKNOWN;
 
   /** From then on, without another report, the machine may have died: nothing new goes there. */
-  public long quietFrom = Job.UNKNOWN;
+  public long silentFrom = Job.UNKNOWN;
 
   /**
    * By then it should have checked in here. What it answers to direct messages renews no lease, so
    * from then on nothing new goes there.
    */
-  public long checkInDueAt = Long.MAX_VALUE;
+  public long heartbeatDueAt = Long.MAX_VALUE;
 
   /** When a 200 that may have renewed the lease could last have been sent, by any leader. */
   public long lastAnswerAt;
@@ -44,22 +44,22 @@
 
   public boolean recorded;
   public boolean recording;
-  public boolean gone;
+  public boolean terminated;
 
   /** Gone for good: the cloud confirmed it. */
-  public boolean deleted;
+  public boolean terminationConfirmed;
 
-  public boolean deleting;
-  public long deleteRetryAt;
+  public boolean terminating;
+  public long terminateRetryAt;
   public boolean probing;
-  public boolean suspect;
-  public boolean sick;
-  public boolean returning;
-  public long takenAt = Long.MAX_VALUE;
+  public boolean suspected;
+  public boolean quarantined;
+  public boolean scalingIn;
+  public long preemptionAt = Long.MAX_VALUE;
   public long firstSeenAt;
 
   /** Whether this leader has hired it. */
-  public boolean hired;
+  public boolean rentedByThisTerm;
 
   public long listedAt = Job.UNKNOWN;
   public CloudMachine.State cloudState = CloudMachine.State.STARTING;
@@ -70,16 +70,16 @@
   public double cpusUsed;
   public double gpusUsed;
   public double memoryUsed;
-  public final LongHashSet bound = new LongHashSet();
+  public final LongHashSet assigned = new LongHashSet();
 
   /** Tasks that run there of jobs that are left alone since a record cannot be read. */
   public int unaccounted;
 
   /** How many of what is bound there is of each priority. */
-  private final int[] boundBy = new int[Priority.values().length];
+  private final int[] assignedByPriority = new int[Priority.values().length];
 
   /** How many of them an earlier leader bound and this one has not seen yet. */
-  public int inherited;
+  public int adoptedTasks;
 
   /** Images that the machine should have, most recently used last, with their sizes. */
   public final Map<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
@@ -100,7 +100,7 @@
   public long blockedForFailures;
 
   /** Whether it receives what it is sent. */
-  public final Reachability contact = new Reachability();
+  public final Reachability reachability = new Reachability();
 
   public double workDone;
   private final double[] ratios = new double[32];
@@ -112,41 +112,44 @@
    */
   public final LongHashSet startsInDoubt = new LongHashSet();
 
-  public Commands outbox;
+  public CommandChannel commands;
 
   public Machine(int index, String id) {
     this.index = index;
     this.id = id;
   }
 
-  public boolean hasRoom(JobSpec s) {
-    return shape != null
-        && cpusUsed + s.cpus() <= shape.cpus() + 1e-6
-        && gpusUsed + s.gpus() <= shape.gpus() + 1e-6
-        && memoryUsed + s.memoryGb() <= shape.memoryGb() + 1e-6;
+  public boolean hasRoom(JobSpec spec) {
+    return machineType != null
+        && cpusUsed + spec.cpus() <= machineType.cpus() + 1e-6
+        && gpusUsed + spec.gpus() <= machineType.gpus() + 1e-6
+        && memoryUsed + spec.memoryGb() <= machineType.memoryGb() + 1e-6;
   }
 
   /** How many tasks of the job fit beside what is there. */
-  public int roomFor(JobSpec s) {
-    if (shape == null) {
+  public int roomFor(JobSpec spec) {
+    if (machineType == null) {
       return 0;
     }
     double n = 1000;
-    n = s.cpus() > 0 ? Math.min(n, (shape.cpus() - cpusUsed + 1e-6) / s.cpus()) : n;
-    n = s.gpus() > 0 ? Math.min(n, (shape.gpus() - gpusUsed + 1e-6) / s.gpus()) : n;
-    n = s.memoryGb() > 0 ? Math.min(n, (shape.memoryGb() - memoryUsed + 1e-6) / s.memoryGb()) : n;
+    n = spec.cpus() > 0 ? Math.min(n, (machineType.cpus() - cpusUsed + 1e-6) / spec.cpus()) : n;
+    n = spec.gpus() > 0 ? Math.min(n, (machineType.gpus() - gpusUsed + 1e-6) / spec.gpus()) : n;
+    n =
+        spec.memoryGb() > 0
+            ? Math.min(n, (machineType.memoryGb() - memoryUsed + 1e-6) / spec.memoryGb())
+            : n;
     return (int) Math.max(0, Math.floor(n));
   }
 
   public double cpusFree() {
-    return shape == null ? 0 : shape.cpus() - cpusUsed;
+    return machineType == null ? 0 : machineType.cpus() - cpusUsed;
   }
 
-  public void use(JobSpec s, int sign) {
-    cpusUsed += sign * s.cpus();
-    gpusUsed += sign * s.gpus();
-    memoryUsed += sign * s.memoryGb();
-    if (bound.isEmpty()) {
+  public void adjustUsage(JobSpec spec, int sign) {
+    cpusUsed += sign * spec.cpus();
+    gpusUsed += sign * spec.gpus();
+    memoryUsed += sign * spec.memoryGb();
+    if (assigned.isEmpty()) {
       cpusUsed = 0;
       gpusUsed = 0;
       memoryUsed = 0;
@@ -154,27 +157,27 @@
   }
 
   /** A task of this priority has come, or gone. */
-  public void count(Priority p, int sign) {
-    boundBy[p.ordinal()] += sign;
+  public void adjustCount(Priority priority, int sign) {
+    assignedByPriority[priority.ordinal()] += sign;
   }
 
   /** How many of the tasks there are of lower priority than this. */
-  public int boundBelow(Priority p) {
+  public int assignedBelow(Priority priority) {
     int n = 0;
-    for (int i = p.ordinal() + 1; i < boundBy.length; i++) {
-      n += boundBy[i];
+    for (int i = priority.ordinal() + 1; i < assignedByPriority.length; i++) {
+      n += assignedByPriority[i];
     }
     return n;
   }
 
   /** Taken for gone because it was neither heard of nor listed, and yet there: starts anew. */
-  public void comeBack() {
-    gone = false;
+  public void restart() {
+    terminated = false;
     acknowledged = false;
     recorded = false;
     recording = false;
-    deadSession = Math.max(deadSession, session);
-    contact.doubt(lastReportAt);
+    endedEpoch = Math.max(endedEpoch, epoch);
+    reachability.doubt(lastHeartbeatAt);
   }
 
   /** Whether new work may go there. */
@@ -183,35 +186,35 @@
   }
 
   /** Whether it seems to reach no controller, though it may answer direct messages. */
-  public boolean mute(long now) {
-    return now >= checkInDueAt;
+  public boolean missesHeartbeats(long now) {
+    return now >= heartbeatDueAt;
   }
 
   /** Why no new work may go there, in a word for operators; null if it may. */
   public String whyNotUsable(long now) {
-    if (gone || deleting || returning) {
+    if (terminated || terminating || scalingIn) {
       return "leaving";
     }
-    if (lastReportAt == Job.UNKNOWN) {
+    if (lastHeartbeatAt == Job.UNKNOWN) {
       return "unheard";
     }
-    if (takenAt != Long.MAX_VALUE) {
+    if (preemptionAt != Long.MAX_VALUE) {
       return "noticed";
     }
-    if (sick) {
+    if (quarantined) {
       return "sick";
     }
-    if (suspect || now >= quietFrom) {
+    if (suspected || now >= silentFrom) {
       return "silent";
     }
-    if (mute(now)) {
+    if (missesHeartbeats(now)) {
       return "mute";
     }
     if (!acknowledged) {
       return "unacknowledged";
     }
-    if (!contact.proven()) {
-      return contact.inVain() >= Reachability.DEAF_AFTER ? "deaf" : "unproven";
+    if (!reachability.proven()) {
+      return reachability.inVain() >= Reachability.DEAF_AFTER ? "deaf" : "unproven";
     }
     if (!recorded) {
       return "unrecorded";
@@ -222,7 +225,7 @@
     if (now < blockedForFailures) {
       return "failing";
     }
-    return shape == null || now < blockedUntil ? "blocked" : null;
+    return machineType == null || now < blockedUntil ? "blocked" : null;
   }
 
   public void touchImage(String image, double gb) {
@@ -236,7 +239,7 @@
       total += g;
     }
     var oldest = images.entrySet().iterator();
-    double cache = shape == null ? Double.MAX_VALUE : shape.cacheGb();
+    double cache = machineType == null ? Double.MAX_VALUE : machineType.cacheGb();
     while (total > cache && images.size() > 1 && oldest.hasNext()) {
       total -= oldest.next().getValue();
       oldest.remove();
--- a/src/main/java/org/snowturn/core/model/MachineBook.java
+++ b/src/main/java/org/snowturn/core/model/MachineIndex.java
@@ -7,14 +7,14 @@
 import java.util.function.Function;
 
 /** All machines, by name at the door and by dense index inside; likewise the zones. */
-public final class MachineBook {
+public final class MachineIndex {
   private final Map<String, Integer> byId = new HashMap<>();
   private final List<Machine> all = new ArrayList<>();
   private final List<String> zoneNames;
-  private final Function<Machine, Commands> outboxes;
+  private final Function<Machine, CommandChannel> outboxes;
   private List<Machine> present;
 
-  public MachineBook(List<String> zones, Function<Machine, Commands> outboxes) {
+  public MachineIndex(List<String> zones, Function<Machine, CommandChannel> outboxes) {
     this.zoneNames = List.copyOf(zones);
     this.outboxes = outboxes;
   }
@@ -47,36 +47,36 @@
     return all.get(index);
   }
 
-  public Machine getOrCreate(String id) {
-    Machine m = find(id);
-    if (m == null) {
-      m = new Machine(all.size(), id);
-      m.zone = zoneNames.size();
-      m.outbox = outboxes.apply(m);
-      all.add(m);
+  public Machine getOrAdd(String id) {
+    Machine machine = find(id);
+    if (machine == null) {
+      machine = new Machine(all.size(), id);
+      machine.zone = zoneNames.size();
+      machine.commands = outboxes.apply(machine);
+      all.add(machine);
       present = null;
-      byId.put(id, m.index);
+      byId.put(id, machine.index);
     }
-    return m;
+    return machine;
   }
 
   /** The machines that are not known to be gone: a list that no later change alters. */
   public List<Machine> present() {
     if (present == null) {
-      present = all.stream().filter(m -> !m.gone).toList();
+      present = all.stream().filter(machine -> !machine.terminated).toList();
     }
     return present;
   }
 
   /** The machine is taken for gone. */
-  public void retire(Machine m) {
-    m.gone = true;
+  public void remove(Machine machine) {
+    machine.terminated = true;
     present = null;
   }
 
   /** The machine was taken for gone, and yet it is there. */
-  public void revive(Machine m) {
-    m.comeBack();
+  public void restore(Machine machine) {
+    machine.restart();
     present = null;
   }
 }
--- a/src/main/java/org/snowturn/core/model/Catalog.java
+++ b/src/main/java/org/snowturn/core/model/MachineTypes.java
@@ -6,22 +6,22 @@
 import java.util.Map;
 import org.snowturn.core.Effect;
 import org.snowturn.core.Outcome;
-import org.snowturn.core.calls.Calls;
+import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.wire.JobSpec;
 import org.snowturn.wire.MachineType;
 import org.snowturn.wire.MalformedException;
 
 /** The machine types, fetched at start and again now and then for the prices. */
-public final class Catalog {
+public final class MachineTypes {
   private static final long REFRESH_MS = 60_000;
   private static final long RETRY_MS = 1_000;
-  private final Calls calls;
+  private final CoreRuntime runtime;
   private Map<String, MachineType> types = Map.of();
   private long nextAt;
   private boolean asking;
 
-  public Catalog(Calls calls) {
-    this.calls = calls;
+  public MachineTypes(CoreRuntime runtime) {
+    this.runtime = runtime;
   }
 
   public boolean known() {
@@ -39,18 +39,18 @@
   /** How long the type that is up soonest takes; 0 while none is known. */
   public double quickestBootS() {
     double least = types.isEmpty() ? 0 : Double.MAX_VALUE;
-    for (MachineType t : types.values()) {
-      least = Math.min(least, t.bootS());
+    for (MachineType type : types.values()) {
+      least = Math.min(least, type.bootS());
     }
     return least;
   }
 
   /** Whether some allowed type, offered in an allowed zone, can hold one task. */
-  public boolean canHold(JobSpec s) {
+  public boolean canHold(JobSpec spec) {
     for (MachineType t : types.values()) {
-      boolean type = s.types() == null || s.types().contains(t.name());
-      boolean zone = s.zone() == null || t.zones().isEmpty() || t.zones().contains(s.zone());
-      if (type && zone && t.fits(s)) {
+      boolean type = spec.types() == null || spec.types().contains(t.name());
+      boolean zone = spec.zone() == null || t.zones().isEmpty() || t.zones().contains(spec.zone());
+      if (type && zone && t.fits(spec)) {
         return true;
       }
     }
@@ -58,16 +58,16 @@
   }
 
   public void tick() {
-    if (asking || calls.now() < nextAt) {
+    if (asking || runtime.now() < nextAt) {
       return;
     }
     asking = true;
-    calls.call(Effect.Target.CLOUD, null, "GET", "/catalog", null, 3000, this::onReply);
+    runtime.call(Effect.Target.CLOUD, null, "GET", "/catalog", null, 3000, this::onReply);
   }
 
   private void onReply(Outcome outcome, int status, JsonNode body) {
     asking = false;
-    nextAt = calls.now() + RETRY_MS;
+    nextAt = runtime.now() + RETRY_MS;
     if (outcome != Outcome.ANSWERED || status != 200) {
       return;
     }
@@ -75,12 +75,12 @@
       List<MachineType> list = MachineType.parseCatalog(body);
       if (!list.isEmpty()) {
         Map<String, MachineType> next = new LinkedHashMap<>();
-        list.forEach(t -> next.put(t.name(), t));
+        list.forEach(type -> next.put(type.name(), type));
         types = next;
-        nextAt = calls.now() + REFRESH_MS;
+        nextAt = runtime.now() + REFRESH_MS;
       }
     } catch (MalformedException e) {
-      calls.note("catalog ignored: " + e.getMessage());
+      runtime.note("catalog ignored: " + e.getMessage());
     }
   }
 }
--- a/src/main/java/org/snowturn/core/model/Quota.java
+++ b/src/main/java/org/snowturn/core/model/Quota.java
@@ -22,8 +22,8 @@
   private final Map<String, Use> teams = new HashMap<>();
 
   public Quota(Iterable<Settings.Team> teams) {
-    for (Settings.Team t : teams) {
-      this.teams.put(t.name(), new Use(t));
+    for (Settings.Team team : teams) {
+      this.teams.put(team.name(), new Use(team));
     }
   }
 
@@ -32,24 +32,24 @@
     return limit > 0 && amount > limit + SLACK;
   }
 
-  public boolean allows(JobSpec s) {
-    Use u = teams.get(s.team());
+  public boolean allows(JobSpec spec) {
+    Use u = teams.get(spec.team());
     return u == null
-        || !(exceeds(u.cpus + s.cpus(), u.team.cpusMax())
-            || exceeds(u.gpus + s.gpus(), u.team.gpusMax()));
+        || !(exceeds(u.cpus + spec.cpus(), u.team.cpusMax())
+            || exceeds(u.gpus + spec.gpus(), u.team.gpusMax()));
   }
 
-  public void take(JobSpec s) {
-    add(s, 1);
+  public void acquire(JobSpec spec) {
+    add(spec, 1);
   }
 
-  public void give(JobSpec s) {
-    add(s, -1);
+  public void release(JobSpec spec) {
+    add(spec, -1);
   }
 
-  private void add(JobSpec s, int sign) {
-    Use u = teams.computeIfAbsent(s.team(), n -> new Use(new Settings.Team(n, 0, 0, 0, 0)));
-    u.cpus += sign * s.cpus();
-    u.gpus += sign * s.gpus();
+  private void add(JobSpec spec, int sign) {
+    Use u = teams.computeIfAbsent(spec.team(), n -> new Use(new Settings.Team(n, 0, 0, 0, 0)));
+    u.cpus += sign * spec.cpus();
+    u.gpus += sign * spec.gpus();
   }
 }
--- a/src/main/java/org/snowturn/core/model/RestartRecords.java
+++ b/src/main/java/org/snowturn/core/model/RestartRecords.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Base64;
 import java.util.BitSet;
-import org.snowturn.core.records.Keys;
+import org.snowturn.core.storage.StorageKeys;
 import org.snowturn.wire.Json;
 
 /**
@@ -19,29 +19,30 @@
 
   private RestartRecords() {}
 
-  public static JsonNode json(Job j) {
-    ObjectNode o = Json.object().put("v", j.secondFormat ? Keys.SECOND : Keys.VERSION);
-    o.put("n", j.restarts);
-    if (j.secondFormat) {
-      ArrayNode listed = o.putArray("r");
-      j.restarted.stream().forEach(listed::add);
+  public static JsonNode json(Job job) {
+    ObjectNode object =
+        Json.object().put("v", job.secondFormat ? StorageKeys.SECOND : StorageKeys.VERSION);
+    object.put("n", job.restarts);
+    if (job.secondFormat) {
+      ArrayNode listed = object.putArray("r");
+      job.restarted.stream().forEach(listed::add);
     } else {
-      o.put("t", Base64.getEncoder().encodeToString(j.restarted.toByteArray()));
+      object.put("t", Base64.getEncoder().encodeToString(job.restarted.toByteArray()));
     }
-    return o;
+    return object;
   }
 
   /** Reads either format. */
-  public static void load(Job j, JsonNode value) {
-    j.restarted.or(BitSet.valueOf(Base64.getDecoder().decode(value.path("t").asText(""))));
-    value.path("r").forEach(t -> j.restarted.set(Math.max(0, t.asInt())));
-    j.restarts = value.path("n").asInt(0);
+  public static void load(Job job, JsonNode value) {
+    job.restarted.or(BitSet.valueOf(Base64.getDecoder().decode(value.path("t").asText(""))));
+    value.path("r").forEach(t -> job.restarted.set(Math.max(0, t.asInt())));
+    job.restarts = value.path("n").asInt(0);
   }
 
   /** Whether a value can hold the record once this task is restarted too. */
-  public static boolean fits(Job j, int task, int valueBytes) {
-    int last = Math.max(task, j.restarted.length());
-    int bytes = j.secondFormat ? LISTED_BYTES * (j.restarts + 1) : (last / 8 + 3) / 3 * 4;
+  public static boolean fits(Job job, int task, int valueBytes) {
+    int last = Math.max(task, job.restarted.length());
+    int bytes = job.secondFormat ? LISTED_BYTES * (job.restarts + 1) : (last / 8 + 3) / 3 * 4;
     return FIXED_BYTES + bytes <= valueBytes;
   }
 }
--- a/src/main/java/org/snowturn/core/model/TaskRecords.java
+++ b/src/main/java/org/snowturn/core/model/TaskRecords.java
@@ -5,8 +5,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Base64;
 import java.util.BitSet;
-import org.snowturn.core.records.Keys;
-import org.snowturn.core.records.TaskLayout;
+import org.snowturn.core.storage.StorageKeys;
+import org.snowturn.core.storage.TaskLayout;
 import org.snowturn.wire.Json;
 
 /**
@@ -20,52 +20,56 @@
   private TaskRecords() {}
 
   /** Bytes that a placement on this machine takes at the most. */
-  public static int bytes(Machine m) {
-    return TaskLayout.entryBytes(Json.bytes(Json.array().add(m.id)).length - 4);
+  public static int bytes(Machine machine) {
+    return TaskLayout.entryBytes(Json.bytes(Json.array().add(machine.id)).length - 4);
   }
 
-  public static JsonNode first(Job j, int record, MachineBook machines) {
-    int from = j.layout.from(record);
-    ObjectNode o = Json.object().put("v", Keys.VERSION);
-    ArrayNode placed = o.putArray("p");
-    for (int t = from; t < j.layout.to(record); t++) {
-      if (j.isBound(t)) {
-        placed.addArray().add(t).add(j.attempt[t]).add(machines.get(j.machine[t]).id);
-        ((ArrayNode) placed.get(placed.size() - 1)).add(j.session[t]);
+  public static JsonNode first(Job job, int record, MachineIndex machines) {
+    int from = job.layout.from(record);
+    ObjectNode object = Json.object().put("v", StorageKeys.VERSION);
+    ArrayNode placed = object.putArray("p");
+    for (int task = from; task < job.layout.to(record); task++) {
+      if (job.isAssigned(task)) {
+        placed
+            .addArray()
+            .add(task)
+            .add(job.attemptOf[task])
+            .add(machines.get(job.machineOf[task]).id);
+        ((ArrayNode) placed.get(placed.size() - 1)).add(job.epoch[task]);
       }
     }
-    return o.put("d", finished(j, record));
+    return object.put("d", finished(job, record));
   }
 
-  public static JsonNode second(Job j, int record, MachineBook machines) {
-    int from = j.layout.from(record);
+  public static JsonNode second(Job job, int record, MachineIndex machines) {
+    int from = job.layout.from(record);
     long base = Long.MAX_VALUE;
-    for (int t = from; t < j.layout.to(record); t++) {
-      base = j.isBound(t) ? Math.min(base, j.attempt[t] >> SHIFT << SHIFT) : base;
+    for (int task = from; task < job.layout.to(record); task++) {
+      base = job.isAssigned(task) ? Math.min(base, job.attemptOf[task] >> SHIFT << SHIFT) : base;
     }
-    ObjectNode o = Json.object().put("v", Keys.SECOND).put("d", finished(j, record));
+    ObjectNode object = Json.object().put("v", StorageKeys.SECOND).put("d", finished(job, record));
     if (base == Long.MAX_VALUE) {
-      return o;
+      return object;
     }
-    ArrayNode placed = o.put("a", base).putArray("p");
-    for (int t = from; t < j.layout.to(record); t++) {
-      if (j.isBound(t)) {
-        ArrayNode e = placed.addArray().add(t - from).add(j.attempt[t] - base);
-        e.add(machines.get(j.machine[t]).id);
-        if (j.session[t] != 1) {
-          e.add(j.session[t]);
+    ArrayNode placed = object.put("a", base).putArray("p");
+    for (int task = from; task < job.layout.to(record); task++) {
+      if (job.isAssigned(task)) {
+        ArrayNode e = placed.addArray().add(task - from).add(job.attemptOf[task] - base);
+        e.add(machines.get(job.machineOf[task]).id);
+        if (job.epoch[task] != 1) {
+          e.add(job.epoch[task]);
         }
       }
     }
-    return o;
+    return object;
   }
 
-  private static String finished(Job j, int record) {
-    int from = j.layout.from(record);
+  private static String finished(Job job, int record) {
+    int from = job.layout.from(record);
     BitSet finished = new BitSet();
-    for (int t = from; t < j.layout.to(record); t++) {
-      if (j.state[t] == Job.DONE) {
-        finished.set(t - from);
+    for (int task = from; task < job.layout.to(record); task++) {
+      if (job.stateOf[task] == Job.DONE) {
+        finished.set(task - from);
       }
     }
     return Base64.getEncoder().encodeToString(finished.toByteArray());
@@ -87,7 +91,7 @@
     if (!value.isObject()) {
       throw new IllegalArgumentException("not an object");
     }
-    boolean second = value.path("v").asInt(Keys.VERSION) >= Keys.SECOND;
+    boolean second = value.path("v").asInt(StorageKeys.VERSION) >= StorageKeys.SECOND;
     BitSet finished = BitSet.valueOf(Base64.getDecoder().decode(value.path("d").asText("")));
     finished.stream().forEach(i -> to.done(from + i));
     long base = second ? value.path("a").asLong(0) : 0;
--- a/src/main/java/org/snowturn/core/recovery/Questions.java
+++ b/src/main/java/org/snowturn/core/recovery/PacedProbes.java
@@ -18,7 +18,7 @@
  * <p>Who is heard without being asked is not asked. Whoever does not answer is asked again, a few
  * times in all.
  */
-public final class Questions {
+public final class PacedProbes {
   /** How many tries without an answer are needed before silence says anything. */
   public static final int TRIES = 3;
 
@@ -74,7 +74,7 @@
    *
    * @param againMs how long after a question that got no answer the next one is asked
    */
-  public Questions(long againMs) {
+  public PacedProbes(long againMs) {
     this.againMs = againMs;
   }
 
--- a/src/main/java/org/snowturn/core/recovery/Phase.java
+++ b/src/main/java/org/snowturn/core/recovery/RecoveryPhase.java
@@ -1,7 +1,7 @@
 package org.snowturn.core.recovery;
 
 /** How far a term of leadership is on its way from nothing to the ordinary path. */
-public enum Phase {
+public enum RecoveryPhase {
   /** The token is ours; nothing is known yet, so nothing may be decided. */
   WON,
   /** The stored records are being read. Workers are answered, so that their leases go on. */
--- a/src/main/java/org/snowturn/core/recovery/Phases.java
+++ b/src/main/java/org/snowturn/core/recovery/RecoveryProgress.java
@@ -4,47 +4,47 @@
 import java.util.Locale;
 
 /** The phases of one term with the times at which they began; phases only go forward. */
-public final class Phases {
+public final class RecoveryProgress {
   private static final long NOT_YET = -1;
 
   private final long wonAt;
-  private final long[] began = new long[Phase.values().length];
-  private Phase now = Phase.WON;
+  private final long[] began = new long[RecoveryPhase.values().length];
+  private RecoveryPhase now = RecoveryPhase.WON;
 
   /**
    * A term that has just been won.
    *
    * @param nowMs the steady time in milliseconds, as in all of the core
    */
-  public Phases(long nowMs) {
+  public RecoveryProgress(long nowMs) {
     wonAt = nowMs;
     Arrays.fill(began, NOT_YET);
-    began[Phase.WON.ordinal()] = nowMs;
+    began[RecoveryPhase.WON.ordinal()] = nowMs;
   }
 
   /** The present phase. */
-  public Phase now() {
+  public RecoveryPhase now() {
     return now;
   }
 
   /** Whether this phase has begun. */
-  public boolean reached(Phase p) {
-    return now.compareTo(p) >= 0;
+  public boolean reached(RecoveryPhase phase) {
+    return now.compareTo(phase) >= 0;
   }
 
   /** Begins a phase if it is a later one; tells whether it did. */
-  public boolean enter(Phase p, long nowMs) {
-    if (reached(p)) {
+  public boolean enter(RecoveryPhase phase, long nowMs) {
+    if (reached(phase)) {
       return false;
     }
-    now = p;
-    began[p.ordinal()] = nowMs;
+    now = phase;
+    began[phase.ordinal()] = nowMs;
     return true;
   }
 
   /** How long after the term was won the phase began, in milliseconds; -1 if it was not seen. */
-  public long afterMs(Phase p) {
-    long at = began[p.ordinal()];
+  public long afterMs(RecoveryPhase phase) {
+    long at = began[phase.ordinal()];
     return at == NOT_YET ? NOT_YET : at - wonAt;
   }
 
@@ -52,10 +52,10 @@
   @Override
   public String toString() {
     StringBuilder out = new StringBuilder();
-    for (Phase p : Phase.values()) {
-      if (afterMs(p) != NOT_YET) {
-        String name = p.name().toLowerCase(Locale.ROOT);
-        out.append(out.length() == 0 ? "" : ", ").append(name).append(' ').append(afterMs(p));
+    for (RecoveryPhase phase : RecoveryPhase.values()) {
+      if (afterMs(phase) != NOT_YET) {
+        String name = phase.name().toLowerCase(Locale.ROOT);
+        out.append(out.length() == 0 ? "" : ", ").append(name).append(' ').append(afterMs(phase));
         out.append(" ms");
       }
     }
--- a/src/main/java/org/snowturn/core/decide/Aging.java
+++ b/src/main/java/org/snowturn/core/scheduling/Aging.java
@@ -1,11 +1,11 @@
-package org.snowturn.core.decide;
+package org.snowturn.core.scheduling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.snowturn.core.admission.Meter;
+import org.snowturn.core.admission.RateMeter;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
 import org.snowturn.wire.JobSpec;
@@ -35,8 +35,8 @@
   private static final long KEPT_MS = 120_000;
 
   private final double patienceMs;
-  private final Meter given = new Meter(LATELY_MS);
-  private final Meter all = new Meter(LATELY_MS);
+  private final RateMeter given = new RateMeter(LATELY_MS);
+  private final RateMeter all = new RateMeter(LATELY_MS);
 
   /** The longest wait for a first or next task, by class, as of the last plan. */
   private final Map<String, Double> longestS = new HashMap<>();
@@ -52,23 +52,24 @@
     this.patienceMs = patienceS * 1000;
   }
 
-  private static double waitedMs(Job j, double wall) {
-    return wall - Math.max(j.releasedWall, j.placedWall);
+  private static double waitedMs(Job job, double wall) {
+    return wall - Math.max(job.releasedWall, job.placedWall);
   }
 
   /** A plan begins: who of those that wait has waited for long, the longest first. */
   List<Job> begin(List<Job> all, double wall) {
     longestS.clear();
     List<Job> found = new ArrayList<>();
-    for (Job j : all) {
-      double waited = waitedMs(j, wall);
-      longestS.merge(j.spec.jobClass(), waited / 1000, Math::max);
-      if (waited >= patienceMs && j.spec.kind() != JobSpec.Kind.GANG) {
-        found.add(j);
+    for (Job job : all) {
+      double waited = waitedMs(job, wall);
+      longestS.merge(job.spec.jobClass(), waited / 1000, Math::max);
+      if (waited >= patienceMs && job.spec.kind() != JobSpec.Kind.GANG) {
+        found.add(job);
       }
     }
     found.sort(
-        Comparator.<Job>comparingDouble(j -> -waitedMs(j, wall)).thenComparing(j -> j.spec.id()));
+        Comparator.<Job>comparingDouble(job -> -waitedMs(job, wall))
+            .thenComparing(job -> job.spec.id()));
     waiting = found;
     return found;
   }
@@ -79,8 +80,8 @@
   }
 
   /** How many of its tasks go at a time. */
-  static int slice(Job j) {
-    return Math.max(1, j.state.length / SLICE_OF);
+  static int slice(Job job) {
+    return Math.max(1, job.stateOf.length / SLICE_OF);
   }
 
   /** A task was given room, as one of theirs or in the ordinary order. */
@@ -97,18 +98,18 @@
   }
 
   /** One of them found no room: the machine that will have room for it soonest is kept for it. */
-  void keep(Job j, Machine m, long nowMs) {
+  void keep(Job job, Machine machine, long nowMs) {
     lookAt = nowMs + LOOK_EVERY_MS;
-    if (m != null) {
-      keptFor = j;
-      kept = m;
+    if (machine != null) {
+      keptFor = job;
+      kept = machine;
       keptSince = nowMs;
     }
   }
 
   /** The machine that is kept, if it is kept from this job; else null. */
-  Machine keptFrom(Job j) {
-    return keptFor != null && keptFor != j ? kept : null;
+  Machine keptFrom(Job job) {
+    return keptFor != null && keptFor != job ? kept : null;
   }
 
   /**
@@ -125,9 +126,10 @@
 
   /** For operators. */
   Map<String, Double> gauges() {
-    Map<String, Double> g = new HashMap<>();
-    longestS.forEach((c, s) -> g.put("snowturn.wait.next.task.seconds{class=\"" + c + "\"}", s));
-    g.put("snowturn.jobs.elders", (double) waiting.size());
-    return g;
+    Map<String, Double> gauges = new HashMap<>();
+    longestS.forEach(
+        (c, s) -> gauges.put("snowturn.wait.next.task.seconds{class=\"" + c + "\"}", s));
+    gauges.put("snowturn.jobs.elders", (double) waiting.size());
+    return gauges;
   }
 }
--- a/src/main/java/org/snowturn/core/decide/Fleet.java
+++ b/src/main/java/org/snowturn/core/scheduling/Autoscaler.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.decide;
+package org.snowturn.core.scheduling;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -11,21 +11,23 @@
 import org.snowturn.config.Tunables;
 import org.snowturn.core.Effect;
 import org.snowturn.core.Outcome;
-import org.snowturn.core.act.Ledger;
-import org.snowturn.core.act.Reports;
-import org.snowturn.core.calls.Calls;
-import org.snowturn.core.model.Catalog;
+import org.snowturn.core.assignment.HeartbeatProcessor;
+import org.snowturn.core.assignment.TaskAssignments;
+import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.effects.LogEvent;
+import org.snowturn.core.effects.LogField;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
-import org.snowturn.core.model.MachineBook;
-import org.snowturn.core.model.SpotLosses;
+import org.snowturn.core.model.MachineIndex;
+import org.snowturn.core.model.MachineTypes;
+import org.snowturn.core.model.PreemptionRate;
 import org.snowturn.wire.CloudMachine;
 import org.snowturn.wire.JobSpec;
 import org.snowturn.wire.MachineType;
 import org.snowturn.wire.MalformedException;
 
 /** Hires, replaces and returns machines, within the cloud's rate. */
-public final class Fleet {
+public final class Autoscaler {
   private static final int TIMEOUT_MS = 5000;
   private static final int MOST_PER_HIRE = 50;
 
@@ -72,18 +74,18 @@
     }
   }
 
-  private final Calls calls;
+  private final CoreRuntime runtime;
   private final Settings settings;
   private final Tunables tunables;
-  private final Catalog catalog;
-  private final MachineBook machines;
-  private final Ledger ledger;
-  private final Reports reports;
-  private final Placer placer;
-  private final ZoneOutages darkZones;
-  private final FleetPolicy policy;
-  private final StandingFleet standing;
-  private final SpotLosses spotLosses;
+  private final MachineTypes machineTypes;
+  private final MachineIndex machines;
+  private final TaskAssignments assignments;
+  private final HeartbeatProcessor heartbeats;
+  private final TaskScheduler scheduler;
+  private final ZoneOutages zoneOutages;
+  private final ScalingPolicy scalingPolicy;
+  private final ExternallyManagedMachines externallyManaged;
+  private final PreemptionRate spotLosses;
   private final long token;
 
   private final Map<Kind, Long> refusedUntil = new HashMap<>();
@@ -109,41 +111,41 @@
   private long nextMoveAt;
   private long nextSickAt;
 
-  public Fleet(
-      Calls calls,
+  public Autoscaler(
+      CoreRuntime runtime,
       Settings settings,
       Tunables tunables,
-      Catalog catalog,
-      MachineBook machines,
-      Ledger ledger,
-      Reports reports,
-      Placer placer,
-      ZoneOutages darkZones,
-      FleetPolicy policy,
-      StandingFleet standing,
-      SpotLosses spotLosses,
+      MachineTypes machineTypes,
+      MachineIndex machines,
+      TaskAssignments assignments,
+      HeartbeatProcessor heartbeats,
+      TaskScheduler scheduler,
+      ZoneOutages zoneOutages,
+      ScalingPolicy scalingPolicy,
+      ExternallyManagedMachines externallyManaged,
+      PreemptionRate spotLosses,
       long token) {
     this.spotLosses = spotLosses;
-    this.countedAt = calls.now();
-    this.calls = calls;
+    this.countedAt = runtime.now();
+    this.runtime = runtime;
     this.settings = settings;
     this.tunables = tunables;
-    this.catalog = catalog;
+    this.machineTypes = machineTypes;
     this.machines = machines;
-    this.ledger = ledger;
-    this.reports = reports;
-    this.placer = placer;
-    this.darkZones = darkZones;
-    this.policy = policy;
-    this.standing = standing;
+    this.assignments = assignments;
+    this.heartbeats = heartbeats;
+    this.scheduler = scheduler;
+    this.zoneOutages = zoneOutages;
+    this.scalingPolicy = scalingPolicy;
+    this.externallyManaged = externallyManaged;
     this.token = token;
     this.present = new int[machines.zoneCount()];
-    this.filledAt = calls.now();
+    this.filledAt = runtime.now();
     this.budget = settings.cloudLimits().rps();
   }
 
   public void tick() {
-    long now = calls.now();
+    long now = runtime.now();
     double rate = settings.cloudLimits().rps() * 0.85;
     budget = Math.min(rate * 1.5 + 0.5, budget + rate * (now - filledAt) / 1000.0);
     filledAt = now;
@@ -153,7 +155,7 @@
       pages = new ArrayList<>();
       list(null);
     }
-    if (catalog.known() && listedOnce && now >= cloudTroubleUntil) {
+    if (machineTypes.known() && listedOnce && now >= cloudTroubleUntil) {
       count();
       hire();
       giveBack();
@@ -170,7 +172,7 @@
 
   private void list(String since) {
     String path = "/machines?most=500" + (since == null ? "" : "&since=" + since);
-    calls.call(
+    runtime.call(
         Effect.Target.CLOUD,
         null,
         "GET",
@@ -188,90 +190,93 @@
               }
               listed(pages);
             } catch (MalformedException e) {
-              calls.note("machine list ignored: " + e.getMessage());
+              runtime.note("machine list ignored: " + e.getMessage());
             }
           }
           listing = false;
-          nextListAt = calls.now() + (long) (1000 * Math.max(3, 4 / settings.cloudLimits().rps()));
+          nextListAt =
+              runtime.now() + (long) (1000 * Math.max(3, 4 / settings.cloudLimits().rps()));
         });
   }
 
   private void listed(List<CloudMachine> list) {
-    long now = calls.now();
+    long now = runtime.now();
     listedOnce = true;
     for (CloudMachine c : list) {
-      Machine m = machines.getOrCreate(c.id());
-      if (m.deleted) {
+      Machine machine = machines.getOrAdd(c.id());
+      if (machine.terminationConfirmed) {
         continue; // the list lags
       }
-      if (m.gone) {
-        calls.note(m.id + " is listed again");
-        machines.revive(m);
+      if (machine.terminated) {
+        runtime.note(machine.id + " is listed again");
+        machines.restore(machine);
       }
       // A new leader knows a machine's age from here only: counted from the takeover, idle machines
       // would be kept for another minute after each change of leader.
       long hiredAt = now - (long) (c.ageS() * 1000);
-      m.firstSeenAt = m.firstSeenAt == 0 ? hiredAt : Math.min(m.firstSeenAt, hiredAt);
-      m.listedAt = now;
-      m.cloudState = c.state();
-      if (m.type == null) {
-        m.type = c.type();
-        ledger.locate(m, machines.zone(c.zone()));
-        m.spot = c.spot();
-        m.shape = catalog.get(c.type());
+      machine.firstSeenAt =
+          machine.firstSeenAt == 0 ? hiredAt : Math.min(machine.firstSeenAt, hiredAt);
+      machine.listedAt = now;
+      machine.cloudState = c.state();
+      if (machine.type == null) {
+        machine.type = c.type();
+        assignments.setZone(machine, machines.zone(c.zone()));
+        machine.spot = c.spot();
+        machine.machineType = machineTypes.get(c.type());
         if (c.addr() != null) {
-          m.addr = c.addr();
+          machine.addr = c.addr();
         }
       }
-      if (c.state() == CloudMachine.State.FAILED && !m.deleting) {
-        calls.note(m.id + " failed, says the cloud");
-        reports.machineFailed(m);
-        m.deleting = true;
+      if (c.state() == CloudMachine.State.FAILED && !machine.terminating) {
+        runtime.note(machine.id + " failed, says the cloud");
+        heartbeats.machineFailed(machine);
+        machine.terminating = true;
       }
       boolean neverCameUp =
-          m.lastReportAt == Job.UNKNOWN
-              && m.bound.isEmpty()
+          machine.lastHeartbeatAt == Job.UNKNOWN
+              && machine.assigned.isEmpty()
               && c.state() == CloudMachine.State.STARTING
-              && m.shape != null
-              && c.ageS() > tunables.bootPatience() * m.shape.bootS() + 10;
-      if (neverCameUp && !m.deleting) {
-        calls.note(m.id + " never came up");
-        m.deleting = true;
+              && machine.machineType != null
+              && c.ageS() > tunables.bootPatience() * machine.machineType.bootS() + 10;
+      if (neverCameUp && !machine.terminating) {
+        runtime.note(machine.id + " never came up");
+        machine.terminating = true;
       }
     }
     long stale = (long) (1000 * (3 * settings.cloudLimits().listLagS() + 8));
-    for (Machine m : machines.present()) {
+    for (Machine machine : machines.present()) {
       boolean silent =
-          m.lastReportAt == Job.UNKNOWN || now - m.lastReportAt > Reports.lapseMs(settings);
-      long known = Math.max(m.listedAt, m.firstSeenAt);
-      if (!m.deleting && silent && m.bound.isEmpty() && now - known > stale) {
-        machines.retire(m);
-        freed(m);
+          machine.lastHeartbeatAt == Job.UNKNOWN
+              || now - machine.lastHeartbeatAt > HeartbeatProcessor.leaseExpiryMs(settings);
+      long known = Math.max(machine.listedAt, machine.firstSeenAt);
+      if (!machine.terminating && silent && machine.assigned.isEmpty() && now - known > stale) {
+        machines.remove(machine);
+        freed(machine);
       }
     }
   }
 
   /** Marks a machine for deletion: when the cloud confirms, all that was on it has ended. */
-  public void discard(Machine m, String why) {
-    if (!m.deleting && !m.gone) {
-      calls.note(m.id + " is deleted: " + why);
-      m.deleting = true;
-      if (m.spot && m.suspect && m.takenAt == Long.MAX_VALUE) {
-        spotLosses.taken();
+  public void discard(Machine machine, String why) {
+    if (!machine.terminating && !machine.terminated) {
+      runtime.note(machine.id + " is deleted: " + why);
+      machine.terminating = true;
+      if (machine.spot && machine.suspected && machine.preemptionAt == Long.MAX_VALUE) {
+        spotLosses.recordPreemption();
       }
-      ledger.somethingChanged();
+      assignments.markChanged();
     }
   }
 
   private void delete() {
-    long now = calls.now();
+    long now = runtime.now();
     if (deletesInFlight >= 2 || now < nextDeleteAt) {
       return;
     }
     List<Machine> batch = new ArrayList<>();
-    for (Machine m : machines.present()) {
-      if (m.deleting && now >= m.deleteRetryAt && batch.size() < 100) {
-        batch.add(m);
+    for (Machine machine : machines.present()) {
+      if (machine.terminating && now >= machine.terminateRetryAt && batch.size() < 100) {
+        batch.add(machine);
       }
     }
     if (batch.isEmpty() || !spend()) {
@@ -281,28 +286,33 @@
     // Machines that die one after another go together: else deletions alone would use up the
     // cloud's rate, and no replacement could be hired until the last had died.
     nextDeleteAt = now + (long) (1000 * DELETE_EVERY / settings.cloudLimits().rps());
-    for (Machine m : batch) {
-      m.deleteRetryAt = now + TIMEOUT_MS + 500;
-      calls.events().info("delete").with("machine", m.id).with("bound", m.bound.size()).write();
-    }
-    calls.call(
+    for (Machine machine : batch) {
+      machine.terminateRetryAt = now + TIMEOUT_MS + 500;
+      runtime
+          .events()
+          .info(LogEvent.TERMINATE)
+          .with(LogField.MACHINE, machine.id)
+          .with(LogField.ASSIGNED, machine.assigned.size())
+          .write();
+    }
+    runtime.call(
         Effect.Target.CLOUD,
         null,
         "POST",
         "/machines/delete",
-        CloudMachine.delete(batch.stream().map(m -> m.id).toList()),
+        CloudMachine.delete(batch.stream().map(machine -> machine.id).toList()),
         TIMEOUT_MS,
         (outcome, status, body) -> {
           deletesInFlight--;
-          for (Machine m : batch) {
+          for (Machine machine : batch) {
             if (outcome == Outcome.ANSWERED && status == 200) {
-              calls.events().info("deleted").with("machine", m.id).write();
-              machines.retire(m);
-              m.deleted = true;
-              freed(m);
-              reports.machineDeleted(m);
+              runtime.events().info(LogEvent.TERMINATED).with(LogField.MACHINE, machine.id).write();
+              machines.remove(machine);
+              machine.terminationConfirmed = true;
+              freed(machine);
+              heartbeats.machineDeleted(machine);
             } else {
-              m.deleteRetryAt = calls.now() + 1000;
+              machine.terminateRetryAt = runtime.now() + 1000;
             }
           }
         });
@@ -316,59 +326,63 @@
     Arrays.fill(present, 0);
     int spotUp = 0;
     int notHired = 0;
-    for (Machine m : machines.present()) {
-      present[m.zone]++;
-      notHired += !m.spot && !m.hired && m.lastReportAt != Job.UNKNOWN ? 1 : 0;
-      if (counts(m)) {
-        hold(m, 1);
-        spotUp += m.spot && m.lastReportAt != Job.UNKNOWN ? 1 : 0;
+    for (Machine machine : machines.present()) {
+      present[machine.zone]++;
+      notHired +=
+          !machine.spot && !machine.rentedByThisTerm && machine.lastHeartbeatAt != Job.UNKNOWN
+              ? 1
+              : 0;
+      if (counts(machine)) {
+        hold(machine, 1);
+        spotUp += machine.spot && machine.lastHeartbeatAt != Job.UNKNOWN ? 1 : 0;
       }
     }
-    standing.seen(notHired);
-    spotLosses.up(spotUp, (calls.now() - countedAt) / 1000.0);
-    countedAt = calls.now();
+    externallyManaged.seen(notHired);
+    spotLosses.recordUptime(spotUp, (runtime.now() - countedAt) / 1000.0);
+    countedAt = runtime.now();
   }
 
-  private void hold(Machine m, int sign) {
-    held[m.spot ? 1 : 0] += sign * m.shape.cpus();
-    heldInZone.merge(new Place(m.zone, m.spot), sign * m.shape.cpus(), Double::sum);
+  private void hold(Machine machine, int sign) {
+    held[machine.spot ? 1 : 0] += sign * machine.machineType.cpus();
+    heldInZone.merge(
+        new Place(machine.zone, machine.spot), sign * machine.machineType.cpus(), Double::sum);
   }
 
   /** What machines of a kind hold, up or on their way. */
   private double supply(boolean spot) {
     double cpus = held[spot ? 1 : 0];
     for (Hire h : inFlight) {
-      if (h.kind.spot == spot && catalog.get(h.kind.type) != null) {
-        cpus += h.count * catalog.get(h.kind.type).cpus();
+      if (h.kind.spot == spot && machineTypes.get(h.kind.type) != null) {
+        cpus += h.count * machineTypes.get(h.kind.type).cpus();
       }
     }
     return cpus;
   }
 
-  private boolean counts(Machine m) {
-    return !m.gone
-        && !m.deleting
-        && !m.sick
-        && !m.returning
-        && !m.suspect
-        && m.takenAt == Long.MAX_VALUE
-        && m.shape != null
-        && !(m.lastReportAt == Job.UNKNOWN && darkZones.dark(m.zone));
+  private boolean counts(Machine machine) {
+    return !machine.terminated
+        && !machine.terminating
+        && !machine.quarantined
+        && !machine.scalingIn
+        && !machine.suspected
+        && machine.preemptionAt == Long.MAX_VALUE
+        && machine.machineType != null
+        && !(machine.lastHeartbeatAt == Job.UNKNOWN && zoneOutages.dark(machine.zone));
   }
 
   /** CPUs that the unfinished tasks need, memory counted by the leanest type's ratio. */
   private double need(boolean spot) {
     double ratio = 0;
-    for (MachineType t : catalog.all()) {
-      ratio = Math.max(ratio, t.memoryGb() / Math.max(1, t.cpus()));
+    for (MachineType type : machineTypes.all()) {
+      ratio = Math.max(ratio, type.memoryGb() / Math.max(1, type.cpus()));
     }
     double cpus = 0;
-    for (Job j : ledger.jobs()) {
-      if (!j.unwanted() && !j.waits() && j.spec.spot() == spot) {
-        JobSpec s = j.spec;
-        double each = Math.max(s.cpus(), ratio > 0 ? s.memoryGb() / ratio : 0);
+    for (Job job : assignments.jobs()) {
+      if (!job.isCancelled() && !job.awaitsDependencies() && job.spec.spot() == spot) {
+        JobSpec spec = job.spec;
+        double each = Math.max(spec.cpus(), ratio > 0 ? spec.memoryGb() / ratio : 0);
         // A job that fails wherever it runs has no use for more than what it has.
-        cpus += each * (j.suspect ? j.bound + 1 : j.state.length - j.done);
+        cpus += each * (job.suspect ? job.assigned + 1 : job.stateOf.length - job.done);
       }
     }
     return cpus;
@@ -376,21 +390,21 @@
 
   private double largestReplica() {
     double cpus = 0;
-    for (Job j : ledger.jobs()) {
-      cpus = j.spec.service() ? Math.max(cpus, j.spec.cpus()) : cpus;
+    for (Job job : assignments.jobs()) {
+      cpus = job.spec.service() ? Math.max(cpus, job.spec.cpus()) : cpus;
     }
     return cpus;
   }
 
   private double target(boolean spot) {
-    double plenty = policy.plenty();
+    double plenty = scalingPolicy.plenty();
     if (plenty >= 1) {
       return Double.MAX_VALUE;
     }
     double need = need(spot);
     if (!spot) {
       double spare =
-          need > 0 ? need * policy.serviceHeadroom() + SPARE_REPLICAS * largestReplica() : 0;
+          need > 0 ? need * scalingPolicy.serviceHeadroom() + SPARE_REPLICAS * largestReplica() : 0;
       return need + spare + overflow(plenty);
     }
     return arrayTarget(need);
@@ -398,12 +412,12 @@
 
   private double arrayTarget(double need) {
     // A burst's machines stay a little: the next array finds them up and with their images.
-    long now = calls.now();
+    long now = runtime.now();
     if (need >= peakArrayCpus || now - peakAt > 30_000) {
       peakArrayCpus = need;
       peakAt = now;
     }
-    return Math.max(need, 0.6 * peakArrayCpus) * (1 + policy.arrayHeadroom());
+    return Math.max(need, 0.6 * peakArrayCpus) * (1 + scalingPolicy.arrayHeadroom());
   }
 
   /**
@@ -415,9 +429,9 @@
       return 0;
     }
     double work = 0;
-    for (Job j : ledger.jobs()) {
-      if (j.wantsRoom() && j.spec.spot() && !j.suspect) {
-        work += j.pending * j.spec.cpus() * Math.max(1, j.spec.estimateS());
+    for (Job job : assignments.jobs()) {
+      if (job.wantsRoom() && job.spec.spot() && !job.suspect) {
+        work += job.pending * job.spec.cpus() * Math.max(1, job.spec.estimateS());
       }
     }
     double spare = plenty * plenty * arrayTarget(need(true));
@@ -436,12 +450,12 @@
         if (kind == null || !spend()) {
           break;
         }
-        MachineType type = catalog.get(kind.type);
+        MachineType type = machineTypes.get(kind.type);
         Hire h =
             new Hire(
                 "r-" + token + "-" + ++hires,
                 kind,
-                darkZones.dark(kind.zone) ? 1 : count(type, target - supply(spot)));
+                zoneOutages.dark(kind.zone) ? 1 : count(type, target - supply(spot)));
         inFlight.add(h);
         send(h);
       }
@@ -455,10 +469,10 @@
   }
 
   private boolean allRefused(boolean spot) {
-    for (MachineType t : catalog.all()) {
-      for (String z : t.zones()) {
-        if (calls.now()
-            >= refusedUntil.getOrDefault(new Kind(t.name(), machines.zone(z), spot), 0L)) {
+    for (MachineType type : machineTypes.all()) {
+      for (String z : type.zones()) {
+        if (runtime.now()
+            >= refusedUntil.getOrDefault(new Kind(type.name(), machines.zone(z), spot), 0L)) {
           return false;
         }
       }
@@ -469,18 +483,18 @@
   private Kind choose(boolean spot, double shortage) {
     Kind best = null;
     double bestCost = Double.MAX_VALUE;
-    for (MachineType t : catalog.all()) {
-      for (String z : t.zones()) {
+    for (MachineType type : machineTypes.all()) {
+      for (String z : type.zones()) {
         int zone = machines.zone(z);
-        Kind k = new Kind(t.name(), zone, spot);
-        boolean refused = calls.now() < refusedUntil.getOrDefault(k, 0L);
+        Kind k = new Kind(type.name(), zone, spot);
+        boolean refused = runtime.now() < refusedUntil.getOrDefault(k, 0L);
         // One machine in a zone that is cut off will tell when it is back; more would be idle.
-        boolean idle = darkZones.dark(zone) && (present[zone] > 0 || asked(zone));
+        boolean idle = zoneOutages.dark(zone) && (present[zone] > 0 || asked(zone));
         if (!machines.zoneKnown(zone) || refused || idle || asked(k)) {
           continue;
         }
-        double price = spot ? t.spotPrice() : t.price();
-        double used = Math.min(shortage, t.cpus());
+        double price = spot ? type.spotPrice() : type.price();
+        double used = Math.min(shortage, type.cpus());
         // Price of what would be used, then the zone with the least of this kind.
         double cost = price / Math.max(1, used) * (1 + 0.002 * zoneSupply(k));
         if (cost < bestCost) {
@@ -512,17 +526,17 @@
 
   private void send(Hire h) {
     h.tries++;
-    calls
+    runtime
         .events()
-        .info("hire")
-        .with("request", h.name)
-        .with("type", h.kind.type)
-        .with("zone", machines.zoneName(h.kind.zone))
-        .with("spot", h.kind.spot)
-        .with("count", h.count)
-        .with("try", h.tries)
+        .info(LogEvent.SCALE_OUT)
+        .with(LogField.REQUEST, h.name)
+        .with(LogField.TYPE, h.kind.type)
+        .with(LogField.ZONE, machines.zoneName(h.kind.zone))
+        .with(LogField.SPOT, h.kind.spot)
+        .with(LogField.COUNT, h.count)
+        .with(LogField.TRY, h.tries)
         .write();
-    calls.call(
+    runtime.call(
         Effect.Target.CLOUD,
         null,
         "POST",
@@ -534,23 +548,23 @@
   }
 
   private void hired(Hire h, Outcome outcome, int status, JsonNode body) {
-    long now = calls.now();
+    long now = runtime.now();
     if (outcome == Outcome.ANSWERED && status == 200) {
       inFlight.remove(h);
       try {
         List<String> ids = CloudMachine.parseHired(body);
         for (String id : ids) {
-          Machine m = machines.getOrCreate(id);
-          m.hired = true;
-          if (m.type == null) {
-            m.type = h.kind.type;
-            ledger.locate(m, h.kind.zone);
-            m.spot = h.kind.spot;
-            m.shape = catalog.get(h.kind.type);
+          Machine machine = machines.getOrAdd(id);
+          machine.rentedByThisTerm = true;
+          if (machine.type == null) {
+            machine.type = h.kind.type;
+            assignments.setZone(machine, h.kind.zone);
+            machine.spot = h.kind.spot;
+            machine.machineType = machineTypes.get(h.kind.type);
           }
-          m.firstSeenAt = m.firstSeenAt == 0 ? now : m.firstSeenAt;
+          machine.firstSeenAt = machine.firstSeenAt == 0 ? now : machine.firstSeenAt;
         }
-        calls.note(
+        runtime.note(
             "hired "
                 + ids.size()
                 + " of "
@@ -567,7 +581,7 @@
           refusals.remove(h.kind);
         }
       } catch (MalformedException e) {
-        calls.note("answer to a hire ignored: " + e.getMessage());
+        runtime.note("answer to a hire ignored: " + e.getMessage());
       }
       return;
     }
@@ -586,11 +600,11 @@
   }
 
   /** One of our machines has ended: what it was may be had again. */
-  private void freed(Machine m) {
-    if (m.type != null) {
-      Kind k = new Kind(m.type, m.zone, m.spot);
+  private void freed(Machine machine) {
+    if (machine.type != null) {
+      Kind k = new Kind(machine.type, machine.zone, machine.spot);
       refusals.remove(k);
-      refusedUntil.computeIfPresent(k, (x, until) -> Math.min(until, calls.now() + FREED_MS));
+      refusedUntil.computeIfPresent(k, (x, until) -> Math.min(until, runtime.now() + FREED_MS));
     }
   }
 
@@ -601,11 +615,14 @@
 
   /** Takes machines that were to be returned back into use while they are needed. */
   private void keep(boolean spot, double target) {
-    for (Machine m : machines.present()) {
-      if (m.returning && !m.deleting && m.spot == spot && supply(spot) < target) {
-        m.returning = false;
-        hold(m, 1);
-        ledger.somethingChanged();
+    for (Machine machine : machines.present()) {
+      if (machine.scalingIn
+          && !machine.terminating
+          && machine.spot == spot
+          && supply(spot) < target) {
+        machine.scalingIn = false;
+        hold(machine, 1);
+        assignments.markChanged();
       }
     }
   }
@@ -616,25 +633,25 @@
       return; // what is paid for already may as well work
     }
     List<Machine> candidates = new ArrayList<>();
-    for (Machine m : machines.present()) {
-      if (m.spot == spot
-          && counts(m)
-          && m.lastReportAt != Job.UNKNOWN
-          && calls.now() - m.firstSeenAt > PAID_MS / 2
-          && supply(spot) - m.shape.cpus() >= target) {
-        candidates.add(m);
+    for (Machine machine : machines.present()) {
+      if (machine.spot == spot
+          && counts(machine)
+          && machine.lastHeartbeatAt != Job.UNKNOWN
+          && runtime.now() - machine.firstSeenAt > PAID_MS / 2
+          && supply(spot) - machine.machineType.cpus() >= target) {
+        candidates.add(machine);
       }
     }
-    candidates.sort(Comparator.comparingDouble(m -> m.cpusUsed));
+    candidates.sort(Comparator.comparingDouble(machine -> machine.cpusUsed));
     int most = 1 + candidates.size() / RETURNED_OF;
     int tried = 0;
-    for (Machine m : candidates) {
-      if (supply(spot) - m.shape.cpus() < target) {
+    for (Machine machine : candidates) {
+      if (supply(spot) - machine.machineType.cpus() < target) {
         continue;
       }
-      if (spot || replicasCanMove(m)) {
-        m.returning = true;
-        hold(m, -1);
+      if (spot || replicasCanMove(machine)) {
+        machine.scalingIn = true;
+        hold(machine, -1);
         most--;
       }
       if (most == 0 || ++tried == MOST_TRIED) {
@@ -644,8 +661,8 @@
   }
 
   private boolean arraysWait() {
-    for (Job j : ledger.jobs()) {
-      if (j.wantsRoom() && !j.spec.service() && !j.suspect) {
+    for (Job job : assignments.jobs()) {
+      if (job.wantsRoom() && !job.spec.service() && !job.suspect) {
         return true;
       }
     }
@@ -653,10 +670,10 @@
   }
 
   /** Whether each replica there could start at once on another machine, its image being there. */
-  private boolean replicasCanMove(Machine m) {
-    for (long ref : Reports.copy(m.bound)) {
-      Job j = ledger.job(ref);
-      if (j.spec.service() && !placer.couldStartElsewhere(j, m)) {
+  private boolean replicasCanMove(Machine machine) {
+    for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
+      Job job = assignments.job(ref);
+      if (job.spec.service() && !scheduler.couldStartElsewhere(job, machine)) {
         return false;
       }
     }
@@ -665,20 +682,20 @@
 
   /** Moves one replica off a machine that is to be returned. */
   private void moveReplica() {
-    if (calls.now() < nextMoveAt) {
+    if (runtime.now() < nextMoveAt) {
       return;
     }
-    for (Machine m : machines.present()) {
-      if (!m.returning || m.deleting) {
+    for (Machine machine : machines.present()) {
+      if (!machine.scalingIn || machine.terminating) {
         continue;
       }
-      for (long ref : Reports.copy(m.bound)) {
-        Job j = ledger.job(ref);
-        int t = Ledger.task(ref);
-        if (j.settled(t, calls.now()) && placer.couldStartElsewhere(j, m)) {
-          calls.note(j.spec.id() + "/" + t + " moves off " + m.id);
-          ledger.stop(j, t);
-          nextMoveAt = calls.now() + MOVE_EVERY_MS;
+      for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
+        Job job = assignments.job(ref);
+        int task = TaskAssignments.task(ref);
+        if (job.isMovable(task, runtime.now()) && scheduler.couldStartElsewhere(job, machine)) {
+          runtime.note(job.spec.id() + "/" + task + " moves off " + machine.id);
+          assignments.stop(job, task);
+          nextMoveAt = runtime.now() + MOVE_EVERY_MS;
           return;
         }
       }
@@ -686,33 +703,33 @@
   }
 
   private void giveBack() {
-    long now = calls.now();
+    long now = runtime.now();
     int present = 0;
     int sick = 0;
-    for (Machine m : machines.present()) {
+    for (Machine machine : machines.present()) {
       present++;
-      sick += m.sick ? 1 : 0;
+      sick += machine.quarantined ? 1 : 0;
     }
     shrink(false, target(false));
     shrink(true, target(true));
     moveReplica();
-    for (Machine m : machines.present()) {
-      if (m.deleting) {
+    for (Machine machine : machines.present()) {
+      if (machine.terminating) {
         continue;
       }
-      if (m.sick && (sick * 3 <= present || now >= nextSickAt)) {
+      if (machine.quarantined && (sick * 3 <= present || now >= nextSickAt)) {
         // Where most are sick, one after the other: what replaces them has to show that it is not.
         nextSickAt = now + SICK_EVERY_MS;
-        discard(m, "every task fails there");
+        discard(machine, "every task fails there");
       }
       boolean idle =
-          m.returning
-              && m.bound.isEmpty()
-              && m.unaccounted == 0
-              && now - m.firstSeenAt > PAID_MS - 5_000
-              && now - m.idleSince > tunables.idleReturnS() * 1000;
+          machine.scalingIn
+              && machine.assigned.isEmpty()
+              && machine.unaccounted == 0
+              && now - machine.firstSeenAt > PAID_MS - 5_000
+              && now - machine.idleSince > tunables.idleReturnS() * 1000;
       if (idle) {
-        discard(m, "not needed");
+        discard(machine, "not needed");
       }
     }
   }
--- a/src/main/java/org/snowturn/core/decide/StandingFleet.java
+++ b/src/main/java/org/snowturn/core/scheduling/ExternallyManagedMachines.java
@@ -1,12 +1,12 @@
-package org.snowturn.core.decide;
+package org.snowturn.core.scheduling;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 import org.snowturn.core.Outcome;
-import org.snowturn.core.calls.Calls;
-import org.snowturn.core.records.Keys;
+import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.recovery.Backoff;
-import org.snowturn.core.store.Writer;
+import org.snowturn.core.storage.RecordWriter;
+import org.snowturn.core.storage.StorageKeys;
 import org.snowturn.wire.Json;
 import org.snowturn.wire.MalformedException;
 import org.snowturn.wire.StateMessage;
@@ -18,7 +18,7 @@
  * a sign that capacity counts more to them than money, which the settings do not tell. The first
  * leader ever sees it, in its first seconds; what it has seen is stored for the others.
  */
-public final class StandingFleet {
+public final class ExternallyManagedMachines {
   private static final int TIMEOUT_MS = 1_500;
 
   /** So long the first leader looks; no machine that it hires is up before, or hardly one. */
@@ -26,8 +26,8 @@
 
   private static final String COUNT = "ordinary";
 
-  private final Calls calls;
-  private final Writer writer;
+  private final CoreRuntime runtime;
+  private final RecordWriter writer;
   private final Backoff backoff;
   private final long startedAt;
   private boolean known;
@@ -35,18 +35,18 @@
   private boolean absent;
 
   /** Looks what earlier leaders have seen. */
-  public StandingFleet(Calls calls, Writer writer) {
-    this.calls = calls;
+  public ExternallyManagedMachines(CoreRuntime runtime, RecordWriter writer) {
+    this.runtime = runtime;
     this.writer = writer;
-    this.backoff = calls.backoff();
-    this.startedAt = calls.now();
+    this.backoff = runtime.backoff();
+    this.startedAt = runtime.now();
   }
 
   /** Reads what is stored. */
   public void look() {
-    calls.state(
+    runtime.callState(
         "GET",
-        "/kv/" + Keys.STANDING,
+        "/kv/" + StorageKeys.STANDING,
         null,
         TIMEOUT_MS,
         (outcome, status, body) -> {
@@ -56,7 +56,7 @@
           if (outcome == Outcome.ANSWERED && status == 404) {
             absent = true;
           } else if (!writer.over()) {
-            calls.again(backoff, this::look);
+            runtime.retry(backoff, this::look);
           }
         });
   }
@@ -66,7 +66,7 @@
       machines = StateMessage.entry(body).value().path(COUNT).asInt(0);
       known = true;
     } catch (MalformedException e) {
-      calls.note("unusable record " + Keys.STANDING + ": " + e.getMessage());
+      runtime.note("unusable record " + StorageKeys.STANDING + ": " + e.getMessage());
     }
     return known;
   }
@@ -80,15 +80,17 @@
       return;
     }
     machines = Math.max(machines, ordinary);
-    if (calls.now() - startedAt >= LOOK_MS) {
+    if (runtime.now() - startedAt >= LOOK_MS) {
       known = true;
       writer.whole(
-          Writer.Turn.SPARE,
-          List.of(new Condition(Keys.STANDING, 0)),
+          RecordWriter.Turn.SPARE,
+          List.of(new Condition(StorageKeys.STANDING, 0)),
           List.of(
-              Change.put(Keys.STANDING, Json.object().put("v", Keys.VERSION).put(COUNT, machines))),
+              Change.put(
+                  StorageKeys.STANDING,
+                  Json.object().put("v", StorageKeys.VERSION).put(COUNT, machines))),
           (outcome, status, body) ->
-              calls.note("the operators keep " + machines + " ordinary machines up themselves"));
+              runtime.note("the operators keep " + machines + " ordinary machines up themselves"));
     }
   }
 
--- a/src/main/java/org/snowturn/core/decide/FleetPolicy.java
+++ b/src/main/java/org/snowturn/core/scheduling/ScalingPolicy.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.decide;
+package org.snowturn.core.scheduling;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -13,7 +13,7 @@
  * for, so that no small change of one figure turns a fleet that follows demand into one that holds
  * everything.
  */
-public final class FleetPolicy {
+public final class ScalingPolicy {
   /** Above what is needed where the users ask for nothing special. */
   private static final double LEAST = 0.15;
 
@@ -34,27 +34,29 @@
   private final DoubleSupplier bootS;
   private final BooleanSupplier standing;
 
-  private FleetPolicy(Settings s, DoubleSupplier bootS, BooleanSupplier standing) {
+  private ScalingPolicy(Settings settings, DoubleSupplier bootS, BooleanSupplier standing) {
     this.bootS = bootS;
     this.standing = standing;
     double late = 1;
-    for (Settings.Objective o : s.objectives()) {
-      if (o.kind().equals("deadline") && o.times() <= 1) {
-        late = Math.min(late, 1 - o.share());
+    for (Settings.Objective objective : settings.objectives()) {
+      if (objective.kind().equals("deadline") && objective.times() <= 1) {
+        late = Math.min(late, 1 - objective.share());
       }
     }
     this.strictness = LATE_BEARABLE / Math.max(1e-3, late);
-    for (Settings.Objective o : s.objectives()) {
-      if (o.kind().equals("wait") && array(s, o.jobClass())) {
-        starts.merge(o.jobClass(), o, (a, b) -> a.withinS() <= b.withinS() ? a : b);
+    for (Settings.Objective objective : settings.objectives()) {
+      if (objective.kind().equals("wait") && array(settings, objective.jobClass())) {
+        starts.merge(objective.jobClass(), objective, (a, b) -> a.withinS() <= b.withinS() ? a : b);
       }
     }
   }
 
   /** Only arrays have deadlines. */
-  private static boolean array(Settings s, String jobClass) {
-    return s.objectives().stream()
-        .anyMatch(o -> o.kind().equals("deadline") && o.jobClass().equals(jobClass));
+  private static boolean array(Settings settings, String jobClass) {
+    return settings.objectives().stream()
+        .anyMatch(
+            objective ->
+                objective.kind().equals("deadline") && objective.jobClass().equals(jobClass));
   }
 
   /**
@@ -63,8 +65,9 @@
    * @param bootS how long the quickest boot takes
    * @param standing whether the operators keep machines up themselves
    */
-  public static FleetPolicy of(Settings s, DoubleSupplier bootS, BooleanSupplier standing) {
-    return new FleetPolicy(s, bootS, standing);
+  public static ScalingPolicy of(
+      Settings settings, DoubleSupplier bootS, BooleanSupplier standing) {
+    return new ScalingPolicy(settings, bootS, standing);
   }
 
   /**
@@ -82,9 +85,10 @@
   /** Spare capacity for arrays, as a share of what they need. */
   public double arrayHeadroom() {
     double forStarts = 0;
-    for (Settings.Objective o : starts.values()) {
-      double sooner = Math.max(0, 1 - o.withinS() / Math.max(1, bootS.getAsDouble()));
-      forStarts = Math.max(forStarts, sooner * o.share() / Math.max(1e-3, 1 - o.share()));
+    for (Settings.Objective objective : starts.values()) {
+      double sooner = Math.max(0, 1 - objective.withinS() / Math.max(1, bootS.getAsDouble()));
+      forStarts =
+          Math.max(forStarts, sooner * objective.share() / Math.max(1e-3, 1 - objective.share()));
     }
     return LEAST + forDeadlines() + forStarts;
   }
--- a/src/main/java/org/snowturn/core/decide/WaitingOrder.java
+++ b/src/main/java/org/snowturn/core/scheduling/SchedulingOrder.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.decide;
+package org.snowturn.core.scheduling;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -20,7 +20,7 @@
  * By deadlines alone large late arrays would hold the machines of a burst, and by work alone small
  * arrays with hours to spare would make large ones late.
  */
-public final class WaitingOrder {
+public final class SchedulingOrder {
   private record Aims(List<Double> startWithinS, List<Double> doneWithinS) {}
 
   private static final Aims NONE = new Aims(List.of(), List.of());
@@ -32,15 +32,15 @@
   private final double urgentMs;
 
   /** Jobs with less than {@code urgentSlackS} to spare are urgent. */
-  public WaitingOrder(Settings settings, double urgentSlackS) {
+  public SchedulingOrder(Settings settings, double urgentSlackS) {
     urgentMs = urgentSlackS * 1000;
-    for (Settings.Objective o : settings.objectives()) {
+    for (Settings.Objective objective : settings.objectives()) {
       Aims a =
           byClass.computeIfAbsent(
-              o.jobClass(), c -> new Aims(new ArrayList<>(), new ArrayList<>()));
-      switch (o.kind()) {
-        case "wait" -> a.startWithinS.add(o.withinS());
-        case "finished" -> a.doneWithinS.add(o.withinS());
+              objective.jobClass(), c -> new Aims(new ArrayList<>(), new ArrayList<>()));
+      switch (objective.kind()) {
+        case "wait" -> a.startWithinS.add(objective.withinS());
+        case "finished" -> a.doneWithinS.add(objective.withinS());
         default -> {} // deadlines are the jobs' own
       }
     }
@@ -62,9 +62,9 @@
   public List<Job> sorted(Collection<Job> jobs, double wall) {
     Placed[] all = new Placed[jobs.size()];
     int n = 0;
-    for (Job j : jobs) {
-      int rank = 2 * j.priority.ordinal() + (j.spec.service() ? 0 : 1);
-      all[n++] = new Placed(j, rank, urgency(j, wall), workLeft(j));
+    for (Job job : jobs) {
+      int rank = 2 * job.priority.ordinal() + (job.spec.service() ? 0 : 1);
+      all[n++] = new Placed(job, rank, urgency(job, wall), workLeft(job));
     }
     Arrays.sort(all);
     List<Job> out = new ArrayList<>(n);
@@ -75,15 +75,16 @@
   }
 
   /** 0: little time to spare for some aim; 1: more than that; 2: late for all whatever is done. */
-  public int urgency(Job j, double wall) {
-    Aims aims = byClass.getOrDefault(j.spec.jobClass(), NONE);
-    double end = wall + j.spec.estimateS() * 1000;
-    double spare = Math.min(spare(j.dueWall(1) - end), spare(j.dueWall(1.5) - end));
+  public int urgency(Job job, double wall) {
+    Aims aims = byClass.getOrDefault(job.spec.jobClass(), NONE);
+    double end = wall + job.spec.estimateS() * 1000;
+    double spare =
+        Math.min(spare(job.deadlineWallMs(1) - end), spare(job.deadlineWallMs(1.5) - end));
     for (double s : aims.startWithinS) {
-      spare = Math.min(spare, spare(j.releasedWall + s * 1000 - wall));
+      spare = Math.min(spare, spare(job.releasedWall + s * 1000 - wall));
     }
     for (double s : aims.doneWithinS) {
-      spare = Math.min(spare, spare(j.releasedWall + s * 1000 - end));
+      spare = Math.min(spare, spare(job.releasedWall + s * 1000 - end));
     }
     return spare < urgentMs ? 0 : spare < MISSED ? 1 : 2;
   }
@@ -93,7 +94,7 @@
     return ms < 0 ? MISSED : ms;
   }
 
-  private static double workLeft(Job j) {
-    return j.pending * j.spec.cpus() * Math.max(1, j.spec.estimateS());
+  private static double workLeft(Job job) {
+    return job.pending * job.spec.cpus() * Math.max(1, job.spec.estimateS());
   }
 }
--- a/src/main/java/org/snowturn/core/decide/ZoneOutages.java
+++ b/src/main/java/org/snowturn/core/scheduling/ZoneOutages.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.decide;
+package org.snowturn.core.scheduling;
 
 import java.util.Arrays;
 import org.snowturn.core.model.Machine;
@@ -37,9 +37,9 @@
   }
 
   /** Counts a machine that has been up. */
-  public void count(Machine m, boolean quiet) {
-    (quiet ? silent : heard)[m.zone]++;
-    kept[m.zone] += quiet && !m.deleting ? 1 : 0;
+  public void count(Machine machine, boolean quiet) {
+    (quiet ? silent : heard)[machine.zone]++;
+    kept[machine.zone] += quiet && !machine.terminating ? 1 : 0;
   }
 
   /** Judges by the count; a dark zone stays dark until one of its machines is heard. */
--- /dev/null
+++ b/src/main/java/org/snowturn/core/scheduling/package-info.java
@@ -0,0 +1,2 @@
+/** Decisions: placement, preemption, speculative restarts, scaling. */
+package org.snowturn.core.scheduling;
--- a/src/main/java/org/snowturn/core/store/FormatGate.java
+++ b/src/main/java/org/snowturn/core/storage/FormatGate.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.store;
+package org.snowturn.core.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -7,11 +7,8 @@
 import java.util.Set;
 import org.snowturn.config.Settings;
 import org.snowturn.core.Outcome;
-import org.snowturn.core.admission.Purpose;
-import org.snowturn.core.calls.Calls;
-import org.snowturn.core.records.Keys;
-import org.snowturn.core.records.Spans;
-import org.snowturn.core.records.TaskLayout;
+import org.snowturn.core.admission.RequestClass;
+import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.wire.Json;
 import org.snowturn.wire.MalformedException;
 import org.snowturn.wire.StateMessage;
@@ -36,26 +33,26 @@
   private static final int FIRST_BYTES = 80;
 
   private final Settings settings;
-  private final Calls calls;
+  private final CoreRuntime runtime;
   private boolean announced;
   private boolean open;
   private boolean busy;
   private long lookAt;
   private final List<Runnable> waiting = new ArrayList<>();
-  private Spans spans;
+  private RecordSizes spans;
 
-  public FormatGate(Settings settings, Calls calls) {
+  public FormatGate(Settings settings, CoreRuntime runtime) {
     this.settings = settings;
-    this.calls = calls;
+    this.runtime = runtime;
     int first = Math.max(8, settings.stateLimits().valueBytes() / FIRST_BYTES);
-    spans = new Spans(first, TaskLayout.span(least().valueBytes()));
+    spans = new RecordSizes(first, TaskLayout.span(least().valueBytes()));
   }
 
   public boolean open() {
     return open;
   }
 
-  public Spans spans() {
+  public RecordSizes spans() {
     return spans;
   }
 
@@ -70,7 +67,7 @@
 
   public void tick() {
     boolean wanted = !waiting.isEmpty() || !open;
-    if (wanted && !busy && calls.now() >= lookAt) {
+    if (wanted && !busy && runtime.now() >= lookAt) {
       look();
     }
   }
@@ -89,14 +86,14 @@
 
   private void look() {
     busy = true;
-    lookAt = calls.now() + LOOK_MS;
+    lookAt = runtime.now() + LOOK_MS;
     // What is asked for from now on wants a newer answer than this one.
     List<Runnable> toTell = List.copyOf(waiting);
     waiting.clear();
-    calls.state(
-        Purpose.REST,
+    runtime.callState(
+        RequestClass.REST,
         "GET",
-        "/kv?prefix=" + Keys.FORMAT + "&most=500",
+        "/kv?prefix=" + StorageKeys.FORMAT + "&most=500",
         null,
         TIMEOUT_MS,
         (outcome, status, body) -> {
@@ -108,22 +105,22 @@
               return;
             }
           } catch (MalformedException e) {
-            calls.note("unusable list of formats: " + e.getMessage());
+            runtime.note("unusable list of formats: " + e.getMessage());
           }
           waiting.addAll(toTell);
-          lookAt = calls.now() + RETRY_MS;
+          lookAt = runtime.now() + RETRY_MS;
         });
   }
 
   private void found(List<StateMessage.Entry> entries) {
     Set<String> nodes = new HashSet<>();
-    for (StateMessage.Entry e : entries) {
-      if (e.key().equals(Keys.GATE)) {
-        opened(e.value());
+    for (StateMessage.Entry entry : entries) {
+      if (entry.key().equals(StorageKeys.GATE)) {
+        opened(entry.value());
         return;
       }
-      if (e.value().path("reads").asInt(0) >= Keys.SECOND) {
-        nodes.add(e.key().substring(Keys.READERS.length()));
+      if (entry.value().path("reads").asInt(0) >= StorageKeys.SECOND) {
+        nodes.add(entry.key().substring(StorageKeys.READERS.length()));
       }
     }
     if (open) {
@@ -146,16 +143,16 @@
       return;
     }
     announced = true;
-    String key = Keys.READERS + settings.node();
-    JsonNode value = Json.object().put("v", Keys.VERSION).put("reads", Keys.SECOND);
+    String key = StorageKeys.READERS + settings.node();
+    JsonNode value = Json.object().put("v", StorageKeys.VERSION).put("reads", StorageKeys.SECOND);
     put(
         key,
         value,
         (outcome, status, body) -> {
           announced = false;
           if (outcome == Outcome.ANSWERED && status == 200) {
-            calls.note("this node reads format " + Keys.SECOND);
-            lookAt = calls.now();
+            runtime.note("this node reads format " + StorageKeys.SECOND);
+            lookAt = runtime.now();
           }
         });
   }
@@ -163,24 +160,24 @@
   private void write() {
     JsonNode value =
         Json.object()
-            .put("v", Keys.SECOND)
+            .put("v", StorageKeys.SECOND)
             .put("first", spans.first())
             .put("second", spans.second());
     put(
-        Keys.GATE,
+        StorageKeys.GATE,
         value,
         (outcome, status, body) -> {
           if (outcome == Outcome.ANSWERED && status == 200) {
             opened(value);
           } else {
-            lookAt = calls.now(); // another node was first, or nothing is known: look again
+            lookAt = runtime.now(); // another node was first, or nothing is known: look again
           }
         });
   }
 
-  private void put(String key, JsonNode value, Calls.Then then) {
-    calls.state(
-        Purpose.REST,
+  private void put(String key, JsonNode value, CoreRuntime.ReplyHandler then) {
+    runtime.callState(
+        RequestClass.REST,
         "POST",
         "/txn",
         StateMessage.txn(List.of(new Condition(key, 0)), List.of(Change.put(key, value))),
@@ -193,8 +190,9 @@
       return;
     }
     int first = gate.path("first").asInt(spans.first());
-    spans = new Spans(Math.max(1, first), Math.max(1, gate.path("second").asInt(spans.second())));
+    spans =
+        new RecordSizes(Math.max(1, first), Math.max(1, gate.path("second").asInt(spans.second())));
     open = true;
-    calls.note("the gate is open: all nodes read format " + Keys.SECOND);
+    runtime.note("the gate is open: all nodes read format " + StorageKeys.SECOND);
   }
 }
--- a/src/main/java/org/snowturn/core/store/JobFinder.java
+++ b/src/main/java/org/snowturn/core/storage/JobLookup.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.store;
+package org.snowturn.core.storage;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -8,11 +8,9 @@
 import java.util.NavigableSet;
 import java.util.TreeSet;
 import org.snowturn.core.Outcome;
-import org.snowturn.core.admission.Purpose;
-import org.snowturn.core.calls.Calls;
-import org.snowturn.core.records.Keys;
-import org.snowturn.core.records.StoredJob;
-import org.snowturn.wire.JobView;
+import org.snowturn.core.admission.RequestClass;
+import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.wire.JobStatus;
 import org.snowturn.wire.MalformedException;
 import org.snowturn.wire.StateMessage;
 
@@ -22,19 +20,19 @@
  * take thousands of requests. Records only move from live to over, so live ones are read first;
  * only the leader, who moves them, may begin with the others, where most are that it does not know.
  */
-public final class JobFinder {
-  public static final List<String> LIVE_FIRST = List.of(Keys.JOBS, Keys.OVER);
-  public static final List<String> OVER_FIRST = List.of(Keys.OVER, Keys.JOBS);
+public final class JobLookup {
+  public static final List<String> LIVE_FIRST = List.of(StorageKeys.JOBS, StorageKeys.OVER);
+  public static final List<String> OVER_FIRST = List.of(StorageKeys.OVER, StorageKeys.JOBS);
 
   private static final int ONE_BY_ONE = 12;
   private static final int PAGE = 500;
   private static final int TIMEOUT_MS = 1_500;
 
   /** What a record tells: whether it is live, the job's phase, and whether it is a service. */
-  public record Fact(boolean live, JobView.Phase phase, boolean service) {
-    private static Fact of(StateMessage.Entry e) {
-      boolean live = e.key().startsWith(Keys.JOBS);
-      return new Fact(live, StoredJob.phaseOf(e.value()), StoredJob.service(e.value()));
+  public record Fact(boolean live, JobStatus.Phase phase, boolean service) {
+    private static Fact of(StateMessage.Entry entry) {
+      boolean live = entry.key().startsWith(StorageKeys.JOBS);
+      return new Fact(live, JobRecord.phaseOf(entry.value()), JobRecord.service(entry.value()));
     }
   }
 
@@ -43,8 +41,8 @@
     void on(Map<String, Fact> found, boolean complete);
   }
 
-  private final Calls calls;
-  private final Purpose purpose;
+  private final CoreRuntime runtime;
+  private final RequestClass purpose;
   private final List<String> order;
   private final Map<String, Fact> found = new HashMap<>();
   private final TreeSet<String> notHere = new TreeSet<>();
@@ -60,13 +58,13 @@
    * @param withinMs the time after which nobody wants to know any more
    */
   public static void find(
-      Calls calls,
-      Purpose purpose,
+      CoreRuntime runtime,
+      RequestClass purpose,
       List<String> order,
       Collection<String> ids,
       long withinMs,
       Then then) {
-    JobFinder f = new JobFinder(calls, purpose, order, calls.now() + withinMs, then);
+    JobLookup f = new JobLookup(runtime, purpose, order, runtime.now() + withinMs, then);
     if (ids.size() > ONE_BY_ONE) {
       f.range(0, new TreeSet<>(ids));
       return;
@@ -76,9 +74,10 @@
     f.finishIfAllAnswered();
   }
 
-  private JobFinder(Calls calls, Purpose purpose, List<String> order, long until, Then then) {
+  private JobLookup(
+      CoreRuntime runtime, RequestClass purpose, List<String> order, long until, Then then) {
     this.purpose = purpose;
-    this.calls = calls;
+    this.runtime = runtime;
     this.order = order;
     this.until = until;
     this.then = then;
@@ -99,7 +98,7 @@
   }
 
   private void one(int place, String id) {
-    calls.state(
+    runtime.callState(
         purpose,
         "GET",
         "/kv/" + order.get(place) + id,
@@ -130,7 +129,7 @@
       finishIfAllAnswered();
       return;
     }
-    if (calls.now() > until) {
+    if (runtime.now() > until) {
       fail();
       return;
     }
@@ -139,7 +138,7 @@
     String next = prefix + wanted.first();
     int end = next.length() - 1;
     String since = next.substring(0, end) + (char) (next.charAt(end) - 1) + "~";
-    calls.state(
+    runtime.callState(
         purpose,
         "GET",
         "/kv?prefix=" + prefix + "&since=" + since + "&most=" + PAGE,
@@ -161,10 +160,10 @@
   private void take(
       int place, NavigableSet<String> wanted, List<StateMessage.Entry> page, boolean more) {
     String last = null;
-    for (StateMessage.Entry e : page) {
-      last = e.key().substring(order.get(place).length());
+    for (StateMessage.Entry entry : page) {
+      last = entry.key().substring(order.get(place).length());
       if (wanted.contains(last)) {
-        found.put(last, Fact.of(e));
+        found.put(last, Fact.of(entry));
       }
     }
     TreeSet<String> left =
--- a/src/main/java/org/snowturn/core/records/StoredJob.java
+++ b/src/main/java/org/snowturn/core/storage/JobRecord.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.records;
+package org.snowturn.core.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 import org.snowturn.wire.JobSpec;
-import org.snowturn.wire.JobView;
+import org.snowturn.wire.JobStatus;
 import org.snowturn.wire.Json;
 import org.snowturn.wire.MalformedException;
 import org.snowturn.wire.StateMessage;
@@ -25,8 +25,8 @@
  * @param parts how many there are
  * @param whole whether {@code spec} is the whole submission
  */
-public record StoredJob(
-    JobView.Phase phase,
+public record JobRecord(
+    JobStatus.Phase phase,
     long submittedWall,
     JobSpec spec,
     String submission,
@@ -35,99 +35,99 @@
   private static final int FIXED_BYTES = 40;
   private static final int NAME_BYTES = 16;
 
-  public StoredJob(JobView.Phase phase, long submittedWall, JobSpec spec) {
+  public JobRecord(JobStatus.Phase phase, long submittedWall, JobSpec spec) {
     this(phase, submittedWall, spec, null, 0, true);
   }
 
-  public static StoredJob parse(JsonNode v) throws MalformedException {
-    JobView.Phase phase =
-        switch (v.path("p").asText()) {
-          case "done" -> JobView.Phase.DONE;
-          case "aborted" -> JobView.Phase.ABORTED;
-          case "queued" -> JobView.Phase.QUEUED;
+  public static JobRecord parse(JsonNode value) throws MalformedException {
+    JobStatus.Phase phase =
+        switch (value.path("p").asText()) {
+          case "done" -> JobStatus.Phase.DONE;
+          case "aborted" -> JobStatus.Phase.ABORTED;
+          case "queued" -> JobStatus.Phase.QUEUED;
           default -> throw new MalformedException("p: unknown phase in a job's record");
         };
-    JobSpec spec = v.has("s") ? JobSpec.parse(v.get("s")) : null;
-    return new StoredJob(
+    JobSpec spec = value.has("s") ? JobSpec.parse(value.get("s")) : null;
+    return new JobRecord(
         phase,
-        v.path("at").asLong(0),
+        value.path("at").asLong(0),
         spec,
-        v.path("x").asText(null),
-        v.path("k").asInt(0),
-        !v.has("x"));
+        value.path("x").asText(null),
+        value.path("k").asInt(0),
+        !value.has("x"));
   }
 
   /** Whether the record forbids any change of phase. */
-  public static JobView.Phase phaseOf(JsonNode v) {
-    String p = v.path("p").asText();
+  public static JobStatus.Phase phaseOf(JsonNode value) {
+    String p = value.path("p").asText();
     return p.equals("done")
-        ? JobView.Phase.DONE
-        : p.equals("aborted") ? JobView.Phase.ABORTED : JobView.Phase.QUEUED;
+        ? JobStatus.Phase.DONE
+        : p.equals("aborted") ? JobStatus.Phase.ABORTED : JobStatus.Phase.QUEUED;
   }
 
   /**
    * The jobs that a live record names as awaited. One whose submission is kept in parts names none
    * here.
    */
-  public static List<String> awaits(JsonNode v) {
-    JsonNode all = v.path("s").path("awaits");
+  public static List<String> awaits(JsonNode value) {
+    JsonNode all = value.path("s").path("awaits");
     if (all.isEmpty()) {
       return List.of();
     }
     List<String> out = new ArrayList<>(all.size());
-    all.forEach(n -> out.add(n.asText()));
+    all.forEach(node -> out.add(node.asText()));
     return out;
   }
 
   /** Whether a live or short record is that of a service; older short records do not tell. */
-  public static boolean service(JsonNode v) {
-    return v.path("service").asBoolean(false)
-        || v.path("s").path("shape").asText().equals("service");
+  public static boolean service(JsonNode value) {
+    return value.path("service").asBoolean(false)
+        || value.path("s").path("shape").asText().equals("service");
   }
 
   /** Whether the parts have to be read before the job can be started. */
   public boolean incomplete() {
-    return !whole && phase == JobView.Phase.QUEUED;
+    return !whole && phase == JobStatus.Phase.QUEUED;
   }
 
   public static List<String> partKeys(String id, String submission, int parts) {
     return submission == null
         ? List.of()
-        : IntStream.range(0, parts).mapToObj(i -> Keys.parts(id, submission) + i).toList();
+        : IntStream.range(0, parts).mapToObj(i -> StorageKeys.parts(id, submission) + i).toList();
   }
 
   /** The texts of stored parts, by their keys. */
   public static Map<String, String> texts(List<StateMessage.Entry> entries) {
     Map<String, String> out = new HashMap<>();
-    entries.forEach(e -> out.put(e.key(), e.value().path("x").asText("")));
+    entries.forEach(entry -> out.put(entry.key(), entry.value().path("x").asText("")));
     return out;
   }
 
   public ObjectNode live() {
-    ObjectNode o = Json.object();
-    o.put("v", submission == null ? Keys.VERSION : Keys.SECOND);
-    o.put("p", phase.wire()).put("at", submittedWall);
-    o.set("s", spec.toJson());
+    ObjectNode object = Json.object();
+    object.put("v", submission == null ? StorageKeys.VERSION : StorageKeys.SECOND);
+    object.put("p", phase.wire()).put("at", submittedWall);
+    object.set("s", spec.toJson());
     if (submission != null) {
-      o.put("x", submission).put("k", parts);
+      object.put("x", submission).put("k", parts);
     }
-    return o;
+    return object;
   }
 
   /** The same with the submission elsewhere. */
-  public StoredJob inParts(String name, int count) {
-    return new StoredJob(phase, submittedWall, spec.withoutStart(), name, count, false);
+  public JobRecord inParts(String name, int count) {
+    return new JobRecord(phase, submittedWall, spec.withoutStart(), name, count, false);
   }
 
   /** Puts the whole submission in place of what the record holds of it. */
-  public StoredJob withParts(String id, Map<String, String> texts) throws MalformedException {
+  public JobRecord withParts(String id, Map<String, String> texts) throws MalformedException {
     StringBuilder text = new StringBuilder();
     for (String key : partKeys(id, submission, parts)) {
       text.append(texts.getOrDefault(key, ""));
     }
     try {
       JobSpec whole = JobSpec.parse(Json.parse(text.toString()));
-      return new StoredJob(phase, submittedWall, whole, submission, parts, true);
+      return new JobRecord(phase, submittedWall, whole, submission, parts, true);
     } catch (IOException e) {
       throw new MalformedException("not JSON");
     }
@@ -135,23 +135,23 @@
 
   /** The record of a job that is cancelled; what only starts need goes if a value is too short. */
   public static ObjectNode cancelled(JsonNode live, int valueBytes) {
-    ObjectNode o = live.deepCopy();
-    o.put("p", JobView.Phase.ABORTED.wire());
-    if (Json.bytes(o).length > valueBytes) {
+    ObjectNode object = live.deepCopy();
+    object.put("p", JobStatus.Phase.ABORTED.wire());
+    if (Json.bytes(object).length > valueBytes) {
       try {
-        o.set("s", JobSpec.parse(o.path("s")).withoutStart().toJson());
+        object.set("s", JobSpec.parse(object.path("s")).withoutStart().toJson());
       } catch (MalformedException e) {
-        o.remove("s");
+        object.remove("s");
       }
     }
-    return o;
+    return object;
   }
 
   /** The short record that remains of a job that is over. */
-  public static ObjectNode over(JobView.Phase phase, JobSpec spec) {
-    ObjectNode o = Json.object().put("v", Keys.VERSION).put("p", phase.wire());
-    o.put("n", spec.tasks());
-    return spec.service() ? o.put("service", true) : o;
+  public static ObjectNode over(JobStatus.Phase phase, JobSpec spec) {
+    ObjectNode object = Json.object().put("v", StorageKeys.VERSION).put("p", phase.wire());
+    object.put("n", spec.tasks());
+    return spec.service() ? object.put("service", true) : object;
   }
 
   /** A name for the parts of a text, cut to this size: the same for the same. */
@@ -185,6 +185,6 @@
   }
 
   private static ObjectNode part(String text, int from, int to) {
-    return Json.object().put("v", Keys.SECOND).put("x", text.substring(from, to));
+    return Json.object().put("v", StorageKeys.SECOND).put("x", text.substring(from, to));
   }
 }
--- a/src/main/java/org/snowturn/core/records/LruMap.java
+++ b/src/main/java/org/snowturn/core/storage/LruMap.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.records;
+package org.snowturn.core.storage;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/org/snowturn/core/records/Slot.java
+++ b/src/main/java/org/snowturn/core/storage/PendingRecord.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.records;
+package org.snowturn.core.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -7,7 +7,7 @@
 import org.snowturn.wire.StateMessage.Condition;
 
 /** One key that the leader writes, and how far its writing is. */
-public final class Slot {
+public final class PendingRecord {
   public final String key;
   public final Supplier<JsonNode> content;
   public final Supplier<Condition> guard;
@@ -23,7 +23,8 @@
    *
    * @param stamp the key's version, as it was read; 0: it does not exist
    */
-  public Slot(String key, long stamp, Supplier<JsonNode> content, Supplier<Condition> guard) {
+  public PendingRecord(
+      String key, long stamp, Supplier<JsonNode> content, Supplier<Condition> guard) {
     this.key = key;
     this.stamp = stamp;
     this.content = content;
--- a/src/main/java/org/snowturn/core/store/Loader.java
+++ b/src/main/java/org/snowturn/core/storage/RangeReader.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.store;
+package org.snowturn.core.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -6,8 +6,8 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.snowturn.core.Outcome;
-import org.snowturn.core.admission.Purpose;
-import org.snowturn.core.calls.Calls;
+import org.snowturn.core.admission.RequestClass;
+import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.recovery.Backoff;
 import org.snowturn.wire.MalformedException;
 import org.snowturn.wire.StateMessage;
@@ -16,18 +16,18 @@
  * Reads whole ranges of the state service, page by page, until it has them. What fails is tried
  * again ever later: at once, a refusal (429, 503) would become a loop at the network's speed.
  */
-public final class Loader {
+public final class RangeReader {
   private static final int TIMEOUT_MS = 2_500;
   private static final int PAGE = 500;
 
-  private final Calls calls;
-  private final Purpose purpose;
+  private final CoreRuntime runtime;
+  private final RequestClass purpose;
   private final Backoff backoff;
   private final BooleanSupplier over;
 
   /** Reads for a term. */
-  public Loader(Calls calls, BooleanSupplier over) {
-    this(calls, Purpose.WORK, over);
+  public RangeReader(CoreRuntime runtime, BooleanSupplier over) {
+    this(runtime, RequestClass.WORK, over);
   }
 
   /**
@@ -36,11 +36,11 @@
    * @param purpose what the reads are for
    * @param over whether nobody wants to know any more: nothing is tried again then
    */
-  public Loader(Calls calls, Purpose purpose, BooleanSupplier over) {
+  public RangeReader(CoreRuntime runtime, RequestClass purpose, BooleanSupplier over) {
     this.purpose = purpose;
     this.over = over;
-    this.calls = calls;
-    this.backoff = calls.backoff();
+    this.runtime = runtime;
+    this.backoff = runtime.backoff();
   }
 
   /** All keys of a range; {@code epoch} is the oldest revision that any page showed. */
@@ -58,7 +58,7 @@
       Consumer<Range> then) {
     String path =
         "/kv?prefix=" + prefix + "&most=" + PAGE + (since == null ? "" : "&since=" + since);
-    calls.state(
+    runtime.callState(
         purpose,
         "GET",
         path,
@@ -70,11 +70,11 @@
               take(prefix, body, sofar, epoch, then);
               return;
             } catch (MalformedException e) {
-              calls.note("unusable page of " + prefix + ": " + e.getMessage());
+              runtime.note("unusable page of " + prefix + ": " + e.getMessage());
             }
           }
           if (!over.getAsBoolean()) {
-            calls.again(backoff, () -> page(prefix, since, sofar, epoch, then));
+            runtime.retry(backoff, () -> page(prefix, since, sofar, epoch, then));
           }
         });
   }
--- a/src/main/java/org/snowturn/core/records/Spans.java
+++ b/src/main/java/org/snowturn/core/storage/RecordSizes.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.records;
+package org.snowturn.core.storage;
 
 /** How many tasks share a record: in the first format, and at most in the second. */
-public record Spans(int first, int second) {}
+public record RecordSizes(int first, int second) {}
--- a/src/main/java/org/snowturn/core/store/Writer.java
+++ b/src/main/java/org/snowturn/core/storage/RecordWriter.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.store;
+package org.snowturn.core.storage;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayDeque;
@@ -14,10 +14,8 @@
 import java.util.function.Supplier;
 import org.snowturn.config.Settings;
 import org.snowturn.core.Outcome;
-import org.snowturn.core.admission.Meter;
-import org.snowturn.core.calls.Calls;
-import org.snowturn.core.records.Keys;
-import org.snowturn.core.records.Slot;
+import org.snowturn.core.admission.RateMeter;
+import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.recovery.Backoff;
 import org.snowturn.wire.Json;
 import org.snowturn.wire.MalformedException;
@@ -32,7 +30,7 @@
  * is executed late, after this leader has lost its place or has written the key again, changes
  * nothing. A reply that never came is settled by reading.
  */
-public final class Writer {
+public final class RecordWriter {
   /** Slots of this urgency or more can wait a while. */
   public static final int CAN_WAIT = 20;
 
@@ -72,7 +70,11 @@
 
   /** A transaction of its own that begins or ends something. */
   private record Special(
-      Turn turn, List<Condition> when, List<Change> apply, Calls.Then then, long since) {}
+      Turn turn,
+      List<Condition> when,
+      List<Change> apply,
+      CoreRuntime.ReplyHandler then,
+      long since) {}
 
   /** What the writer needs of the leader. */
   public interface Host {
@@ -91,14 +93,14 @@
     void notTaken(String key);
   }
 
-  private final Calls calls;
+  private final CoreRuntime runtime;
   private final Host host;
   private final Supplier<Settings.StateLimits> limits;
   private final DoubleUnaryOperator share;
-  private final Map<String, Slot> slots = new HashMap<>();
-  private final TreeMap<Integer, LinkedHashMap<String, Slot>> dirty = new TreeMap<>();
+  private final Map<String, PendingRecord> slots = new HashMap<>();
+  private final TreeMap<Integer, LinkedHashMap<String, PendingRecord>> dirty = new TreeMap<>();
   private final Map<Turn, ArrayDeque<Special>> specials = new EnumMap<>(Turn.class);
-  private final Meter spent = new Meter(3_000);
+  private final RateMeter spent = new RateMeter(3_000);
   private double budget;
   private long filledAt;
   private int inFlight;
@@ -116,14 +118,17 @@
    * @param limits may become smaller at any time
    * @param share of so many changes a second for all, those that this leader may make now
    */
-  public Writer(
-      Calls calls, Host host, Supplier<Settings.StateLimits> limits, DoubleUnaryOperator share) {
+  public RecordWriter(
+      CoreRuntime runtime,
+      Host host,
+      Supplier<Settings.StateLimits> limits,
+      DoubleUnaryOperator share) {
     this.share = share;
-    this.calls = calls;
+    this.runtime = runtime;
     this.host = host;
     this.limits = limits;
     this.budget = rate();
-    this.filledAt = calls.now();
+    this.filledAt = runtime.now();
     for (Turn t : Turn.values()) {
       specials.put(t, new ArrayDeque<>());
     }
@@ -139,32 +144,34 @@
     return share.applyAsDouble(limits.get().writeRps());
   }
 
-  public Slot slot(String key, long stamp, Supplier<JsonNode> content, Supplier<Condition> guard) {
-    return slots.computeIfAbsent(key, k -> new Slot(k, stamp, content, guard));
+  public PendingRecord slot(
+      String key, long stamp, Supplier<JsonNode> content, Supplier<Condition> guard) {
+    return slots.computeIfAbsent(key, k -> new PendingRecord(k, stamp, content, guard));
   }
 
-  public void forget(Slot s) {
-    unqueue(s);
-    slots.remove(s.key);
+  public void forget(PendingRecord record) {
+    unqueue(record);
+    slots.remove(record.key);
   }
 
   /** Asks for the slot's content to be written; smaller urgencies go first. */
-  public void mark(Slot s, int urgency, Runnable onDurable) {
+  public void mark(PendingRecord record, int urgency, Runnable onDurable) {
     if (onDurable != null) {
-      s.onDurable.add(onDurable);
+      record.onDurable.add(onDurable);
     }
-    if (!s.dirty || urgency < s.urgency) {
-      s.since = s.dirty ? s.since : calls.now();
-      unqueue(s);
-      s.dirty = true;
-      s.urgency = urgency;
-      dirty.computeIfAbsent(urgency, u -> new LinkedHashMap<>()).put(s.key, s);
+    if (!record.dirty || urgency < record.urgency) {
+      record.since = record.dirty ? record.since : runtime.now();
+      unqueue(record);
+      record.dirty = true;
+      record.urgency = urgency;
+      dirty.computeIfAbsent(urgency, u -> new LinkedHashMap<>()).put(record.key, record);
     }
   }
 
   /** Queues one whole transaction; the leader key's condition is added. */
-  public void whole(Turn turn, List<Condition> when, List<Change> apply, Calls.Then then) {
-    specials.get(turn).add(new Special(turn, when, apply, then, calls.now()));
+  public void whole(
+      Turn turn, List<Condition> when, List<Change> apply, CoreRuntime.ReplyHandler then) {
+    specials.get(turn).add(new Special(turn, when, apply, then, runtime.now()));
   }
 
   /** Removes records that no longer mean anything, when there is time for it. */
@@ -176,20 +183,20 @@
   }
 
   /** Takes a slot out of the queue: its content is about to be removed. */
-  public void clear(Slot s) {
-    unqueue(s);
-    s.onDurable.clear();
+  public void clear(PendingRecord record) {
+    unqueue(record);
+    record.onDurable.clear();
   }
 
-  private void unqueue(Slot s) {
-    if (s.dirty) {
-      LinkedHashMap<String, Slot> queue = dirty.get(s.urgency);
-      queue.remove(s.key);
+  private void unqueue(PendingRecord record) {
+    if (record.dirty) {
+      LinkedHashMap<String, PendingRecord> queue = dirty.get(record.urgency);
+      queue.remove(record.key);
       if (queue.isEmpty()) {
-        dirty.remove(s.urgency);
+        dirty.remove(record.urgency);
       }
-      s.dirty = false;
-      s.urgency = Integer.MAX_VALUE;
+      record.dirty = false;
+      record.urgency = Integer.MAX_VALUE;
     }
   }
 
@@ -204,7 +211,7 @@
 
   /** Changes a second that this term has made lately. */
   public double spent() {
-    return spent.perSecond(calls.now());
+    return spent.perSecond(runtime.now());
   }
 
   public int waiting() {
@@ -216,7 +223,7 @@
   }
 
   public void flush() {
-    long now = calls.now();
+    long now = runtime.now();
     double rate = rate();
     budget = Math.min(rate, budget + rate * (now - filledAt) / 1000.0);
     filledAt = now;
@@ -232,10 +239,10 @@
     }
     special = specials.get(Turn.SPARE).peek();
     if (special != null
-        && calls.now() - special.since > SPARE_PATIENCE_MS
-        && calls.now() >= nextSpareAt
+        && runtime.now() - special.since > SPARE_PATIENCE_MS
+        && runtime.now() >= nextSpareAt
         && send(special, 0)) {
-      nextSpareAt = calls.now() + SPARE_EVERY_MS;
+      nextSpareAt = runtime.now() + SPARE_EVERY_MS;
       return true;
     }
     special = specials.get(Turn.NEXT).peek();
@@ -265,11 +272,11 @@
     }
     specials.get(special.turn).poll();
     budget -= cost;
-    spent.add(cost, calls.now());
+    spent.add(cost, runtime.now());
     inFlight++;
     List<Condition> when = new ArrayList<>(special.when);
-    when.add(0, new Condition(Keys.LEADER, host.token()));
-    calls.state(
+    when.add(0, new Condition(StorageKeys.LEADER, host.token()));
+    runtime.callState(
         "POST",
         "/txn",
         StateMessage.txn(when, special.apply),
@@ -277,11 +284,11 @@
         (outcome, status, body) -> {
           inFlight--;
           if (outcome == Outcome.REFUSED) {
-            pauseUntil = calls.now() + 200;
+            pauseUntil = runtime.now() + 200;
             specials.get(special.turn).addFirst(special);
           } else if (outcome == Outcome.ANSWERED
               && status == 409
-              && StateMessage.failed(body).contains(Keys.LEADER)) {
+              && StateMessage.failed(body).contains(StorageKeys.LEADER)) {
             host.leaderKeyLost();
           } else {
             special.then.on(outcome, status, body);
@@ -291,40 +298,40 @@
   }
 
   private boolean sendSlots() {
-    List<Slot> taken = new ArrayList<>();
+    List<PendingRecord> taken = new ArrayList<>();
     List<Condition> when = new ArrayList<>();
     List<Change> apply = new ArrayList<>();
-    when.add(new Condition(Keys.LEADER, host.token()));
+    when.add(new Condition(StorageKeys.LEADER, host.token()));
     Map<String, Condition> guards = new LinkedHashMap<>();
     int most = (int) Math.min(Math.min(limits.get().txnOps(), mostTogether), Math.floor(budget));
     int canWait = mostThatCanWait();
     int bytes = 0;
-    Slot overdue = most < 1 ? null : overdue();
-    List<Slot> first = overdue == null ? List.of() : List.of(overdue);
-    List<Collection<Slot>> queues = new ArrayList<>();
+    PendingRecord overdue = most < 1 ? null : overdue();
+    List<PendingRecord> first = overdue == null ? List.of() : List.of(overdue);
+    List<Collection<PendingRecord>> queues = new ArrayList<>();
     queues.add(first);
     dirty.values().forEach(q -> queues.add(q.values()));
     outer:
-    for (Collection<Slot> queue : queues) {
-      for (Slot s : queue) {
-        boolean urgent = s.urgency < CAN_WAIT || s == overdue;
+    for (Collection<PendingRecord> queue : queues) {
+      for (PendingRecord record : queue) {
+        boolean urgent = record.urgency < CAN_WAIT || record == overdue;
         boolean enough = taken.size() >= (urgent ? most : canWait);
         if (enough || taken.size() >= most || bytes > MAX_BYTES) {
           break outer;
         }
-        if (s.inFlight || (s == overdue && queue != first)) {
+        if (record.inFlight || (record == overdue && queue != first)) {
           continue;
         }
-        JsonNode value = s.content.get();
+        JsonNode value = record.content.get();
         int size = value == null ? 50 : Json.bytes(value).length + 250;
         if (!taken.isEmpty() && bytes + size > MAX_BYTES) {
           continue;
         }
         bytes += size;
-        taken.add(s);
-        when.add(new Condition(s.key, s.stamp));
-        apply.add(new Change(s.key, value, 0));
-        Condition g = s.guard.get();
+        taken.add(record);
+        when.add(new Condition(record.key, record.stamp));
+        apply.add(new Change(record.key, value, 0));
+        Condition g = record.guard.get();
         if (g != null) {
           guards.put(g.key(), g);
         }
@@ -336,18 +343,18 @@
     passed = taken.get(0) == overdue ? 0 : passed + taken.size();
     when.addAll(guards.values());
     budget -= taken.size();
-    spent.add(taken.size(), calls.now());
+    spent.add(taken.size(), runtime.now());
     inFlight++;
     List<List<Runnable>> actions = new ArrayList<>();
     List<Integer> urgencies = new ArrayList<>();
-    for (Slot s : taken) {
-      urgencies.add(s.urgency);
-      unqueue(s);
-      s.inFlight = true;
-      actions.add(s.onDurable);
-      s.onDurable = new ArrayList<>();
+    for (PendingRecord record : taken) {
+      urgencies.add(record.urgency);
+      unqueue(record);
+      record.inFlight = true;
+      actions.add(record.onDurable);
+      record.onDurable = new ArrayList<>();
     }
-    calls.state(
+    runtime.callState(
         "POST",
         "/txn",
         StateMessage.txn(when, apply),
@@ -358,25 +365,25 @@
   }
 
   /** The slot that has waited longest for its urgency behind others; null if none has its turn. */
-  private Slot overdue() {
+  private PendingRecord overdue() {
     if (passed < ONE_IN - 1) {
       return null;
     }
-    Slot found = null;
+    PendingRecord found = null;
     double longest = 1;
     boolean front = true;
     for (var queue : dirty.entrySet()) {
-      Slot head = null;
-      for (Slot s : queue.getValue().values()) {
-        if (!s.inFlight) {
-          head = s;
+      PendingRecord head = null;
+      for (PendingRecord record : queue.getValue().values()) {
+        if (!record.inFlight) {
+          head = record;
           break;
         }
       }
       boolean canWait = queue.getKey() >= CAN_WAIT;
       double patience = canWait ? PATIENCE_CAN_WAIT_MS : PATIENCE_MS;
-      if (!front && head != null && (calls.now() - head.since) / patience > longest) {
-        longest = (calls.now() - head.since) / patience;
+      if (!front && head != null && (runtime.now() - head.since) / patience > longest) {
+        longest = (runtime.now() - head.since) / patience;
         found = head;
       }
       front = false;
@@ -395,7 +402,7 @@
   }
 
   private void settle(
-      List<Slot> taken,
+      List<PendingRecord> taken,
       List<Change> apply,
       List<List<Runnable>> actions,
       List<Integer> urgencies,
@@ -408,46 +415,46 @@
       try {
         long epoch = StateMessage.epoch(body);
         for (int i = 0; i < taken.size(); i++) {
-          Slot s = taken.get(i);
-          s.inFlight = false;
-          s.stamp = apply.get(i).value() == null ? 0 : epoch;
+          PendingRecord record = taken.get(i);
+          record.inFlight = false;
+          record.stamp = apply.get(i).value() == null ? 0 : epoch;
         }
         actions.forEach(list -> list.forEach(Runnable::run));
         return;
       } catch (MalformedException e) {
-        calls.note("unusable reply to a write: " + e.getMessage());
+        runtime.note("unusable reply to a write: " + e.getMessage());
       }
     }
     if (outcome == Outcome.ANSWERED && status == 400 && taken.size() == 1) {
       // The same again would be refused for ever: it waits until there is something else to write.
-      Slot s = taken.get(0);
-      s.onDurable.addAll(0, actions.get(0));
-      s.inFlight = false;
+      PendingRecord record = taken.get(0);
+      record.onDurable.addAll(0, actions.get(0));
+      record.inFlight = false;
       mostTogether = Integer.MAX_VALUE; // it was this value, not the number of changes
-      calls.note("the state service will not have " + s.key + ": " + body);
-      host.notTaken(s.key);
+      runtime.note("the state service will not have " + record.key + ": " + body);
+      host.notTaken(record.key);
       return;
     }
     for (int i = 0; i < taken.size(); i++) {
-      Slot s = taken.get(i);
-      s.onDurable.addAll(0, actions.get(i));
-      mark(s, urgencies.get(i), null);
+      PendingRecord record = taken.get(i);
+      record.onDurable.addAll(0, actions.get(i));
+      mark(record, urgencies.get(i), null);
     }
     if (outcome == Outcome.ANSWERED && status == 400) {
       // Too many changes, or one of them too long: fewer at a time tell which.
       mostTogether = Math.max(1, taken.size() / 2);
-      calls.note("the state service will not have " + taken.size() + " changes at once: " + body);
-      taken.forEach(s -> s.inFlight = false);
+      runtime.note("the state service will not have " + taken.size() + " changes at once: " + body);
+      taken.forEach(record -> record.inFlight = false);
       return;
     }
     if (outcome == Outcome.REFUSED) {
-      taken.forEach(s -> s.inFlight = false);
-      pauseUntil = calls.now() + 200;
+      taken.forEach(record -> record.inFlight = false);
+      pauseUntil = runtime.now() + 200;
       return;
     }
     List<String> failed =
         outcome == Outcome.ANSWERED && status == 409 ? StateMessage.failed(body) : List.of();
-    if (failed.contains(Keys.LEADER)) {
+    if (failed.contains(StorageKeys.LEADER)) {
       host.leaderKeyLost();
       return;
     }
@@ -457,46 +464,46 @@
       }
     }
     if (failed.isEmpty()) {
-      pauseUntil = calls.now() + 100;
+      pauseUntil = runtime.now() + 100;
       taken.forEach(this::reread);
     } else {
-      for (Slot s : taken) {
-        if (failed.contains(s.key)) {
-          reread(s);
+      for (PendingRecord record : taken) {
+        if (failed.contains(record.key)) {
+          reread(record);
         } else {
-          s.inFlight = false;
+          record.inFlight = false;
         }
       }
     }
   }
 
   /** Learns a key's present version; the slot stays in flight until then. */
-  private void reread(Slot s) {
-    reread(s, calls.backoff());
+  private void reread(PendingRecord record) {
+    reread(record, runtime.backoff());
   }
 
-  private void reread(Slot s, Backoff backoff) {
-    calls.state("GET", "/kv/" + s.key, null, TIMEOUT_MS, rereadThen(s, backoff));
+  private void reread(PendingRecord record, Backoff backoff) {
+    runtime.callState("GET", "/kv/" + record.key, null, TIMEOUT_MS, rereadThen(record, backoff));
   }
 
-  private Calls.Then rereadThen(Slot s, Backoff backoff) {
+  private CoreRuntime.ReplyHandler rereadThen(PendingRecord record, Backoff backoff) {
     return (outcome, status, body) -> {
       if (outcome == Outcome.ANSWERED && status == 404) {
-        s.stamp = 0;
-        s.inFlight = false;
+        record.stamp = 0;
+        record.inFlight = false;
         return;
       }
       if (outcome == Outcome.ANSWERED && status == 200) {
         try {
-          s.stamp = StateMessage.entry(body).stamp();
-          s.inFlight = false;
+          record.stamp = StateMessage.entry(body).stamp();
+          record.inFlight = false;
           return;
         } catch (MalformedException e) {
-          calls.note("unusable reply for " + s.key + ": " + e.getMessage());
+          runtime.note("unusable reply for " + record.key + ": " + e.getMessage());
         }
       }
       if (!host.over()) {
-        calls.again(backoff, () -> reread(s, backoff));
+        runtime.retry(backoff, () -> reread(record, backoff));
       }
     };
   }
--- a/src/main/java/org/snowturn/core/records/Keys.java
+++ b/src/main/java/org/snowturn/core/storage/StorageKeys.java
@@ -1,10 +1,10 @@
-package org.snowturn.core.records;
+package org.snowturn.core.storage;
 
 /**
  * The names of the stored records. Every value carries its format's version as {@code v}; readers
  * ignore fields they do not know.
  */
-public final class Keys {
+public final class StorageKeys {
   public static final String LEADER = "l/leader";
   public static final String LEADER_PREFIX = "l/";
   public static final String JOBS = "j/";
@@ -26,7 +26,7 @@
   /** How many ordinary machines the operators kept up when the first leader came. */
   public static final String STANDING = "o/standing";
 
-  private Keys() {}
+  private StorageKeys() {}
 
   public static String job(String id) {
     return JOBS + id;
--- a/src/main/java/org/snowturn/core/records/TaskLayout.java
+++ b/src/main/java/org/snowturn/core/storage/TaskLayout.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.records;
+package org.snowturn.core.storage;
 
 /**
  * Which tasks of a job share a stored record. In the first format a record holds {@code first}
@@ -36,7 +36,7 @@
     return new TaskLayout(tasks, first, 1, first);
   }
 
-  public static TaskLayout second(int tasks, Spans spans) {
+  public static TaskLayout second(int tasks, RecordSizes spans) {
     int pieces = (spans.first() + spans.second() - 1) / spans.second();
     return new TaskLayout(tasks, spans.first(), pieces, (spans.first() + pieces - 1) / pieces);
   }
--- a/src/main/java/org/snowturn/daemon/Rehearsal.java
+++ b/src/main/java/org/snowturn/daemon/ClassLoadingWarmup.java
@@ -19,13 +19,13 @@
  * Runs the daemon for a moment so that the build can archive the classes it loads: on a small share
  * of a core most of the start-up is class loading.
  */
-final class Rehearsal {
+final class ClassLoadingWarmup {
   /**
    * A build machine may be busy with much else: two seconds were too few for two builds at once.
    */
   private static final int PATIENCE_MS = 30_000;
 
-  private Rehearsal() {}
+  private ClassLoadingWarmup() {}
 
   static int run() throws Exception {
     int serve = freePort();
@@ -94,7 +94,7 @@
 
   /** What only a leader uses is not met in a rehearsal, but a takeover should not wait for it. */
   private static void loadOwnClasses() throws Exception {
-    URI jar = Rehearsal.class.getProtectionDomain().getCodeSource().getLocation().toURI();
+    URI jar = ClassLoadingWarmup.class.getProtectionDomain().getCodeSource().getLocation().toURI();
     try (JarFile file = new JarFile(Path.of(jar).toFile())) {
       for (JarEntry e : Collections.list(file.entries())) {
         if (e.getName().endsWith(".class")) {
--- a/src/main/java/org/snowturn/daemon/Daemon.java
+++ b/src/main/java/org/snowturn/daemon/Daemon.java
@@ -20,7 +20,7 @@
 import org.snowturn.core.Controller;
 import org.snowturn.core.Effect;
 import org.snowturn.core.Input;
-import org.snowturn.front.Front;
+import org.snowturn.http.HttpApi;
 import org.snowturn.metrics.Metrics;
 import org.snowturn.net.HttpCaller;
 import org.snowturn.peer.PeerLinks;
@@ -68,14 +68,14 @@
   private XnioWorker bulkWorker;
   private XnioIoThread io;
   private XnioIoThread bulk;
-  private final Intake intake = new Intake(this::scheduleIntake);
+  private final InboundQueue intake = new InboundQueue(this::scheduleIntake);
   private final List<Runnable> forBulk = new ArrayList<>();
   private volatile boolean ready = true;
   private StateClient state;
   private CloudClient cloud;
   private WorkerClient workers;
   private PeerLinks peers;
-  private Front front;
+  private HttpApi front;
 
   /**
    * Prepares a controller.
@@ -107,7 +107,7 @@
     workers = new WorkerClient(bulk, buffers, this::connectionsToWorkers);
     peers = new PeerLinks(io, this::accept);
     front =
-        new Front(
+        new HttpApi(
             intake::offer,
             () -> ready,
             metrics,
@@ -119,7 +119,7 @@
             .setByteBufferPool(buffers)
             .addHttpListener(
                 settings.serveOn().getPort(), settings.serveOn().getAddress().getHostAddress())
-            .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, 4L * Front.MAX_BODY)
+            .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, 4L * HttpApi.MAX_BODY)
             .setServerOption(UndertowOptions.ENABLE_STATISTICS, true)
             .setServerOption(UndertowOptions.IDLE_TIMEOUT, 60_000)
             .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, 10_000)
@@ -204,8 +204,8 @@
   }
 
   private void gauges(Consumer<Map<String, Double>> then) {
-    Map<String, Double> g = controller.gauges();
-    bulk.execute(() -> then.accept(g));
+    Map<String, Double> gauges = controller.gauges();
+    bulk.execute(() -> then.accept(gauges));
   }
 
   private void accept(Input input) {
@@ -235,8 +235,8 @@
   private void handle(Input input) {
     try {
       long now = System.nanoTime() / 1_000_000;
-      for (Effect e : controller.handle(now, System.currentTimeMillis(), input)) {
-        perform(e);
+      for (Effect effect : controller.handle(now, System.currentTimeMillis(), input)) {
+        perform(effect);
       }
     } catch (RuntimeException e) {
       // One input must not end the process; what it was about is settled by time-outs.
@@ -245,22 +245,22 @@
     }
   }
 
-  private void perform(Effect e) {
-    if (e instanceof Effect.Answer a) {
-      forBulk.add(() -> front.answer(a));
-    } else if (e instanceof Effect.Call c) {
-      metrics.count("snowturn.calls", c.target().name().toLowerCase(java.util.Locale.ROOT));
-      switch (c.target()) {
-        case AUTHORITY, STATE, STATE_WATCH -> state.call(c, this::later);
-        case CLOUD -> cloud.call(c, this::later);
-        case WORKER -> forBulk.add(() -> workers.call(c, this::fromWorker));
+  private void perform(Effect effect) {
+    if (effect instanceof Effect.Answer answer) {
+      forBulk.add(() -> front.answer(answer));
+    } else if (effect instanceof Effect.Call call) {
+      metrics.count("snowturn.calls", call.target().name().toLowerCase(java.util.Locale.ROOT));
+      switch (call.target()) {
+        case AUTHORITY, STATE, STATE_WATCH -> state.call(call, this::later);
+        case CLOUD -> cloud.call(call, this::later);
+        case WORKER -> forBulk.add(() -> workers.call(call, this::fromWorker));
         default -> throw new IllegalStateException();
       }
-    } else if (e instanceof Effect.ToPeers p) {
-      peers.send(p.message());
-    } else if (e instanceof Effect.Note n) {
+    } else if (effect instanceof Effect.Broadcast broadcast) {
+      peers.send(broadcast.message());
+    } else if (effect instanceof Effect.Note n) {
       LOG.info("{}", n.text());
-    } else if (e instanceof Effect.Event event) {
+    } else if (effect instanceof Effect.Event event) {
       log(event);
     }
   }
@@ -285,9 +285,11 @@
   }
 
   private void noteFailure(Input input) {
-    if (input instanceof Input.Reply r && r.outcome() != org.snowturn.core.Outcome.ANSWERED) {
-      metrics.count("snowturn.calls.failed", r.outcome().name().toLowerCase(java.util.Locale.ROOT));
-      LOG.debug("call {} {} {}", r.call(), r.outcome(), r.status());
+    if (input instanceof Input.Reply reply
+        && reply.outcome() != org.snowturn.core.Outcome.ANSWERED) {
+      metrics.count(
+          "snowturn.calls.failed", reply.outcome().name().toLowerCase(java.util.Locale.ROOT));
+      LOG.debug("call {} {} {}", reply.call(), reply.outcome(), reply.status());
     }
   }
 }
--- a/src/main/java/org/snowturn/daemon/Intake.java
+++ b/src/main/java/org/snowturn/daemon/InboundQueue.java
@@ -14,7 +14,7 @@
  * <p>The queues need no bound of their own: requests are bounded where they come in, and of answers
  * there are no more than questions.
  */
-final class Intake {
+final class InboundQueue {
   private static final long SLICE_NANOS = 4_000_000;
 
   /** So many users' requests are taken for each of the workers' messages. */
@@ -26,13 +26,13 @@
   private final Runnable schedule;
 
   /** Calls {@code schedule} when something waits and {@link #drain} is not about to be called. */
-  Intake(Runnable schedule) {
+  InboundQueue(Runnable schedule) {
     this.schedule = schedule;
   }
 
   /** Takes an input, on any thread. */
   void offer(Input input) {
-    boolean worker = input instanceof Input.CheckIn || input instanceof Input.Reply;
+    boolean worker = input instanceof Input.HeartbeatReceived || input instanceof Input.Reply;
     (worker ? workers : users).offer(input);
     if (scheduled.compareAndSet(false, true)) {
       schedule.run();
--- a/src/main/java/org/snowturn/daemon/Main.java
+++ b/src/main/java/org/snowturn/daemon/Main.java
@@ -80,7 +80,7 @@
   @Override
   public Integer call() throws Exception {
     if (rehearse) {
-      return Rehearsal.run();
+      return ClassLoadingWarmup.run();
     }
     if (config == null) {
       System.err.println("snowturn: --config FILE is missing");
--- /dev/null
+++ b/src/main/java/org/snowturn/daemon/package-info.java
@@ -0,0 +1,2 @@
+/** The process: command line, wiring, I/O threads. */
+package org.snowturn.daemon;
--- a/src/main/java/org/snowturn/front/Front.java
+++ b/src/main/java/org/snowturn/http/HttpApi.java
@@ -1,4 +1,4 @@
-package org.snowturn.front;
+package org.snowturn.http;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.undertow.io.Receiver;
@@ -20,17 +20,17 @@
 import org.snowturn.core.Effect;
 import org.snowturn.core.Input;
 import org.snowturn.metrics.Metrics;
+import org.snowturn.wire.Heartbeat;
 import org.snowturn.wire.JobSpec;
 import org.snowturn.wire.Json;
 import org.snowturn.wire.MalformedException;
-import org.snowturn.wire.Report;
 
 /** The HTTP side that users, workers, the load balancer and operators see. */
-public final class Front implements HttpHandler {
+public final class HttpApi implements HttpHandler {
   /** Largest request body. */
   public static final int MAX_BODY = 64 * 1024;
 
-  private static final Logger LOG = LoggerFactory.getLogger(Front.class);
+  private static final Logger LOG = LoggerFactory.getLogger(HttpApi.class);
   private static final String RUNS = "/v2/runs";
   private static final HttpString RETRY_AFTER = new HttpString("Retry-After");
   private final Consumer<Input> core;
@@ -52,7 +52,7 @@
    *
    * @param gauges asks for the core's own figures, which come back on this server's thread
    */
-  public Front(
+  public HttpApi(
       Consumer<Input> core,
       BooleanSupplier ready,
       Metrics metrics,
@@ -66,80 +66,88 @@
   }
 
   @Override
-  public void handleRequest(HttpServerExchange x) {
-    String path = x.getRequestPath();
+  public void handleRequest(HttpServerExchange exchange) {
+    String path = exchange.getRequestPath();
     if (path.equals("/checkin")) {
-      if (allow(x, Methods.POST)) {
-        body(x, json -> open(x, "checkin", new Input.CheckIn(nextExchange, Report.parse(json))));
+      if (allow(exchange, Methods.POST)) {
+        body(
+            exchange,
+            json ->
+                open(
+                    exchange,
+                    "checkin",
+                    new Input.HeartbeatReceived(nextExchange, Heartbeat.parse(json))));
       }
     } else if (path.equals(RUNS)) {
-      if (allow(x, Methods.POST)) {
-        body(x, json -> open(x, "submit", new Input.Submit(nextExchange, JobSpec.parse(json))));
+      if (allow(exchange, Methods.POST)) {
+        body(
+            exchange,
+            json -> open(exchange, "submit", new Input.Submit(nextExchange, JobSpec.parse(json))));
       }
     } else if (path.startsWith(RUNS + "/")) {
-      job(x, path.substring(RUNS.length() + 1));
+      job(exchange, path.substring(RUNS.length() + 1));
     } else if (path.equals("/ready")) {
-      if (allow(x, Methods.GET)) {
-        finish(x, ready.getAsBoolean() ? 200 : 503, null);
+      if (allow(exchange, Methods.GET)) {
+        finish(exchange, ready.getAsBoolean() ? 200 : 503, null);
       }
     } else if (path.equals("/metrics")) {
-      if (allow(x, Methods.GET)) {
-        x.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain");
+      if (allow(exchange, Methods.GET)) {
+        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain");
         Consumer<Map<String, Double>> show =
-            g -> finish(x, 200, metrics.text(g).getBytes(StandardCharsets.UTF_8));
-        x.dispatch(SameThreadExecutor.INSTANCE, () -> gauges.accept(show));
+            gauges -> finish(exchange, 200, metrics.text(gauges).getBytes(StandardCharsets.UTF_8));
+        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> gauges.accept(show));
       }
     } else {
-      finish(x, 404, null);
+      finish(exchange, 404, null);
     }
   }
 
-  private void job(HttpServerExchange x, String rest) {
+  private void job(HttpServerExchange exchange, String rest) {
     boolean cancel = rest.endsWith("/cancel");
     String id = cancel ? rest.substring(0, rest.length() - "/cancel".length()) : rest;
-    if (!allow(x, cancel ? Methods.POST : Methods.GET)) {
+    if (!allow(exchange, cancel ? Methods.POST : Methods.GET)) {
       return;
     }
     if (!JobSpec.isId(id)) {
-      finish(x, 404, null);
+      finish(exchange, 404, null);
     } else if (cancel) {
       // A body, if any, is read and ignored, so that the connection can be used again.
-      receive(x, bytes -> open(x, "cancel", new Input.Cancel(nextExchange, id)));
+      receive(exchange, bytes -> open(exchange, "cancel", new Input.Cancel(nextExchange, id)));
     } else {
-      open(x, "poll", new Input.Poll(nextExchange, id));
+      open(exchange, "poll", new Input.Poll(nextExchange, id));
     }
   }
 
-  private boolean allow(HttpServerExchange x, HttpString method) {
-    if (x.getRequestMethod().equals(method)) {
+  private boolean allow(HttpServerExchange exchange, HttpString method) {
+    if (exchange.getRequestMethod().equals(method)) {
       return true;
     }
-    x.getResponseHeaders().put(Headers.ALLOW, method.toString());
-    finish(x, 405, null);
+    exchange.getResponseHeaders().put(Headers.ALLOW, method.toString());
+    finish(exchange, 405, null);
     return false;
   }
 
-  private void body(HttpServerExchange x, WithBody then) {
+  private void body(HttpServerExchange exchange, WithBody then) {
     receive(
-        x,
+        exchange,
         bytes -> {
           try {
             then.on(Json.parse(bytes));
           } catch (IOException e) {
-            malformed(x, "not JSON");
+            malformed(exchange, "not JSON");
           } catch (MalformedException e) {
-            malformed(x, e.getMessage());
+            malformed(exchange, e.getMessage());
           }
         });
   }
 
-  private void receive(HttpServerExchange x, Consumer<byte[]> then) {
-    if (x.getRequestContentLength() > MAX_BODY) {
-      x.setPersistent(false);
-      finish(x, 413, null);
+  private void receive(HttpServerExchange exchange, Consumer<byte[]> then) {
+    if (exchange.getRequestContentLength() > MAX_BODY) {
+      exchange.setPersistent(false);
+      finish(exchange, 413, null);
       return;
     }
-    Receiver receiver = x.getRequestReceiver();
+    Receiver receiver = exchange.getRequestReceiver();
     receiver.setMaxBufferSize(MAX_BODY);
     receiver.receiveFullBytes(
         (ex, bytes) -> then.accept(bytes),
@@ -149,51 +157,51 @@
         });
   }
 
-  private void malformed(HttpServerExchange x, String why) {
+  private void malformed(HttpServerExchange exchange, String why) {
     metrics.count("snowturn.requests.malformed", "any");
-    finish(x, 400, Json.bytes(Json.object().put("error", why)));
+    finish(exchange, 400, Json.bytes(Json.object().put("error", why)));
   }
 
   /** Hands the request to the core once this call's stack has unwound. */
-  private void open(HttpServerExchange x, String kind, Input input) {
+  private void open(HttpServerExchange exchange, String kind, Input input) {
     if (waiting.size() >= mostOpen) {
-      x.getResponseHeaders().put(RETRY_AFTER, 2);
-      finish(x, 503, null);
+      exchange.getResponseHeaders().put(RETRY_AFTER, 2);
+      finish(exchange, 503, null);
       return;
     }
     long id = nextExchange++;
-    waiting.put(id, new Waiting(x, kind, System.nanoTime()));
+    waiting.put(id, new Waiting(exchange, kind, System.nanoTime()));
     metrics.count("snowturn.requests", kind);
-    x.dispatch(SameThreadExecutor.INSTANCE, () -> core.accept(input));
+    exchange.dispatch(SameThreadExecutor.INSTANCE, () -> core.accept(input));
   }
 
   /** Sends the core's answer. */
-  public void answer(Effect.Answer a) {
-    Waiting w = waiting.remove(a.exchange());
+  public void answer(Effect.Answer answer) {
+    Waiting w = waiting.remove(answer.exchange());
     if (w == null) {
       return;
     }
     metrics.took("snowturn." + w.kind, System.nanoTime() - w.sinceNanos);
-    if (a.status() >= 500) {
-      LOG.debug("{} refused with {}", w.kind, a.status());
+    if (answer.status() >= 500) {
+      LOG.debug("{} refused with {}", w.kind, answer.status());
       metrics.count("snowturn.requests.refused", w.kind);
     }
-    if (a.retryAfterS() > 0) {
-      w.exchange.getResponseHeaders().put(RETRY_AFTER, a.retryAfterS());
+    if (answer.retryAfterS() > 0) {
+      w.exchange.getResponseHeaders().put(RETRY_AFTER, answer.retryAfterS());
     }
-    finish(w.exchange, a.status(), a.body() == null ? null : Json.bytes(a.body()));
+    finish(w.exchange, answer.status(), answer.body() == null ? null : Json.bytes(answer.body()));
   }
 
-  private static void finish(HttpServerExchange x, int status, byte[] body) {
-    x.setStatusCode(status);
+  private static void finish(HttpServerExchange exchange, int status, byte[] body) {
+    exchange.setStatusCode(status);
     if (body == null) {
-      x.getResponseHeaders().put(Headers.CONTENT_LENGTH, 0);
-      x.endExchange();
+      exchange.getResponseHeaders().put(Headers.CONTENT_LENGTH, 0);
+      exchange.endExchange();
       return;
     }
-    if (!x.getResponseHeaders().contains(Headers.CONTENT_TYPE)) {
-      x.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
+    if (!exchange.getResponseHeaders().contains(Headers.CONTENT_TYPE)) {
+      exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
     }
-    x.getResponseSender().send(ByteBuffer.wrap(body));
+    exchange.getResponseSender().send(ByteBuffer.wrap(body));
   }
 }
--- /dev/null
+++ b/src/main/java/org/snowturn/http/package-info.java
@@ -0,0 +1,2 @@
+/** The HTTP server for users, workers, the load balancer and operators. */
+package org.snowturn.http;
--- /dev/null
+++ b/src/main/java/org/snowturn/metrics/package-info.java
@@ -0,0 +1,2 @@
+/** Meters of the process. */
+package org.snowturn.metrics;
--- a/src/main/java/org/snowturn/net/HttpCaller.java
+++ b/src/main/java/org/snowturn/net/HttpCaller.java
@@ -84,7 +84,7 @@
         c.body() == null ? null : Json.bytes(c.body()),
         c.timeoutMs(),
         (outcome, status, bytes, retryAfterS) ->
-            reply.accept(Replies.of(c, outcome, status, bytes, retryAfterS)));
+            reply.accept(HttpReplies.of(c, outcome, status, bytes, retryAfterS)));
   }
 
   /** Sends a request; {@code then} is called exactly once. */
--- a/src/main/java/org/snowturn/net/Replies.java
+++ b/src/main/java/org/snowturn/net/HttpReplies.java
@@ -10,34 +10,34 @@
 import org.snowturn.wire.Json;
 
 /** Turns HTTP replies into inputs; an unusable reply counts as none. */
-public final class Replies {
-  private static final Logger LOG = LoggerFactory.getLogger(Replies.class);
+public final class HttpReplies {
+  private static final Logger LOG = LoggerFactory.getLogger(HttpReplies.class);
 
-  private Replies() {}
+  private HttpReplies() {}
 
   /** The input for one reply. */
   public static Input.Reply of(
-      Effect.Call c, Outcome outcome, int status, byte[] bytes, int retryAfterS) {
+      Effect.Call call, Outcome outcome, int status, byte[] bytes, int retryAfterS) {
     if (outcome != Outcome.ANSWERED) {
-      return new Input.Reply(c.id(), outcome, 0, null);
+      return new Input.Reply(call.id(), outcome, 0, null);
     }
     JsonNode body = null;
     if (bytes != null && bytes.length > 0) {
       try {
         body = Json.parse(bytes);
       } catch (IOException e) {
-        LOG.warn("{} {}: reply is not JSON", c.method(), c.path());
-        return new Input.Reply(c.id(), Outcome.UNKNOWN, 0, null);
+        LOG.warn("{} {}: reply is not JSON", call.method(), call.path());
+        return new Input.Reply(call.id(), Outcome.UNKNOWN, 0, null);
       }
     }
-    boolean worker = c.target() == Effect.Target.WORKER;
+    boolean worker = call.target() == Effect.Target.WORKER;
     if (status == 429 || status == 503) {
       Outcome what = worker ? Outcome.UNKNOWN : Outcome.REFUSED;
-      return new Input.Reply(c.id(), what, status, body, retryAfterS * 1000L);
+      return new Input.Reply(call.id(), what, status, body, retryAfterS * 1000L);
     }
     if (status >= 500) {
-      return new Input.Reply(c.id(), Outcome.UNKNOWN, status, body);
+      return new Input.Reply(call.id(), Outcome.UNKNOWN, status, body);
     }
-    return new Input.Reply(c.id(), Outcome.ANSWERED, status, body);
+    return new Input.Reply(call.id(), Outcome.ANSWERED, status, body);
   }
 }
--- /dev/null
+++ b/src/main/java/org/snowturn/net/package-info.java
@@ -0,0 +1,2 @@
+/** Calls over persistent HTTP connections. */
+package org.snowturn.net;
--- a/src/main/java/org/snowturn/peer/PeerCodec.java
+++ b/src/main/java/org/snowturn/peer/PeerCodec.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import java.util.Map;
 import org.snowturn.core.Outcome;
-import org.snowturn.core.PeerRecord;
-import org.snowturn.core.admission.Needs;
-import org.snowturn.core.reach.Connectivity;
+import org.snowturn.core.PeerMessage;
+import org.snowturn.core.admission.RateDemands;
+import org.snowturn.core.connectivity.Connectivity;
 import org.snowturn.wire.Json;
 
 /**
@@ -45,79 +45,79 @@
   private PeerCodec() {}
 
   /** The record with its length. */
-  public static byte[] encode(PeerRecord r) {
+  public static byte[] encode(PeerMessage message) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
     try (DataOutputStream out = new DataOutputStream(bytes)) {
       out.writeShort(0);
       out.writeByte(VERSION);
-      if (r instanceof PeerRecord.Status x) {
-        head(out, STATUS, r);
+      if (message instanceof PeerMessage.StandbyStatus x) {
+        head(out, STATUS, message);
         out.writeBoolean(x.stateOk());
-      } else if (r instanceof PeerRecord.Ask x) {
-        head(out, ASK, r);
+      } else if (message instanceof PeerMessage.PromiseRequest x) {
+        head(out, ASK, message);
         out.writeLong(x.seq());
         out.writeLong(x.token());
         out.writeBoolean(x.trouble());
-      } else if (r instanceof PeerRecord.Promise x) {
-        head(out, PROMISE, r);
+      } else if (message instanceof PeerMessage.Promise x) {
+        head(out, PROMISE, message);
         out.writeLong(x.seq());
         out.writeLong(x.token());
         out.writeInt(x.durationMs());
         out.writeBoolean(x.stateOk());
-      } else if (r instanceof PeerRecord.Resign x) {
-        head(out, RESIGN, r);
+      } else if (message instanceof PeerMessage.StepDown x) {
+        head(out, RESIGN, message);
         out.writeLong(x.lease());
         out.writeLong(x.token());
-      } else if (r instanceof PeerRecord.Progress x) {
-        head(out, PROGRESS, r);
+      } else if (message instanceof PeerMessage.JobProgress x) {
+        head(out, PROGRESS, message);
         out.writeUTF(x.job());
         out.writeInt(x.done());
         out.writeInt(x.running());
-      } else if (r instanceof PeerRecord.Reaches x) {
-        head(out, REACHES, r);
+      } else if (message instanceof PeerMessage.ConnectivityReport x) {
+        head(out, REACHES, message);
         out.writeInt(x.reach().stateMs());
         out.writeInt(x.reach().workersMs());
-      } else if (r instanceof PeerRecord.Sample x) {
-        head(out, SAMPLE, r);
+      } else if (message instanceof PeerMessage.WorkerSample x) {
+        head(out, SAMPLE, message);
         texts(out, x.workers());
-      } else if (r instanceof PeerRecord.Relay x) {
-        head(out, RELAY, r);
+      } else if (message instanceof PeerMessage.RelayRequest x) {
+        head(out, RELAY, message);
         out.writeUTF(x.to());
         out.writeLong(x.seq());
         out.writeUTF(x.method());
         out.writeUTF(x.path());
         out.writeInt(x.timeoutMs());
         json(out, x.body());
-      } else if (r instanceof PeerRecord.Relayed x) {
-        head(out, RELAYED, r);
+      } else if (message instanceof PeerMessage.RelayReply x) {
+        head(out, RELAYED, message);
         out.writeUTF(x.to());
         out.writeLong(x.seq());
         out.writeByte(x.outcome().ordinal());
         out.writeInt(x.status());
         json(out, x.body());
-      } else if (r instanceof PeerRecord.Need x) {
-        head(out, NEED, r);
-        out.writeDouble(x.need().requests());
-        out.writeDouble(x.need().submitted());
-        out.writeDouble(x.need().led());
-      } else if (r instanceof PeerRecord.Offer x) {
-        head(out, OFFER, r);
+      } else if (message instanceof PeerMessage.RateDemandReport x) {
+        head(out, NEED, message);
+        out.writeDouble(x.demand().requests());
+        out.writeDouble(x.demand().submitted());
+        out.writeDouble(x.demand().led());
+      } else if (message instanceof PeerMessage.LeaseHandover x) {
+        head(out, OFFER, message);
         out.writeLong(x.lease());
         out.writeLong(x.token());
-      } else if (r instanceof PeerRecord.LeaseEnded x) {
-        head(out, LEASE_ENDED, r);
+      } else if (message instanceof PeerMessage.LeaseEnded x) {
+        head(out, LEASE_ENDED, message);
         out.writeLong(x.token());
-      } else if (r instanceof PeerRecord.AskCancelled x) {
-        head(out, ASK_CANCELLED, r);
+      } else if (message instanceof PeerMessage.CancellationsRequest x) {
+        head(out, ASK_CANCELLED, message);
         out.writeLong(x.seq());
         out.writeShort(x.heard().size());
-        for (Map.Entry<String, PeerRecord.Heard> e : x.heard().entrySet()) {
+        for (Map.Entry<String, PeerMessage.LogPosition> e : x.heard().entrySet()) {
           out.writeUTF(e.getKey());
           out.writeUTF(e.getValue().life());
           out.writeLong(e.getValue().upTo());
         }
-      } else if (r instanceof PeerRecord.Cancelled x) {
-        head(out, CANCELLED, r);
+      } else if (message instanceof PeerMessage.CancellationsReply x) {
+        head(out, CANCELLED, message);
         out.writeUTF(x.to());
         out.writeLong(x.seq());
         out.writeUTF(x.life());
@@ -138,28 +138,30 @@
   }
 
   /** Reads a record without its length; null for one that this version does not know. */
-  public static PeerRecord decode(byte[] body) throws IOException {
+  public static PeerMessage decode(byte[] body) throws IOException {
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(body));
     in.readByte();
     int kind = in.readByte();
     String from = in.readUTF();
     return switch (kind) {
-      case STATUS -> new PeerRecord.Status(from, in.readBoolean());
-      case ASK -> new PeerRecord.Ask(from, in.readLong(), in.readLong(), in.readBoolean());
+      case STATUS -> new PeerMessage.StandbyStatus(from, in.readBoolean());
+      case ASK ->
+          new PeerMessage.PromiseRequest(from, in.readLong(), in.readLong(), in.readBoolean());
       case PROMISE ->
-          new PeerRecord.Promise(
+          new PeerMessage.Promise(
               from, in.readLong(), in.readLong(), in.readInt(), in.readBoolean());
-      case RESIGN -> new PeerRecord.Resign(from, in.readLong(), in.readLong());
-      case PROGRESS -> new PeerRecord.Progress(from, in.readUTF(), in.readInt(), in.readInt());
-      case REACHES -> new PeerRecord.Reaches(from, new Connectivity(in.readInt(), in.readInt()));
-      case SAMPLE -> new PeerRecord.Sample(from, texts(in));
+      case RESIGN -> new PeerMessage.StepDown(from, in.readLong(), in.readLong());
+      case PROGRESS -> new PeerMessage.JobProgress(from, in.readUTF(), in.readInt(), in.readInt());
+      case REACHES ->
+          new PeerMessage.ConnectivityReport(from, new Connectivity(in.readInt(), in.readInt()));
+      case SAMPLE -> new PeerMessage.WorkerSample(from, texts(in));
       case RELAY -> {
         String to = in.readUTF();
         long seq = in.readLong();
         String method = in.readUTF();
         String path = in.readUTF();
         int timeoutMs = in.readInt();
-        yield new PeerRecord.Relay(from, to, seq, method, path, json(in), timeoutMs);
+        yield new PeerMessage.RelayRequest(from, to, seq, method, path, json(in), timeoutMs);
       }
       case RELAYED -> {
         String to = in.readUTF();
@@ -172,16 +174,16 @@
             outcome >= 0 && outcome < Outcome.values().length
                 ? Outcome.values()[outcome]
                 : Outcome.UNKNOWN;
-        yield new PeerRecord.Relayed(from, to, seq, known, status, answer);
+        yield new PeerMessage.RelayReply(from, to, seq, known, status, answer);
       }
       case NEED ->
-          new PeerRecord.Need(
-              from, new Needs.Need(in.readDouble(), in.readDouble(), in.readDouble()));
-      case OFFER -> new PeerRecord.Offer(from, in.readLong(), in.readLong());
-      case LEASE_ENDED -> new PeerRecord.LeaseEnded(from, in.readLong());
-      case ASK_CANCELLED -> new PeerRecord.AskCancelled(from, in.readLong(), heard(in));
+          new PeerMessage.RateDemandReport(
+              from, new RateDemands.Demand(in.readDouble(), in.readDouble(), in.readDouble()));
+      case OFFER -> new PeerMessage.LeaseHandover(from, in.readLong(), in.readLong());
+      case LEASE_ENDED -> new PeerMessage.LeaseEnded(from, in.readLong());
+      case ASK_CANCELLED -> new PeerMessage.CancellationsRequest(from, in.readLong(), heard(in));
       case CANCELLED ->
-          new PeerRecord.Cancelled(
+          new PeerMessage.CancellationsReply(
               from,
               in.readUTF(),
               in.readLong(),
@@ -195,11 +197,11 @@
     };
   }
 
-  private static Map<String, PeerRecord.Heard> heard(DataInputStream in) throws IOException {
+  private static Map<String, PeerMessage.LogPosition> heard(DataInputStream in) throws IOException {
     int n = in.readUnsignedShort();
-    Map<String, PeerRecord.Heard> out = new HashMap<>();
+    Map<String, PeerMessage.LogPosition> out = new HashMap<>();
     for (int i = 0; i < n; i++) {
-      out.put(in.readUTF(), new PeerRecord.Heard(in.readUTF(), in.readLong()));
+      out.put(in.readUTF(), new PeerMessage.LogPosition(in.readUTF(), in.readLong()));
     }
     return Map.copyOf(out);
   }
@@ -232,8 +234,8 @@
     return bytes.length == 0 ? null : Json.parse(bytes);
   }
 
-  private static void head(DataOutputStream out, int kind, PeerRecord r) throws IOException {
+  private static void head(DataOutputStream out, int kind, PeerMessage message) throws IOException {
     out.writeByte(kind);
-    out.writeUTF(r.from());
+    out.writeUTF(message.from());
   }
 }
--- a/src/main/java/org/snowturn/peer/PeerLinks.java
+++ b/src/main/java/org/snowturn/peer/PeerLinks.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.snowturn.core.Input;
-import org.snowturn.core.PeerRecord;
+import org.snowturn.core.PeerMessage;
 import org.xnio.ChannelListener;
 import org.xnio.IoFuture;
 import org.xnio.IoUtils;
@@ -70,8 +70,8 @@
   }
 
   /** Sends a record to every peer that is connected. */
-  public void send(PeerRecord r) {
-    byte[] bytes = PeerCodec.encode(r);
+  public void send(PeerMessage message) {
+    byte[] bytes = PeerCodec.encode(message);
     if (bytes.length > PeerCodec.MAX) {
       LOG.debug("record of {} bytes not sent", bytes.length);
       return;
@@ -192,7 +192,7 @@
     }
 
     /** One record that is malformed must not take the link with it. */
-    private PeerRecord decoded(byte[] body) {
+    private PeerMessage decoded(byte[] body) {
       try {
         return PeerCodec.decode(body);
       } catch (IOException e) {
@@ -214,9 +214,9 @@
         buffer.getShort();
         byte[] body = new byte[length];
         buffer.get(body);
-        PeerRecord r = decoded(body);
-        if (r != null) {
-          core.accept(new Input.FromPeer(r));
+        PeerMessage message = decoded(body);
+        if (message != null) {
+          core.accept(new Input.FromPeer(message));
         }
       }
       buffer.compact();
--- /dev/null
+++ b/src/main/java/org/snowturn/peer/package-info.java
@@ -0,0 +1,2 @@
+/** Messages between controllers: codec and connections. */
+package org.snowturn.peer;
--- a/src/main/java/org/snowturn/state/StateClient.java
+++ b/src/main/java/org/snowturn/state/StateClient.java
@@ -22,13 +22,13 @@
   }
 
   /** Makes the call and hands in its reply. */
-  public void call(Effect.Call c, Consumer<Input> reply) {
+  public void call(Effect.Call call, Consumer<Input> reply) {
     HttpCaller via =
-        switch (c.target()) {
+        switch (call.target()) {
           case AUTHORITY -> authority;
           case STATE_WATCH -> watches;
           default -> caller;
         };
-    via.call(c, reply);
+    via.call(call, reply);
   }
 }
--- /dev/null
+++ b/src/main/java/org/snowturn/state/package-info.java
@@ -0,0 +1,2 @@
+/** Client of the consensus-backed key-value store. */
+package org.snowturn.state;
--- a/src/main/java/org/snowturn/wire/CloudMachine.java
+++ b/src/main/java/org/snowturn/wire/CloudMachine.java
@@ -20,23 +20,23 @@
     public static Page parse(JsonNode node) throws MalformedException {
       List<CloudMachine> out = new ArrayList<>();
       Fields top = new Fields(node);
-      for (JsonNode n : top.node("drifts")) {
-        Fields f = new Fields(n);
+      for (JsonNode machine : top.node("drifts")) {
+        Fields fields = new Fields(machine);
         State state =
-            switch (f.text("phase")) {
+            switch (fields.text("phase")) {
               case "running" -> State.RUNNING;
               case "failed" -> State.FAILED;
               default -> State.STARTING;
             };
         out.add(
             new CloudMachine(
-                f.text("id"),
-                f.textOrNull("addr"),
-                f.text("hull"),
-                f.text("field"),
-                f.flag("loaners", false),
+                fields.text("id"),
+                fields.textOrNull("addr"),
+                fields.text("hull"),
+                fields.text("field"),
+                fields.flag("loaners", false),
                 state,
-                f.number("held_s", 0, 1e12, 0)));
+                fields.number("held_s", 0, 1e12, 0)));
       }
       return new Page(out, top.flag("truncated", false));
     }
@@ -45,7 +45,7 @@
   /** The names a rental returned. */
   public static List<String> parseHired(JsonNode node) throws MalformedException {
     List<String> out = new ArrayList<>();
-    new Fields(node).node("drifts").forEach(n -> out.add(n.asText()));
+    new Fields(node).node("drifts").forEach(name -> out.add(name.asText()));
     return out;
   }
 
@@ -61,8 +61,8 @@
 
   /** The body of a deletion. */
   public static JsonNode delete(List<String> ids) {
-    var o = Json.object();
-    ids.forEach(o.putArray("drifts")::add);
-    return o;
+    var object = Json.object();
+    ids.forEach(object.putArray("drifts")::add);
+    return object;
   }
 }
--- a/src/main/java/org/snowturn/wire/Command.java
+++ b/src/main/java/org/snowturn/wire/Command.java
@@ -15,24 +15,24 @@
 
   /** The body of a 200 to a report. */
   public static ObjectNode answer(long token, List<Command> commands) {
-    ObjectNode o = Json.object();
-    o.put("baton", token);
-    ArrayNode a = o.putArray("orders");
-    for (Command c : commands) {
-      ObjectNode n = a.addObject();
-      n.put(
+    ObjectNode object = Json.object();
+    object.put("baton", token);
+    ArrayNode array = object.putArray("orders");
+    for (Command command : commands) {
+      ObjectNode order = array.addObject();
+      order.put(
           "verb",
-          switch (c.op) {
+          switch (command.op) {
             case START -> "start";
             case STOP -> "halt";
             case FORGET -> "forget";
           });
-      n.put("flake", c.job + "/" + c.task).put("try", c.attempt);
-      if (c.op == Op.STOP) {
-        n.put("melt_s", c.graceS);
+      order.put("flake", command.job + "/" + command.task).put("try", command.attempt);
+      if (command.op == Op.STOP) {
+        order.put("melt_s", command.graceS);
       }
     }
-    return o;
+    return object;
   }
 
   /** The body of a direct command message. */
@@ -42,10 +42,10 @@
 
   /** The body of a 421; {@code leader} may be null. */
   public static ObjectNode elsewhere(String leader) {
-    ObjectNode o = Json.object();
+    ObjectNode object = Json.object();
     if (leader != null) {
-      o.put("steward", leader);
+      object.put("steward", leader);
     }
-    return o;
+    return object;
   }
 }
--- a/src/main/java/org/snowturn/wire/JobSpec.java
+++ b/src/main/java/org/snowturn/wire/JobSpec.java
@@ -79,18 +79,18 @@
    * be a guess of what the user wants.
    */
   public static JobSpec parse(JsonNode node) throws MalformedException {
-    Fields f = new Fields(node);
-    String id = f.text("id");
+    Fields fields = new Fields(node);
+    String id = fields.text("id");
     if (!isId(id)) {
       throw new MalformedException("id: not a job id");
     }
     List<String> types = null;
-    if (f.has("hulls")) {
-      if (!f.node("hulls").isArray()) {
+    if (fields.has("hulls")) {
+      if (!fields.node("hulls").isArray()) {
         throw new MalformedException("hulls: list expected");
       }
       types = new ArrayList<>();
-      for (JsonNode t : f.node("hulls")) {
+      for (JsonNode t : fields.node("hulls")) {
         if (!t.isTextual()) {
           throw new MalformedException("hulls: list of texts expected");
         }
@@ -98,46 +98,46 @@
       }
       types = List.copyOf(types);
     }
-    double cpus = f.number("cores", 0, 1e6);
-    double gpus = f.number("cards", 0, 1e6);
-    double memory = f.number("ram_gb", 0, 1e9);
+    double cpus = fields.number("cores", 0, 1e6);
+    double gpus = fields.number("cards", 0, 1e6);
+    double memory = fields.number("ram_gb", 0, 1e9);
     return new JobSpec(
         id,
-        f.text("jobclass"),
-        f.text("owner"),
-        Kind.parse(f.text("shape")),
-        Priority.parse(f.text("rank")),
-        (int) f.integer("flakes", 1, MAX_TASKS),
+        fields.text("jobclass"),
+        fields.text("owner"),
+        Kind.parse(fields.text("shape")),
+        Priority.parse(fields.text("rank")),
+        (int) fields.integer("flakes", 1, MAX_TASKS),
         cpus,
         gpus,
         memory,
-        f.text("bundle"),
-        f.number("size_gb", 0, 1e6),
+        fields.text("bundle"),
+        fields.number("size_gb", 0, 1e6),
         types,
-        f.textOrNull("field"),
-        f.flag("same_place"),
-        f.flag("spread"),
-        f.flag("loaners"),
-        f.number("guess_s", 0, 1e9),
-        f.number("cairn_s", 0, 1e9),
-        f.number("stash_s", 0, 1e9),
-        f.number("due_s", 0, 1e9, Double.NaN),
-        awaits(f));
+        fields.textOrNull("field"),
+        fields.flag("same_place"),
+        fields.flag("spread"),
+        fields.flag("loaners"),
+        fields.number("guess_s", 0, 1e9),
+        fields.number("cairn_s", 0, 1e9),
+        fields.number("stash_s", 0, 1e9),
+        fields.number("due_s", 0, 1e9, Double.NaN),
+        awaits(fields));
   }
 
-  private static List<String> awaits(Fields f) throws MalformedException {
-    if (!f.has("awaits")) {
+  private static List<String> awaits(Fields fields) throws MalformedException {
+    if (!fields.has("awaits")) {
       return List.of();
     }
-    if (!f.node("awaits").isArray()) {
+    if (!fields.node("awaits").isArray()) {
       throw new MalformedException("awaits: list expected");
     }
     Set<String> ids = new LinkedHashSet<>();
-    for (JsonNode n : f.node("awaits")) {
-      if (!n.isTextual() || !isId(n.textValue())) {
+    for (JsonNode node : fields.node("awaits")) {
+      if (!node.isTextual() || !isId(node.textValue())) {
         throw new MalformedException("awaits: list of job ids expected");
       }
-      ids.add(n.textValue());
+      ids.add(node.textValue());
     }
     return List.copyOf(ids);
   }
@@ -170,28 +170,28 @@
 
   /** The submission's own form, as it is also stored. */
   public ObjectNode toJson() {
-    ObjectNode o = Json.object();
-    o.put("id", id).put("jobclass", jobClass).put("owner", team);
-    o.put("shape", kind.wire).put("rank", priority.wire());
-    o.put("flakes", tasks).put("cores", cpus).put("cards", gpus).put("ram_gb", memoryGb);
-    o.put("bundle", image).put("size_gb", imageGb);
+    ObjectNode object = Json.object();
+    object.put("id", id).put("jobclass", jobClass).put("owner", team);
+    object.put("shape", kind.wire).put("rank", priority.wire());
+    object.put("flakes", tasks).put("cores", cpus).put("cards", gpus).put("ram_gb", memoryGb);
+    object.put("bundle", image).put("size_gb", imageGb);
     if (types != null) {
-      ArrayNode a = o.putArray("hulls");
-      types.forEach(a::add);
+      ArrayNode array = object.putArray("hulls");
+      types.forEach(array::add);
     }
     if (zone != null) {
-      o.put("field", zone);
+      object.put("field", zone);
     }
-    o.put("same_place", oneZone).put("spread", spread).put("loaners", spot);
-    o.put("guess_s", estimateS).put("cairn_s", checkpointS).put("stash_s", saveS);
+    object.put("same_place", oneZone).put("spread", spread).put("loaners", spot);
+    object.put("guess_s", estimateS).put("cairn_s", checkpointS).put("stash_s", saveS);
     if (!Double.isNaN(deadlineS)) {
-      o.put("due_s", deadlineS);
+      object.put("due_s", deadlineS);
     }
     if (!awaits.isEmpty()) {
-      ArrayNode a = o.putArray("awaits");
-      awaits.forEach(a::add);
+      ArrayNode array = object.putArray("awaits");
+      awaits.forEach(array::add);
     }
-    return o;
+    return object;
   }
 
   /** Whether the tasks are replicas that run until the job is cancelled. */
--- a/src/main/java/org/snowturn/wire/JobView.java
+++ b/src/main/java/org/snowturn/wire/JobStatus.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 
 /** A job's state as users see it. */
-public record JobView(String id, Phase phase, int done, int running) {
+public record JobStatus(String id, Phase phase, int done, int running) {
   /** Phases in the words of the user protocol. */
   public enum Phase {
     QUEUED,
--- a/src/main/java/org/snowturn/wire/MachineType.java
+++ b/src/main/java/org/snowturn/wire/MachineType.java
@@ -21,27 +21,27 @@
   public static List<MachineType> parseCatalog(JsonNode node) throws MalformedException {
     List<MachineType> out = new ArrayList<>();
     for (JsonNode n : new Fields(node).node("hulls")) {
-      Fields f = new Fields(n);
+      Fields fields = new Fields(n);
       List<String> zones = new ArrayList<>();
-      f.node("fields").forEach(z -> zones.add(z.asText()));
+      fields.node("fields").forEach(z -> zones.add(z.asText()));
       out.add(
           new MachineType(
-              f.text("label"),
-              f.number("cores", 0, 1e6),
-              f.number("cards", 0, 1e6, 0),
-              f.number("ram_gb", 0, 1e9),
-              f.number("local_gb", 0, 1e9, 0),
-              f.number("pull_gb_per_s", 0, 1e9, 1),
-              f.number("hourly", 0, 1e9, 0),
-              f.number("market_price", 0, 1e9, 0),
-              f.number("ready_s", 0, 1e9, 60),
+              fields.text("label"),
+              fields.number("cores", 0, 1e6),
+              fields.number("cards", 0, 1e6, 0),
+              fields.number("ram_gb", 0, 1e9),
+              fields.number("local_gb", 0, 1e9, 0),
+              fields.number("pull_gb_per_s", 0, 1e9, 1),
+              fields.number("hourly", 0, 1e9, 0),
+              fields.number("market_price", 0, 1e9, 0),
+              fields.number("ready_s", 0, 1e9, 60),
               List.copyOf(zones)));
     }
     return List.copyOf(out);
   }
 
   /** Whether one task of the job fits an empty machine of this type. */
-  public boolean fits(JobSpec s) {
-    return s.cpus() <= cpus && s.gpus() <= gpus && s.memoryGb() <= memoryGb;
+  public boolean fits(JobSpec spec) {
+    return spec.cpus() <= cpus && spec.gpus() <= gpus && spec.memoryGb() <= memoryGb;
   }
 }
--- a/src/main/java/org/snowturn/wire/Priority.java
+++ b/src/main/java/org/snowturn/wire/Priority.java
@@ -10,9 +10,9 @@
   LOW;
 
   static Priority parse(String text) throws MalformedException {
-    for (Priority p : values()) {
-      if (p.wire().equals(text)) {
-        return p;
+    for (Priority priority : values()) {
+      if (priority.wire().equals(text)) {
+        return priority;
       }
     }
     throw new MalformedException("rank: unknown priority");
--- a/src/main/java/org/snowturn/wire/StateMessage.java
+++ b/src/main/java/org/snowturn/wire/StateMessage.java
@@ -31,24 +31,24 @@
 
   /** The body of a transaction. */
   public static JsonNode txn(List<Condition> conditions, List<Change> changes) {
-    ObjectNode o = Json.object();
-    ArrayNode when = o.putArray("when");
+    ObjectNode object = Json.object();
+    ArrayNode when = object.putArray("when");
     for (Condition c : conditions) {
       when.addObject().put("path", c.key).put("stamp", c.stamp);
     }
-    ArrayNode apply = o.putArray("apply");
+    ArrayNode apply = object.putArray("apply");
     for (Change c : changes) {
-      ObjectNode n = apply.addObject();
+      ObjectNode change = apply.addObject();
       if (c.value == null) {
-        n.put("drop", c.key);
+        change.put("drop", c.key);
       } else {
-        n.put("write", c.key).set("value", c.value);
+        change.put("write", c.key).set("value", c.value);
         if (c.lease != 0) {
-          n.put("hold", c.lease);
+          change.put("hold", c.lease);
         }
       }
     }
-    return o;
+    return object;
   }
 
   /** The body that asks for a lease. */
@@ -69,14 +69,15 @@
   /** The keys that failed a transaction. */
   public static List<String> failed(JsonNode body) {
     List<String> out = new ArrayList<>();
-    body.path("failed").forEach(n -> out.add(n.asText()));
+    body.path("failed").forEach(node -> out.add(node.asText()));
     return out;
   }
 
   /** The single key of a read. */
   public static Entry entry(JsonNode body) throws MalformedException {
-    Fields f = new Fields(body);
-    return new Entry(f.text("path"), f.node("value"), f.integer("stamp", 0, Long.MAX_VALUE));
+    Fields fields = new Fields(body);
+    return new Entry(
+        fields.text("path"), fields.node("value"), fields.integer("stamp", 0, Long.MAX_VALUE));
   }
 
   /** The lease that holds a read key, or 0. */
@@ -87,8 +88,8 @@
   /** The keys of a range. */
   public static List<Entry> entries(JsonNode body) throws MalformedException {
     List<Entry> out = new ArrayList<>();
-    for (JsonNode n : new Fields(body).node("entries")) {
-      out.add(entry(n));
+    for (JsonNode node : new Fields(body).node("entries")) {
+      out.add(entry(node));
     }
     return out;
   }
@@ -101,13 +102,13 @@
   /** The changes in a watch's reply; removals have a null value. */
   public static List<Entry> events(JsonNode body) throws MalformedException {
     List<Entry> out = new ArrayList<>();
-    for (JsonNode n : new Fields(body).node("news")) {
-      Fields f = new Fields(n);
-      long stamp = f.integer("stamp", 0, Long.MAX_VALUE);
+    for (JsonNode node : new Fields(body).node("news")) {
+      Fields fields = new Fields(node);
+      long stamp = fields.integer("stamp", 0, Long.MAX_VALUE);
       out.add(
-          f.has("drop")
-              ? new Entry(f.text("drop"), null, stamp)
-              : new Entry(f.text("write"), f.node("value"), stamp));
+          fields.has("drop")
+              ? new Entry(fields.text("drop"), null, stamp)
+              : new Entry(fields.text("write"), fields.node("value"), stamp));
     }
     return out;
   }
--- a/src/main/java/org/snowturn/wire/TaskReport.java
+++ b/src/main/java/org/snowturn/wire/TaskStatus.java
@@ -1,7 +1,7 @@
 package org.snowturn.wire;
 
 /** One task in a worker's report. */
-public record TaskReport(String job, int task, long attempt, State state, Why why) {
+public record TaskStatus(String job, int task, long attempt, State state, ExitReason exitReason) {
   /** Where the task stands on its machine. */
   public enum State {
     FETCHING,
@@ -11,7 +11,7 @@
   }
 
   /** Why a task ended. */
-  public enum Why {
+  public enum ExitReason {
     DONE,
     STOPPED,
     ERROR,
--- a/src/main/java/org/snowturn/worker/WorkerClient.java
+++ b/src/main/java/org/snowturn/worker/WorkerClient.java
@@ -35,18 +35,18 @@
   }
 
   /** Makes the call and hands in its reply. */
-  public void call(Effect.Call c, Consumer<Input> reply) {
-    HttpCaller caller = callers.get(c.addr());
+  public void call(Effect.Call call, Consumer<Input> reply) {
+    HttpCaller caller = callers.get(call.addr());
     if (caller == null) {
-      caller = connectTo(c.addr());
+      caller = connectTo(call.addr());
       if (caller == null) {
-        reply.accept(new Input.Reply(c.id(), Outcome.REFUSED, 0, null));
+        reply.accept(new Input.Reply(call.id(), Outcome.REFUSED, 0, null));
         return;
       }
       keep(mostOpen.getAsInt() - 1);
-      callers.put(c.addr(), caller);
+      callers.put(call.addr(), caller);
     }
-    caller.call(c, reply);
+    caller.call(call, reply);
   }
 
   /**
--- /dev/null
+++ b/src/main/java/org/snowturn/worker/package-info.java
@@ -0,0 +1,2 @@
+/** Client for direct commands to workers. */
+package org.snowturn.worker;
--- a/src/test/java/org/snowturn/LayersTest.java
+++ b/src/test/java/org/snowturn/LayersTest.java
@@ -1,11 +1,15 @@
 package org.snowturn;
 
+import static com.tngtech.archunit.base.DescribedPredicate.not;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 
+import com.tngtech.archunit.base.DescribedPredicate;
+import com.tngtech.archunit.core.domain.JavaClass;
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
+import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
@@ -39,7 +43,7 @@
             "org.snowturn.cloud..",
             "org.snowturn.worker..",
             "org.snowturn.peer..",
-            "org.snowturn.front..",
+            "org.snowturn.http..",
             "org.snowturn.daemon..")
         .orShould()
         .callMethod(System.class, "nanoTime")
@@ -70,13 +74,14 @@
   void theServiceCarriesNothingOfTheLab() {
     noClasses()
         .that()
-        .resideOutsideOfPackages("org.snowturn.lab..", "org.snowturn.sim..", "org.snowturn.days..")
+        .resideOutsideOfPackages(
+            "org.snowturn.testbench..", "org.snowturn.simulation..", "org.snowturn.workload..")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(
-            "org.snowturn.lab..",
-            "org.snowturn.sim..",
-            "org.snowturn.days..",
+            "org.snowturn.testbench..",
+            "org.snowturn.simulation..",
+            "org.snowturn.workload..",
             "org.apache.commons.math3..",
             "org.knowm.xchart..")
         .check(classes);
@@ -91,26 +96,65 @@
   private static final Map<String, Set<String>> CORE =
       Map.ofEntries(
           Map.entry("recovery", Set.of()),
-          Map.entry("evidence", Set.of()),
+          Map.entry("health", Set.of()),
           Map.entry("admission", Set.of()),
-          Map.entry("records", Set.of()),
-          Map.entry("calls", Set.of("admission", "recovery")),
-          Map.entry("model", Set.of("calls", "records", "evidence")),
-          Map.entry("store", Set.of("calls", "records", "admission", "recovery")),
-          Map.entry("reach", Set.of("calls", "admission")),
-          Map.entry("authority", Set.of("calls", "records", "admission", "recovery")),
+          Map.entry("effects", Set.of("admission", "recovery")),
+          Map.entry("model", Set.of("effects", "storage", "health")),
+          Map.entry("storage", Set.of("effects", "admission", "recovery")),
+          Map.entry("connectivity", Set.of("effects", "admission")),
+          Map.entry("election", Set.of("effects", "storage", "admission", "recovery")),
           Map.entry(
-              "act",
-              Set.of("calls", "records", "store", "model", "recovery", "admission", "evidence")),
+              "assignment",
+              Set.of("effects", "storage", "model", "recovery", "admission", "health")),
           Map.entry(
-              "decide",
-              Set.of("calls", "records", "store", "model", "act", "admission", "recovery")),
+              "scheduling",
+              Set.of("effects", "storage", "model", "assignment", "admission", "recovery")),
           Map.entry(
-              "users",
-              Set.of("calls", "records", "store", "model", "reach", "admission", "recovery")));
+              "api",
+              Set.of("effects", "storage", "model", "connectivity", "admission", "recovery")));
+
+  /** The classes of storage that read, write and watch records, as opposed to their formats. */
+  private static final String[] RECORD_ACCESS = {
+    "org.snowturn.core.storage.RecordWriter",
+    "org.snowturn.core.storage.RangeReader",
+    "org.snowturn.core.storage.JobLookup",
+    "org.snowturn.core.storage.FormatGate"
+  };
+
+  @Test
+  void modelAndElectionKnowTheFormatsOfRecordsOnly() {
+    noClasses()
+        .that()
+        .resideInAnyPackage("org.snowturn.core.model..", "org.snowturn.core.election..")
+        .should()
+        .dependOnClassesThat(belongToAnyOf(RECORD_ACCESS))
+        .check(classes);
+  }
+
+  @Test
+  void formatsOfRecordsStandAlone() {
+    noClasses()
+        .that()
+        .resideInAPackage("org.snowturn.core.storage..")
+        .and(not(belongToAnyOf(RECORD_ACCESS)))
+        .should()
+        .dependOnClassesThat()
+        .resideInAnyPackage("org.snowturn.core.effects..", "org.snowturn.core.recovery..")
+        .orShould()
+        .dependOnClassesThat(belongToAnyOf(RECORD_ACCESS))
+        .check(classes);
+  }
+
+  private static DescribedPredicate<JavaClass> belongToAnyOf(String... names) {
+    return DescribedPredicate.describe(
+        "belong to any of " + List.of(names),
+        type ->
+            Stream.of(names)
+                .anyMatch(n -> type.getName().equals(n) || type.getName().startsWith(n + "$")));
+  }
 
   /** A term holds everything together, and the controller the terms. */
-  private static final Set<String> ABOVE = Set.of("term");
+  private static final Set<String> ABOVE = Set.of("leader");
 
   @Test
   void insideTheCoreWhatKnowsDoesNotDecideAndWhatDecidesDoesNotLead() {
@@ -139,14 +183,14 @@
   void theCoreIsEnteredByItsDoorOnly() {
     noClasses()
         .that()
-        .resideOutsideOfPackages("org.snowturn.core..", "org.snowturn.sim..")
+        .resideOutsideOfPackages("org.snowturn.core..", "org.snowturn.simulation..")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(
             Stream.concat(CORE.keySet().stream(), ABOVE.stream())
                 // what peers tell each other is made of the first two; the last is for the HTTP
                 // side
-                .filter(p -> !Set.of("admission", "reach", "connections").contains(p))
+                .filter(p -> !Set.of("admission", "connectivity").contains(p))
                 .map(p -> "org.snowturn.core." + p + "..")
                 .toArray(String[]::new))
         .check(classes);
--- a/src/test/java/org/snowturn/config/SettingsTest.java
+++ b/src/test/java/org/snowturn/config/SettingsTest.java
@@ -56,10 +56,11 @@
     Settings now = SettingsReader.read(file("s.toml", GOOD));
     assertEquals(now.stateLimits(), now.nextStateLimits());
     String later = "[deployment.state.next]\nwrite_rps = 30.0\ntxn_ops = 4\n";
-    Settings s = SettingsReader.read(file("s.toml", GOOD + later));
-    assertEquals(new Settings.StateLimits(100, 30, 4, 4), s.nextStateLimits());
+    Settings settings = SettingsReader.read(file("s.toml", GOOD + later));
+    assertEquals(new Settings.StateLimits(100, 30, 4, 4), settings.nextStateLimits());
     assertEquals(
-        new Settings.StateLimits(100, 20, 4, 4), s.stateLimits().least(s.nextStateLimits()));
+        new Settings.StateLimits(100, 20, 4, 4),
+        settings.stateLimits().least(settings.nextStateLimits()));
     String wrong = GOOD + "[deployment.state.next]\nvalue_kb = 0.0\n";
     Exception e =
         assertThrows(SettingsException.class, () -> SettingsReader.read(file("s.toml", wrong)));
@@ -68,11 +69,11 @@
 
   @Test
   void readsAndIgnoresWhatItDoesNotKnow() throws Exception {
-    Settings s = SettingsReader.read(file("s.toml", GOOD));
-    assertEquals("a", s.node());
-    assertEquals("b", s.peers().get(0).node());
-    assertEquals(4.0, s.teams().get(0).cpusMax());
-    assertEquals(10.0, s.workers().leaseS());
+    Settings settings = SettingsReader.read(file("s.toml", GOOD));
+    assertEquals("a", settings.node());
+    assertEquals("b", settings.peers().get(0).node());
+    assertEquals(4.0, settings.teams().get(0).cpusMax());
+    assertEquals(10.0, settings.workers().leaseS());
   }
 
   @ParameterizedTest
@@ -105,10 +106,10 @@
             "t.xml",
             "<snowturn>\n <gainFactor>2.5</gainFactor>\n <speculation>false</speculation>\n"
                 + " <somethingElse>1</somethingElse>\n</snowturn>");
-    Tunables t = TunablesReader.read(f);
-    assertEquals(2.5, t.gainFactor());
-    assertEquals(false, t.speculation());
-    assertEquals(Tunables.defaults().judgeAfterS(), t.judgeAfterS());
+    Tunables tunables = TunablesReader.read(f);
+    assertEquals(2.5, tunables.gainFactor());
+    assertEquals(false, tunables.speculation());
+    assertEquals(Tunables.defaults().judgeAfterS(), tunables.judgeAfterS());
   }
 
   @ParameterizedTest
--- a/src/test/java/org/snowturn/core/PartsCleanupTest.java
+++ b/src/test/java/org/snowturn/core/ChunkCleanupTest.java
@@ -7,29 +7,29 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.snowturn.config.Settings;
-import org.snowturn.core.act.SubmissionParts;
-import org.snowturn.core.calls.Calls;
-import org.snowturn.core.records.Keys;
-import org.snowturn.core.store.Writer;
+import org.snowturn.core.assignment.SubmissionChunks;
+import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.storage.RecordWriter;
+import org.snowturn.core.storage.StorageKeys;
 import org.snowturn.wire.Json;
 import org.snowturn.wire.StateMessage;
 
 /** A user's next try may go on from parts that a leader is clearing away: one of them must fail. */
-class PartsCleanupTest {
-  private static final String PARTS = Keys.parts("wk-000001", "s");
+class ChunkCleanupTest {
+  private static final String PARTS = StorageKeys.parts("wk-000001", "s");
 
   private static StateMessage.Entry part(int n, long version) {
     return new StateMessage.Entry(PARTS + n, Json.object(), version);
   }
 
-  private static Effect.Call onlyCall(Calls calls) {
-    List<Effect> effects = calls.drain();
+  private static Effect.Call onlyCall(CoreRuntime runtime) {
+    List<Effect> effects = runtime.drainEffects();
     assertEquals(1, effects.size());
     return (Effect.Call) effects.get(0);
   }
 
-  private static String when(Effect.Call c) {
-    JsonNode all = c.body().path("when");
+  private static String when(Effect.Call call) {
+    JsonNode all = call.body().path("when");
     return all.toString();
   }
 
@@ -37,19 +37,20 @@
   void theOtherPartsGoOnlyWhileTheFirstIsNotThereAgain() {
     Settings settings = TestSettings.with();
     Settings.StateLimits limits = settings.stateLimits();
-    Calls calls = new Calls(1);
-    Writer writer = new Writer(calls, new TestWriterHost(7), () -> limits, r -> r);
+    CoreRuntime runtime = new CoreRuntime(1);
+    RecordWriter writer = new RecordWriter(runtime, new TestWriterHost(7), () -> limits, r -> r);
 
-    new SubmissionParts(calls, writer).dropUnused(List.of(part(0, 41), part(1, 42)), Set.of());
+    new SubmissionChunks(runtime, writer).dropUnused(List.of(part(0, 41), part(1, 42)), Set.of());
     writer.flush();
-    Effect.Call first = onlyCall(calls);
+    Effect.Call first = onlyCall(runtime);
     assertEquals(
         "[{\"path\":\"l/leader\",\"stamp\":7},{\"path\":\"j/wk-000001\",\"stamp\":0},"
             + "{\"path\":\"x/wk-000001/s/0\",\"stamp\":41}]",
         when(first));
-    calls.reply(new Input.Reply(first.id(), Outcome.ANSWERED, 200, Json.object().put("epoch", 50)));
+    runtime.handleReply(
+        new Input.Reply(first.id(), Outcome.ANSWERED, 200, Json.object().put("epoch", 50)));
     writer.flush();
-    Effect.Call rest = onlyCall(calls);
+    Effect.Call rest = onlyCall(runtime);
     assertEquals(
         "[{\"path\":\"l/leader\",\"stamp\":7},{\"path\":\"x/wk-000001/s/0\",\"stamp\":0}]",
         when(rest));
--- a/src/test/java/org/snowturn/core/RecordsTest.java
+++ b/src/test/java/org/snowturn/core/RecordsTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.Test;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
-import org.snowturn.core.model.MachineBook;
+import org.snowturn.core.model.MachineIndex;
 import org.snowturn.core.model.RestartRecords;
 import org.snowturn.core.model.TaskRecords;
-import org.snowturn.core.records.Spans;
-import org.snowturn.core.records.StoredJob;
-import org.snowturn.core.records.TaskLayout;
+import org.snowturn.core.storage.JobRecord;
+import org.snowturn.core.storage.RecordSizes;
+import org.snowturn.core.storage.TaskLayout;
 import org.snowturn.wire.JobSpec;
-import org.snowturn.wire.JobView;
+import org.snowturn.wire.JobStatus;
 import org.snowturn.wire.Json;
 import org.snowturn.wire.Submissions;
 
@@ -27,35 +27,35 @@
 class RecordsTest {
   private static final int VALUE = 2048;
 
-  private final MachineBook machines = new MachineBook(List.of("z"), m -> null);
+  private final MachineIndex machines = new MachineIndex(List.of("z"), machine -> null);
 
   private static JobSpec spec(int tasks, String image) throws Exception {
     return JobSpec.parse(Submissions.array("wk-000001", tasks).put("bundle", image));
   }
 
   /** Every third task done, the others placed, by leaders with tokens far apart. */
-  private Job busy(Spans spans, boolean second, String machine) throws Exception {
-    Job j = new Job(0, spec(120, "i"), 0, 2);
+  private Job busy(RecordSizes spans, boolean second, String machine) throws Exception {
+    Job job = new Job(0, spec(120, "i"), 0, 2);
     if (second) {
-      j.useSecondFormat(spans, VALUE, machines);
+      job.useSecondFormat(spans, VALUE, machines);
     } else {
-      j.useFirstFormat(spans.first());
+      job.useFirstFormat(spans.first());
     }
     for (int t = 0; t < 120; t++) {
-      j.enter(t, t % 3 == 0 ? Job.DONE : Job.RUNNING);
-      j.machine[t] = machines.getOrCreate(machine + t).index;
-      j.attempt[t] = ((t < 60 ? 7L : 9_000L) << TaskLayout.ATTEMPT_BITS) + t;
-      j.session[t] = t % 5 == 0 ? 12 : 1;
+      job.setState(t, t % 3 == 0 ? Job.DONE : Job.RUNNING);
+      job.machineOf[t] = machines.getOrAdd(machine + t).index;
+      job.attemptOf[t] = ((t < 60 ? 7L : 9_000L) << TaskLayout.ATTEMPT_BITS) + t;
+      job.epoch[t] = t % 5 == 0 ? 12 : 1;
     }
-    return j;
+    return job;
   }
 
-  private List<String> told(Job j) {
+  private List<String> told(Job job) {
     List<String> out = new ArrayList<>();
-    for (int r = 0; r < j.layout.records(); r++) {
+    for (int r = 0; r < job.layout.records(); r++) {
       TaskRecords.read(
-          j.chunkJson(r, machines),
-          j.layout.from(r),
+          job.taskRecordJson(r, machines),
+          job.layout.from(r),
           new TaskRecords.Reader() {
             @Override
             public void done(int task) {
@@ -74,7 +74,7 @@
 
   @Test
   void bothFormatsTellTheSame() throws Exception {
-    Spans spans = new Spans(51, 20);
+    RecordSizes spans = new RecordSizes(51, 20);
     assertEquals(told(busy(spans, false, "i-0000")), told(busy(spans, true, "i-0000")));
     assertEquals(120, told(busy(spans, true, "i-0000")).size());
   }
@@ -83,7 +83,7 @@
   void piecesOfTheSecondFormatNeverLieInTwoRecordsOfTheFirst() {
     for (int first : new int[] {8, 51, 101, 204}) {
       for (int second : new int[] {4, 25, 53, 400}) {
-        TaskLayout l = TaskLayout.second(1000, new Spans(first, second));
+        TaskLayout l = TaskLayout.second(1000, new RecordSizes(first, second));
         int next = 0;
         for (int r = 0; r < l.records(); r++) {
           assertEquals(next, l.from(r));
@@ -103,20 +103,20 @@
   void aRecordTakesNoMorePlacementsThanItsValueHolds() throws Exception {
     int span = TaskLayout.span(VALUE);
     for (String name : new String[] {"i-0000", "machine-with-a-very-long-name-indeed-"}) {
-      Job j = new Job(0, spec(span, "i"), 0, 2);
-      j.useSecondFormat(new Spans(span, span), VALUE, machines);
+      Job job = new Job(0, spec(span, "i"), 0, 2);
+      job.useSecondFormat(new RecordSizes(span, span), VALUE, machines);
       int n = 0;
-      for (int t = j.nextPending(); t >= 0; t = j.nextPending()) {
-        Machine m = machines.getOrCreate(name + (10 + t));
-        j.machine[t] = m.index;
-        j.attempt[t] = ((t == 0 ? 1L : 90_000L) << TaskLayout.ATTEMPT_BITS) + t;
-        j.session[t] = 100;
-        j.enter(t, Job.PLACING);
-        j.pending--;
-        j.countInRecord(t, m, 1);
+      for (int t = job.nextPending(); t >= 0; t = job.nextPending()) {
+        Machine machine = machines.getOrAdd(name + (10 + t));
+        job.machineOf[t] = machine.index;
+        job.attemptOf[t] = ((t == 0 ? 1L : 90_000L) << TaskLayout.ATTEMPT_BITS) + t;
+        job.epoch[t] = 100;
+        job.setState(t, Job.PLACING);
+        job.pending--;
+        job.adjustRecordSize(t, machine, 1);
         n++;
       }
-      assertTrue(Json.bytes(j.chunkJson(0, machines)).length <= VALUE, name);
+      assertTrue(Json.bytes(job.taskRecordJson(0, machines)).length <= VALUE, name);
       assertEquals(name.length() < 8, n == span, name + " " + n);
     }
   }
@@ -125,12 +125,12 @@
   void aLongSubmissionComesBackFromItsPartsWhateverItsCharacters() throws Exception {
     String image = "\u0001\"\\\ud83d\ude00é".repeat(30);
     JobSpec s = spec(3, image);
-    StoredJob whole = new StoredJob(JobView.Phase.QUEUED, 5, s);
-    List<ObjectNode> parts = StoredJob.cut(Json.text(s.toJson()), 120);
-    StoredJob stored = StoredJob.parse(whole.inParts("n", parts.size()).live());
+    JobRecord whole = new JobRecord(JobStatus.Phase.QUEUED, 5, s);
+    List<ObjectNode> parts = JobRecord.cut(Json.text(s.toJson()), 120);
+    JobRecord stored = JobRecord.parse(whole.inParts("n", parts.size()).live());
     assertTrue(stored.incomplete());
     Map<String, String> texts = new HashMap<>();
-    List<String> keys = StoredJob.partKeys("wk-000001", "n", parts.size());
+    List<String> keys = JobRecord.partKeys("wk-000001", "n", parts.size());
     for (int i = 0; i < parts.size(); i++) {
       assertTrue(Json.bytes(parts.get(i)).length <= 120);
       JsonNode read = Json.parse(Json.bytes(parts.get(i)));
@@ -142,28 +142,28 @@
   @Test
   void aCancelledRecordFitsASmallerValueThanItsJobWasStoredIn() throws Exception {
     JobSpec s = spec(3, "i".repeat(200));
-    JsonNode live = new StoredJob(JobView.Phase.QUEUED, 5, s).live();
-    ObjectNode cancelled = StoredJob.cancelled(live, 350);
+    JsonNode live = new JobRecord(JobStatus.Phase.QUEUED, 5, s).live();
+    ObjectNode cancelled = JobRecord.cancelled(live, 350);
     assertTrue(Json.bytes(cancelled).length <= 350);
-    assertEquals(JobView.Phase.ABORTED, StoredJob.parse(cancelled).phase());
-    assertEquals("t", StoredJob.parse(cancelled).spec().team());
+    assertEquals(JobStatus.Phase.ABORTED, JobRecord.parse(cancelled).phase());
+    assertEquals("t", JobRecord.parse(cancelled).spec().team());
   }
 
   @Test
   void restartsAreListedOnceTheFormatAllowsAndOnlyWhileTheyFit() throws Exception {
-    Job j = new Job(0, spec(100_000, "i"), 0, 2);
-    j.useFirstFormat(51);
-    assertTrue(RestartRecords.fits(j, 500, VALUE));
-    assertTrue(!RestartRecords.fits(j, 99_999, VALUE));
-    j.useSecondFormat(new Spans(51, 51), VALUE, machines);
-    for (int t = 99_999; RestartRecords.fits(j, t, VALUE); t--) {
-      j.restarted.set(t);
-      j.restarts++;
+    Job job = new Job(0, spec(100_000, "i"), 0, 2);
+    job.useFirstFormat(51);
+    assertTrue(RestartRecords.fits(job, 500, VALUE));
+    assertTrue(!RestartRecords.fits(job, 99_999, VALUE));
+    job.useSecondFormat(new RecordSizes(51, 51), VALUE, machines);
+    for (int t = 99_999; RestartRecords.fits(job, t, VALUE); t--) {
+      job.restarted.set(t);
+      job.restarts++;
     }
-    assertTrue(j.restarts > 200);
-    assertTrue(Json.bytes(RestartRecords.json(j)).length <= VALUE);
+    assertTrue(job.restarts > 200);
+    assertTrue(Json.bytes(RestartRecords.json(job)).length <= VALUE);
     Job next = new Job(0, spec(100_000, "i"), 0, 2);
-    RestartRecords.load(next, RestartRecords.json(j));
-    assertEquals(j.restarted, next.restarted);
+    RestartRecords.load(next, RestartRecords.json(job));
+    assertEquals(job.restarted, next.restarted);
   }
 }
--- a/src/test/java/org/snowturn/core/FleetPolicyTest.java
+++ b/src/test/java/org/snowturn/core/ScalingPolicyTest.java
@@ -7,17 +7,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.snowturn.config.Settings;
-import org.snowturn.core.decide.FleetPolicy;
+import org.snowturn.core.scheduling.ScalingPolicy;
 
 /** What decides between holding all capacity and following demand, and that nothing tips it. */
-class FleetPolicyTest {
+class ScalingPolicyTest {
   private static final double BOOT_S = 20;
 
-  private static FleetPolicy policy(double inTime, double startWithinS, double startShare) {
+  private static ScalingPolicy policy(double inTime, double startWithinS, double startShare) {
     return policy(inTime, startWithinS, startShare, true);
   }
 
-  private static FleetPolicy policy(
+  private static ScalingPolicy policy(
       double inTime, double startWithinS, double startShare, boolean standing) {
     Settings settings =
         TestSettings.with(
@@ -25,7 +25,7 @@
             new Settings.Objective("wait", "c", startShare, 1, startWithinS),
             new Settings.Objective("deadline", "c", inTime, 1, 0),
             new Settings.Objective("deadline", "c", 0.999, 1.5, 0));
-    return FleetPolicy.of(settings, () -> BOOT_S, () -> standing);
+    return ScalingPolicy.of(settings, () -> BOOT_S, () -> standing);
   }
 
   /**
