--- a/src/lab/java/org/snowturn/sim/StandInWorker.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedWorker.java
@@ -1,4 +1,4 @@
-package org.snowturn.sim;
+package org.snowturn.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -13,7 +13,7 @@
 import org.snowturn.wire.Json;
 
 /** A worker as PROTOCOL describes it. */
-final class StandInWorker {
+final class SimulatedWorker {
   /** A task on the machine. */
   static final class Task {
     String job;
@@ -35,8 +35,8 @@
     }
   }
 
-  final World world;
-  final StandInCloud.Rented rented;
+  final SimulatedCluster cluster;
+  final SimulatedCloud.Rented rented;
   final String addr;
   final Map<String, Task> tasks = new LinkedHashMap<>();
   private final Set<String> images = new HashSet<>();
@@ -57,21 +57,21 @@
   private boolean changed;
   private boolean reporting;
 
-  StandInWorker(World world, StandInCloud.Rented rented) {
-    this.world = world;
+  SimulatedWorker(SimulatedCluster cluster, SimulatedCloud.Rented rented) {
+    this.cluster = cluster;
     this.rented = rented;
-    this.addr = world.sizes.addresses().apply(rented.id);
+    this.addr = cluster.sizes.addresses().apply(rented.id);
   }
 
   private Settings.Workers figures() {
-    return world.settings[0].workers();
+    return cluster.settings[0].workers();
   }
 
   void boot() {
-    leaseFrom = world.now;
-    at = world.random.nextInt(world.endpoints.size());
+    leaseFrom = cluster.now;
+    at = cluster.random.nextInt(cluster.endpoints.size());
     watchLease();
-    world.state.runningOn(rented.id).forEach(this::resume);
+    cluster.state.runningOn(rented.id).forEach(this::resume);
     report();
   }
 
@@ -80,19 +80,19 @@
     Task t = task(words[0], Long.parseLong(words[1]));
     tasks.put(words[0] + "#" + t.attempt, t);
     if (words[2].equals("running")) {
-      run(t, world.users.spec(t.job), session);
+      run(t, cluster.users.spec(t.job), session);
     } else {
       exit(t, words[3]);
     }
   }
 
   private static Task task(String name, long attempt) {
-    Task t = new Task();
+    Task task = new Task();
     int slash = name.lastIndexOf('/');
-    t.job = name.substring(0, slash);
-    t.index = Integer.parseInt(name.substring(slash + 1));
-    t.attempt = attempt;
-    return t;
+    task.job = name.substring(0, slash);
+    task.index = Integer.parseInt(name.substring(slash + 1));
+    task.attempt = attempt;
+    return task;
   }
 
   /** The highest token seen. */
@@ -101,8 +101,8 @@
   }
 
   /** Whether the task is still on this machine, whatever its state. */
-  boolean has(Task t) {
-    return tasks.get(t.job + "/" + t.index + "#" + t.attempt) == t;
+  boolean has(Task task) {
+    return tasks.get(task.job + "/" + task.index + "#" + task.attempt) == task;
   }
 
   /** The machine is back at once under its name and address, and knows nothing. */
@@ -111,7 +111,7 @@
     images.clear();
     session = 1;
     seq = 0;
-    leaseFrom = world.now;
+    leaseFrom = cluster.now;
   }
 
   void die() {
@@ -122,10 +122,10 @@
   /** Ends the session if its lease has run out. */
   private void endLapsed() {
     long lease = (long) (figures().leaseS() * 1000);
-    if (world.now - leaseFrom > lease && !world.sabotage.contains("immortal_sessions")) {
+    if (cluster.now - leaseFrom > lease && !cluster.sabotage.contains("immortal_sessions")) {
       tasks.clear();
       session++;
-      leaseFrom = world.now;
+      leaseFrom = cluster.now;
     }
   }
 
@@ -134,25 +134,25 @@
       return;
     }
     endLapsed();
-    world.after(world.sizes.leaseCheckMs(), this::watchLease);
+    cluster.after(cluster.sizes.leaseCheckMs(), this::watchLease);
   }
 
   private ObjectNode body() {
-    ObjectNode o = Json.object();
-    o.put("drift", rented.id).put("addr", addr).put("hull", "t8").put("field", rented.zone);
-    o.put("loaners", rented.spot).put("thaw", session).put("tally", ++seq).put("baton", token);
+    ObjectNode object = Json.object();
+    object.put("drift", rented.id).put("addr", addr).put("hull", "t8").put("field", rented.zone);
+    object.put("loaners", rented.spot).put("thaw", session).put("tally", ++seq).put("baton", token);
     if (!Double.isNaN(noticeS)) {
-      o.put("recall_s", noticeS);
+      object.put("recall_s", noticeS);
     }
-    ArrayNode a = o.putArray("flakes");
-    for (Task t : tasks.values()) {
-      ObjectNode n = a.addObject().put("flake", t.name()).put("try", t.attempt);
-      n.put("phase", t.phase);
-      if (t.cause != null) {
-        n.put("cause", t.cause);
+    ArrayNode array = object.putArray("flakes");
+    for (Task task : tasks.values()) {
+      ObjectNode status = array.addObject().put("flake", task.name()).put("try", task.attempt);
+      status.put("phase", task.phase);
+      if (task.cause != null) {
+        status.put("cause", task.cause);
       }
     }
-    return o;
+    return object;
   }
 
   private void report() {
@@ -165,12 +165,12 @@
     }
     reporting = true;
     changed = false;
-    Endpoint node = world.endpoints.get(at);
-    long sentAt = world.now;
+    Endpoint node = cluster.endpoints.get(at);
+    long sentAt = cluster.now;
     long inSession = session;
     long mine = ++generation;
     ObjectNode report = body();
-    world.reports++;
+    cluster.reports++;
     Runnable arrive =
         () ->
             node.checkIn(
@@ -183,9 +183,9 @@
                     answered(status, reply, sentAt, inSession);
                   }
                 });
-    world.after(world.slowReportsMs, () -> world.send(addr, node.name, arrive));
-    world.copyLater(addr, report);
-    world.after(
+    cluster.after(cluster.slowReportsMs, () -> cluster.send(addr, node.name, arrive));
+    cluster.copyLater(addr, report);
+    cluster.after(
         4000,
         () -> {
           if (mine == generation) {
@@ -197,17 +197,17 @@
   }
 
   private void next(long ms) {
-    at = (at + 1) % world.endpoints.size();
+    at = (at + 1) % cluster.endpoints.size();
     reportAfter(ms);
   }
 
   private void answered(int status, JsonNode reply, long sentAt, long inSession) {
     if (status == 421 && reply != null && reply.has("steward")) {
       String name = reply.path("steward").asText();
-      for (int i = 0; i < world.endpoints.size(); i++) {
-        if (world.endpoints.get(i).name.equals(name) && i != at) {
+      for (int i = 0; i < cluster.endpoints.size(); i++) {
+        if (cluster.endpoints.get(i).name.equals(name) && i != at) {
           at = i;
-          reportAfter(world.random.nextInt(500));
+          reportAfter(cluster.random.nextInt(500));
           return;
         }
       }
@@ -220,16 +220,16 @@
     if (given >= token && inSession == session) {
       learn(given);
       leaseFrom = Math.max(leaseFrom, sentAt);
-      execute(reply.path("orders"), world.answerLeftAt);
+      execute(reply.path("orders"), cluster.answerLeftAt);
     }
     long every = (long) (figures().reportS() * 1000);
-    long usual = every * 3 / 4 + world.random.nextInt((int) (every / 2));
+    long usual = every * 3 / 4 + cluster.random.nextInt((int) (every / 2));
     reportAfter(changed ? 500 : usual);
   }
 
   private void reportAfter(long ms) {
     long mine = ++waiting;
-    world.after(
+    cluster.after(
         ms,
         () -> {
           if (mine == waiting) {
@@ -240,8 +240,8 @@
 
   /** A higher token counts as a change, which is reported soon, but not too often. */
   private void learn(long given) {
-    if (given > token && world.now - learntAt >= figures().leaseS() * 500) {
-      learntAt = world.now;
+    if (given > token && cluster.now - learntAt >= figures().leaseS() * 500) {
+      learntAt = cluster.now;
       changed = true;
       if (!reporting) {
         reportAfter(500);
@@ -251,23 +251,23 @@
   }
 
   /** Says how it is, to anybody. */
-  void status(World.Reply back) {
+  void status(SimulatedCluster.Reply back) {
     if (!dead && !hung) {
       back.on(Outcome.ANSWERED, 200, body());
     }
   }
 
   /** A direct command; a hung machine executes it when it resumes. */
-  void command(JsonNode body, long leftAt, World.Reply back) {
+  void command(JsonNode body, long leftAt, SimulatedCluster.Reply back) {
     if (dead) {
       return;
     }
-    world.commands++;
+    cluster.commands++;
     if (hung) {
-      world.after(300, () -> command(body, leftAt, back));
+      cluster.after(300, () -> command(body, leftAt, back));
       return;
     }
-    boolean stale = body.path("baton").asLong() < token && !world.sabotage.contains("any_token");
+    boolean stale = body.path("baton").asLong() < token && !cluster.sabotage.contains("any_token");
     if (stale || body.path("thaw").asLong() != session) {
       back.on(Outcome.ANSWERED, 409, body());
       return;
@@ -282,20 +282,20 @@
       String name = o.path("flake").asText();
       long attempt = o.path("try").asLong();
       String key = name + "#" + attempt;
-      Task t = tasks.get(key);
+      Task task = tasks.get(key);
       switch (o.path("verb").asText()) {
         case "start" -> {
-          if (t == null) {
+          if (task == null) {
             start(name, attempt, key, leftAt);
           }
         }
         case "halt" -> {
-          if (t != null && t.alive()) {
-            exit(t, "halted");
+          if (task != null && task.alive()) {
+            exit(task, "halted");
           }
         }
         case "forget" -> {
-          if (t != null && !t.alive()) {
+          if (task != null && !task.alive()) {
             tasks.remove(key);
           }
         }
@@ -307,14 +307,14 @@
   private void start(String name, long attempt, String key, long leftAt) {
     Task t = task(name, attempt);
     t.startLeftAt = leftAt;
-    world.startsMute += mute ? 1 : 0;
-    JobSpec spec = world.users.spec(t.job);
+    cluster.startsMute += mute ? 1 : 0;
+    JobSpec spec = cluster.users.spec(t.job);
     boolean twice = false;
     double cpus = 0;
     for (Task other : tasks.values()) {
       if (other.alive()) {
         twice |= other.name().equals(name);
-        cpus += world.users.spec(other.job).cpus();
+        cpus += cluster.users.spec(other.job).cpus();
       }
     }
     tasks.put(key, t);
@@ -322,7 +322,7 @@
       exit(t, "no_such");
     } else if (twice) {
       exit(t, "busy");
-    } else if (cpus + spec.cpus() > world.sizes.cpus()) {
+    } else if (cpus + spec.cpus() > cluster.sizes.cpus()) {
       exit(t, "full");
     } else {
       long inSession = session;
@@ -330,7 +330,7 @@
         run(t, spec, inSession); // at once: a stop that follows in the same message comes after
         return;
       }
-      world.after(
+      cluster.after(
           (long) (spec.imageGb() * 1000),
           () -> {
             images.add(spec.image());
@@ -339,36 +339,36 @@
     }
   }
 
-  private void run(Task t, JobSpec spec, long inSession) {
-    if (dead || inSession != session || !t.alive()) {
+  private void run(Task task, JobSpec spec, long inSession) {
+    if (dead || inSession != session || !task.alive()) {
       return;
     }
-    t.phase = "running";
-    t.present = true;
-    world.rules.started(this, t, spec);
-    if (sick || world.users.broken(t.job)) {
-      exit(t, "error");
-    } else if (world.users.result(t.name())) {
-      exit(t, "done");
+    task.phase = "running";
+    task.present = true;
+    cluster.rules.started(this, task, spec);
+    if (sick || cluster.users.broken(task.job)) {
+      exit(task, "error");
+    } else if (cluster.users.result(task.name())) {
+      exit(task, "done");
     } else if (!spec.service()) {
-      long ms = (long) (world.users.runMs(t.job, t.index) * slow);
-      world.after(ms, () -> complete(t, inSession));
+      long ms = (long) (cluster.users.runMs(task.job, task.index) * slow);
+      cluster.after(ms, () -> complete(task, inSession));
     }
   }
 
   /** While the machine hangs its tasks are not executed. */
-  private void complete(Task t, long inSession) {
+  private void complete(Task task, long inSession) {
     if (hung) {
-      world.after(300, () -> complete(t, inSession));
-    } else if (!dead && inSession == session && t.alive()) {
-      world.users.completed(t.name());
-      exit(t, "done");
+      cluster.after(300, () -> complete(task, inSession));
+    } else if (!dead && inSession == session && task.alive()) {
+      cluster.users.completed(task.name());
+      exit(task, "done");
     }
   }
 
-  private void exit(Task t, String cause) {
-    t.phase = "ended";
-    t.cause = cause;
-    t.present = false;
+  private void exit(Task task, String cause) {
+    task.phase = "ended";
+    task.cause = cause;
+    task.present = false;
   }
 }
--- a/src/lab/java/org/snowturn/sim/Simulation.java
+++ b/src/testbench/java/org/snowturn/simulation/Simulation.java
@@ -1,4 +1,4 @@
-package org.snowturn.sim;
+package org.snowturn.simulation;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/lab/java/org/snowturn/sim/Sizes.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulationParameters.java
@@ -1,4 +1,4 @@
-package org.snowturn.sim;
+package org.snowturn.simulation;
 
 import java.util.function.UnaryOperator;
 
@@ -12,7 +12,7 @@
  * @param leaseCheckMs how often a worker looks whether its lease has run out
  * @param addresses a machine's address by its name
  */
-record Sizes(
+record SimulationParameters(
     double cpus,
     double memoryGb,
     long pollMs,
@@ -21,5 +21,6 @@
     UnaryOperator<String> addresses) {
 
   /** What the scenarios use. */
-  static final Sizes SMALL = new Sizes(8, 32, 1_500, true, 50, id -> id + ":1");
+  static final SimulationParameters SMALL =
+      new SimulationParameters(8, 32, 1_500, true, 50, id -> id + ":1");
 }
--- a/src/lab/java/org/snowturn/sim/TargetedFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/TargetedFaults.java
@@ -1,4 +1,4 @@
-package org.snowturn.sim;
+package org.snowturn.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -13,12 +13,12 @@
  * cancellations and changes of leader fall into it.
  */
 final class TargetedFaults {
-  private final RandomGenerator r;
+  private final RandomGenerator random;
   private final int kind;
   private final List<String> text = new ArrayList<>();
 
   TargetedFaults(int seed) {
-    r = new SplittableRandom(seed);
+    random = new SplittableRandom(seed);
     kind = seed % 7;
   }
 
@@ -43,7 +43,7 @@
   }
 
   private double between(double least, double most) {
-    return least + r.nextDouble(most - least);
+    return least + random.nextDouble(most - least);
   }
 
   private void teamsAtTheirLimits() {
@@ -60,8 +60,8 @@
     }
     for (int i = 0; i < 3; i++) {
       String kind =
-          List.of("isolate-many", "hang-many", "deafen-many", "mute-many").get(r.nextInt(4));
-      at(from + between(-3, 8), "%s %d %.2f", kind, 1 + r.nextInt(4), between(3, 25));
+          List.of("isolate-many", "hang-many", "deafen-many", "mute-many").get(random.nextInt(4));
+      at(from + between(-3, 8), "%s %d %.2f", kind, 1 + random.nextInt(4), between(3, 25));
     }
     at(from + between(0, 10), "crash leader? %.2f", between(0.1, 4));
   }
@@ -104,7 +104,7 @@
       at(from + 1 + 2.5 * i + between(0, 2.5), "crash leader? %.2f", between(0.05, 0.3));
       at(from + 2 * i, "submit wk-%06d batch tasks=8 cpus=2 run=12", 11 + i);
     }
-    at(between(20, 30), "die %d", 2 + r.nextInt(4));
+    at(between(20, 30), "die %d", 2 + random.nextInt(4));
   }
 
   private void cancellationsThatALeaderDoesNotHear() {
@@ -113,7 +113,7 @@
     at(3, "submit wk-000011..wk-000018 batch tasks=3 cpus=1 run=300 ordinary=1");
     for (double from : new double[] {20, 110}) {
       // Its peers can tell it, or those that know end before they do.
-      boolean untold = r.nextBoolean();
+      boolean untold = random.nextBoolean();
       double refused = from + between(-0.3, 0.3);
       at(refused, "refuse leader? %.2f", between(10, 16));
       if (untold) {
@@ -125,7 +125,7 @@
       double out = from + between(0.8, 1.6);
       at(out, "outage %.2f", between(40, 65));
       if (untold) {
-        at(out + between(0, 0.3), "crash standbys %.2f", r.nextBoolean() ? 0.2 : 20);
+        at(out + between(0, 0.3), "crash standbys %.2f", random.nextBoolean() ? 0.2 : 20);
       }
     }
   }
@@ -135,9 +135,9 @@
     text.add("machines 6");
     at(3, "submit wk-000001..wk-000006 batch tasks=7 cpus=1 run=%.2f ordinary=1", between(6, 20));
     double from = between(14, 20);
-    at(from - 5, r.nextBoolean() ? "copies 25 70" : "keep-reports 70");
-    at(from, "isolate-many %d %.2f", 2 + r.nextInt(4), between(10.2, 15));
-    at(from + between(2, 20), "hang-many %d %.2f", 1 + r.nextInt(3), between(8, 14));
+    at(from - 5, random.nextBoolean() ? "copies 25 70" : "keep-reports 70");
+    at(from, "isolate-many %d %.2f", 2 + random.nextInt(4), between(10.2, 15));
+    at(from + between(2, 20), "hang-many %d %.2f", 1 + random.nextInt(3), between(8, 14));
     for (int i = 0; i < 3; i++) {
       at(from + between(0, 45), "crash leader? %.2f", between(0.1, 3));
     }
@@ -154,7 +154,7 @@
     at(from + 0.1, "submit wk-000011..wk-000016 batch tasks=3 cpus=1 run=200 ordinary=1");
     at(from + between(0.3, 2), "cancel wk-000011..wk-000016");
     at(from + held + between(-0.5, 1.5), "isolate-many 4 %.2f", between(5, 45));
-    if (r.nextBoolean()) {
+    if (random.nextBoolean()) {
       at(from + between(0, held), "crash leader? %.2f", between(0.1, 3));
     }
   }
--- a/src/lab/java/org/snowturn/sim/WorkerLinks.java
+++ b/src/testbench/java/org/snowturn/simulation/WorkerLinks.java
@@ -1,4 +1,4 @@
-package org.snowturn.sim;
+package org.snowturn.simulation;
 
 import io.undertow.connector.ByteBufferPool;
 import java.net.InetSocketAddress;
--- a/src/lab/java/org/snowturn/lab/Capacity.java
+++ b/src/testbench/java/org/snowturn/testbench/CapacityCommand.java
@@ -1,4 +1,4 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import org.snowturn.lab.Measurements.Factor;
+import org.snowturn.testbench.Measurements.Factor;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -19,9 +19,9 @@
 @Command(
     name = "capacity",
     mixinStandardHelpOptions = true,
-    subcommands = Capacity.Add.class,
+    subcommands = CapacityCommand.Add.class,
     description = "Makes the tables and plots of the capacity page from its measurements.")
-final class Capacity implements Callable<Integer> {
+final class CapacityCommand implements Callable<Integer> {
   private static final String END = "<!-- end of table -->";
   private static final String RUNS = "scale-runs.csv";
   private static final String LIMITS = "limits.csv";
@@ -79,17 +79,18 @@
       Files.writeString(page, text);
       plots(measured);
       return 0;
-    } catch (BadPlanException e) {
+    } catch (InvalidPlanException e) {
       throw new ParameterException(spec.commandLine(), e.getMessage());
     }
   }
 
-  private static String replaced(String page, String name, String table) throws BadPlanException {
+  private static String replaced(String page, String name, String table)
+      throws InvalidPlanException {
     String begin = "<!-- table: " + name + " -->";
     int from = page.indexOf(begin);
     int to = from < 0 ? -1 : page.indexOf(END, from);
     if (to < 0) {
-      throw new BadPlanException("the page has no place for the table " + name);
+      throw new InvalidPlanException("the page has no place for the table " + name);
     }
     return page.substring(0, from + begin.length()) + "\n" + table + page.substring(to);
   }
--- a/src/lab/java/org/snowturn/lab/CapacityModel.java
+++ b/src/testbench/java/org/snowturn/testbench/CapacityModel.java
@@ -1,8 +1,8 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import java.util.EnumMap;
 import java.util.Map;
-import org.snowturn.lab.Measurements.Factor;
+import org.snowturn.testbench.Measurements.Factor;
 
 /**
  * What a role needs at a size that was not run: the line along the workers, and for each other
@@ -24,7 +24,7 @@
   }
 
   /** A figure at a size. */
-  double at(Map<Factor, Double> size, String role, String figure) throws BadPlanException {
+  double at(Map<Factor, Double> size, String role, String figure) throws InvalidPlanException {
     double sum = alongWorkers(size.get(Factor.WORKERS), role, figure);
     for (Factor f : Factor.values()) {
       if (f != Factor.WORKERS) {
--- a/src/lab/java/org/snowturn/lab/CapacityTables.java
+++ b/src/testbench/java/org/snowturn/testbench/CapacityTables.java
@@ -1,4 +1,4 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -10,8 +10,8 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import org.snowturn.lab.Measurements.Factor;
-import org.snowturn.lab.Measurements.Point;
+import org.snowturn.testbench.Measurements.Factor;
+import org.snowturn.testbench.Measurements.Point;
 
 /** The tables of the capacity page, in Markdown, made from the measurements. */
 final class CapacityTables {
@@ -33,43 +33,43 @@
   private final CapacityModel model;
   private final List<String[]> limits;
 
-  CapacityTables(Measurements measured, Path limitsFile) throws BadPlanException {
+  CapacityTables(Measurements measured, Path limitsFile) throws InvalidPlanException {
     this.measured = measured;
     this.model = new CapacityModel(measured);
     this.limits = limits(limitsFile);
   }
 
-  private static List<String[]> limits(Path file) throws BadPlanException {
+  private static List<String[]> limits(Path file) throws InvalidPlanException {
     List<String[]> out = new ArrayList<>();
     try {
       List<String> lines = Files.readAllLines(file);
       if (lines.isEmpty() || !lines.get(0).equals(LIMITS_HEADER)) {
-        throw new BadPlanException(file + ": its first line is not " + LIMITS_HEADER);
+        throw new InvalidPlanException(file + ": its first line is not " + LIMITS_HEADER);
       }
       for (String line : lines.subList(1, lines.size())) {
         String[] words = line.split(",", -1);
         if (words.length != LIMITS_COLUMNS || !words[3].matches("[0-9.]*")) {
-          throw new BadPlanException(file + ": not a limit: " + line);
+          throw new InvalidPlanException(file + ": not a limit: " + line);
         }
         out.add(words);
       }
     } catch (IOException e) {
-      throw new BadPlanException(file + ": cannot be read");
+      throw new InvalidPlanException(file + ": cannot be read");
     }
     return out;
   }
 
   /** Each figure's slope along each factor. */
   String slopes() {
-    StringBuilder s = new StringBuilder();
-    s.append(
+    StringBuilder text = new StringBuilder();
+    text.append(
         "| role | figure | along | points | per 1,000 | spread | at zero | worst residual |\n");
-    s.append("| --- | --- | --- | --- | --- | --- | --- | --- |\n");
+    text.append("| --- | --- | --- | --- | --- | --- | --- | --- |\n");
     for (String[] limit : limits) {
       for (Factor f : Factor.values()) {
         Slope slope = model.slope(f, limit[0], limit[1]);
         if (slope.points() > 1) {
-          s.append(
+          text.append(
               String.format(
                   Locale.ROOT,
                   "| %s | %s | %s | %d | %s | %s | %s | %.0f%%%s |%n",
@@ -85,14 +85,14 @@
         }
       }
     }
-    return s.toString();
+    return text.toString();
   }
 
   /** What a region of the plan needs, and at one and a half times its size. */
-  String plan() throws BadPlanException {
-    StringBuilder s = new StringBuilder();
-    s.append("| role | figure | plan, a region | 1.5 times | limit | headroom | carried by |\n");
-    s.append("| --- | --- | --- | --- | --- | --- | --- |\n");
+  String plan() throws InvalidPlanException {
+    StringBuilder text = new StringBuilder();
+    text.append("| role | figure | plan, a region | 1.5 times | limit | headroom | carried by |\n");
+    text.append("| --- | --- | --- | --- | --- | --- | --- |\n");
     for (String[] limit : limits) {
       double planned = model.at(REGION, limit[0], limit[1]);
       double more = model.at(CapacityModel.times(REGION, MORE), limit[0], limit[1]);
@@ -101,7 +101,7 @@
           limited
               ? String.format(Locale.ROOT, "%.1f", Double.parseDouble(limit[3]) / planned)
               : "-";
-      s.append(
+      text.append(
           String.format(
               Locale.ROOT,
               "| %s | %s | %s | %s | %s | %s | %s |%n",
@@ -113,7 +113,7 @@
               headroom,
               limit[4]));
     }
-    return s.toString();
+    return text.toString();
   }
 
   /** The runs of a series, one line each. */
@@ -124,22 +124,22 @@
         keys.add(key(p));
       }
     }
-    StringBuilder s = new StringBuilder();
-    s.append(
+    StringBuilder text = new StringBuilder();
+    text.append(
         "| workers, tasks, starts a second, fails | starts a second | urgent 50, 95, 99% ms |");
-    s.append(
+    text.append(
         " accepted 95% ms | changes of leader, longest pause s | leader's cores, MB, sockets |");
-    s.append(" state service: requests, changes, refused | a worker: cores, KB a second |");
-    s.append(" rules broken |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
+    text.append(" state service: requests, changes, refused | a worker: cores, KB a second |");
+    text.append(" rules broken |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
     for (String key : keys) {
-      s.append("| ").append(key).append(" | ");
-      s.append(cell(series, key, "region", "starts_per_s")).append(" | ");
-      s.append(cells(series, key, "region", "urgent_p50_ms", "urgent_p95_ms", "urgent_p99_ms"));
-      s.append(" | ").append(cell(series, key, "region", "accept_p95_ms")).append(" | ");
-      s.append(cells(series, key, "region", "leader_changes", "longest_pause_s")).append(" | ");
-      s.append(cells(series, key, "leader", "cores", "memory_peak_mb", "sockets_peak"));
-      s.append(" | ");
-      s.append(
+      text.append("| ").append(key).append(" | ");
+      text.append(cell(series, key, "region", "starts_per_s")).append(" | ");
+      text.append(cells(series, key, "region", "urgent_p50_ms", "urgent_p95_ms", "urgent_p99_ms"));
+      text.append(" | ").append(cell(series, key, "region", "accept_p95_ms")).append(" | ");
+      text.append(cells(series, key, "region", "leader_changes", "longest_pause_s")).append(" | ");
+      text.append(cells(series, key, "leader", "cores", "memory_peak_mb", "sockets_peak"));
+      text.append(" | ");
+      text.append(
           cells(
               series,
               key,
@@ -147,11 +147,12 @@
               "state_requests_per_s",
               "state_changes_per_s",
               "state_refused"));
-      s.append(" | ").append(cell(series, key, "one worker", "cores")).append(", ");
-      s.append(shown(sum(series, key, "one worker", "kb_in_per_s", "kb_out_per_s"))).append(" | ");
-      s.append(cell(series, key, "region", "rules_broken")).append(" |\n");
+      text.append(" | ").append(cell(series, key, "one worker", "cores")).append(", ");
+      text.append(shown(sum(series, key, "one worker", "kb_in_per_s", "kb_out_per_s")))
+          .append(" | ");
+      text.append(cell(series, key, "region", "rules_broken")).append(" |\n");
     }
-    return s.toString();
+    return text.toString();
   }
 
   private static String key(Point p) {
--- a/src/lab/java/org/snowturn/lab/Deployment.java
+++ b/src/testbench/java/org/snowturn/testbench/Deployment.java
@@ -1,4 +1,4 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -8,8 +8,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.snowturn.sim.Region;
-import org.snowturn.sim.RegionPlan;
+import org.snowturn.simulation.LoopbackCluster;
+import org.snowturn.simulation.LoopbackPlan;
 
 /**
  * Regions of stand-ins in this process and their controllers in processes of their own. Ends all
@@ -26,18 +26,21 @@
 
   /** One region: its stand-ins, and its processes. */
   static final class Part {
-    final RegionPlan plan;
-    final Region region;
+    final LoopbackPlan plan;
+    final LoopbackCluster region;
     final List<ControllerProcess> controllers = new ArrayList<>();
 
-    private Part(RegionPlan plan) {
+    private Part(LoopbackPlan plan) {
       this.plan = plan;
-      this.region = new Region(plan);
+      this.region = new LoopbackCluster(plan);
     }
 
     /** The controller of this name, or null. */
     ControllerProcess named(String name) {
-      return controllers.stream().filter(c -> c.name.equals(name)).findFirst().orElse(null);
+      return controllers.stream()
+          .filter(controller -> controller.name.equals(name))
+          .findFirst()
+          .orElse(null);
     }
   }
 
@@ -60,12 +63,12 @@
   }
 
   /** Opens the stand-ins of the regions; machines come up. */
-  void open(List<RegionPlan> plans) throws IOException {
+  void open(List<LoopbackPlan> plans) throws IOException {
     open(plans, PeerAddresses.DIRECT);
   }
 
   /** The same, with a relay that can be cut on each way between two controllers. */
-  void openWithRelays(List<RegionPlan> plans) throws IOException {
+  void openWithRelays(List<LoopbackPlan> plans) throws IOException {
     open(
         plans,
         (from, to) -> {
@@ -75,41 +78,43 @@
         });
   }
 
-  private void open(List<RegionPlan> plans, PeerAddresses addresses) throws IOException {
+  private void open(List<LoopbackPlan> plans, PeerAddresses addresses) throws IOException {
     Files.createDirectories(dir);
     Runtime.getRuntime().addShutdownHook(atExit);
-    for (RegionPlan plan : plans) {
+    for (LoopbackPlan plan : plans) {
       open(new Part(plan), addresses);
     }
   }
 
   private void open(Part part, PeerAddresses addresses) throws IOException {
     parts.add(part);
-    Region.Outside outside = part.region.open();
+    LoopbackCluster.Outside outside = part.region.open();
     List<String> zones = part.plan.zones();
     for (String name : part.plan.controllers()) {
       String zone = zones.get(part.controllers.size() % zones.size());
       part.controllers.add(new ControllerProcess(name, zone, dir));
     }
     Map<String, InetSocketAddress> serving = new HashMap<>();
-    for (ControllerProcess c : part.controllers) {
-      serving.put(c.name, c.serving);
-      c.configure(SettingsFile.of(c, part.controllers, part.plan, part.region, outside, addresses));
+    for (ControllerProcess controller : part.controllers) {
+      serving.put(controller.name, controller.serving);
+      controller.configure(
+          SettingsFile.of(
+              controller, part.controllers, part.plan, part.region, outside, addresses));
     }
     part.region.start(serving);
   }
 
   void startControllers() throws IOException {
     for (Part p : parts) {
-      for (ControllerProcess c : p.controllers) {
-        start(c);
+      for (ControllerProcess controller : p.controllers) {
+        start(controller);
       }
     }
   }
 
   /** Starts one controller, for the first time or again. */
-  void start(ControllerProcess c) throws IOException {
-    c.start(command, root, environment);
+  void start(ControllerProcess controller) throws IOException {
+    controller.start(command, root, environment);
   }
 
   /** Cuts the way between two controllers in one direction, or opens it again. */
--- a/src/lab/java/org/snowturn/lab/Digest.java
+++ b/src/testbench/java/org/snowturn/testbench/DigestCommand.java
@@ -1,4 +1,4 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -13,8 +13,8 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import org.snowturn.sim.BehaviorDigest;
-import org.snowturn.sim.Simulation;
+import org.snowturn.simulation.BehaviorDigest;
+import org.snowturn.simulation.Simulation;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -29,7 +29,7 @@
     name = "digest",
     mixinStandardHelpOptions = true,
     description = "Writes or compares a digest of the controllers' behavior in each scenario.")
-final class Digest implements Callable<Integer> {
+final class DigestCommand implements Callable<Integer> {
   private static final int DIFFERENT = 1;
   private static final int MAX_JOBS = 64;
   private static final int OVERLAPPING_SEEDS = 80;
@@ -68,29 +68,29 @@
         Files.write(out, lines);
       }
       return baseline == null ? summary(digests) : compare(expected, digests);
-    } catch (BadPlanException e) {
+    } catch (InvalidPlanException e) {
       throw new ParameterException(spec.commandLine(), e.getMessage());
     }
   }
 
-  private void checkOptions() throws BadPlanException {
+  private void checkOptions() throws InvalidPlanException {
     if (every < 1) {
-      throw new BadPlanException("--every: must be at least 1");
+      throw new InvalidPlanException("--every: must be at least 1");
     }
     if (jobs < 1 || jobs > MAX_JOBS) {
-      throw new BadPlanException("--jobs: must be from 1 to " + MAX_JOBS);
+      throw new InvalidPlanException("--jobs: must be from 1 to " + MAX_JOBS);
     }
     if (out == null && baseline == null) {
-      throw new BadPlanException("--out or --compare is needed");
+      throw new InvalidPlanException("--out or --compare is needed");
     }
   }
 
-  private List<Simulation> selected() throws IOException, BadPlanException {
+  private List<Simulation> selected() throws IOException, InvalidPlanException {
     List<Simulation> all = new ArrayList<>();
     try {
       all.addAll(Simulation.ofFiles(scenarios));
     } catch (NotDirectoryException | java.nio.file.NoSuchFileException e) {
-      throw new BadPlanException("--scenarios: no folder " + scenarios);
+      throw new InvalidPlanException("--scenarios: no folder " + scenarios);
     }
     all.addAll(Simulation.ofOverlappingFaults(1, OVERLAPPING_SEEDS));
     all.addAll(Simulation.ofTargetedFaults(1, TARGETED_SEEDS));
@@ -101,7 +101,7 @@
       }
     }
     if (selected.isEmpty()) {
-      throw new BadPlanException("--only: no run begins with " + prefix);
+      throw new InvalidPlanException("--only: no run begins with " + prefix);
     }
     return selected;
   }
@@ -126,15 +126,15 @@
     }
   }
 
-  private static Map<String, String> read(Path file) throws IOException, BadPlanException {
+  private static Map<String, String> read(Path file) throws IOException, InvalidPlanException {
     if (!Files.isRegularFile(file)) {
-      throw new BadPlanException("--compare: no file " + file);
+      throw new InvalidPlanException("--compare: no file " + file);
     }
     Map<String, String> digests = new LinkedHashMap<>();
     for (String line : Files.readAllLines(file)) {
       int separator = line.indexOf(SEPARATOR);
       if (separator < 0) {
-        throw new BadPlanException("--compare: not a line of digests: " + line);
+        throw new InvalidPlanException("--compare: not a line of digests: " + line);
       }
       digests.put(line.substring(0, separator), line.substring(separator + SEPARATOR.length()));
     }
--- a/src/lab/java/org/snowturn/lab/Failure.java
+++ b/src/testbench/java/org/snowturn/testbench/Failure.java
@@ -1,4 +1,4 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.TypeConversionException;
--- a/src/lab/java/org/snowturn/lab/BadPlanException.java
+++ b/src/testbench/java/org/snowturn/testbench/InvalidPlanException.java
@@ -1,10 +1,10 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 /** A plan or a file that the caller got wrong; the message is one line. */
-final class BadPlanException extends Exception {
+final class InvalidPlanException extends Exception {
   private static final long serialVersionUID = 1;
 
-  BadPlanException(String message) {
+  InvalidPlanException(String message) {
     super(message);
   }
 }
--- a/src/lab/java/org/snowturn/lab/RunLine.java
+++ b/src/testbench/java/org/snowturn/testbench/LaunchCommand.java
@@ -1,4 +1,4 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
@@ -9,25 +9,25 @@
 import java.util.List;
 
 /** How controllers are started: the run line of a deploy file, with another heap if asked for. */
-final class RunLine {
-  private RunLine() {}
+final class LaunchCommand {
+  private LaunchCommand() {}
 
   /** Reads {@code run} of the deploy file and checks that the jar it names is there. */
-  static List<String> read(Path deployFile, Path root, int heapMb) throws BadPlanException {
+  static List<String> read(Path deployFile, Path root, int heapMb) throws InvalidPlanException {
     String line;
     try {
-      JsonNode n = new TomlMapper().readTree(deployFile.toFile());
-      line = n.path("run").asText();
+      JsonNode node = new TomlMapper().readTree(deployFile.toFile());
+      line = node.path("run").asText();
     } catch (IOException e) {
-      throw new BadPlanException(deployFile + ": cannot be read");
+      throw new InvalidPlanException(deployFile + ": cannot be read");
     }
     if (line.isBlank()) {
-      throw new BadPlanException(deployFile + ": no run line in it");
+      throw new InvalidPlanException(deployFile + ": no run line in it");
     }
     List<String> words = new ArrayList<>(List.of(line.trim().split("\\s+")));
     int jar = words.indexOf("-jar");
     if (jar >= 0 && !Files.exists(root.resolve(words.get(jar + 1)))) {
-      throw new BadPlanException(words.get(jar + 1) + ": not there; build the service first");
+      throw new InvalidPlanException(words.get(jar + 1) + ": not there; build the service first");
     }
     if (heapMb > 0) {
       words.replaceAll(w -> w.startsWith("-Xmx") ? "-Xmx" + heapMb + "m" : w);
--- a/src/lab/java/org/snowturn/lab/Measurements.java
+++ b/src/testbench/java/org/snowturn/testbench/Measurements.java
@@ -1,4 +1,4 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -52,26 +52,26 @@
   private final List<Point> points = new ArrayList<>();
 
   /** Reads a file; a damaged line ends it with the line's number. */
-  static Measurements read(Path file) throws BadPlanException {
+  static Measurements read(Path file) throws InvalidPlanException {
     Measurements out = new Measurements();
     List<String> lines;
     try {
       lines = Files.readAllLines(file);
     } catch (IOException e) {
-      throw new BadPlanException(file + ": cannot be read");
+      throw new InvalidPlanException(file + ": cannot be read");
     }
     if (lines.isEmpty() || !lines.get(0).equals(HEADER)) {
-      throw new BadPlanException(file + ": its first line is not the header of measurements");
+      throw new InvalidPlanException(file + ": its first line is not the header of measurements");
     }
     for (int i = 1; i < lines.size(); i++) {
       String[] words = lines.get(i).split(",", -1);
       if (words.length != COLUMNS) {
-        throw new BadPlanException(file + ":" + (i + 1) + ": " + COLUMNS + " columns expected");
+        throw new InvalidPlanException(file + ":" + (i + 1) + ": " + COLUMNS + " columns expected");
       }
       try {
         out.points.add(point(words));
       } catch (NumberFormatException e) {
-        throw new BadPlanException(file + ":" + (i + 1) + ": a number expected");
+        throw new InvalidPlanException(file + ":" + (i + 1) + ": a number expected");
       }
     }
     return out;
@@ -112,11 +112,12 @@
   }
 
   /** The size that a series' runs have in common in a factor that they do not vary. */
-  double common(Factor factor, String series) throws BadPlanException {
+  double common(Factor factor, String series) throws InvalidPlanException {
     return points.stream()
         .filter(p -> p.series.equals(series))
         .mapToDouble(p -> p.size.get(factor))
         .findFirst()
-        .orElseThrow(() -> new BadPlanException("no series " + series + " among the measurements"));
+        .orElseThrow(
+            () -> new InvalidPlanException("no series " + series + " among the measurements"));
   }
 }
--- a/src/lab/java/org/snowturn/lab/PeerAddresses.java
+++ b/src/testbench/java/org/snowturn/testbench/PeerAddresses.java
@@ -1,4 +1,4 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/lab/java/org/snowturn/lab/Scale.java
+++ b/src/testbench/java/org/snowturn/testbench/ScaleCommand.java
@@ -1,4 +1,4 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -16,7 +16,7 @@
     name = "scale",
     mixinStandardHelpOptions = true,
     description = "Plays real controllers with hollow workers over loopback and measures them.")
-final class Scale implements Callable<Integer> {
+final class ScaleCommand implements Callable<Integer> {
   private static final int BROKEN = 1;
   private static final Path DEPLOY = Path.of("deploy", "service.toml");
 
@@ -90,8 +90,8 @@
     Path root = Path.of("").toAbsolutePath();
     try {
       plan.check(MachineMemory.totalMb());
-      command = RunLine.read(DEPLOY, root, heap);
-    } catch (BadPlanException e) {
+      command = LaunchCommand.read(DEPLOY, root, heap);
+    } catch (InvalidPlanException e) {
       throw new ParameterException(spec.commandLine(), e.getMessage());
     }
     ScaleResult result;
--- a/src/lab/java/org/snowturn/lab/ScaleFiles.java
+++ b/src/testbench/java/org/snowturn/testbench/ScaleFiles.java
@@ -1,4 +1,4 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -27,10 +27,10 @@
     r.broken().forEach(json.putArray("broken")::add);
     ObjectNode rows = json.putObject("rows");
     for (ScaleResult.Row row : r.rows()) {
-      ObjectNode o = rows.putObject(row.scope());
+      ObjectNode object = rows.putObject(row.scope());
       for (var e : row.figures().entrySet()) {
         lines.add(planColumns(r.plan()) + "," + row.scope() + "," + e.getKey() + "," + shown(e));
-        o.put(e.getKey(), e.getValue());
+        object.put(e.getKey(), e.getValue());
       }
     }
     Files.write(dir.resolve("scale.csv"), lines);
--- a/src/lab/java/org/snowturn/lab/ScalePlan.java
+++ b/src/testbench/java/org/snowturn/testbench/ScalePlan.java
@@ -1,9 +1,9 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.snowturn.config.Settings;
-import org.snowturn.sim.RegionPlan;
+import org.snowturn.simulation.LoopbackPlan;
 
 /**
  * What a scale run is asked to play.
@@ -62,7 +62,7 @@
   private static final int STATE_TXN_OPS = 24;
 
   /** Checks all figures; says in one line which is wrong. */
-  void check(long machineMemoryMb) throws BadPlanException {
+  void check(long machineMemoryMb) throws InvalidPlanException {
     between("--workers", workers, 1, MOST_WORKERS);
     between("--tasks", tasks, 1, MOST_TASKS);
     between("--starts", startsPerSecond, 0, MOST_STARTS);
@@ -73,27 +73,27 @@
     between("--heap", heapMb, 0, MOST_HEAP_MB);
     between("--connections", connections, 16, 60_000);
     if (!(stateRps >= 1) || !(stateWrites >= 1)) {
-      throw new BadPlanException("the state service's rates must be at least 1");
+      throw new InvalidPlanException("the state service's rates must be at least 1");
     }
     if (workers < regions) {
-      throw new BadPlanException("--workers: fewer than regions");
+      throw new InvalidPlanException("--workers: fewer than regions");
     }
     if (failure.workers() > workers) {
-      throw new BadPlanException("--fail: more workers than there are");
+      throw new InvalidPlanException("--fail: more workers than there are");
     }
     if (controllers * regions + 1 > MOST_PROCESSES) {
-      throw new BadPlanException("more than " + MOST_PROCESSES + " processes");
+      throw new InvalidPlanException("more than " + MOST_PROCESSES + " processes");
     }
     if (memoryMb() > machineMemoryMb / 2) {
-      throw new BadPlanException(
+      throw new InvalidPlanException(
           "needs about " + memoryMb() + " MB, more than half of the machine's " + machineMemoryMb);
     }
   }
 
   private static void between(String name, double value, double least, double most)
-      throws BadPlanException {
+      throws InvalidPlanException {
     if (!(value >= least && value <= most)) {
-      throw new BadPlanException(name + ": must be from " + least + " to " + most);
+      throw new InvalidPlanException(name + ": must be from " + least + " to " + most);
     }
   }
 
@@ -108,8 +108,8 @@
   }
 
   /** The regions, as even as they come; seven zones are dealt out among them. */
-  List<RegionPlan> parts() {
-    List<RegionPlan> out = new ArrayList<>();
+  List<LoopbackPlan> parts() {
+    List<LoopbackPlan> out = new ArrayList<>();
     for (int r = 0; r < regions; r++) {
       List<String> zones = new ArrayList<>();
       for (int z = r; z < Math.max(ZONES, regions); z += regions) {
@@ -120,7 +120,7 @@
         names.add("r" + r + "-n" + c);
       }
       out.add(
-          new RegionPlan(
+          new LoopbackPlan(
               r,
               zones,
               names,
--- a/src/lab/java/org/snowturn/lab/ScaleResult.java
+++ b/src/testbench/java/org/snowturn/testbench/ScaleResult.java
@@ -1,12 +1,12 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import org.snowturn.sim.RegionPlan;
-import org.snowturn.sim.RegionStatus;
+import org.snowturn.simulation.LoopbackPlan;
+import org.snowturn.simulation.LoopbackStatus;
 
 /** The figures of a played scale run, as rows of a scope and named figures. */
 final class ScaleResult {
@@ -63,7 +63,11 @@
     }
 
     void region(
-        RegionPlan p, RegionStatus from, RegionStatus to, Histogram urgent, Histogram accepted) {
+        LoopbackPlan p,
+        LoopbackStatus from,
+        LoopbackStatus to,
+        Histogram urgent,
+        Histogram accepted) {
       broken.addAll(to.broken());
       workersUp += to.workersUp();
       Map<String, Double> f = new TreeMap<>();
--- a/src/lab/java/org/snowturn/lab/ScaleRun.java
+++ b/src/testbench/java/org/snowturn/testbench/ScaleRun.java
@@ -1,4 +1,4 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
-import org.snowturn.lab.Deployment.Part;
-import org.snowturn.sim.RegionStatus;
+import org.snowturn.simulation.LoopbackStatus;
+import org.snowturn.testbench.Deployment.Part;
 
 /**
  * Plays a plan on a deployment of its own: fills it, loads it, lets something fail, and measures.
@@ -29,7 +29,7 @@
   private final ScalePlan plan;
   private final Consumer<String> progress;
   private final Deployment deployment;
-  private final Map<Part, RegionStatus> atMark = new HashMap<>();
+  private final Map<Part, LoopbackStatus> atMark = new HashMap<>();
   private ScaleResult.Builder result;
   private double fillS;
 
@@ -116,15 +116,15 @@
         String zone = first.plan.zones().get(0);
         first.region.failZone(zone);
         first.controllers.stream()
-            .filter(c -> c.zone.equals(zone))
+            .filter(controller -> controller.zone.equals(zone))
             .forEach(ControllerProcess::kill);
       }
       case REGION -> {
         first.region.stateOutage(REGION_OUT_MS);
         first.controllers.forEach(ControllerProcess::kill);
         Thread.sleep(RESTART_MS);
-        for (ControllerProcess c : first.controllers) {
-          deployment.start(c);
+        for (ControllerProcess controller : first.controllers) {
+          deployment.start(controller);
         }
       }
       case WORKERS -> first.region.failWorkers(plan.failure().workers());
@@ -134,13 +134,17 @@
 
   private ScaleResult collect() throws IOException, TimeoutException {
     for (Part p : deployment.parts()) {
-      RegionStatus now = p.region.status();
+      LoopbackStatus now = p.region.status();
       Histogram urgent = p.region.urgentDelays();
       Histogram accepted = p.region.acceptDelays();
       result.region(p.plan, atMark.get(p), now, urgent, accepted);
-      for (ControllerProcess c : p.controllers) {
-        c.sample();
-        result.controller(p.plan.number(), c.name, c.name.equals(now.leader()), c.used());
+      for (ControllerProcess controller : p.controllers) {
+        controller.sample();
+        result.controller(
+            p.plan.number(),
+            controller.name,
+            controller.name.equals(now.leader()),
+            controller.used());
       }
     }
     return result.threads(ProcessUsage.ownThreads()).build();
@@ -156,7 +160,7 @@
   private void tell(String phase) throws TimeoutException {
     StringBuilder line = new StringBuilder(phase);
     for (Part p : deployment.parts()) {
-      RegionStatus s = p.region.status();
+      LoopbackStatus s = p.region.status();
       line.append(
           String.format(
               java.util.Locale.ROOT,
--- a/src/lab/java/org/snowturn/lab/SettingsFile.java
+++ b/src/testbench/java/org/snowturn/testbench/SettingsFile.java
@@ -1,10 +1,10 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import java.io.IOException;
 import java.util.List;
 import java.util.Locale;
-import org.snowturn.sim.Region;
-import org.snowturn.sim.RegionPlan;
+import org.snowturn.simulation.LoopbackCluster;
+import org.snowturn.simulation.LoopbackPlan;
 
 /** Writes a controller's settings for a scale run, in the platform's form. */
 final class SettingsFile {
@@ -13,9 +13,9 @@
   static String of(
       ControllerProcess self,
       List<ControllerProcess> all,
-      RegionPlan plan,
-      Region region,
-      Region.Outside outside,
+      LoopbackPlan plan,
+      LoopbackCluster region,
+      LoopbackCluster.Outside outside,
       PeerAddresses addresses)
       throws IOException {
     StringBuilder s = new StringBuilder();
@@ -38,7 +38,7 @@
     s.append("zones = [");
     plan.zones().forEach(z -> s.append('"').append(z).append("\", "));
     s.append("]\nclock_error_ms = 250.0\n");
-    for (Region.Team t : region.teams()) {
+    for (LoopbackCluster.Team t : region.teams()) {
       s.append("[[deployment.teams]]\n");
       text(s, "name", t.name());
       number(s, "cpus_max", t.mostCpus());
@@ -49,21 +49,21 @@
     return s.toString();
   }
 
-  private static void limits(StringBuilder s, RegionPlan plan) {
-    s.append("[deployment.workers]\n");
-    number(s, "report_s", plan.figures().reportS());
-    number(s, "lease_s", plan.figures().leaseS());
-    number(s, "cancel_s", plan.figures().cancelS());
-    s.append("[deployment.state]\n");
-    number(s, "rps", plan.state().rps());
-    number(s, "write_rps", plan.state().writeRps());
-    number(s, "value_kb", plan.state().valueKb());
-    s.append("txn_ops = ").append(plan.state().txnOps()).append('\n');
-    s.append("[deployment.cloud]\n");
-    number(s, "rps", plan.cloud().rps());
-    number(s, "list_lag_s", plan.cloud().listLagS());
-    s.append("[deployment.machine_limits]\n");
-    s.append("max_connections = ").append(plan.maxConnections()).append('\n');
+  private static void limits(StringBuilder text, LoopbackPlan plan) {
+    text.append("[deployment.workers]\n");
+    number(text, "report_s", plan.figures().reportS());
+    number(text, "lease_s", plan.figures().leaseS());
+    number(text, "cancel_s", plan.figures().cancelS());
+    text.append("[deployment.state]\n");
+    number(text, "rps", plan.state().rps());
+    number(text, "write_rps", plan.state().writeRps());
+    number(text, "value_kb", plan.state().valueKb());
+    text.append("txn_ops = ").append(plan.state().txnOps()).append('\n');
+    text.append("[deployment.cloud]\n");
+    number(text, "rps", plan.cloud().rps());
+    number(text, "list_lag_s", plan.cloud().listLagS());
+    text.append("[deployment.machine_limits]\n");
+    text.append("max_connections = ").append(plan.maxConnections()).append('\n');
   }
 
   private static void objective(
@@ -75,12 +75,12 @@
     s.append(more).append('\n');
   }
 
-  private static void text(StringBuilder s, String name, String value) {
-    s.append(name).append(" = \"").append(value).append("\"\n");
+  private static void text(StringBuilder text, String name, String value) {
+    text.append(name).append(" = \"").append(value).append("\"\n");
   }
 
-  private static void number(StringBuilder s, String name, double value) {
-    s.append(String.format(Locale.ROOT, "%s = %.3f%n", name, value));
+  private static void number(StringBuilder text, String name, double value) {
+    text.append(String.format(Locale.ROOT, "%s = %.3f%n", name, value));
   }
 
   private static String at(java.net.InetSocketAddress a) {
--- a/src/lab/java/org/snowturn/lab/Soak.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakCommand.java
@@ -1,4 +1,4 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -17,7 +17,7 @@
     name = "soak",
     mixinStandardHelpOptions = true,
     description = "Plays real controllers under drawn faults over loopback and checks all rules.")
-final class Soak implements Callable<Integer> {
+final class SoakCommand implements Callable<Integer> {
   private static final int BROKEN = 1;
   private static final String RANGE = "[0-9]{1,9}(-[0-9]{1,9})?";
   private static final int MOST_SEEDS = 10_000;
@@ -58,33 +58,33 @@
         plan.check(memoryMb);
       }
       Path root = Path.of("").toAbsolutePath();
-      return play(plans, RunLine.read(DEPLOY, root, 0), root);
-    } catch (BadPlanException e) {
+      return play(plans, LaunchCommand.read(DEPLOY, root, 0), root);
+    } catch (InvalidPlanException e) {
       throw new ParameterException(spec.commandLine(), e.getMessage());
     }
   }
 
-  private List<SoakPlan> plans() throws BadPlanException {
+  private List<SoakPlan> plans() throws InvalidPlanException {
     if ((planFile == null) == (seeds == null)) {
-      throw new BadPlanException("either --seeds or --plan is needed");
+      throw new InvalidPlanException("either --seeds or --plan is needed");
     }
     if (planFile != null) {
       return List.of(SoakPlan.read(planFile));
     }
     if (!seeds.matches(RANGE)) {
-      throw new BadPlanException("--seeds: A or A-B expected, not " + seeds);
+      throw new InvalidPlanException("--seeds: A or A-B expected, not " + seeds);
     }
     String[] ends = seeds.split("-");
     long first = Long.parseLong(ends[0]);
     long last = Long.parseLong(ends[ends.length - 1]);
     if (last < first || last - first >= MOST_SEEDS) {
-      throw new BadPlanException("--seeds: from 1 to " + MOST_SEEDS + " seeds, first to last");
+      throw new InvalidPlanException("--seeds: from 1 to " + MOST_SEEDS + " seeds, first to last");
     }
     if (workers != null && workers < 1) {
-      throw new BadPlanException("--workers: must be from 1 to " + SoakPlan.MOST_WORKERS);
+      throw new InvalidPlanException("--workers: must be from 1 to " + SoakPlan.MOST_WORKERS);
     }
     if (duration < 1 || duration > SoakPlan.LONGEST_S) {
-      throw new BadPlanException("--duration: must be from 1 to " + SoakPlan.LONGEST_S);
+      throw new InvalidPlanException("--duration: must be from 1 to " + SoakPlan.LONGEST_S);
     }
     List<SoakPlan> plans = new ArrayList<>();
     for (long seed = first; seed <= last; seed++) {
@@ -94,7 +94,7 @@
   }
 
   private int play(List<SoakPlan> plans, List<String> command, Path root)
-      throws IOException, InterruptedException, BadPlanException {
+      throws IOException, InterruptedException, InvalidPlanException {
     int[] results = new int[SoakVerdict.Result.values().length];
     for (SoakPlan plan : plans) {
       Path dir = out.resolve("seed-" + plan.seed());
--- a/src/lab/java/org/snowturn/lab/SoakPlan.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakPlan.java
@@ -1,4 +1,4 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -11,8 +11,8 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.snowturn.config.Settings;
-import org.snowturn.lab.SoakFault.Kind;
-import org.snowturn.sim.RegionPlan;
+import org.snowturn.simulation.LoopbackPlan;
+import org.snowturn.testbench.SoakFault.Kind;
 
 /**
  * What a soak run plays: a size, a time and faults. One seed always gives the same plan; a plan can
@@ -113,16 +113,16 @@
   }
 
   /** Reads a plan that {@link #write} has written; says which line is damaged. */
-  static SoakPlan read(Path file) throws BadPlanException {
+  static SoakPlan read(Path file) throws InvalidPlanException {
     List<String> lines;
     try {
       lines = Files.readAllLines(file);
     } catch (IOException e) {
-      throw new BadPlanException(file + ": cannot be read");
+      throw new InvalidPlanException(file + ": cannot be read");
     }
     Matcher header = HEADER.matcher(lines.isEmpty() ? "" : lines.get(0).trim());
     if (!header.matches()) {
-      throw new BadPlanException(file + ":1: \"soak seed N workers N duration N\" expected");
+      throw new InvalidPlanException(file + ":1: \"soak seed N workers N duration N\" expected");
     }
     List<SoakFault> faults = new ArrayList<>();
     for (int i = 1; i < lines.size(); i++) {
@@ -138,23 +138,23 @@
         List.copyOf(faults));
   }
 
-  private static SoakFault fault(String place, String line) throws BadPlanException {
+  private static SoakFault fault(String place, String line) throws InvalidPlanException {
     Matcher m = LINE.matcher(line);
     if (!m.matches()) {
-      throw new BadPlanException(
+      throw new InvalidPlanException(
           place + ": \"at SECONDS KIND TARGET for SECONDS amount NUMBER\" expected");
     }
     for (Kind kind : Kind.values()) {
       if (kind.word().equals(m.group(2))) {
         boolean aimed = !m.group(3).equals(SoakFault.NOBODY);
         if (aimed != kind.ofController()) {
-          throw new BadPlanException(place + ": " + kind.word() + " of " + m.group(3));
+          throw new InvalidPlanException(place + ": " + kind.word() + " of " + m.group(3));
         }
         return new SoakFault(
             ms(m.group(1)), kind, m.group(3), ms(m.group(4)), Double.parseDouble(m.group(5)));
       }
     }
-    throw new BadPlanException(place + ": no such fault: " + m.group(2));
+    throw new InvalidPlanException(place + ": no such fault: " + m.group(2));
   }
 
   private static long ms(String seconds) {
@@ -167,27 +167,27 @@
     lines.add(
         String.format(
             Locale.ROOT, "soak seed %d workers %d duration %d", seed, workers, durationS));
-    faults.forEach(f -> lines.add(f.line()));
+    faults.forEach(fault -> lines.add(fault.line()));
     return lines;
   }
 
   /** Checks the figures; says in one line which is wrong. */
-  void check(long machineMemoryMb) throws BadPlanException {
+  void check(long machineMemoryMb) throws InvalidPlanException {
     if (workers < 1 || workers > MOST_WORKERS) {
-      throw new BadPlanException("--workers: must be from 1 to " + MOST_WORKERS);
+      throw new InvalidPlanException("--workers: must be from 1 to " + MOST_WORKERS);
     }
     if (durationS < 1 || durationS > LONGEST_S) {
-      throw new BadPlanException("--duration: must be from 1 to " + LONGEST_S);
+      throw new InvalidPlanException("--duration: must be from 1 to " + LONGEST_S);
     }
     long needs = Math.round(BASE_MB + workers * MB_PER_WORKER + CONTROLLERS * MB_PER_CONTROLLER);
     if (needs > machineMemoryMb / 2) {
-      throw new BadPlanException(
+      throw new InvalidPlanException(
           "needs about " + needs + " MB, more than half of the machine's " + machineMemoryMb);
     }
   }
 
   /** The region that it is played in. */
-  RegionPlan region() {
+  LoopbackPlan region() {
     List<String> zones = new ArrayList<>();
     for (int i = 0; i < ZONES; i++) {
       zones.add("zone-" + i);
@@ -196,7 +196,7 @@
     for (int i = 0; i < CONTROLLERS; i++) {
       controllers.add("node-" + i);
     }
-    return new RegionPlan(
+    return new LoopbackPlan(
         0,
         zones,
         controllers,
--- a/src/lab/java/org/snowturn/lab/SoakRun.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakRun.java
@@ -1,4 +1,4 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import java.io.BufferedWriter;
 import java.io.IOException;
@@ -10,9 +10,9 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import org.snowturn.lab.Deployment.Part;
-import org.snowturn.lab.SoakVerdict.Result;
-import org.snowturn.sim.RegionStatus;
+import org.snowturn.simulation.LoopbackStatus;
+import org.snowturn.testbench.Deployment.Part;
+import org.snowturn.testbench.SoakVerdict.Result;
 
 /**
  * Plays one plan of faults on real controllers and judges it by what workers, users and the state
@@ -63,7 +63,7 @@
     this.progress = progress;
   }
 
-  SoakVerdict play() throws IOException, InterruptedException, BadPlanException {
+  SoakVerdict play() throws IOException, InterruptedException, InvalidPlanException {
     Files.createDirectories(dir);
     Files.write(dir.resolve(PLAN), plan.lines());
     SoakVerdict verdict;
@@ -89,7 +89,7 @@
   }
 
   private SoakVerdict play(Deployment deployment)
-      throws IOException, InterruptedException, BadPlanException {
+      throws IOException, InterruptedException, InvalidPlanException {
     Part part = deployment.parts().get(0);
     try {
       deployment.startControllers();
@@ -107,12 +107,13 @@
   }
 
   private void awaitReady(Part part)
-      throws InterruptedException, TimeoutException, IOException, BadPlanException {
+      throws InterruptedException, TimeoutException, IOException, InvalidPlanException {
     long until = System.currentTimeMillis() + READY_WITHIN_MS;
     while (part.region.ready().size() < part.controllers.size()) {
-      for (ControllerProcess c : part.controllers) {
-        if (c.endedByItself()) {
-          throw new BadPlanException(c.name + " does not start: " + lastLine(c.log()));
+      for (ControllerProcess controller : part.controllers) {
+        if (controller.endedByItself()) {
+          throw new InvalidPlanException(
+              controller.name + " does not start: " + lastLine(controller.log()));
         }
       }
       if (System.currentTimeMillis() > until) {
@@ -140,21 +141,21 @@
   }
 
   private SoakVerdict judge(Part part, List<String> open) throws TimeoutException, IOException {
-    RegionStatus status = part.region.status();
+    LoopbackStatus status = part.region.status();
     List<String> broken = new ArrayList<>(status.broken());
     open.forEach(o -> broken.add("unsettled: " + o));
     if (status.starts() == 0) {
       broken.add("nothing_ran");
     }
-    for (ControllerProcess c : part.controllers) {
-      if (c.endedByItself()) {
-        broken.add("controller_ended: " + c.name);
+    for (ControllerProcess controller : part.controllers) {
+      if (controller.endedByItself()) {
+        broken.add("controller_ended: " + controller.name);
       }
-      try (Stream<String> lines = Files.lines(c.log())) {
+      try (Stream<String> lines = Files.lines(controller.log())) {
         lines
             .filter(l -> l.contains("invariant_violated") || l.contains("input failed"))
             .limit(5)
-            .forEach(l -> broken.add(c.name + ": " + l));
+            .forEach(l -> broken.add(controller.name + ": " + l));
       }
     }
     return new SoakVerdict(
--- a/src/lab/java/org/snowturn/lab/SoakVerdict.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakVerdict.java
@@ -1,4 +1,4 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import java.util.List;
 
--- a/src/lab/java/org/snowturn/lab/Lab.java
+++ b/src/testbench/java/org/snowturn/testbench/Testbench.java
@@ -1,6 +1,6 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
-import org.snowturn.days.Days;
+import org.snowturn.workload.WorkloadCommand;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
@@ -8,15 +8,21 @@
  * Developers' tools: scale and soak runs, tables of their results, copies and draws of deployments.
  */
 @Command(
-    name = "snowturn-lab",
+    name = "snowturn-testbench",
     mixinStandardHelpOptions = true,
-    subcommands = {Scale.class, Soak.class, Capacity.class, Digest.class, Days.class},
+    subcommands = {
+      ScaleCommand.class,
+      SoakCommand.class,
+      CapacityCommand.class,
+      DigestCommand.class,
+      WorkloadCommand.class
+    },
     description = "Scale and soak runs of real controllers, tables, and days of one's own.")
-public final class Lab {
-  Lab() {}
+public final class Testbench {
+  Testbench() {}
 
   /** Exit status 2 stands for what the caller got wrong, in one line. */
   public static void main(String[] args) {
-    System.exit(Days.handled(new CommandLine(new Lab())).execute(args));
+    System.exit(WorkloadCommand.handled(new CommandLine(new Testbench())).execute(args));
   }
 }
--- a/src/lab/java/org/snowturn/days/DayDraw.java
+++ b/src/testbench/java/org/snowturn/workload/DayGenerator.java
@@ -1,4 +1,4 @@
-package org.snowturn.days;
+package org.snowturn.workload;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -14,7 +14,7 @@
  * Draws a day from all kinds of trouble that sites name, weighted to what hurts: troubles that fall
  * within seconds of each other, all nodes at once, one node again and again, in a flood.
  */
-final class DayDraw {
+final class DayGenerator {
   /** A trouble comes this soon after the one before it, as often as {@link #TOGETHER} says. */
   private static final double SOON_S = 6;
 
@@ -45,7 +45,7 @@
    * @param guests whether a guest team comes, as on a day of the site
    * @param meetings whether the busiest node is refused alone, then all are, while users cancel
    */
-  DayDraw(
+  DayGenerator(
       SiteFile site,
       Map<String, List<ObjectNode>> troubles,
       double size,
@@ -134,8 +134,8 @@
     ArrayNode jobs = day.withArray("/jobs");
     for (String name : site.arrays()) {
       ObjectNode found = null;
-      for (JsonNode n : jobs) {
-        found = n.path("name").asText().equals(name) ? (ObjectNode) n : found;
+      for (JsonNode node : jobs) {
+        found = node.path("name").asText().equals(name) ? (ObjectNode) node : found;
       }
       (found == null ? jobs.addObject().put("name", name) : found).put(field, share);
     }
--- a/src/lab/java/org/snowturn/days/DayReport.java
+++ b/src/testbench/java/org/snowturn/workload/DayReport.java
@@ -1,4 +1,4 @@
-package org.snowturn.days;
+package org.snowturn.workload;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -25,11 +25,11 @@
 
   static DayReport read(Path file) throws SiteFile.BadInput {
     try {
-      JsonNode n = JSON.readTree(file.toFile());
-      if (!n.path("classes").isObject()) {
+      JsonNode node = JSON.readTree(file.toFile());
+      if (!node.path("classes").isObject()) {
         throw new SiteFile.BadInput(file + ": no report of a day");
       }
-      return new DayReport(n, String.valueOf(file.getFileName()));
+      return new DayReport(node, String.valueOf(file.getFileName()));
     } catch (IOException e) {
       throw new SiteFile.BadInput(file + ": cannot be read");
     }
@@ -123,8 +123,8 @@
 
   int mostSockets() {
     int most = 0;
-    for (JsonNode n : root.path("node_stats")) {
-      most = Math.max(most, n.path("connections_peak").asInt());
+    for (JsonNode node : root.path("node_stats")) {
+      most = Math.max(most, node.path("connections_peak").asInt());
     }
     return most;
   }
@@ -139,9 +139,9 @@
   String csv() {
     double cpu = 0;
     double memory = 0;
-    for (JsonNode n : root.path("node_stats")) {
-      cpu = Math.max(cpu, n.path("cpu_mean").asDouble());
-      memory = Math.max(memory, n.path("memory_peak_mb").asDouble());
+    for (JsonNode node : root.path("node_stats")) {
+      cpu = Math.max(cpu, node.path("cpu_mean").asDouble());
+      memory = Math.max(memory, node.path("memory_peak_mb").asDouble());
     }
     long arrays = 0;
     for (JsonNode c : root.path("classes")) {
--- a/src/lab/java/org/snowturn/days/SiteFile.java
+++ b/src/testbench/java/org/snowturn/workload/SiteFile.java
@@ -1,4 +1,4 @@
-package org.snowturn.days;
+package org.snowturn.workload;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -35,14 +35,14 @@
    */
   static SiteFile read(Path file) throws BadInput {
     try {
-      JsonNode n = TOML.readTree(file.toFile());
-      if (!(n instanceof ObjectNode o)
-          || !n.path("jobs").isArray()
-          || !n.path("nodes").isObject()) {
+      JsonNode node = TOML.readTree(file.toFile());
+      if (!(node instanceof ObjectNode object)
+          || !node.path("jobs").isArray()
+          || !node.path("nodes").isObject()) {
         throw new BadInput(file + ": no [nodes] or no [[jobs]] in it");
       }
-      asDoubles(o);
-      return new SiteFile(o);
+      asDoubles(object);
+      return new SiteFile(object);
     } catch (IOException e) {
       String first = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
       throw new BadInput(file + ": " + first);
@@ -50,29 +50,29 @@
   }
 
   /** Fractions as they are read would be written in a form that not every reader takes. */
-  private static void asDoubles(JsonNode n) {
-    if (n instanceof ObjectNode o) {
-      for (String field : List.copyOf(fieldsOf(o))) {
-        if (o.get(field).isFloatingPointNumber()) {
-          o.put(field, o.get(field).doubleValue());
+  private static void asDoubles(JsonNode node) {
+    if (node instanceof ObjectNode object) {
+      for (String field : List.copyOf(fieldsOf(object))) {
+        if (object.get(field).isFloatingPointNumber()) {
+          object.put(field, object.get(field).doubleValue());
         } else {
-          asDoubles(o.get(field));
+          asDoubles(object.get(field));
         }
       }
-    } else if (n instanceof ArrayNode a) {
-      for (int i = 0; i < a.size(); i++) {
-        if (a.get(i).isFloatingPointNumber()) {
-          a.set(i, a.get(i).doubleValue());
+    } else if (node instanceof ArrayNode array) {
+      for (int i = 0; i < array.size(); i++) {
+        if (array.get(i).isFloatingPointNumber()) {
+          array.set(i, array.get(i).doubleValue());
         } else {
-          asDoubles(a.get(i));
+          asDoubles(array.get(i));
         }
       }
     }
   }
 
-  private static List<String> fieldsOf(ObjectNode o) {
+  private static List<String> fieldsOf(ObjectNode object) {
     List<String> out = new ArrayList<>();
-    o.fieldNames().forEachRemaining(out::add);
+    object.fieldNames().forEachRemaining(out::add);
     return out;
   }
 
@@ -82,18 +82,18 @@
       throw new BadInput("--size: " + size + " is no size");
     }
     for (String list : List.of("capacity", "machines", "jobs")) {
-      for (JsonNode n : root.path(list)) {
+      for (JsonNode node : root.path(list)) {
         for (String field : COUNTS) {
-          if (n.path(field).isNumber()) {
-            ((ObjectNode) n).put(field, Math.round(n.path(field).asDouble() * size));
+          if (node.path(field).isNumber()) {
+            ((ObjectNode) node).put(field, Math.round(node.path(field).asDouble() * size));
           }
         }
       }
     }
     for (String list : List.of("jobs", "pipelines")) {
-      for (JsonNode n : root.path(list)) {
-        if (n.path("arrivals").path("rate").isNumber()) {
-          ObjectNode arrivals = (ObjectNode) n.path("arrivals");
+      for (JsonNode node : root.path(list)) {
+        if (node.path("arrivals").path("rate").isNumber()) {
+          ObjectNode arrivals = (ObjectNode) node.path("arrivals");
           arrivals.put("rate", arrivals.path("rate").asDouble() * size);
         }
       }
@@ -146,9 +146,10 @@
   /** One class so many times as often, beside the others. */
   void mix(String jobClass, double times) throws BadInput {
     boolean found = false;
-    for (JsonNode n : root.path("jobs")) {
-      if (n.path("name").asText().equals(jobClass) && n.path("arrivals").path("rate").isNumber()) {
-        ObjectNode arrivals = (ObjectNode) n.path("arrivals");
+    for (JsonNode node : root.path("jobs")) {
+      if (node.path("name").asText().equals(jobClass)
+          && node.path("arrivals").path("rate").isNumber()) {
+        ObjectNode arrivals = (ObjectNode) node.path("arrivals");
         arrivals.put("rate", arrivals.path("rate").asDouble() * times);
         found = true;
       }
@@ -163,9 +164,9 @@
     if (!(weight > 0)) {
       throw new BadInput("--team: " + weight + " is no weight");
     }
-    for (JsonNode n : root.path("teams")) {
-      if (n.path("name").asText().equals(team)) {
-        ((ObjectNode) n).put("weight", weight);
+    for (JsonNode node : root.path("teams")) {
+      if (node.path("name").asText().equals(team)) {
+        ((ObjectNode) node).put("weight", weight);
         return;
       }
     }
@@ -188,7 +189,7 @@
 
   private Set<String> names(String list, String field) {
     Set<String> out = new TreeSet<>();
-    root.path(list).forEach(n -> out.add(n.path(field).asText()));
+    root.path(list).forEach(node -> out.add(node.path(field).asText()));
     return out;
   }
 
@@ -209,8 +210,8 @@
     Map<String, List<ObjectNode>> out = new TreeMap<>();
     for (JsonNode day : root.path("day")) {
       for (JsonNode f : day.path("faults")) {
-        if (f instanceof ObjectNode o) {
-          out.computeIfAbsent(f.path("kind").asText(), k -> new ArrayList<>()).add(o);
+        if (f instanceof ObjectNode object) {
+          out.computeIfAbsent(f.path("kind").asText(), k -> new ArrayList<>()).add(object);
         }
       }
     }
@@ -229,9 +230,9 @@
   /** The names of classes of arrays. */
   Set<String> arrays() {
     Set<String> out = new TreeSet<>();
-    for (JsonNode n : root.path("jobs")) {
-      if (n.path("kind").asText().equals("array")) {
-        out.add(n.path("name").asText());
+    for (JsonNode node : root.path("jobs")) {
+      if (node.path("kind").asText().equals("array")) {
+        out.add(node.path("name").asText());
       }
     }
     return out;
@@ -240,8 +241,8 @@
   /** The first of its days on which a guest team comes; null if there is none. */
   ObjectNode dayWithGuests() {
     for (JsonNode day : root.path("day")) {
-      if (day instanceof ObjectNode o && day.has("teams")) {
-        return o;
+      if (day instanceof ObjectNode object && day.has("teams")) {
+        return object;
       }
     }
     return null;
@@ -265,11 +266,11 @@
     write(root, to);
   }
 
-  static void write(ObjectNode n, Path to) throws IOException {
+  static void write(ObjectNode object, Path to) throws IOException {
     if (to.toAbsolutePath().getParent() != null) {
       Files.createDirectories(to.toAbsolutePath().getParent());
     }
-    TOML.writeValue(to.toFile(), n);
+    TOML.writeValue(to.toFile(), object);
   }
 
   /** Something that the caller got wrong; the message is one line. */
--- a/src/lab/java/org/snowturn/days/Days.java
+++ b/src/testbench/java/org/snowturn/workload/WorkloadCommand.java
@@ -1,4 +1,4 @@
-package org.snowturn.days;
+package org.snowturn.workload;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -22,9 +22,14 @@
 @Command(
     name = "days",
     mixinStandardHelpOptions = true,
-    subcommands = {Days.Copy.class, Days.Draw.class, Days.Judge.class, Days.Table.class},
+    subcommands = {
+      WorkloadCommand.Copy.class,
+      WorkloadCommand.Draw.class,
+      WorkloadCommand.Judge.class,
+      WorkloadCommand.Table.class
+    },
     description = "Copies of deployments, days drawn from their troubles, and a look at reports.")
-public final class Days {
+public final class WorkloadCommand {
   private static final int BAD_INPUT = 2;
 
   @Command(name = "copy", description = "Writes a copy of a site of another size.")
@@ -148,7 +153,7 @@
       if (troubles.isEmpty() || count < 1 || !(size > 0) || !(broken >= 0 && broken <= 1)) {
         throw new SiteFile.BadInput("nothing to draw from, or no number of days, or no size");
       }
-      DayDraw draw = new DayDraw(site, troubles, size, flood, broken, guests, meetings);
+      DayGenerator draw = new DayGenerator(site, troubles, size, flood, broken, guests, meetings);
       double seconds = duration == null ? site.duration() : duration;
       for (long seed = first; seed < first + count; seed++) {
         SiteFile.write(draw.day(seed, seconds), dir.resolve("drawn-" + seed + ".toml"));
@@ -198,11 +203,11 @@
   }
 
   /** Its options are read by the command line. */
-  public Days() {}
+  public WorkloadCommand() {}
 
   /** Runs a command line; the exit status is 2 for what the caller got wrong. */
   static int run(String... args) {
-    return handled(new CommandLine(new Days())).execute(args);
+    return handled(new CommandLine(new WorkloadCommand())).execute(args);
   }
 
   /** Tells of what the caller got wrong in one line, with status 2. */
--- /dev/null
+++ b/src/testbench/java/org/snowturn/workload/package-info.java
@@ -0,0 +1,2 @@
+/** Deployment files: copies in other sizes, generated days, and reports of played days. */
+package org.snowturn.workload;
