--- a/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
+++ b/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
@@ -49,40 +49,40 @@
     }
     ends.merge(evidence.kind(), 1L, Long::sum);
     if (runtime.events().debug()) {
-      Machine machine = machines.get(job.machineOf[task]);
+      Machine machine = machines.get(job.machineOf(task));
       runtime
           .events()
           .debug(LogEvent.ASSIGNMENT_RELEASED)
           .with(LogField.TASK, job.spec.id() + "/" + task)
-          .with(LogField.ATTEMPT, job.attemptOf[task])
+          .with(LogField.ATTEMPT, job.attemptOf(task))
           .with(LogField.MACHINE, machine.id)
-          .with(LogField.AGENT_EPOCH, job.epoch[task])
+          .with(LogField.AGENT_EPOCH, job.epochOf(task))
           .with(LogField.TOKEN, token)
           .with(LogField.EVIDENCE, evidence.kind())
-          .with(LogField.LAST_ANSWER_MS_AGO, runtime.now() - machine.lastAnswerAt)
+          .with(LogField.LAST_ANSWER_MS_AGO, runtime.now() - machine.lastAnswerAt())
           .write();
     }
     return true;
   }
 
   private AttemptSnapshot view(Job job, int task) {
-    Machine machine = machines.get(job.machineOf[task]);
+    Machine machine = machines.get(job.machineOf(task));
     return new AttemptSnapshot(
         token,
         runtime.now(),
-        job.epoch[task],
-        job.stateOf[task] != Job.PLACING,
+        job.epochOf(task),
+        job.stateOf(task) != Job.PLACING,
         job.adopted.get(task),
         job.stopping.get(task),
-        ReconciliationCases.inDoubt(machine, job.attemptOf[task], task),
-        machine.terminationConfirmed,
-        machine.cloudState == CloudMachine.State.FAILED,
-        machine.lastAnswerAt,
+        ReconciliationCases.inDoubt(machine, job.attemptOf(task), task),
+        machine.isTerminationConfirmed(),
+        machine.cloudState() == CloudMachine.State.FAILED,
+        machine.lastAnswerAt(),
         lapseMs);
   }
 
   private static String subject(Job job, int task) {
-    return job.spec.id() + "/" + task + "#" + job.attemptOf[task];
+    return job.spec.id() + "/" + task + "#" + job.attemptOf(task);
   }
 
   /** Whether a start may leave for a machine; {@code job} is null if it is not live. */
@@ -102,13 +102,13 @@
     if (job == null || !job.isAssigned(task)) {
       return "the task is on no machine";
     }
-    if (job.attemptOf[task] != start.attempt() || job.machineOf[task] != machine.index) {
+    if (job.attemptOf(task) != start.attempt() || job.machineOf(task) != machine.index) {
       return "the task has another attempt";
     }
-    if (job.stateOf[task] == Job.PLACING) {
+    if (job.stateOf(task) == Job.PLACING) {
       return "its placement is not durable";
     }
-    if (job.epoch[task] != machine.epoch) {
+    if (job.epochOf(task) != machine.epoch()) {
       return "it was placed in another session";
     }
     return job.isCancelled() ? "its job is cancelled" : null;
--- a/src/main/java/org/snowturn/core/assignment/CommandQueue.java
+++ b/src/main/java/org/snowturn/core/assignment/CommandQueue.java
@@ -118,9 +118,9 @@
   public void flush() {
     queued = false;
     if (busy
-        || machine.addr == null
+        || machine.addr() == null
         || (queue.isEmpty() && !probe)
-        || machine.terminated
+        || machine.isTerminated()
         || !host.hasAuthority()) {
       return;
     }
@@ -143,12 +143,12 @@
     }
     // Not known of a machine on which an earlier leader had nothing: most are in their first, and
     // the others refuse and tell.
-    long session = Math.max(FIRST_SESSION, machine.epoch);
+    long session = Math.max(FIRST_SESSION, machine.epoch());
     CommandLog.write(runtime, "direct", machine, session, host.token(), commands);
     long sentAt = runtime.now();
     runtime.call(
         Effect.Target.WORKER,
-        machine.addr,
+        machine.addr(),
         "POST",
         "/commands",
         Command.direct(host.token(), session, commands),
@@ -168,7 +168,7 @@
     if (outcome == Outcome.ANSWERED && (status == 200 || status == 409)) {
       try {
         host.reported(Heartbeat.parse(body));
-        if (status == 409 && machine.epoch > session) {
+        if (status == 409 && machine.epoch() > session) {
           probe(); // a new leader did not know the session: now the machine can learn the token
         }
         return;
--- a/src/main/java/org/snowturn/core/assignment/DependencyGraph.java
+++ b/src/main/java/org/snowturn/core/assignment/DependencyGraph.java
@@ -130,7 +130,7 @@
   }
 
   private boolean live(Job job) {
-    return assignments.job(job.spec.id()) == job && !job.cancelled;
+    return assignments.job(job.spec.id()) == job && !job.isCancellationRecorded();
   }
 
   private void join(Job job) {
@@ -140,7 +140,9 @@
     for (String id : List.copyOf(job.unmetDependencies)) {
       Job needed = assignments.job(id);
       JobStatus.Phase phase =
-          needed != null && needed.cancelled ? JobStatus.Phase.ABORTED : over.get(id);
+          needed != null && needed.isCancellationRecorded()
+              ? JobStatus.Phase.ABORTED
+              : over.get(id);
       if (phase == JobStatus.Phase.DONE) {
         job.unmetDependencies.remove(id);
         continue;
@@ -176,11 +178,11 @@
   }
 
   private void release(Job job) {
-    job.releasedWall = runtime.wallMs();
+    job.setReleasedWall(runtime.wallMs());
     runtime.note(
         job.spec.id()
             + " released "
-            + Math.round((job.releasedWall - job.submittedWall) / 100.0) / 10.0
+            + Math.round((job.releasedWall() - job.submittedWall) / 100.0) / 10.0
             + " s after its submission");
     assignments.markChanged();
   }
@@ -275,7 +277,7 @@
     List<Change> apply = new ArrayList<>();
     for (Job job : batch) {
       String key = StorageKeys.job(job.spec.id());
-      when.add(new Condition(key, job.version));
+      when.add(new Condition(key, job.version()));
       apply.add(Change.put(key, job.cancelledRecord().live()));
     }
     writer.whole(
@@ -312,8 +314,8 @@
   private void recount() {
     for (Job job : assignments.jobs()) {
       assignments.reprioritize(job, job.spec.priority());
-      job.dependentsDeadline = Double.MAX_VALUE;
-      job.dependentsLateDeadline = Double.MAX_VALUE;
+      job.setDependentsDeadline(Double.MAX_VALUE);
+      job.setDependentsLateDeadline(Double.MAX_VALUE);
     }
     for (Job job : List.copyOf(assignments.jobs())) {
       if (job.awaitsDependencies() && live(job)) {
@@ -332,7 +334,7 @@
       double lateDue = job.deadlineWallMs(1.5) - takesMs;
       for (String id : job.unmetDependencies) {
         Job needed = assignments.job(id);
-        if (needed != null && lendTo(needed, job.priority, due, lateDue)) {
+        if (needed != null && lendTo(needed, job.priority(), due, lateDue)) {
           lenders.add(needed);
         }
       }
@@ -341,14 +343,14 @@
 
   private boolean lendTo(Job needed, Priority priority, double due, double lateDue) {
     boolean more =
-        priority.compareTo(needed.priority) < 0
-            || due < needed.dependentsDeadline
-            || lateDue < needed.dependentsLateDeadline;
-    if (priority.compareTo(needed.priority) < 0) {
+        priority.compareTo(needed.priority()) < 0
+            || due < needed.dependentsDeadline()
+            || lateDue < needed.dependentsLateDeadline();
+    if (priority.compareTo(needed.priority()) < 0) {
       assignments.reprioritize(needed, priority);
     }
-    needed.dependentsDeadline = Math.min(needed.dependentsDeadline, due);
-    needed.dependentsLateDeadline = Math.min(needed.dependentsLateDeadline, lateDue);
+    needed.setDependentsDeadline(Math.min(needed.dependentsDeadline(), due));
+    needed.setDependentsLateDeadline(Math.min(needed.dependentsLateDeadline(), lateDue));
     return more;
   }
 }
--- a/src/main/java/org/snowturn/core/assignment/FailureHandler.java
+++ b/src/main/java/org/snowturn/core/assignment/FailureHandler.java
@@ -37,65 +37,66 @@
 
   /** The task has its result. */
   void succeeded(Machine machine, Job job) {
-    if (job.suspect) {
+    if (job.isSuspect()) {
       runtime.note(job.spec.id() + " has succeeded on " + machine.id + ": no longer suspect");
     }
     blame.succeeded(job.index, machine.index);
-    job.suspect = false;
-    job.probeCount = 0;
-    job.backOffUntil = 0;
-    machine.unexplainedFailures = 0;
-    machine.sound = true;
-    machine.blockedForFailures = 0;
+    job.setSuspect(false);
+    job.setProbeCount(0);
+    job.setBackOffUntil(0);
+    machine.setUnexplainedFailures(0);
+    machine.setSound(true);
+    machine.setBlockedForFailures(0);
   }
 
   /** The task has failed; it waits again after this. */
   void failed(Machine machine, Job job, int task) {
     failed++;
     runtime.note(job.spec.id() + "/" + task + " failed on " + machine.id);
-    if (job.done > 0) {
+    if (job.done() > 0) {
       blame.proven(job.index); // also by what earlier leaders have recorded
     }
     blame.failed(job.index, machine.index);
-    job.failures++;
+    job.addFailures(1);
     job.excludedMachine.put(task, machine.index);
     if (job.failedOn.size() >= REMEMBERED) {
       job.failedOn.clear();
     }
     job.failedOn.add(machine.index);
-    machine.sound = blame.sound(machine.index);
+    machine.setSound(blame.sound(machine.index));
     if (blame.suspect(job.index)) {
       suspect(job);
     }
-    machine.unexplainedFailures = blame.unexplained(machine.index);
+    machine.setUnexplainedFailures(blame.unexplained(machine.index));
     condemnIfSick(machine);
-    if (!machine.sound && machine.unexplainedFailures > 0) {
-      int n = Math.min(4, machine.unexplainedFailures - 1);
-      machine.blockedForFailures = runtime.now() + (UNEXPLAINED_MS << n);
+    if (!machine.isSound() && machine.unexplainedFailures() > 0) {
+      int n = Math.min(4, machine.unexplainedFailures() - 1);
+      machine.setBlockedForFailures(runtime.now() + (UNEXPLAINED_MS << n));
     } else {
-      machine.blockedForFailures = 0;
+      machine.setBlockedForFailures(0);
     }
   }
 
   private void condemnIfSick(Machine machine) {
-    if (!machine.quarantined && blame.sick(machine.index)) {
-      machine.quarantined = true;
+    if (!machine.isQuarantined() && blame.sick(machine.index)) {
+      machine.setQuarantined(true);
       condemned++;
       runtime.note(
           machine.id
               + " taken out of use: "
-              + machine.unexplainedFailures
+              + machine.unexplainedFailures()
               + " failures of sound jobs");
     }
   }
 
   private void suspect(Job job) {
-    if (!job.suspect) {
-      job.suspect = true;
+    if (!job.isSuspect()) {
+      job.setSuspect(true);
       runtime.note(job.spec.id() + " is suspect: its tasks fail on one machine after another");
     }
-    int n = Math.min(8, job.probeCount++);
-    job.backOffUntil = runtime.now() + Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS << n);
+    int n = Math.min(8, job.probeCount());
+    job.addProbeCount(1);
+    job.setBackOffUntil(runtime.now() + Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS << n));
   }
 
   /**
@@ -104,20 +105,20 @@
    * have no other success.
    */
   void keepsRunning(Machine machine, Job job, int task) {
-    boolean tells = machine.unexplainedFailures > 0 || (job.failures > 0 && job.done == 0);
+    boolean tells = machine.unexplainedFailures() > 0 || (job.failures() > 0 && job.done() == 0);
     if (tells
-        && job.stateSince[task] != Job.UNKNOWN
-        && runtime.now() - job.stateSince[task] >= PROVEN_BY_RUNNING_MS) {
+        && job.stateSince(task) != Job.UNKNOWN
+        && runtime.now() - job.stateSince(task) >= PROVEN_BY_RUNNING_MS) {
       succeeded(machine, job);
     }
   }
 
   /** Looks again at a machine: a job that failed there may have turned out suspect, or sound. */
   public void review(Machine machine) {
-    if (machine.unexplainedFailures > 0) {
-      machine.unexplainedFailures = blame.unexplained(machine.index);
-      machine.blockedForFailures =
-          machine.unexplainedFailures == 0 ? 0 : machine.blockedForFailures;
+    if (machine.unexplainedFailures() > 0) {
+      machine.setUnexplainedFailures(blame.unexplained(machine.index));
+      machine.setBlockedForFailures(
+          machine.unexplainedFailures() == 0 ? 0 : machine.blockedForFailures());
       condemnIfSick(machine);
     }
   }
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
@@ -45,11 +45,12 @@
   /** What the worker is to do, by what it has just reported and what was taken in of that. */
   public Answer respond(Machine machine, Heartbeat heartbeat) {
     List<Command> out = new ArrayList<>();
-    boolean newest = heartbeat.epoch() == machine.epoch && heartbeat.seq() == machine.heartbeatSeq;
+    boolean newest =
+        heartbeat.epoch() == machine.epoch() && heartbeat.seq() == machine.heartbeatSeq();
     LongHashSet listed = new LongHashSet();
     for (TaskStatus status : heartbeat.tasks()) {
       Job named = assignments.job(status.job());
-      Job job = named != null && status.task() < named.stateOf.length ? named : null;
+      Job job = named != null && status.task() < named.taskCount() ? named : null;
       boolean here = job != null && ReconciliationCases.here(machine, job, status);
       if (here) {
         listed.add(Job.ref(job.index, status.task()));
@@ -112,8 +113,8 @@
     }
     if (job.isCancelled()) {
       out.add(assignments.stopCommand(job, task)); // a newer message may have shown it there
-      return !ReconciliationCases.inDoubt(machine, job.attemptOf[task], task)
-          || cancellations.lapsesInTime(job.cancelledAfter);
+      return !ReconciliationCases.inDoubt(machine, job.attemptOf(task), task)
+          || cancellations.lapsesInTime(job.notConfirmedBefore());
     }
     if (verdict == Verdict.START) {
       repeatStart(machine, job, task, out);
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
@@ -92,60 +92,60 @@
 
   /** A check-in is answered with what may renew the machine's lease. */
   public void leaseRenewed(Machine machine) {
-    machine.lastAnswerAt = runtime.now();
+    machine.setLastAnswerAt(runtime.now());
     machine.reachability.answeredCheckIn(runtime.now());
-    machine.heartbeatDueAt = runtime.now() + silenceLimitMs(settings) + UNANSWERED_REPORT_MS;
+    machine.setHeartbeatDueAt(runtime.now() + silenceLimitMs(settings) + UNANSWERED_REPORT_MS);
   }
 
   /** Believes a report if it is the newest of its machine. */
   public boolean apply(Machine machine, Heartbeat heartbeat) {
-    if (heartbeat.epoch() < machine.epoch
-        || (heartbeat.epoch() == machine.epoch && heartbeat.seq() <= machine.heartbeatSeq)) {
+    if (heartbeat.epoch() < machine.epoch()
+        || (heartbeat.epoch() == machine.epoch() && heartbeat.seq() <= machine.heartbeatSeq())) {
       return false;
     }
-    if (heartbeat.epoch() <= machine.endedEpoch) {
+    if (heartbeat.epoch() <= machine.endedEpoch()) {
       return false; // a late report of a session that has lapsed
     }
-    if (heartbeat.epoch() > machine.epoch) {
-      machine.epoch = heartbeat.epoch();
+    if (heartbeat.epoch() > machine.epoch()) {
+      machine.setEpoch(heartbeat.epoch());
       // A new session has its full lease from its beginning, though no report of it was answered
       // yet:
       // counted from the last answer it would be taken for lapsed while its tasks run.
-      machine.lastAnswerAt = Math.max(machine.lastAnswerAt, runtime.now());
-      machine.acknowledged = false;
+      machine.setLastAnswerAt(Math.max(machine.lastAnswerAt(), runtime.now()));
+      machine.setAcknowledged(false);
       machine.startsInDoubt.clear();
-      machine.commands.drop();
+      machine.commands().drop();
       machine.reachability.newSession(runtime.now());
       endSessionsBefore(machine, heartbeat.epoch());
     }
-    machine.heartbeatSeq = heartbeat.seq();
-    if (machine.lastHeartbeatAt == Job.UNKNOWN) {
-      machine.heartbeatDueAt = runtime.now() + reassignmentMs(settings);
+    machine.setHeartbeatSeq(heartbeat.seq());
+    if (machine.lastHeartbeatAt() == Job.UNKNOWN) {
+      machine.setHeartbeatDueAt(runtime.now() + reassignmentMs(settings));
     }
-    machine.lastHeartbeatAt = runtime.now();
-    machine.silentFrom = runtime.now() + silenceLimitMs(settings);
-    machine.suspected = false;
+    machine.setLastHeartbeatAt(runtime.now());
+    machine.setSilentFrom(runtime.now() + silenceLimitMs(settings));
+    machine.setSuspected(false);
     boolean noticed = false;
     boolean mine = heartbeat.token() == token;
     machine.reachability.believed(mine);
-    if (mine && !machine.acknowledged) {
-      machine.acknowledged = true;
+    if (mine && !machine.isAcknowledged()) {
+      machine.setAcknowledged(true);
       assignments.markChanged();
     }
     if (!Double.isNaN(heartbeat.preemptionNoticeS())) {
-      if (machine.preemptionAt == Long.MAX_VALUE) {
+      if (machine.preemptionAt() == Long.MAX_VALUE) {
         runtime.note(machine.id + " is to be taken in " + heartbeat.preemptionNoticeS() + " s");
         spotLosses.recordPreemption();
         noticed = true;
       }
-      machine.preemptionAt =
-          runtime.now() + (long) (1000 * Math.max(0, heartbeat.preemptionNoticeS()));
+      machine.setPreemptionAt(
+          runtime.now() + (long) (1000 * Math.max(0, heartbeat.preemptionNoticeS())));
     }
     int unaccounted = 0;
     LongHashSet listed = new LongHashSet();
     for (TaskStatus status : heartbeat.tasks()) {
       Job job = assignments.job(status.job());
-      if (job == null || status.task() >= job.stateOf.length) {
+      if (job == null || status.task() >= job.taskCount()) {
         unaccounted += cases.isQuarantined(status) ? 1 : 0;
         continue;
       }
@@ -157,8 +157,8 @@
         assignments.completeWaiting(job, status.task());
       }
     }
-    machine.unaccounted = unaccounted;
-    if (mine && machine.adoptedTasks > 0) {
+    machine.setUnaccounted(unaccounted);
+    if (mine && machine.adoptedTasks() > 0) {
       releaseUnlisted(machine, heartbeat, listed);
     }
     if (noticed) {
@@ -180,12 +180,12 @@
       }
       double run = job.runTimes.size() >= KNOWN_RUNS ? job.median() : job.spec.estimateS() / 2;
       double ran =
-          job.stateOf[task] != Job.RUNNING
+          job.stateOf(task) != Job.RUNNING
               ? 0
-              : job.stateSince[task] == Job.UNKNOWN
+              : job.stateSince(task) == Job.UNKNOWN
                   ? run
-                  : (runtime.now() - job.stateSince[task]) / 1000.0;
-      if (runtime.now() + (run - ran) * 1000 > machine.preemptionAt) {
+                  : (runtime.now() - job.stateSince(task)) / 1000.0;
+      if (runtime.now() + (run - ran) * 1000 > machine.preemptionAt()) {
         runtime.note(job.spec.id() + "/" + task + " leaves " + machine.id + " before it is taken");
         assignments.stop(job, task);
       }
@@ -196,7 +196,7 @@
     for (long ref : copy(machine.assigned)) {
       Job job = assignments.job(ref);
       int task = TaskAssignments.task(ref);
-      if (job.epoch[task] < session) {
+      if (job.epochOf(task) < session) {
         assignments.release(job, task, new EndEvidence.LaterSession(session));
       }
     }
@@ -229,12 +229,12 @@
     switch (status.state()) {
       case FETCHING -> job.setState(task, Job.FETCHING);
       case RUNNING, SAVING -> {
-        if (job.stateOf[task] != Job.RUNNING) {
+        if (job.stateOf(task) != Job.RUNNING) {
           // Times of tasks that an earlier leader started are unknown, so they never look slow.
-          job.stateSince[task] = job.adopted.get(task) ? Job.UNKNOWN : runtime.now();
+          job.setStateSince(task, job.adopted.get(task) ? Job.UNKNOWN : runtime.now());
           job.setState(task, Job.RUNNING);
-          double waited = (runtime.wallMs() - job.releasedWall) / 1000.0;
-          if (job.spec.service() && waited > 1.5 && job.failures == 0 && !job.adopted.get(task)) {
+          double waited = (runtime.wallMs() - job.releasedWall()) / 1000.0;
+          if (job.spec.service() && waited > 1.5 && job.failures() == 0 && !job.adopted.get(task)) {
             runtime.note(
                 String.format(
                     java.util.Locale.ROOT,
@@ -276,8 +276,8 @@
     long now = runtime.now();
     switch (why) {
       case DONE -> {
-        if (job.stateSince[task] != Job.UNKNOWN) {
-          double ran = (now - job.stateSince[task]) / 1000.0;
+        if (job.stateSince(task) != Job.UNKNOWN) {
+          double ran = (now - job.stateSince(task)) / 1000.0;
           job.runTimes.add(ran);
           double median = job.median();
           machine.finishedWork(median > 0 && job.runTimes.size() > 1 ? ran / median : 1);
@@ -291,8 +291,8 @@
       default -> runtime.note(job.spec.id() + "/" + task + " ended on " + machine.id + ": " + why);
     }
     switch (why) {
-      case NO_ROOM, BUSY -> machine.blockedUntil = now + 1_500;
-      case UNKNOWN_JOB -> job.backOffUntil = now + 2_000;
+      case NO_ROOM, BUSY -> machine.setBlockedUntil(now + 1_500);
+      case UNKNOWN_JOB -> job.setBackOffUntil(now + 2_000);
       default -> {}
     }
     assignments.release(job, task, evidence);
@@ -301,17 +301,17 @@
   /** Releases what was on machines whose session has certainly ended. */
   public void leaseExpired(Machine machine) {
     if (machine.assigned.isEmpty()
-        || runtime.now() < machine.lastAnswerAt + leaseExpiryMs(settings)) {
+        || runtime.now() < machine.lastAnswerAt() + leaseExpiryMs(settings)) {
       return;
     }
     runtime.note(
         machine.id + " silent past its lease: " + machine.assigned.size() + " tasks wait again");
-    machine.endedEpoch = Math.max(machine.endedEpoch, machine.epoch);
+    machine.setEndedEpoch(Math.max(machine.endedEpoch(), machine.epoch()));
     for (long ref : copy(machine.assigned)) {
-      machine.endedEpoch =
-          Math.max(machine.endedEpoch, assignments.job(ref).epoch[TaskAssignments.task(ref)]);
+      machine.setEndedEpoch(
+          Math.max(machine.endedEpoch(), assignments.job(ref).epochOf(TaskAssignments.task(ref))));
     }
-    machine.acknowledged = false;
+    machine.setAcknowledged(false);
     releaseAll(machine, new EndEvidence.LeaseLapsed());
   }
 
@@ -329,16 +329,16 @@
     for (long ref : copy(machine.assigned)) {
       assignments.release(assignments.job(ref), TaskAssignments.task(ref), evidence);
     }
-    machine.commands.drop();
+    machine.commands().drop();
   }
 
   /** Takes a machine's description from its report. */
   public void describe(Machine machine, Heartbeat heartbeat) {
-    machine.addr = heartbeat.addr();
-    machine.commands.resume();
-    machine.type = heartbeat.type();
-    machine.spot = heartbeat.spot();
-    machine.machineType = machineTypes.get(heartbeat.type());
+    machine.setAddr(heartbeat.addr());
+    machine.commands().resume();
+    machine.setType(heartbeat.type());
+    machine.setSpot(heartbeat.spot());
+    machine.setMachineType(machineTypes.get(heartbeat.type()));
     assignments.setZone(machine, machines.zone(heartbeat.zone()));
   }
 }
--- a/src/main/java/org/snowturn/core/assignment/JobCompletion.java
+++ b/src/main/java/org/snowturn/core/assignment/JobCompletion.java
@@ -32,29 +32,29 @@
 
   /** Moves a job that is over to its short record, in one transaction that proves every result. */
   void finishIfOver(Job job) {
-    boolean done = !job.cancelled && job.done == job.stateOf.length;
-    boolean aborted = job.cancelled && job.assigned == 0;
-    if (job.finishing || !(done || aborted) || assignments.job(job.spec.id()) != job) {
+    boolean done = !job.isCancellationRecorded() && job.done() == job.taskCount();
+    boolean aborted = job.isCancellationRecorded() && job.assigned() == 0;
+    if (job.isFinishing() || !(done || aborted) || assignments.job(job.spec.id()) != job) {
       return;
     }
-    for (PendingRecord record : job.taskRecords) {
+    for (PendingRecord record : job.taskRecords()) {
       if (record != null && record.inFlight) {
         return; // retried when that write is settled
       }
     }
-    job.finishing = true;
+    job.setFinishing(true);
     String id = job.spec.id();
     JobStatus.Phase phase = done ? JobStatus.Phase.DONE : JobStatus.Phase.ABORTED;
     List<Change> apply = new ArrayList<>();
     apply.add(Change.put(StorageKeys.over(id), JobRecord.over(phase, job.spec)));
     apply.add(Change.delete(StorageKeys.job(id)));
-    if (job.restarts > 0) {
+    if (job.restarts() > 0) {
       apply.add(Change.delete(StorageKeys.restarts(id)));
     }
     List<Change> drops = new ArrayList<>();
-    JobRecord.partKeys(id, job.submission, job.chunkCount)
+    JobRecord.partKeys(id, job.submission(), job.chunkCount())
         .forEach(k -> drops.add(Change.delete(k)));
-    for (PendingRecord record : job.taskRecords) {
+    for (PendingRecord record : job.taskRecords()) {
       if (record != null) {
         writer.clear(record);
         dropIfStored(record, drops);
@@ -69,7 +69,7 @@
     // Others may wait for a result; an abortion has been told already.
     writer.whole(
         done ? RecordWriter.Turn.NEXT : RecordWriter.Turn.SPARE,
-        List.of(new Condition(StorageKeys.job(id), job.version)),
+        List.of(new Condition(StorageKeys.job(id), job.version())),
         apply,
         (outcome, status, body) -> {
           if (outcome == Outcome.ANSWERED && status == 200) {
@@ -80,7 +80,7 @@
             assignments.rereadJob(
                 id,
                 () -> {
-                  job.finishing = false;
+                  job.setFinishing(false);
                   if (assignments.job(id) != job) {
                     // It was carried out, and only its answer was lost.
                     writer.drop(List.of(), later);
@@ -104,13 +104,13 @@
         Locale.ROOT,
         ": %d tasks, estimate %.1f s, median %.1f s, last placed after %.1f s, done after %.1f s,"
             + " released after %.1f s, %s, %d restarts",
-        job.stateOf.length,
+        job.taskCount(),
         job.spec.estimateS(),
         job.median(),
-        Math.max(0, job.placedWall - job.submittedWall) / 1000.0,
+        Math.max(0, job.placedWall() - job.submittedWall) / 1000.0,
         (runtime.wallMs() - job.submittedWall) / 1000.0,
-        (job.releasedWall - job.submittedWall) / 1000.0,
+        (job.releasedWall() - job.submittedWall) / 1000.0,
         due,
-        job.restarts);
+        job.restarts());
   }
 }
--- a/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
@@ -90,7 +90,9 @@
     int n = 0;
     for (Machine machine : list) {
       left -=
-          EDGES_BYTES + machine.id.length() + (machine.addr == null ? 0 : machine.addr.length());
+          EDGES_BYTES
+              + machine.id.length()
+              + (machine.addr() == null ? 0 : machine.addr().length());
       if (left < 0) {
         break;
       }
@@ -138,10 +140,10 @@
     for (Machine machine : p.machines) {
       ArrayNode e = all.addArray();
       e.add(machine.id)
-          .add(machine.addr)
-          .add(machine.type)
-          .add(machines.zoneName(machine.zone))
-          .add(machine.spot);
+          .add(machine.addr())
+          .add(machine.type())
+          .add(machines.zoneName(machine.zone()))
+          .add(machine.isSpot());
       names.add(machine, e);
     }
     return object;
@@ -156,13 +158,16 @@
     Map<ArrayNode, Integer> numbers = new HashMap<>();
     for (Machine machine : p.machines) {
       ArrayNode kind =
-          Json.array().add(machine.type).add(machines.zoneName(machine.zone)).add(machine.spot);
+          Json.array()
+              .add(machine.type())
+              .add(machines.zoneName(machine.zone()))
+              .add(machine.isSpot());
       Integer n = numbers.putIfAbsent(kind, numbers.size());
       if (n == null) {
         kinds.add(kind);
         n = numbers.size() - 1;
       }
-      names.add(machine, all.addArray().add(machine.id).add(machine.addr).add(n));
+      names.add(machine, all.addArray().add(machine.id).add(machine.addr()).add(n));
     }
     return object;
   }
@@ -201,10 +206,10 @@
 
   /** Writes a machine down; it may get tasks once that is durable. */
   public void register(Machine machine, Runnable onDurable) {
-    if (machine.registryPage < 0) {
+    if (machine.registryPage() < 0) {
       put(machine, pageWithRoom(machine));
     }
-    writer.mark(page(machine.registryPage).record, URGENCY, onDurable);
+    writer.mark(page(machine.registryPage()).record, URGENCY, onDurable);
   }
 
   private int pageWithRoom(Machine machine) {
@@ -216,7 +221,7 @@
   }
 
   private void put(Machine machine, int number) {
-    machine.registryPage = number;
+    machine.setRegistryPage(number);
     page(number).machines.add(machine);
   }
 
@@ -236,10 +241,10 @@
       Machine machine = machines.getOrAdd(value.path(0).asText());
       // The first format has type, zone and kind on each entry, the second has their number.
       JsonNode kinds = entry.value().path("k").path(value.path(2).asInt());
-      machine.addr = value.path(1).asText(null);
-      machine.type = (second ? kinds.path(0) : value.path(2)).asText(null);
-      machine.zone = machines.zone((second ? kinds.path(1) : value.path(3)).asText());
-      machine.spot = (second ? kinds.path(2) : value.path(4)).asBoolean();
+      machine.setAddr(value.path(1).asText(null));
+      machine.setType((second ? kinds.path(0) : value.path(2)).asText(null));
+      machine.setZone(machines.zone((second ? kinds.path(1) : value.path(3)).asText()));
+      machine.setSpot((second ? kinds.path(2) : value.path(4)).asBoolean());
       for (JsonNode node : value.path(second ? 3 : 5)) {
         JsonNode image = entry.value().path("i").path(node.asInt());
         machine.touchImage(image.path(0).asText(), image.path(1).asDouble());
@@ -258,12 +263,12 @@
       boolean images = false;
       for (Iterator<Machine> it = p.machines.iterator(); it.hasNext(); ) {
         Machine machine = it.next();
-        if (machine.terminated && machine.assigned.isEmpty()) {
+        if (machine.isTerminated() && machine.assigned.isEmpty()) {
           it.remove();
-          machine.registryPage = -1;
+          machine.setRegistryPage(-1);
           p.struck = true;
         }
-        images |= machine.imagesChanged;
+        images |= machine.isImagesChanged();
       }
       if (p.struck && runtime.now() - p.struckAt > STRIKES_EVERY_MS) {
         // The next leader takes what was placed there for ended: no waiting for a lease. Before
@@ -273,7 +278,7 @@
         writer.mark(p.record, URGENCY, null);
       } else if (images && runtime.now() - p.imagesAt > IMAGES_EVERY_MS) {
         p.imagesAt = runtime.now();
-        p.machines.forEach(machine -> machine.imagesChanged = false);
+        p.machines.forEach(machine -> machine.setImagesChanged(false));
         writer.mark(p.record, RecordWriter.CAN_WAIT, null);
       }
     }
@@ -292,7 +297,7 @@
     List<Machine> moved = List.copyOf(p.machines.subList(fitting, p.machines.size()));
     int[] missing = {moved.size()};
     for (Machine machine : moved) {
-      machine.registryPage = -1;
+      machine.setRegistryPage(-1);
       register(
           machine,
           () -> {
--- a/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
+++ b/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
@@ -22,8 +22,8 @@
   static boolean here(Machine machine, Job job, TaskStatus status) {
     int task = status.task();
     return job.isAssigned(task)
-        && job.machineOf[task] == machine.index
-        && job.attemptOf[task] == status.attempt();
+        && job.machineOf(task) == machine.index
+        && job.attemptOf(task) == status.attempt();
   }
 
   /** Whether a direct start of the attempt got no answer, so that it may still arrive. */
@@ -37,7 +37,7 @@
   }
 
   private static Stored stored(Job job, int task) {
-    return job.stateOf[task] == Job.PLACING
+    return job.stateOf(task) == Job.PLACING
         ? Stored.PLACING
         : job.adopted.get(task) ? Stored.INHERITED : Stored.STARTED;
   }
@@ -65,7 +65,7 @@
 
   /** What a report that does not list a task offers as proof of its attempt's end. */
   static EndEvidence notListed(Heartbeat heartbeat, Job job, int task, boolean checkIn) {
-    return heartbeat.epoch() > job.epoch[task]
+    return heartbeat.epoch() > job.epochOf(task)
         ? new EndEvidence.LaterSession(heartbeat.epoch())
         : new EndEvidence.NotListed(heartbeat.token(), heartbeat.epoch(), checkIn);
   }
@@ -81,7 +81,7 @@
       return new Reconciliation.Case(
           stored(job, status.task()),
           seen,
-          session(heartbeat.epoch(), job.epoch[status.task()]),
+          session(heartbeat.epoch(), job.epochOf(status.task())),
           ours,
           job.stopping.get(status.task()),
           false);
@@ -89,9 +89,9 @@
     Stored stored =
         job == null
             ? Stored.NOTHING
-            : job.stateOf[status.task()] == Job.DONE
+            : job.stateOf(status.task()) == Job.DONE
                 ? Stored.FINISHED
-                : job.stateOf[status.task()] == Job.PENDING && !job.cancelled
+                : job.stateOf(status.task()) == Job.PENDING && !job.isCancellationRecorded()
                     ? Stored.WAITING
                     : Stored.ELSEWHERE;
     boolean settled =
@@ -110,9 +110,9 @@
     return new Reconciliation.Case(
         stored(job, task),
         Seen.ABSENT,
-        session(heartbeat.epoch(), job.epoch[task]),
+        session(heartbeat.epoch(), job.epochOf(task)),
         heartbeat.token() == token,
         job.stopping.get(task),
-        checkIn && !inDoubt(machine, job.attemptOf[task], task));
+        checkIn && !inDoubt(machine, job.attemptOf(task), task));
   }
 }
--- a/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
@@ -72,7 +72,7 @@
   private long attempts;
   private long placements;
   private int unconfirmedAdopted;
-  private final int[] boundBy = new int[Priority.values().length];
+  private final int[] assignedByPriority = new int[Priority.values().length];
   private boolean changed = true;
   private final List<Listener> listeners = new ArrayList<>();
 
@@ -153,8 +153,8 @@
       parts.forget(id);
       int zones = Math.max(machines.zoneCount(), 1);
       job = new Job(byIndex.size(), stored.spec(), stored.submittedWall(), zones);
-      job.submission = stored.submission();
-      job.chunkCount = stored.parts();
+      job.setSubmission(stored.submission());
+      job.setChunkCount(stored.parts());
       if (gate.open()) {
         job.useSecondFormat(gate.spans(), gate.limits().valueBytes(), machines);
       } else {
@@ -166,8 +166,8 @@
       Job added = job;
       listeners.forEach(l -> l.joined(added));
     }
-    job.version = Math.max(job.version, stamp);
-    if (stored.phase() == JobStatus.Phase.ABORTED && !job.cancelled) {
+    job.setVersion(Math.max(job.version(), stamp));
+    if (stored.phase() == JobStatus.Phase.ABORTED && !job.isCancellationRecorded()) {
       cancel(job);
     }
   }
@@ -182,10 +182,10 @@
   }
 
   private void cancel(Job job) {
-    job.cancelled = true;
-    runtime.note(job.spec.id() + " cancelled, " + job.assigned + " tasks to stop");
-    if (!job.cancelConfirmed) {
-      job.cancelledAfter = cancellations.knownUntil();
+    job.setCancellationRecorded(true);
+    runtime.note(job.spec.id() + " cancelled, " + job.assigned() + " tasks to stop");
+    if (!job.isCancellationConfirmed()) {
+      job.setNotConfirmedBefore(cancellations.knownUntil());
       stopAll(job);
     }
     listeners.forEach(l -> l.cancelled(job));
@@ -198,15 +198,15 @@
   public void cancelConfirmed(String id) {
     Job job = jobs.get(id);
     if (job != null && !job.isCancelled()) {
-      job.cancelConfirmed = true;
-      job.cancelledAfter = cancellations.knownUntil();
-      runtime.note(id + " cancelled by what users were told, " + job.assigned + " tasks to stop");
+      job.setCancellationConfirmed(true);
+      job.setNotConfirmedBefore(cancellations.knownUntil());
+      runtime.note(id + " cancelled by what users were told, " + job.assigned() + " tasks to stop");
       stopAll(job);
     }
   }
 
   private void stopAll(Job job) {
-    for (int task = 0; task < job.stateOf.length; task++) {
+    for (int task = 0; task < job.taskCount(); task++) {
       if (job.isAssigned(task)) {
         stop(job, task);
       }
@@ -225,14 +225,16 @@
     // Only a leader moves a record, under its version as we last read it: what we were about to
     // write is what it became.
     JobStatus.Phase phase =
-        !job.finishing ? null : job.cancelled ? JobStatus.Phase.ABORTED : JobStatus.Phase.DONE;
+        !job.isFinishing()
+            ? null
+            : job.isCancellationRecorded() ? JobStatus.Phase.ABORTED : JobStatus.Phase.DONE;
     listeners.forEach(l -> l.over(job, phase));
-    for (int task = 0; task < job.stateOf.length; task++) {
+    for (int task = 0; task < job.taskCount(); task++) {
       if (job.isAssigned(task)) {
         detach(job, task); // not to wait again: nothing of the job is ever started any more
       }
     }
-    for (PendingRecord record : job.taskRecords) {
+    for (PendingRecord record : job.taskRecords()) {
       if (record != null) {
         writer.forget(record);
       }
@@ -243,16 +245,17 @@
   }
 
   public PendingRecord taskRecord(Job job, int chunk) {
-    if (job.taskRecords[chunk] == null) {
+    if (job.taskRecord(chunk) == null) {
       String id = job.spec.id();
-      job.taskRecords[chunk] =
+      job.setTaskRecord(
+          chunk,
           writer.slot(
-              job.secondFormat ? StorageKeys.tasks2(id, chunk) : StorageKeys.tasks(id, chunk),
+              job.isSecondFormat() ? StorageKeys.tasks2(id, chunk) : StorageKeys.tasks(id, chunk),
               0,
               () -> job.taskRecordJson(chunk, machines),
-              () -> new Condition(StorageKeys.job(id), job.version));
+              () -> new Condition(StorageKeys.job(id), job.version())));
     }
-    return job.taskRecords[chunk];
+    return job.taskRecord(chunk);
   }
 
   /** Takes over a stored record of tasks: results, and tasks that an earlier leader bound. */
@@ -280,24 +283,24 @@
     take(job, task, machine, attempt, session);
     job.setState(task, Job.STARTING);
     job.adopted.set(task);
-    machine.adoptedTasks++;
+    machine.addAdoptedTasks(1);
     unconfirmedAdopted++;
     machine.touchImage(job.spec.image(), job.spec.imageGb());
   }
 
   private void take(Job job, int task, Machine machine, long attempt, long session) {
-    job.machineOf[task] = machine.index;
-    job.attemptOf[task] = attempt;
-    job.epoch[task] = session;
-    job.stateSince[task] = Job.UNKNOWN;
-    job.pending--;
-    job.assigned++;
-    job.assignedInZone[machine.zone]++;
+    job.setMachineOf(task, machine.index);
+    job.setAttemptOf(task, attempt);
+    job.setEpochOf(task, session);
+    job.setStateSince(task, Job.UNKNOWN);
+    job.addPending(-1);
+    job.addAssigned(1);
+    job.addAssignedInZone(machine.zone(), 1);
     job.adjustOnMachine(machine.index, 1);
-    boundBy[job.priority.ordinal()]++;
+    assignedByPriority[job.priority().ordinal()]++;
     job.adjustRecordSize(task, machine, 1);
     machine.assigned.add(Job.ref(job.index, task));
-    machine.adjustCount(job.priority, 1);
+    machine.adjustCount(job.priority(), 1);
     machine.adjustUsage(job.spec, 1);
     quota.acquire(job.spec);
   }
@@ -306,7 +309,7 @@
   public void confirmAdopted(Job job, int task) {
     if (job.adopted.get(task)) {
       job.adopted.clear(task);
-      machines.get(job.machineOf[task]).adoptedTasks--;
+      machines.get(job.machineOf(task)).addAdoptedTasks(-1);
       unconfirmedAdopted--;
     }
   }
@@ -327,7 +330,7 @@
       return;
     }
     listeners.forEach(l -> l.over(job, null));
-    for (int task = 0; task < job.stateOf.length; task++) {
+    for (int task = 0; task < job.taskCount(); task++) {
       if (job.isAssigned(task)) {
         unbind(job, task);
       }
@@ -342,16 +345,16 @@
 
   /** A job has the priority of the most urgent one that needs it. */
   public void reprioritize(Job job, Priority priority) {
-    if (priority != job.priority) {
-      boundBy[job.priority.ordinal()] -= job.assigned;
-      boundBy[priority.ordinal()] += job.assigned;
-      for (int task = 0; job.assigned > 0 && task < job.stateOf.length; task++) {
+    if (priority != job.priority()) {
+      assignedByPriority[job.priority().ordinal()] -= job.assigned();
+      assignedByPriority[priority.ordinal()] += job.assigned();
+      for (int task = 0; job.assigned() > 0 && task < job.taskCount(); task++) {
         if (job.isAssigned(task)) {
-          machines.get(job.machineOf[task]).adjustCount(job.priority, -1);
-          machines.get(job.machineOf[task]).adjustCount(priority, 1);
+          machines.get(job.machineOf(task)).adjustCount(job.priority(), -1);
+          machines.get(job.machineOf(task)).adjustCount(priority, 1);
         }
       }
-      job.priority = priority;
+      job.setPriority(priority);
       changed = true;
     }
   }
@@ -359,8 +362,8 @@
   /** How many tasks that may be on machines are of lower priority than this. */
   public int assignedBelow(Priority priority) {
     int n = 0;
-    for (int i = priority.ordinal() + 1; i < boundBy.length; i++) {
-      n += boundBy[i];
+    for (int i = priority.ordinal() + 1; i < assignedByPriority.length; i++) {
+      n += assignedByPriority[i];
     }
     return n;
   }
@@ -376,13 +379,13 @@
    * than its spread allows would start (wrong_place).
    */
   public void setZone(Machine machine, int zone) {
-    if (zone != machine.zone) {
+    if (zone != machine.zone()) {
       for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
         Job j = job(ref);
-        j.assignedInZone[machine.zone]--;
-        j.assignedInZone[zone]++;
+        j.addAssignedInZone(machine.zone(), -1);
+        j.addAssignedInZone(zone, 1);
       }
-      machine.zone = zone;
+      machine.setZone(zone);
     }
   }
 
@@ -393,29 +396,29 @@
 
   /** Binds a pending task; its start is sent when the placement is durable. */
   public void assign(Job job, int task, Machine machine, long attempt) {
-    take(job, task, machine, attempt, machine.epoch);
+    take(job, task, machine, attempt, machine.epoch());
     job.setState(task, Job.PLACING);
-    job.placedWall = runtime.wallMs();
+    job.setPlacedWall(runtime.wallMs());
     placements++;
     machine.touchImage(job.spec.image(), job.spec.imageGb());
     writer.mark(
-        taskRecord(job, job.layout.recordOf(task)),
-        job.priority.ordinal(),
+        taskRecord(job, job.layout().recordOf(task)),
+        job.priority().ordinal(),
         () -> sendStart(job, task, attempt));
   }
 
   private void sendStart(Job job, int task, long attempt) {
-    if (job.stateOf[task] != Job.PLACING || job.attemptOf[task] != attempt) {
+    if (job.stateOf(task) != Job.PLACING || job.attemptOf(task) != attempt) {
       return;
     }
-    Machine machine = machines.get(job.machineOf[task]);
-    if (job.isCancelled() || job.epoch[task] != machine.epoch || machine.terminated) {
+    Machine machine = machines.get(job.machineOf(task));
+    if (job.isCancelled() || job.epochOf(task) != machine.epoch() || machine.isTerminated()) {
       release(job, task, new EndEvidence.NeverSent());
       return;
     }
     job.setState(task, Job.STARTING);
     runtime.note("start " + job.spec.id() + "/" + task + " on " + machine.id);
-    machine.commands.add(startCommand(job, task));
+    machine.commands().add(startCommand(job, task));
   }
 
   /** Whether a start that was decided earlier may leave for this machine now. */
@@ -424,7 +427,7 @@
   }
 
   public Command startCommand(Job job, int task) {
-    return new Command(Command.Op.START, job.spec.id(), task, job.attemptOf[task], 0);
+    return new Command(Command.Op.START, job.spec.id(), task, job.attemptOf(task), 0);
   }
 
   public Command stopCommand(Job job, int task) {
@@ -433,22 +436,24 @@
         Command.Op.STOP,
         job.spec.id(),
         task,
-        job.attemptOf[task],
+        job.attemptOf(task),
         saves ? job.spec.saveS() + 1 : 0);
   }
 
   /** Tells a bound task to stop; it stays bound until it is seen to have ended. */
   public void stop(Job job, int task) {
-    if (job.stateOf[task] == Job.PLACING) {
+    if (job.stateOf(task) == Job.PLACING) {
       release(job, task, new EndEvidence.NeverSent());
       return;
     }
     job.stopping.set(task);
-    Machine machine = machines.get(job.machineOf[task]);
-    machine.commands.withdraw(
-        startCommand(job, task)); // what has not left must not start: users may have been told
-    if (machine.epoch == job.epoch[task]) {
-      machine.commands.add(stopCommand(job, task));
+    Machine machine = machines.get(job.machineOf(task));
+    machine
+        .commands()
+        .withdraw(
+            startCommand(job, task)); // what has not left must not start: users may have been told
+    if (machine.epoch() == job.epochOf(task)) {
+      machine.commands().add(stopCommand(job, task));
     }
   }
 
@@ -458,13 +463,13 @@
    */
   public void placementRejected(String key) {
     for (Job job : jobs.values()) {
-      for (int c = 0; c < job.taskRecords.length; c++) {
-        if (job.taskRecords[c] == null || !job.taskRecords[c].key.equals(key)) {
+      for (int c = 0; c < job.taskRecords().length; c++) {
+        if (job.taskRecord(c) == null || !job.taskRecord(c).key.equals(key)) {
           continue;
         }
-        job.backOffUntil = runtime.now() + NOT_RECORDED_MS;
-        for (int task = job.layout.from(c); task < job.layout.to(c); task++) {
-          if (job.stateOf[task] == Job.PLACING) {
+        job.setBackOffUntil(runtime.now() + NOT_RECORDED_MS);
+        for (int task = job.layout().from(c); task < job.layout().to(c); task++) {
+          if (job.stateOf(task) == Job.PLACING) {
             release(job, task, new EndEvidence.NeverSent());
           }
         }
@@ -485,29 +490,29 @@
   private void detach(Job job, int task) {
     unbind(job, task);
     job.setState(task, Job.PENDING);
-    job.pending++;
+    job.addPending(1);
   }
 
   private void unbind(Job job, int task) {
-    Machine machine = machines.get(job.machineOf[task]);
+    Machine machine = machines.get(job.machineOf(task));
     machine.assigned.remove(Job.ref(job.index, task));
     // A start that still waits there would begin an attempt that the machine has been told to
     // forget.
-    machine.commands.withdraw(startCommand(job, task));
-    machine.adjustCount(job.priority, -1);
+    machine.commands().withdraw(startCommand(job, task));
+    machine.adjustCount(job.priority(), -1);
     machine.adjustUsage(job.spec, -1);
     if (machine.assigned.isEmpty()) {
-      machine.idleSince = runtime.now();
+      machine.setIdleSince(runtime.now());
     }
     quota.release(job.spec);
-    job.assignedInZone[machine.zone]--;
-    job.assigned--;
+    job.addAssignedInZone(machine.zone(), -1);
+    job.addAssigned(-1);
     job.adjustOnMachine(machine.index, -1);
-    boundBy[job.priority.ordinal()]--;
+    assignedByPriority[job.priority().ordinal()]--;
     job.adjustRecordSize(task, machine, -1);
     job.stopping.clear(task);
     confirmAdopted(job, task);
-    job.machineOf[task] = -1;
+    job.setMachineOf(task, -1);
   }
 
   /** A bound task's attempt has ended with its result, if the evidence proves that. */
@@ -520,8 +525,8 @@
 
   /** The result of a task that waits has turned up: an earlier attempt of it had ended with it. */
   public void completeWaiting(Job job, int task) {
-    if (job.stateOf[task] == Job.PENDING) {
-      job.pending--;
+    if (job.stateOf(task) == Job.PENDING) {
+      job.addPending(-1);
       completed(job, task);
     }
   }
@@ -529,12 +534,12 @@
   /** The task's result is kept by its machine until the record of it is durable. */
   private void completed(Job job, int task) {
     job.setState(task, Job.DONE);
-    job.done++;
+    job.addDone(1);
     changed = true;
-    if (!job.cancelled) {
+    if (!job.isCancellationRecorded()) {
       job.resultPending.set(task);
       writer.mark(
-          taskRecord(job, job.layout.recordOf(task)),
+          taskRecord(job, job.layout().recordOf(task)),
           RecordWriter.CAN_WAIT,
           () -> {
             job.resultPending.clear(task);
@@ -547,11 +552,11 @@
   /** Whether a worker may forget this ended attempt. */
   public boolean forgettable(String jobId, int task, long attempt) {
     Job job = jobs.get(jobId);
-    if (job == null || task >= job.stateOf.length) {
+    if (job == null || task >= job.taskCount()) {
       return true;
     }
     if (job.isAssigned(task)) {
-      return job.attemptOf[task] != attempt;
+      return job.attemptOf(task) != attempt;
     }
     return !job.resultPending.get(task);
   }
--- a/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
@@ -44,11 +44,11 @@
 
   /** Takes over a stored record of tasks: results, and tasks that an earlier leader bound. */
   void loadChunk(Job job, int chunk, JsonNode value, long stamp) {
-    if (chunk < 0 || chunk >= job.taskRecords.length) {
+    if (chunk < 0 || chunk >= job.taskRecords().length) {
       return;
     }
     assignments.taskRecord(job, chunk).stamp = stamp;
-    load(job, value, job.layout.from(chunk), job.secondFormat, task -> true);
+    load(job, value, job.layout().from(chunk), job.isSecondFormat(), task -> true);
   }
 
   /**
@@ -66,7 +66,7 @@
         chunk * gate.spans().first(),
         false,
         task -> {
-          PendingRecord newer = job.taskRecords[job.layout.recordOf(task)];
+          PendingRecord newer = job.taskRecord(job.layout().recordOf(task));
           return newer == null || newer.stamp == 0;
         });
   }
@@ -85,13 +85,13 @@
            */
           private boolean struckOut(String machine) {
             Machine m = machines.find(machine);
-            return secondFormat && registryComplete && (m == null || m.registryPage < 0);
+            return secondFormat && registryComplete && (m == null || m.registryPage() < 0);
           }
 
           private boolean isNews(int task) {
             return task >= 0
-                && task < job.stateOf.length
-                && job.stateOf[task] == Job.PENDING
+                && task < job.taskCount()
+                && job.stateOf(task) == Job.PENDING
                 && tellsOf.test(task);
           }
 
@@ -99,8 +99,8 @@
           public void done(int task) {
             if (isNews(task)) {
               job.setState(task, Job.DONE);
-              job.pending--;
-              job.done++;
+              job.addPending(-1);
+              job.addDone(1);
             }
           }
 
@@ -110,7 +110,7 @@
               Machine m = machines.getOrAdd(machine);
               // An earlier leader may have answered it until now, whether or not it is on the
               // registry.
-              m.lastAnswerAt = Math.max(m.lastAnswerAt, runtime.now());
+              m.setLastAnswerAt(Math.max(m.lastAnswerAt(), runtime.now()));
               assignments.adopt(job, task, m, attempt, session);
             }
           }
@@ -124,11 +124,11 @@
   boolean useSecondFormat() {
     boolean left = false;
     for (Job job : assignments.jobs()) {
-      if (job.secondFormat) {
+      if (job.isSecondFormat()) {
         continue;
       }
-      boolean unsettled = job.finishing;
-      for (PendingRecord record : job.taskRecords) {
+      boolean unsettled = job.isFinishing();
+      for (PendingRecord record : job.taskRecords()) {
         unsettled |= record != null && record.inFlight;
       }
       left |= unsettled;
@@ -140,7 +140,7 @@
   }
 
   private void useSecondFormat(Job job) {
-    PendingRecord[] older = job.taskRecords;
+    PendingRecord[] older = job.taskRecords();
     job.useSecondFormat(gate.spans(), gate.limits().valueBytes(), machines);
     for (int c = 0; c < older.length; c++) {
       if (older[c] == null || !older[c].dirty) {
@@ -150,8 +150,8 @@
       int urgency = older[c].urgency;
       List<Runnable> actions = List.copyOf(older[c].onDurable);
       writer.clear(older[c]);
-      int first = c * job.layout.pieces();
-      int end = Math.min(first + job.layout.pieces(), job.taskRecords.length);
+      int first = c * job.layout().pieces();
+      int end = Math.min(first + job.layout().pieces(), job.taskRecords().length);
       int[] missing = {end - first};
       for (int p = first; p < end; p++) {
         writer.mark(
--- a/src/main/java/org/snowturn/core/leader/HealthChecks.java
+++ b/src/main/java/org/snowturn/core/leader/HealthChecks.java
@@ -87,8 +87,8 @@
    */
   boolean late(Machine machine, Heartbeat heartbeat) {
     boolean late =
-        heartbeat.epoch() < machine.epoch
-            || (heartbeat.epoch() == machine.epoch && machine.reachability.late(heartbeat.seq()));
+        heartbeat.epoch() < machine.epoch()
+            || (heartbeat.epoch() == machine.epoch() && machine.reachability.late(heartbeat.seq()));
     lateReports += late ? 1 : 0;
     return late;
   }
@@ -100,7 +100,7 @@
 
   /** That check-in was taken in. */
   void checkedIn(Machine machine, Heartbeat heartbeat) {
-    if (heartbeat.epoch() == machine.epoch) {
+    if (heartbeat.epoch() == machine.epoch()) {
       machine.reachability.checkedIn(
           heartbeat.seq(), runtime.now(), HeartbeatProcessor.heartbeatDueMs(settings));
     }
@@ -111,7 +111,7 @@
   void answered(Machine machine, Heartbeat heartbeat) {
     hearing.heard();
     connectivity.workerHeard();
-    machine.probing = false;
+    machine.setProbing(false);
     if (machine.reachability.answersAnew(isBefore(machine, heartbeat))) {
       autoscaler.discard(machine, "has started anew");
     }
@@ -124,41 +124,41 @@
    */
   private void prove(Machine machine) {
     boolean inTurn =
-        machine.acknowledged
+        machine.isAcknowledged()
             || (takeover.mostHeard()
                 && machine.reachability.answeredFor(runtime.now()) > COMES_BACK_MS);
     if (inTurn
-        && machine.addr != null
-        && machine.commands.idle()
+        && machine.addr() != null
+        && machine.commands().idle()
         && machine.reachability.toAsk(runtime.now())) {
-      machine.commands.probe();
+      machine.commands().probe();
     }
   }
 
   /** Whether an answer is older than what is known by more than what overtakes it on the way. */
   private static boolean isBefore(Machine machine, Heartbeat heartbeat) {
-    return heartbeat.epoch() < machine.epoch
-        || (heartbeat.epoch() == machine.epoch
-            && heartbeat.seq() + OVERTAKEN < machine.heartbeatSeq);
+    return heartbeat.epoch() < machine.epoch()
+        || (heartbeat.epoch() == machine.epoch()
+            && heartbeat.seq() + OVERTAKEN < machine.heartbeatSeq());
   }
 
   /** A message to the machine got no answer. */
   void unanswered(Machine machine) {
     // Commands count as well as probes: a dead machine with free room is given new ones again and
     // again, and would never be probed.
-    machine.blockedUntil = Math.max(machine.blockedUntil, runtime.now() + UNANSWERED_MS);
+    machine.setBlockedUntil(Math.max(machine.blockedUntil(), runtime.now() + UNANSWERED_MS));
     takeover.unanswered(machine);
     hearing.unanswered();
     if (machine.reachability.inVain() == Reachability.DEAF_AFTER) {
       runtime.note(
           machine.id + " has left " + Reachability.DEAF_AFTER + " messages in a row unanswered");
     }
-    if (machine.probing || (hasBeenUp(machine) && quiet(machine))) {
-      machine.probing = false;
-      if (machine.suspected && machine.lastHeartbeatAt != Job.UNKNOWN && replaceable()) {
+    if (machine.isProbing() || (hasBeenUp(machine) && quiet(machine))) {
+      machine.setProbing(false);
+      if (machine.isSuspected() && machine.lastHeartbeatAt() != Job.UNKNOWN && replaceable()) {
         autoscaler.discard(machine, "silent");
       }
-      machine.suspected = true;
+      machine.setSuspected(true);
     }
   }
 
@@ -184,13 +184,13 @@
 
   /** Heard by this leader, or recorded by an earlier one. */
   private static boolean hasBeenUp(Machine machine) {
-    return machine.lastHeartbeatAt != Job.UNKNOWN || machine.recorded;
+    return machine.lastHeartbeatAt() != Job.UNKNOWN || machine.isRecorded();
   }
 
   /** Whether a machine that has been up should have been heard again by now. */
   private boolean quiet(Machine machine) {
-    return machine.lastHeartbeatAt != Job.UNKNOWN
-        ? runtime.now() > machine.silentFrom
+    return machine.lastHeartbeatAt() != Job.UNKNOWN
+        ? runtime.now() > machine.silentFrom()
         : takeover.askedInVain(machine) || turnedOver();
   }
 
@@ -211,28 +211,28 @@
     int muteNow = 0;
     zoneOutages.begin();
     for (Machine machine : machines.present()) {
-      if (machine.machineType == null && machine.type != null) {
-        machine.machineType = machineTypes.get(machine.type);
+      if (machine.machineType() == null && machine.type() != null) {
+        machine.setMachineType(machineTypes.get(machine.type()));
       }
       heartbeats.leaseExpired(machine);
       if (!hasBeenUp(machine)) {
         continue;
       }
-      up += machine.terminating ? 0 : 1;
+      up += machine.isTerminating() ? 0 : 1;
       boolean quiet = quiet(machine);
       // Those that have not been heard yet count once they have left a question unanswered: else
       // the first that are asked often enough would be judged by the few that were heard.
-      boolean doubtful = machine.lastHeartbeatAt == Job.UNKNOWN && takeover.doubtful(machine);
-      if (quiet || doubtful || machine.lastHeartbeatAt != Job.UNKNOWN) {
+      boolean doubtful = machine.lastHeartbeatAt() == Job.UNKNOWN && takeover.doubtful(machine);
+      if (quiet || doubtful || machine.lastHeartbeatAt() != Job.UNKNOWN) {
         zoneOutages.count(machine, quiet || doubtful);
       }
-      if (machine.lastHeartbeatAt == Job.UNKNOWN) {
+      if (machine.lastHeartbeatAt() == Job.UNKNOWN) {
         if (!quiet) {
           continue;
         }
         if (machine.assigned.isEmpty()
             && now - startedAt > 2 * HeartbeatProcessor.leaseExpiryMs(settings)
-            && machine.listedAt == Job.UNKNOWN) {
+            && machine.listedAt() == Job.UNKNOWN) {
           machines.remove(machine);
         } else if (neverHeard(machine)) {
           autoscaler.discard(machine, "not heard of since the change of leader");
@@ -240,11 +240,11 @@
         continue;
       }
       boolean mute = machine.missesHeartbeats(now);
-      silent += (quiet || mute) && !machine.terminating ? 1 : 0;
+      silent += (quiet || mute) && !machine.isTerminating() ? 1 : 0;
       heard += quiet || mute ? 0 : 1;
       muteNow += mute && !quiet ? 1 : 0;
       failureHandler.review(machine);
-      if (!quiet && !machine.terminating && !machine.reachability.proven()) {
+      if (!quiet && !machine.isTerminating() && !machine.reachability.proven()) {
         prove(machine);
         deafNow += machine.reachability.inVain() >= Reachability.DEAF_AFTER ? 1 : 0;
         if (machine.reachability.deaf(now, deafMs()) && deaf * 2 < haveBeenUp && replaceable()) {
@@ -252,22 +252,22 @@
         }
       }
       boolean muteForLong =
-          now - HeartbeatProcessor.leaseExpiryMs(settings) > machine.heartbeatDueAt;
+          now - HeartbeatProcessor.leaseExpiryMs(settings) > machine.heartbeatDueAt();
       if (!quiet
-          && !machine.terminating
+          && !machine.isTerminating()
           && muteForLong
           && mutes * 2 < haveBeenUp
           && replaceable()) {
         autoscaler.discard(machine, "reaches no controller");
       }
-      if (quiet && !machine.probing && !machine.terminating && machine.addr != null) {
-        if (now > machine.preemptionAt) {
+      if (quiet && !machine.isProbing() && !machine.isTerminating() && machine.addr() != null) {
+        if (now > machine.preemptionAt()) {
           if (replaceable()) {
             autoscaler.discard(machine, "taken back");
           }
-        } else if (machine.commands.idle()) {
-          machine.probing = true;
-          machine.commands.probe();
+        } else if (machine.commands().idle()) {
+          machine.setProbing(true);
+          machine.commands().probe();
         }
       }
     }
@@ -297,8 +297,8 @@
     int toAsk = turnedOver ? 0 : hearing.wantsAsked();
     List<Machine> all = toAsk == 0 ? List.of() : machines.present();
     for (int i = 0; i < all.size(); i += Math.max(1, all.size() / toAsk)) {
-      if (all.get(i).addr != null && hasBeenUp(all.get(i))) {
-        all.get(i).commands.probe();
+      if (all.get(i).addr() != null && hasBeenUp(all.get(i))) {
+        all.get(i).commands().probe();
       }
     }
     boolean unheard = hearing.deaf(turnedOver) && !settings.peers().isEmpty();
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -140,7 +140,7 @@
         new TaskAssignments.Listener() {
           @Override
           public void joined(Job job) {
-            job.cancelConfirmed = cancellations.known(job.spec.id());
+            job.setCancellationConfirmed(cancellations.known(job.spec.id()));
           }
         });
     registry = new MachineRegistry(runtime, writer, machines, gate);
@@ -287,8 +287,8 @@
     int step = Math.max(1, all.size() / (2 * most));
     for (int i = (int) (runtime.now() % step); i < all.size() && out.size() < most; i += step) {
       Machine machine = all.get(i);
-      if (machine.addr != null && machine.usable(runtime.now())) {
-        out.add(machine.addr);
+      if (machine.addr() != null && machine.usable(runtime.now())) {
+        out.add(machine.addr());
       }
     }
     return out;
@@ -304,8 +304,8 @@
     int pending = 0;
     int bound = 0;
     for (Job job : assignments.jobs()) {
-      pending += job.wantsRoom() ? job.pending : 0;
-      bound += job.assigned;
+      pending += job.wantsRoom() ? job.pending() : 0;
+      bound += job.assigned();
     }
     gauges.put("snowturn.jobs.awaiting", (double) dependencies.waitingJobs());
     gauges.put("snowturn.jobs.live", (double) assignments.jobs().size());
@@ -333,7 +333,7 @@
     watchFrom = recovery.watchFrom();
     early.forEach(
         (machine, heartbeat) -> {
-          if (!machine.terminated) {
+          if (!machine.isTerminated()) {
             take(machine, heartbeat);
           }
         });
@@ -351,13 +351,13 @@
     String id = entry.key().substring(StorageKeys.JOBS.length());
     if (entry.value() == null) {
       Job job = assignments.job(id);
-      if (job != null && entry.stamp() >= job.version) {
+      if (job != null && entry.stamp() >= job.version()) {
         assignments.removeJob(id);
       }
       return;
     }
     Job known = assignments.job(id);
-    if (known != null && known.version >= entry.stamp()) {
+    if (known != null && known.version() >= entry.stamp()) {
       return;
     }
     if (JobRecord.phaseOf(entry.value()) == JobStatus.Phase.ABORTED) {
@@ -424,17 +424,19 @@
       return;
     }
     Machine machine = machines.getOrAdd(heartbeat.machine());
-    if (machine.terminated && !machine.terminationConfirmed && heartbeat.epoch() > machine.epoch) {
+    if (machine.isTerminated()
+        && !machine.isTerminationConfirmed()
+        && heartbeat.epoch() > machine.epoch()) {
       machines.restore(machine);
     }
-    if (machine.terminated || heartbeat.epoch() <= machine.endedEpoch) {
+    if (machine.isTerminated() || heartbeat.epoch() <= machine.endedEpoch()) {
       // Deleted, or a session that has certainly ended: nothing may renew it.
       refuse(exchange, heartbeat, "session_over");
       return;
     }
     if (!recovery.loaded()) {
       recovery.keep(machine, heartbeat);
-      machine.lastAnswerAt = runtime.now();
+      machine.setLastAnswerAt(runtime.now());
       answer(exchange, machine, heartbeat, heartbeatCommands.stops(heartbeat));
       return;
     }
@@ -486,7 +488,7 @@
   @Override
   public void reported(Heartbeat heartbeat) {
     Machine machine = machines.find(heartbeat.machine());
-    if (!ended && recovery.loaded() && machine != null && !machine.terminated) {
+    if (!ended && recovery.loaded() && machine != null && !machine.isTerminated()) {
       healthChecks.answered(machine, heartbeat);
       take(machine, heartbeat);
       if (!machine.reachability.proven()) {
@@ -497,21 +499,21 @@
   }
 
   private void take(Machine machine, Heartbeat heartbeat) {
-    if (machine.addr == null || machine.machineType == null || !machine.recorded) {
+    if (machine.addr() == null || machine.machineType() == null || !machine.isRecorded()) {
       heartbeats.describe(machine, heartbeat);
-      if (machine.firstSeenAt == 0) {
-        machine.firstSeenAt = runtime.now();
+      if (machine.firstSeenAt() == 0) {
+        machine.setFirstSeenAt(runtime.now());
       }
     }
-    if (machine.idleSince == 0) {
-      machine.idleSince = runtime.now();
+    if (machine.idleSince() == 0) {
+      machine.setIdleSince(runtime.now());
     }
-    if (!machine.recorded && !machine.recording && machine.machineType != null) {
-      machine.recording = true;
+    if (!machine.isRecorded() && !machine.isRecording() && machine.machineType() != null) {
+      machine.setRecording(true);
       registry.register(
           machine,
           () -> {
-            machine.recorded = true;
+            machine.setRecorded(true);
             assignments.markChanged();
           });
     }
@@ -605,14 +607,12 @@
     int pending = 0;
     int bound = 0;
     for (Job job : assignments.jobs()) {
-      pending += job.wantsRoom() ? job.pending : 0;
-      bound += job.assigned;
+      pending += job.wantsRoom() ? job.pending() : 0;
+      bound += job.assigned();
     }
     int[] stages = new int[Job.DONE + 1];
     for (Job job : assignments.jobs()) {
-      for (byte state : job.stateOf) {
-        stages[state]++;
-      }
+      job.countStates(stages);
     }
     int[] up = new int[2];
     int[] coming = new int[2];
@@ -620,11 +620,11 @@
     double[] used = new double[2];
     Map<String, Integer> why = new TreeMap<>();
     for (Machine machine : machines.present()) {
-      int kind = machine.spot ? 1 : 0;
+      int kind = machine.isSpot() ? 1 : 0;
       if (machine.usable(runtime.now())) {
         up[kind]++;
-        cpus[kind] += machine.machineType.cpus();
-        used[kind] += machine.cpusUsed;
+        cpus[kind] += machine.machineType().cpus();
+        used[kind] += machine.cpusUsed();
       } else {
         coming[kind]++;
         why.merge(machine.whyNotUsable(runtime.now()), 1, Integer::sum);
@@ -661,7 +661,7 @@
     told.keySet().removeIf(id -> assignments.job(id) == null);
     for (Job job : assignments.jobs()) {
       PeerMessage.JobProgress p =
-          new PeerMessage.JobProgress(settings.node(), job.spec.id(), job.done, job.running);
+          new PeerMessage.JobProgress(settings.node(), job.spec.id(), job.done(), job.running());
       if (!p.equals(told.put(job.spec.id(), p))) {
         jobApi.progress(p);
         runtime.broadcast(p);
--- a/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
@@ -231,12 +231,12 @@
     writer.drop(List.of(), orphans);
     int bound = 0;
     for (Job job : assignments.jobs()) {
-      bound += job.assigned;
+      bound += job.assigned();
     }
     for (Machine machine : machines.present()) {
       for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
-        machine.epoch =
-            Math.max(machine.epoch, assignments.job(ref).epoch[TaskAssignments.task(ref)]);
+        machine.setEpoch(
+            Math.max(machine.epoch(), assignments.job(ref).epochOf(TaskAssignments.task(ref))));
       }
     }
     stopCancelled();
@@ -273,11 +273,11 @@
   }
 
   private void recorded(Machine machine) {
-    machine.machineType = machineTypes.get(machine.type);
-    machine.imagesChanged = false;
-    machine.lastAnswerAt = Math.max(machine.lastAnswerAt, runtime.now());
-    machine.firstSeenAt = runtime.now();
-    machine.recorded = true;
+    machine.setMachineType(machineTypes.get(machine.type()));
+    machine.setImagesChanged(false);
+    machine.setLastAnswerAt(Math.max(machine.lastAnswerAt(), runtime.now()));
+    machine.setFirstSeenAt(runtime.now());
+    machine.setRecorded(true);
   }
 
   /**
@@ -346,7 +346,7 @@
                   assignments.loadTaskRecord(job, chunk, entry.value(), entry.stamp());
                 }
               });
-      if (!read && job != null && !job.cancelled) {
+      if (!read && job != null && !job.isCancellationRecorded()) {
         quarantined.add(id);
       }
     }
@@ -357,7 +357,7 @@
     int tasks = 0;
     for (Job job : assignments.jobs()) {
       for (int task = 0;
-          job.isCancelled() && job.assigned > 0 && task < job.stateOf.length;
+          job.isCancelled() && job.assigned() > 0 && task < job.taskCount();
           task++) {
         if (job.isAssigned(task)) {
           assignments.stop(job, task);
@@ -376,7 +376,7 @@
     double replica = Double.MAX_VALUE;
     double task = Double.MAX_VALUE;
     for (Job job : assignments.jobs()) {
-      if (job.wantsRoom() && job.pending > 0) {
+      if (job.wantsRoom() && job.pending() > 0) {
         if (job.spec.service()) {
           replica = Math.min(replica, job.spec.cpus());
         } else {
@@ -385,8 +385,8 @@
       }
     }
     for (Machine machine : machines.present()) {
-      if (machine.recorded && !machine.acknowledged) {
-        boolean reports = machine.lastHeartbeatAt != Job.UNKNOWN;
+      if (machine.isRecorded() && !machine.isAcknowledged()) {
+        boolean reports = machine.lastHeartbeatAt() != Job.UNKNOWN;
         long notBefore = reports ? runtime.now() + COMES_BY_ITSELF_MS : 0;
         probes.add(machine.index, urgency(machine, replica, task), notBefore);
       }
@@ -420,12 +420,12 @@
     int next;
     while ((next = probes.next(runtime.now())) >= 0) {
       Machine machine = machines.get(next);
-      if (machine.terminated || machine.terminating) {
+      if (machine.isTerminated() || machine.isTerminating()) {
         probes.drop(next);
-      } else if (machine.addr == null) {
+      } else if (machine.addr() == null) {
         probes.unanswered(next, runtime.now(), false);
       } else {
-        machine.commands.probe();
+        machine.commands().probe();
       }
     }
   }
@@ -447,7 +447,7 @@
     if (!loaded()) {
       return;
     }
-    if (machine.acknowledged) {
+    if (machine.isAcknowledged()) {
       probes.heard(machine.index, runtime.now());
       ask();
     } else {
@@ -504,7 +504,7 @@
   /** Machines that have ended or are about to be deleted need not be asked. */
   public void sweep() {
     for (Machine machine : machines.present()) {
-      if (machine.terminating) {
+      if (machine.isTerminating()) {
         probes.drop(machine.index);
       }
     }
--- a/src/main/java/org/snowturn/core/model/Job.java
+++ b/src/main/java/org/snowturn/core/model/Job.java
@@ -46,11 +46,11 @@
   public final int index;
   public final JobSpec spec;
   public final long submittedWall;
-  public final byte[] stateOf;
-  public final int[] machineOf;
-  public final long[] attemptOf;
-  public final long[] epoch;
-  public final long[] stateSince;
+  private final byte[] stateOf;
+  private final int[] machineOf;
+  private final long[] attemptOf;
+  private final long[] epochOf;
+  private final long[] stateSince;
 
   /** Tasks told to stop. */
   public final BitSet stopping = new BitSet();
@@ -68,10 +68,10 @@
   public final Int2IntHashMap excludedMachine = new Int2IntHashMap(-1);
 
   /** Which tasks share a record, and the records; another format's are kept until the end. */
-  public TaskLayout layout;
+  private TaskLayout layout;
 
-  public boolean secondFormat;
-  public PendingRecord[] taskRecords;
+  private boolean secondFormat;
+  private PendingRecord[] taskRecords;
   public final List<PendingRecord> firstFormatRecords = new ArrayList<>();
 
   /** What the placements of each record take of its value, and what they may; second format. */
@@ -83,7 +83,7 @@
   private int entryBytes;
 
   public final DoubleSamples runTimes = new DoubleSamples();
-  public final int[] assignedInZone;
+  private final int[] assignedInZone;
 
   /** How many tasks of a service may be on each machine. */
   private final Int2IntHashMap onMachine = new Int2IntHashMap(0);
@@ -92,69 +92,69 @@
   public final Set<String> unmetDependencies;
 
   /** Names the parts of a record that is longer than a value, or null. */
-  public String submission;
+  private String submission;
 
-  public int chunkCount;
+  private int chunkCount;
 
   /** The highest priority of the job itself and of all that need it. */
-  public Priority priority;
+  private Priority priority;
 
   /** What those that need it leave of their deadlines, and of one and a half times those. */
-  public double dependentsDeadline = Double.MAX_VALUE;
+  private double dependentsDeadline = Double.MAX_VALUE;
 
-  public double dependentsLateDeadline = Double.MAX_VALUE;
+  private double dependentsLateDeadline = Double.MAX_VALUE;
 
   /** When the last job that it needs was done; from then on its times count. */
-  public long releasedWall;
+  private long releasedWall;
 
-  public long version;
-  public boolean cancelled;
+  private long version;
+  private boolean cancellationRecorded;
 
   /**
    * A user was told that the job is cancelled, but its record has not been read since: its tasks
    * are stopped and none is placed, but nothing is written, forgotten or completed on that ground.
    */
-  public boolean cancelConfirmed;
+  private boolean cancellationConfirmed;
 
   /** Before this moment no user was told that the job is cancelled. */
-  public long cancelledAfter = UNKNOWN;
+  private long notConfirmedBefore = UNKNOWN;
 
-  public boolean finishing;
-  public int pending;
-  public int assigned;
-  public int running;
-  public int done;
-  public int restarts;
-  public long backOffUntil;
+  private boolean finishing;
+  private int pending;
+  private int assigned;
+  private int running;
+  private int done;
+  private int restarts;
+  private long backOffUntil;
 
   /** Room is being made for waiting tasks, so none more is made until then. */
-  public long preemptingUntil = UNKNOWN;
+  private long preemptingUntil = UNKNOWN;
 
-  public int failures;
+  private int failures;
 
   /** Whether its tasks seem to fail wherever they run: it gets a trial now and then. */
-  public boolean suspect;
+  private boolean suspect;
 
   /** Machines on which it has failed lately. */
   public final IntHashSet failedOn = new IntHashSet();
 
   /** Trials in vain since it became suspect. */
-  public int probeCount;
+  private int probeCount;
 
   /** When a task was last placed. */
-  public long placedWall;
+  private long placedWall;
 
   /** The dense index of its team's class, or -1 until it is known. */
-  public int shareGroup = -1;
+  private int shareGroup = -1;
 
   /** Whether it is within its team's guarantee, as the last plan had it. */
-  public boolean withinGuarantee;
+  private boolean withinGuarantee;
 
   /** Whether it was let go before others since its group had too little: it keeps what it got. */
-  public boolean byMinimumShare;
+  private boolean byMinimumShare;
 
   /** The zone chosen for the whole of a gang, or -1. */
-  public int gangZone = -1;
+  private int gangZone = -1;
 
   private int cursor;
 
@@ -170,7 +170,7 @@
     stateOf = new byte[n];
     machineOf = new int[n];
     attemptOf = new long[n];
-    epoch = new long[n];
+    epochOf = new long[n];
     stateSince = new long[n];
     Arrays.fill(machineOf, -1);
     assignedInZone = new int[zones];
@@ -295,7 +295,7 @@
 
   /** Whether nothing of it is to run any more. */
   public boolean isCancelled() {
-    return cancelled || cancelConfirmed;
+    return cancellationRecorded || cancellationConfirmed;
   }
 
   /** The record that it has once it is cancelled, without what only its starts need. */
@@ -304,10 +304,325 @@
         JobStatus.Phase.ABORTED, submittedWall, spec.withoutStart(), submission, chunkCount, false);
   }
 
+  /** How many of its tasks may be in each zone, to be changed by the caller. */
+  public int[] copyOfAssignedInZone() {
+    return assignedInZone.clone();
+  }
+
+  /** Adds how many of its tasks are in each state to a count by state. */
+  public void countStates(int[] counts) {
+    for (byte state : stateOf) {
+      counts[state]++;
+    }
+  }
+
+  /** How many tasks it has. */
+  public int taskCount() {
+    return stateOf.length;
+  }
+
   /** The stored form of one of its records. */
   public JsonNode taskRecordJson(int chunk, MachineIndex machines) {
     return secondFormat
         ? TaskRecords.second(this, chunk, machines)
         : TaskRecords.first(this, chunk, machines);
   }
+
+  public byte stateOf(int task) {
+    return stateOf[task];
+  }
+
+  public void setStateOf(int task, byte value) {
+    stateOf[task] = value;
+  }
+
+  public int machineOf(int task) {
+    return machineOf[task];
+  }
+
+  public void setMachineOf(int task, int value) {
+    machineOf[task] = value;
+  }
+
+  public long attemptOf(int task) {
+    return attemptOf[task];
+  }
+
+  public void setAttemptOf(int task, long value) {
+    attemptOf[task] = value;
+  }
+
+  public long epochOf(int task) {
+    return epochOf[task];
+  }
+
+  public void setEpochOf(int task, long value) {
+    epochOf[task] = value;
+  }
+
+  public long stateSince(int task) {
+    return stateSince[task];
+  }
+
+  public void setStateSince(int task, long value) {
+    stateSince[task] = value;
+  }
+
+  /** Which tasks share a record, and the records; another format's are kept until the end. */
+  public TaskLayout layout() {
+    return layout;
+  }
+
+  public boolean isSecondFormat() {
+    return secondFormat;
+  }
+
+  public PendingRecord taskRecord(int index) {
+    return taskRecords[index];
+  }
+
+  public void setTaskRecord(int index, PendingRecord value) {
+    taskRecords[index] = value;
+  }
+
+  public PendingRecord[] taskRecords() {
+    return taskRecords;
+  }
+
+  public int assignedInZone(int zone) {
+    return assignedInZone[zone];
+  }
+
+  public void addAssignedInZone(int zone, int delta) {
+    assignedInZone[zone] += delta;
+  }
+
+  /** Names the parts of a record that is longer than a value, or null. */
+  public String submission() {
+    return submission;
+  }
+
+  public void setSubmission(String submission) {
+    this.submission = submission;
+  }
+
+  public int chunkCount() {
+    return chunkCount;
+  }
+
+  public void setChunkCount(int chunkCount) {
+    this.chunkCount = chunkCount;
+  }
+
+  /** The highest priority of the job itself and of all that need it. */
+  public Priority priority() {
+    return priority;
+  }
+
+  public void setPriority(Priority priority) {
+    this.priority = priority;
+  }
+
+  /** What those that need it leave of their deadlines, and of one and a half times those. */
+  public double dependentsDeadline() {
+    return dependentsDeadline;
+  }
+
+  public void setDependentsDeadline(double dependentsDeadline) {
+    this.dependentsDeadline = dependentsDeadline;
+  }
+
+  public double dependentsLateDeadline() {
+    return dependentsLateDeadline;
+  }
+
+  public void setDependentsLateDeadline(double dependentsLateDeadline) {
+    this.dependentsLateDeadline = dependentsLateDeadline;
+  }
+
+  /** When the last job that it needs was done; from then on its times count. */
+  public long releasedWall() {
+    return releasedWall;
+  }
+
+  public void setReleasedWall(long releasedWall) {
+    this.releasedWall = releasedWall;
+  }
+
+  public long version() {
+    return version;
+  }
+
+  public void setVersion(long version) {
+    this.version = version;
+  }
+
+  public boolean isCancellationRecorded() {
+    return cancellationRecorded;
+  }
+
+  public void setCancellationRecorded(boolean cancellationRecorded) {
+    this.cancellationRecorded = cancellationRecorded;
+  }
+
+  /**
+   * A user was told that the job is cancelled, but its record has not been read since: its tasks
+   * are stopped and none is placed, but nothing is written, forgotten or completed on that ground.
+   */
+  public boolean isCancellationConfirmed() {
+    return cancellationConfirmed;
+  }
+
+  public void setCancellationConfirmed(boolean cancellationConfirmed) {
+    this.cancellationConfirmed = cancellationConfirmed;
+  }
+
+  /** Before this moment no user was told that the job is cancelled. */
+  public long notConfirmedBefore() {
+    return notConfirmedBefore;
+  }
+
+  public void setNotConfirmedBefore(long notConfirmedBefore) {
+    this.notConfirmedBefore = notConfirmedBefore;
+  }
+
+  public boolean isFinishing() {
+    return finishing;
+  }
+
+  public void setFinishing(boolean finishing) {
+    this.finishing = finishing;
+  }
+
+  public int pending() {
+    return pending;
+  }
+
+  public void addPending(int delta) {
+    pending += delta;
+  }
+
+  public int assigned() {
+    return assigned;
+  }
+
+  public void addAssigned(int delta) {
+    assigned += delta;
+  }
+
+  public int running() {
+    return running;
+  }
+
+  public int done() {
+    return done;
+  }
+
+  public void addDone(int delta) {
+    done += delta;
+  }
+
+  public int restarts() {
+    return restarts;
+  }
+
+  public void setRestarts(int restarts) {
+    this.restarts = restarts;
+  }
+
+  public void addRestarts(int delta) {
+    restarts += delta;
+  }
+
+  public long backOffUntil() {
+    return backOffUntil;
+  }
+
+  public void setBackOffUntil(long backOffUntil) {
+    this.backOffUntil = backOffUntil;
+  }
+
+  /** Room is being made for waiting tasks, so none more is made until then. */
+  public long preemptingUntil() {
+    return preemptingUntil;
+  }
+
+  public void setPreemptingUntil(long preemptingUntil) {
+    this.preemptingUntil = preemptingUntil;
+  }
+
+  public int failures() {
+    return failures;
+  }
+
+  public void addFailures(int delta) {
+    failures += delta;
+  }
+
+  /** Whether its tasks seem to fail wherever they run: it gets a trial now and then. */
+  public boolean isSuspect() {
+    return suspect;
+  }
+
+  public void setSuspect(boolean suspect) {
+    this.suspect = suspect;
+  }
+
+  /** Trials in vain since it became suspect. */
+  public int probeCount() {
+    return probeCount;
+  }
+
+  public void setProbeCount(int probeCount) {
+    this.probeCount = probeCount;
+  }
+
+  public void addProbeCount(int delta) {
+    probeCount += delta;
+  }
+
+  /** When a task was last placed. */
+  public long placedWall() {
+    return placedWall;
+  }
+
+  public void setPlacedWall(long placedWall) {
+    this.placedWall = placedWall;
+  }
+
+  /** The dense index of its team's class, or -1 until it is known. */
+  public int shareGroup() {
+    return shareGroup;
+  }
+
+  public void setShareGroup(int shareGroup) {
+    this.shareGroup = shareGroup;
+  }
+
+  /** Whether it is within its team's guarantee, as the last plan had it. */
+  public boolean isWithinGuarantee() {
+    return withinGuarantee;
+  }
+
+  public void setWithinGuarantee(boolean withinGuarantee) {
+    this.withinGuarantee = withinGuarantee;
+  }
+
+  /** Whether it was let go before others since its group had too little: it keeps what it got. */
+  public boolean isByMinimumShare() {
+    return byMinimumShare;
+  }
+
+  public void setByMinimumShare(boolean byMinimumShare) {
+    this.byMinimumShare = byMinimumShare;
+  }
+
+  /** The zone chosen for the whole of a gang, or -1. */
+  public int gangZone() {
+    return gangZone;
+  }
+
+  public void setGangZone(int gangZone) {
+    this.gangZone = gangZone;
+  }
 }
--- a/src/main/java/org/snowturn/core/model/Machine.java
+++ b/src/main/java/org/snowturn/core/model/Machine.java
@@ -13,96 +13,96 @@
 public final class Machine {
   public final int index;
   public final String id;
-  public String addr;
-  public String type;
-  public int zone;
-  public boolean spot;
-  public MachineType machineType;
+  private String addr;
+  private String type;
+  private int zone;
+  private boolean spot;
+  private MachineType machineType;
 
-  public long epoch;
-  public long heartbeatSeq = -1;
+  private long epoch;
+  private long heartbeatSeq = -1;
 
   /** The highest session in which everything has certainly ended. */
-  public long endedEpoch = -1;
+  private long endedEpoch = -1;
 
-  public long lastHeartbeatAt = Job.UNKNOWN;
+  private long lastHeartbeatAt = Job.UNKNOWN;
 
   /** From then on, without another report, the machine may have died: nothing new goes there. */
-  public long silentFrom = Job.UNKNOWN;
+  private long silentFrom = Job.UNKNOWN;
 
   /**
    * By then it should have checked in here. What it answers to direct messages renews no lease, so
    * from then on nothing new goes there.
    */
-  public long heartbeatDueAt = Long.MAX_VALUE;
+  private long heartbeatDueAt = Long.MAX_VALUE;
 
   /** When a 200 that may have renewed the lease could last have been sent, by any leader. */
-  public long lastAnswerAt;
+  private long lastAnswerAt;
 
   /** Whether a report in the current session carried this leader's token. */
-  public boolean acknowledged;
+  private boolean acknowledged;
 
-  public boolean recorded;
-  public boolean recording;
-  public boolean terminated;
+  private boolean recorded;
+  private boolean recording;
+  private boolean terminated;
 
   /** Gone for good: the cloud confirmed it. */
-  public boolean terminationConfirmed;
+  private boolean terminationConfirmed;
 
-  public boolean terminating;
-  public long terminateRetryAt;
-  public boolean probing;
-  public boolean suspected;
-  public boolean quarantined;
-  public boolean scalingIn;
-  public long preemptionAt = Long.MAX_VALUE;
-  public long firstSeenAt;
+  private boolean terminating;
+  private long terminateRetryAt;
+  private boolean probing;
+  private boolean suspected;
+  private boolean quarantined;
+  private boolean scalingIn;
+  private long preemptionAt = Long.MAX_VALUE;
+  private long firstSeenAt;
 
   /** Whether this leader has hired it. */
-  public boolean rentedByThisTerm;
+  private boolean rentedByThisTerm;
 
-  public long listedAt = Job.UNKNOWN;
-  public CloudMachine.State cloudState = CloudMachine.State.STARTING;
-  public long blockedUntil;
-  public long idleSince;
-  public long preemptingUntil;
+  private long listedAt = Job.UNKNOWN;
+  private CloudMachine.State cloudState = CloudMachine.State.STARTING;
+  private long blockedUntil;
+  private long idleSince;
+  private long preemptingUntil;
 
-  public double cpusUsed;
-  public double gpusUsed;
-  public double memoryUsed;
+  private double cpusUsed;
+  private double gpusUsed;
+  private double memoryUsed;
   public final LongHashSet assigned = new LongHashSet();
 
   /** Tasks that run there of jobs that are left alone since a record cannot be read. */
-  public int unaccounted;
+  private int unaccounted;
 
   /** How many of what is bound there is of each priority. */
   private final int[] assignedByPriority = new int[Priority.values().length];
 
   /** How many of them an earlier leader bound and this one has not seen yet. */
-  public int adoptedTasks;
+  private int adoptedTasks;
 
   /** Images that the machine should have, most recently used last, with their sizes. */
   public final Map<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
 
   /** The page of the registry that it is on, or -1. */
-  public int registryPage = -1;
+  private int registryPage = -1;
 
   /** Whether the stored list of images is behind. */
-  public boolean imagesChanged;
+  private boolean imagesChanged;
 
   /** Failures there since the last success that no suspect job explains. */
-  public int unexplainedFailures;
+  private int unexplainedFailures;
 
   /** Whether work has succeeded there and no sound job has failed since. */
-  public boolean sound;
+  private boolean sound;
 
   /** Nothing new goes there before, since what failed there last may be the machine's fault. */
-  public long blockedForFailures;
+  private long blockedForFailures;
 
   /** Whether it receives what it is sent. */
   public final Reachability reachability = new Reachability();
 
-  public double workDone;
+  private double workDone;
   private final double[] ratios = new double[32];
   private int ratioCount;
   private double slowness = 1;
@@ -112,7 +112,7 @@
    */
   public final LongHashSet startsInDoubt = new LongHashSet();
 
-  public CommandChannel commands;
+  private CommandChannel commands;
 
   public Machine(int index, String id) {
     this.index = index;
@@ -261,4 +261,349 @@
     }
     return slowness;
   }
+
+  public String addr() {
+    return addr;
+  }
+
+  public void setAddr(String addr) {
+    this.addr = addr;
+  }
+
+  public String type() {
+    return type;
+  }
+
+  public void setType(String type) {
+    this.type = type;
+  }
+
+  public int zone() {
+    return zone;
+  }
+
+  public void setZone(int zone) {
+    this.zone = zone;
+  }
+
+  public boolean isSpot() {
+    return spot;
+  }
+
+  public void setSpot(boolean spot) {
+    this.spot = spot;
+  }
+
+  public MachineType machineType() {
+    return machineType;
+  }
+
+  public void setMachineType(MachineType machineType) {
+    this.machineType = machineType;
+  }
+
+  public long epoch() {
+    return epoch;
+  }
+
+  public void setEpoch(long epoch) {
+    this.epoch = epoch;
+  }
+
+  public long heartbeatSeq() {
+    return heartbeatSeq;
+  }
+
+  public void setHeartbeatSeq(long heartbeatSeq) {
+    this.heartbeatSeq = heartbeatSeq;
+  }
+
+  /** The highest session in which everything has certainly ended. */
+  public long endedEpoch() {
+    return endedEpoch;
+  }
+
+  public void setEndedEpoch(long endedEpoch) {
+    this.endedEpoch = endedEpoch;
+  }
+
+  public long lastHeartbeatAt() {
+    return lastHeartbeatAt;
+  }
+
+  public void setLastHeartbeatAt(long lastHeartbeatAt) {
+    this.lastHeartbeatAt = lastHeartbeatAt;
+  }
+
+  /** From then on, without another report, the machine may have died: nothing new goes there. */
+  public long silentFrom() {
+    return silentFrom;
+  }
+
+  public void setSilentFrom(long silentFrom) {
+    this.silentFrom = silentFrom;
+  }
+
+  /**
+   * By then it should have checked in here. What it answers to direct messages renews no lease, so
+   * from then on nothing new goes there.
+   */
+  public long heartbeatDueAt() {
+    return heartbeatDueAt;
+  }
+
+  public void setHeartbeatDueAt(long heartbeatDueAt) {
+    this.heartbeatDueAt = heartbeatDueAt;
+  }
+
+  /** When a 200 that may have renewed the lease could last have been sent, by any leader. */
+  public long lastAnswerAt() {
+    return lastAnswerAt;
+  }
+
+  public void setLastAnswerAt(long lastAnswerAt) {
+    this.lastAnswerAt = lastAnswerAt;
+  }
+
+  /** Whether a report in the current session carried this leader's token. */
+  public boolean isAcknowledged() {
+    return acknowledged;
+  }
+
+  public void setAcknowledged(boolean acknowledged) {
+    this.acknowledged = acknowledged;
+  }
+
+  public boolean isRecorded() {
+    return recorded;
+  }
+
+  public void setRecorded(boolean recorded) {
+    this.recorded = recorded;
+  }
+
+  public boolean isRecording() {
+    return recording;
+  }
+
+  public void setRecording(boolean recording) {
+    this.recording = recording;
+  }
+
+  public boolean isTerminated() {
+    return terminated;
+  }
+
+  public void setTerminated(boolean terminated) {
+    this.terminated = terminated;
+  }
+
+  /** Gone for good: the cloud confirmed it. */
+  public boolean isTerminationConfirmed() {
+    return terminationConfirmed;
+  }
+
+  public void setTerminationConfirmed(boolean terminationConfirmed) {
+    this.terminationConfirmed = terminationConfirmed;
+  }
+
+  public boolean isTerminating() {
+    return terminating;
+  }
+
+  public void setTerminating(boolean terminating) {
+    this.terminating = terminating;
+  }
+
+  public long terminateRetryAt() {
+    return terminateRetryAt;
+  }
+
+  public void setTerminateRetryAt(long terminateRetryAt) {
+    this.terminateRetryAt = terminateRetryAt;
+  }
+
+  public boolean isProbing() {
+    return probing;
+  }
+
+  public void setProbing(boolean probing) {
+    this.probing = probing;
+  }
+
+  public boolean isSuspected() {
+    return suspected;
+  }
+
+  public void setSuspected(boolean suspected) {
+    this.suspected = suspected;
+  }
+
+  public boolean isQuarantined() {
+    return quarantined;
+  }
+
+  public void setQuarantined(boolean quarantined) {
+    this.quarantined = quarantined;
+  }
+
+  public boolean isScalingIn() {
+    return scalingIn;
+  }
+
+  public void setScalingIn(boolean scalingIn) {
+    this.scalingIn = scalingIn;
+  }
+
+  public long preemptionAt() {
+    return preemptionAt;
+  }
+
+  public void setPreemptionAt(long preemptionAt) {
+    this.preemptionAt = preemptionAt;
+  }
+
+  public long firstSeenAt() {
+    return firstSeenAt;
+  }
+
+  public void setFirstSeenAt(long firstSeenAt) {
+    this.firstSeenAt = firstSeenAt;
+  }
+
+  /** Whether this leader has hired it. */
+  public boolean isRentedByThisTerm() {
+    return rentedByThisTerm;
+  }
+
+  public void setRentedByThisTerm(boolean rentedByThisTerm) {
+    this.rentedByThisTerm = rentedByThisTerm;
+  }
+
+  public long listedAt() {
+    return listedAt;
+  }
+
+  public void setListedAt(long listedAt) {
+    this.listedAt = listedAt;
+  }
+
+  public CloudMachine.State cloudState() {
+    return cloudState;
+  }
+
+  public void setCloudState(CloudMachine.State cloudState) {
+    this.cloudState = cloudState;
+  }
+
+  public long blockedUntil() {
+    return blockedUntil;
+  }
+
+  public void setBlockedUntil(long blockedUntil) {
+    this.blockedUntil = blockedUntil;
+  }
+
+  public long idleSince() {
+    return idleSince;
+  }
+
+  public void setIdleSince(long idleSince) {
+    this.idleSince = idleSince;
+  }
+
+  public long preemptingUntil() {
+    return preemptingUntil;
+  }
+
+  public void setPreemptingUntil(long preemptingUntil) {
+    this.preemptingUntil = preemptingUntil;
+  }
+
+  public double cpusUsed() {
+    return cpusUsed;
+  }
+
+  public double gpusUsed() {
+    return gpusUsed;
+  }
+
+  public double memoryUsed() {
+    return memoryUsed;
+  }
+
+  /** Tasks that run there of jobs that are left alone since a record cannot be read. */
+  public int unaccounted() {
+    return unaccounted;
+  }
+
+  public void setUnaccounted(int unaccounted) {
+    this.unaccounted = unaccounted;
+  }
+
+  /** How many of them an earlier leader bound and this one has not seen yet. */
+  public int adoptedTasks() {
+    return adoptedTasks;
+  }
+
+  public void addAdoptedTasks(int delta) {
+    adoptedTasks += delta;
+  }
+
+  /** The page of the registry that it is on, or -1. */
+  public int registryPage() {
+    return registryPage;
+  }
+
+  public void setRegistryPage(int registryPage) {
+    this.registryPage = registryPage;
+  }
+
+  /** Whether the stored list of images is behind. */
+  public boolean isImagesChanged() {
+    return imagesChanged;
+  }
+
+  public void setImagesChanged(boolean imagesChanged) {
+    this.imagesChanged = imagesChanged;
+  }
+
+  /** Failures there since the last success that no suspect job explains. */
+  public int unexplainedFailures() {
+    return unexplainedFailures;
+  }
+
+  public void setUnexplainedFailures(int unexplainedFailures) {
+    this.unexplainedFailures = unexplainedFailures;
+  }
+
+  /** Whether work has succeeded there and no sound job has failed since. */
+  public boolean isSound() {
+    return sound;
+  }
+
+  public void setSound(boolean sound) {
+    this.sound = sound;
+  }
+
+  /** Nothing new goes there before, since what failed there last may be the machine's fault. */
+  public long blockedForFailures() {
+    return blockedForFailures;
+  }
+
+  public void setBlockedForFailures(long blockedForFailures) {
+    this.blockedForFailures = blockedForFailures;
+  }
+
+  public double workDone() {
+    return workDone;
+  }
+
+  public CommandChannel commands() {
+    return commands;
+  }
+
+  public void setCommands(CommandChannel commands) {
+    this.commands = commands;
+  }
 }
--- a/src/main/java/org/snowturn/core/model/MachineIndex.java
+++ b/src/main/java/org/snowturn/core/model/MachineIndex.java
@@ -51,8 +51,8 @@
     Machine machine = find(id);
     if (machine == null) {
       machine = new Machine(all.size(), id);
-      machine.zone = zoneNames.size();
-      machine.commands = outboxes.apply(machine);
+      machine.setZone(zoneNames.size());
+      machine.setCommands(outboxes.apply(machine));
       all.add(machine);
       present = null;
       byId.put(id, machine.index);
@@ -63,14 +63,14 @@
   /** The machines that are not known to be gone: a list that no later change alters. */
   public List<Machine> present() {
     if (present == null) {
-      present = all.stream().filter(machine -> !machine.terminated).toList();
+      present = all.stream().filter(machine -> !machine.isTerminated()).toList();
     }
     return present;
   }
 
   /** The machine is taken for gone. */
   public void remove(Machine machine) {
-    machine.terminated = true;
+    machine.setTerminated(true);
     present = null;
   }
 
--- a/src/main/java/org/snowturn/core/model/RestartRecords.java
+++ b/src/main/java/org/snowturn/core/model/RestartRecords.java
@@ -21,9 +21,9 @@
 
   public static JsonNode json(Job job) {
     ObjectNode object =
-        Json.object().put("v", job.secondFormat ? StorageKeys.SECOND : StorageKeys.VERSION);
-    object.put("n", job.restarts);
-    if (job.secondFormat) {
+        Json.object().put("v", job.isSecondFormat() ? StorageKeys.SECOND : StorageKeys.VERSION);
+    object.put("n", job.restarts());
+    if (job.isSecondFormat()) {
       ArrayNode listed = object.putArray("r");
       job.restarted.stream().forEach(listed::add);
     } else {
@@ -36,13 +36,13 @@
   public static void load(Job job, JsonNode value) {
     job.restarted.or(BitSet.valueOf(Base64.getDecoder().decode(value.path("t").asText(""))));
     value.path("r").forEach(t -> job.restarted.set(Math.max(0, t.asInt())));
-    job.restarts = value.path("n").asInt(0);
+    job.setRestarts(value.path("n").asInt(0));
   }
 
   /** Whether a value can hold the record once this task is restarted too. */
   public static boolean fits(Job job, int task, int valueBytes) {
     int last = Math.max(task, job.restarted.length());
-    int bytes = job.secondFormat ? LISTED_BYTES * (job.restarts + 1) : (last / 8 + 3) / 3 * 4;
+    int bytes = job.isSecondFormat() ? LISTED_BYTES * (job.restarts() + 1) : (last / 8 + 3) / 3 * 4;
     return FIXED_BYTES + bytes <= valueBytes;
   }
 }
--- a/src/main/java/org/snowturn/core/model/TaskRecords.java
+++ b/src/main/java/org/snowturn/core/model/TaskRecords.java
@@ -25,39 +25,39 @@
   }
 
   public static JsonNode first(Job job, int record, MachineIndex machines) {
-    int from = job.layout.from(record);
+    int from = job.layout().from(record);
     ObjectNode object = Json.object().put("v", StorageKeys.VERSION);
     ArrayNode placed = object.putArray("p");
-    for (int task = from; task < job.layout.to(record); task++) {
+    for (int task = from; task < job.layout().to(record); task++) {
       if (job.isAssigned(task)) {
         placed
             .addArray()
             .add(task)
-            .add(job.attemptOf[task])
-            .add(machines.get(job.machineOf[task]).id);
-        ((ArrayNode) placed.get(placed.size() - 1)).add(job.epoch[task]);
+            .add(job.attemptOf(task))
+            .add(machines.get(job.machineOf(task)).id);
+        ((ArrayNode) placed.get(placed.size() - 1)).add(job.epochOf(task));
       }
     }
     return object.put("d", finished(job, record));
   }
 
   public static JsonNode second(Job job, int record, MachineIndex machines) {
-    int from = job.layout.from(record);
+    int from = job.layout().from(record);
     long base = Long.MAX_VALUE;
-    for (int task = from; task < job.layout.to(record); task++) {
-      base = job.isAssigned(task) ? Math.min(base, job.attemptOf[task] >> SHIFT << SHIFT) : base;
+    for (int task = from; task < job.layout().to(record); task++) {
+      base = job.isAssigned(task) ? Math.min(base, job.attemptOf(task) >> SHIFT << SHIFT) : base;
     }
     ObjectNode object = Json.object().put("v", StorageKeys.SECOND).put("d", finished(job, record));
     if (base == Long.MAX_VALUE) {
       return object;
     }
     ArrayNode placed = object.put("a", base).putArray("p");
-    for (int task = from; task < job.layout.to(record); task++) {
+    for (int task = from; task < job.layout().to(record); task++) {
       if (job.isAssigned(task)) {
-        ArrayNode e = placed.addArray().add(task - from).add(job.attemptOf[task] - base);
-        e.add(machines.get(job.machineOf[task]).id);
-        if (job.epoch[task] != 1) {
-          e.add(job.epoch[task]);
+        ArrayNode e = placed.addArray().add(task - from).add(job.attemptOf(task) - base);
+        e.add(machines.get(job.machineOf(task)).id);
+        if (job.epochOf(task) != 1) {
+          e.add(job.epochOf(task));
         }
       }
     }
@@ -65,10 +65,10 @@
   }
 
   private static String finished(Job job, int record) {
-    int from = job.layout.from(record);
+    int from = job.layout().from(record);
     BitSet finished = new BitSet();
-    for (int task = from; task < job.layout.to(record); task++) {
-      if (job.stateOf[task] == Job.DONE) {
+    for (int task = from; task < job.layout().to(record); task++) {
+      if (job.stateOf(task) == Job.DONE) {
         finished.set(task - from);
       }
     }
--- a/src/main/java/org/snowturn/core/scheduling/Aging.java
+++ b/src/main/java/org/snowturn/core/scheduling/Aging.java
@@ -53,7 +53,7 @@
   }
 
   private static double waitedMs(Job job, double wall) {
-    return wall - Math.max(job.releasedWall, job.placedWall);
+    return wall - Math.max(job.releasedWall(), job.placedWall());
   }
 
   /** A plan begins: who of those that wait has waited for long, the longest first. */
@@ -81,7 +81,7 @@
 
   /** How many of its tasks go at a time. */
   static int slice(Job job) {
-    return Math.max(1, job.stateOf.length / SLICE_OF);
+    return Math.max(1, job.taskCount() / SLICE_OF);
   }
 
   /** A task was given room, as one of theirs or in the ordinary order. */
--- a/src/main/java/org/snowturn/core/scheduling/Autoscaler.java
+++ b/src/main/java/org/snowturn/core/scheduling/Autoscaler.java
@@ -204,52 +204,52 @@
     listedOnce = true;
     for (CloudMachine c : list) {
       Machine machine = machines.getOrAdd(c.id());
-      if (machine.terminationConfirmed) {
+      if (machine.isTerminationConfirmed()) {
         continue; // the list lags
       }
-      if (machine.terminated) {
+      if (machine.isTerminated()) {
         runtime.note(machine.id + " is listed again");
         machines.restore(machine);
       }
       // A new leader knows a machine's age from here only: counted from the takeover, idle machines
       // would be kept for another minute after each change of leader.
       long hiredAt = now - (long) (c.ageS() * 1000);
-      machine.firstSeenAt =
-          machine.firstSeenAt == 0 ? hiredAt : Math.min(machine.firstSeenAt, hiredAt);
-      machine.listedAt = now;
-      machine.cloudState = c.state();
-      if (machine.type == null) {
-        machine.type = c.type();
+      machine.setFirstSeenAt(
+          machine.firstSeenAt() == 0 ? hiredAt : Math.min(machine.firstSeenAt(), hiredAt));
+      machine.setListedAt(now);
+      machine.setCloudState(c.state());
+      if (machine.type() == null) {
+        machine.setType(c.type());
         assignments.setZone(machine, machines.zone(c.zone()));
-        machine.spot = c.spot();
-        machine.machineType = machineTypes.get(c.type());
+        machine.setSpot(c.spot());
+        machine.setMachineType(machineTypes.get(c.type()));
         if (c.addr() != null) {
-          machine.addr = c.addr();
+          machine.setAddr(c.addr());
         }
       }
-      if (c.state() == CloudMachine.State.FAILED && !machine.terminating) {
+      if (c.state() == CloudMachine.State.FAILED && !machine.isTerminating()) {
         runtime.note(machine.id + " failed, says the cloud");
         heartbeats.machineFailed(machine);
-        machine.terminating = true;
+        machine.setTerminating(true);
       }
       boolean neverCameUp =
-          machine.lastHeartbeatAt == Job.UNKNOWN
+          machine.lastHeartbeatAt() == Job.UNKNOWN
               && machine.assigned.isEmpty()
               && c.state() == CloudMachine.State.STARTING
-              && machine.machineType != null
-              && c.ageS() > tunables.bootPatience() * machine.machineType.bootS() + 10;
-      if (neverCameUp && !machine.terminating) {
+              && machine.machineType() != null
+              && c.ageS() > tunables.bootPatience() * machine.machineType().bootS() + 10;
+      if (neverCameUp && !machine.isTerminating()) {
         runtime.note(machine.id + " never came up");
-        machine.terminating = true;
+        machine.setTerminating(true);
       }
     }
     long stale = (long) (1000 * (3 * settings.cloudLimits().listLagS() + 8));
     for (Machine machine : machines.present()) {
       boolean silent =
-          machine.lastHeartbeatAt == Job.UNKNOWN
-              || now - machine.lastHeartbeatAt > HeartbeatProcessor.leaseExpiryMs(settings);
-      long known = Math.max(machine.listedAt, machine.firstSeenAt);
-      if (!machine.terminating && silent && machine.assigned.isEmpty() && now - known > stale) {
+          machine.lastHeartbeatAt() == Job.UNKNOWN
+              || now - machine.lastHeartbeatAt() > HeartbeatProcessor.leaseExpiryMs(settings);
+      long known = Math.max(machine.listedAt(), machine.firstSeenAt());
+      if (!machine.isTerminating() && silent && machine.assigned.isEmpty() && now - known > stale) {
         machines.remove(machine);
         freed(machine);
       }
@@ -258,10 +258,10 @@
 
   /** Marks a machine for deletion: when the cloud confirms, all that was on it has ended. */
   public void discard(Machine machine, String why) {
-    if (!machine.terminating && !machine.terminated) {
+    if (!machine.isTerminating() && !machine.isTerminated()) {
       runtime.note(machine.id + " is deleted: " + why);
-      machine.terminating = true;
-      if (machine.spot && machine.suspected && machine.preemptionAt == Long.MAX_VALUE) {
+      machine.setTerminating(true);
+      if (machine.isSpot() && machine.isSuspected() && machine.preemptionAt() == Long.MAX_VALUE) {
         spotLosses.recordPreemption();
       }
       assignments.markChanged();
@@ -275,7 +275,7 @@
     }
     List<Machine> batch = new ArrayList<>();
     for (Machine machine : machines.present()) {
-      if (machine.terminating && now >= machine.terminateRetryAt && batch.size() < 100) {
+      if (machine.isTerminating() && now >= machine.terminateRetryAt() && batch.size() < 100) {
         batch.add(machine);
       }
     }
@@ -287,7 +287,7 @@
     // cloud's rate, and no replacement could be hired until the last had died.
     nextDeleteAt = now + (long) (1000 * DELETE_EVERY / settings.cloudLimits().rps());
     for (Machine machine : batch) {
-      machine.terminateRetryAt = now + TIMEOUT_MS + 500;
+      machine.setTerminateRetryAt(now + TIMEOUT_MS + 500);
       runtime
           .events()
           .info(LogEvent.TERMINATE)
@@ -308,11 +308,11 @@
             if (outcome == Outcome.ANSWERED && status == 200) {
               runtime.events().info(LogEvent.TERMINATED).with(LogField.MACHINE, machine.id).write();
               machines.remove(machine);
-              machine.terminationConfirmed = true;
+              machine.setTerminationConfirmed(true);
               freed(machine);
               heartbeats.machineDeleted(machine);
             } else {
-              machine.terminateRetryAt = runtime.now() + 1000;
+              machine.setTerminateRetryAt(runtime.now() + 1000);
             }
           }
         });
@@ -327,14 +327,16 @@
     int spotUp = 0;
     int notHired = 0;
     for (Machine machine : machines.present()) {
-      present[machine.zone]++;
+      present[machine.zone()]++;
       notHired +=
-          !machine.spot && !machine.rentedByThisTerm && machine.lastHeartbeatAt != Job.UNKNOWN
+          !machine.isSpot()
+                  && !machine.isRentedByThisTerm()
+                  && machine.lastHeartbeatAt() != Job.UNKNOWN
               ? 1
               : 0;
       if (counts(machine)) {
         hold(machine, 1);
-        spotUp += machine.spot && machine.lastHeartbeatAt != Job.UNKNOWN ? 1 : 0;
+        spotUp += machine.isSpot() && machine.lastHeartbeatAt() != Job.UNKNOWN ? 1 : 0;
       }
     }
     externallyManaged.seen(notHired);
@@ -343,9 +345,11 @@
   }
 
   private void hold(Machine machine, int sign) {
-    held[machine.spot ? 1 : 0] += sign * machine.machineType.cpus();
+    held[machine.isSpot() ? 1 : 0] += sign * machine.machineType().cpus();
     heldInZone.merge(
-        new Place(machine.zone, machine.spot), sign * machine.machineType.cpus(), Double::sum);
+        new Place(machine.zone(), machine.isSpot()),
+        sign * machine.machineType().cpus(),
+        Double::sum);
   }
 
   /** What machines of a kind hold, up or on their way. */
@@ -360,14 +364,14 @@
   }
 
   private boolean counts(Machine machine) {
-    return !machine.terminated
-        && !machine.terminating
-        && !machine.quarantined
-        && !machine.scalingIn
-        && !machine.suspected
-        && machine.preemptionAt == Long.MAX_VALUE
-        && machine.machineType != null
-        && !(machine.lastHeartbeatAt == Job.UNKNOWN && zoneOutages.dark(machine.zone));
+    return !machine.isTerminated()
+        && !machine.isTerminating()
+        && !machine.isQuarantined()
+        && !machine.isScalingIn()
+        && !machine.isSuspected()
+        && machine.preemptionAt() == Long.MAX_VALUE
+        && machine.machineType() != null
+        && !(machine.lastHeartbeatAt() == Job.UNKNOWN && zoneOutages.dark(machine.zone()));
   }
 
   /** CPUs that the unfinished tasks need, memory counted by the leanest type's ratio. */
@@ -382,7 +386,7 @@
         JobSpec spec = job.spec;
         double each = Math.max(spec.cpus(), ratio > 0 ? spec.memoryGb() / ratio : 0);
         // A job that fails wherever it runs has no use for more than what it has.
-        cpus += each * (job.suspect ? job.assigned + 1 : job.stateOf.length - job.done);
+        cpus += each * (job.isSuspect() ? job.assigned() + 1 : job.taskCount() - job.done());
       }
     }
     return cpus;
@@ -430,8 +434,8 @@
     }
     double work = 0;
     for (Job job : assignments.jobs()) {
-      if (job.wantsRoom() && job.spec.spot() && !job.suspect) {
-        work += job.pending * job.spec.cpus() * Math.max(1, job.spec.estimateS());
+      if (job.wantsRoom() && job.spec.spot() && !job.isSuspect()) {
+        work += job.pending() * job.spec.cpus() * Math.max(1, job.spec.estimateS());
       }
     }
     double spare = plenty * plenty * arrayTarget(need(true));
@@ -555,14 +559,14 @@
         List<String> ids = CloudMachine.parseHired(body);
         for (String id : ids) {
           Machine machine = machines.getOrAdd(id);
-          machine.rentedByThisTerm = true;
-          if (machine.type == null) {
-            machine.type = h.kind.type;
+          machine.setRentedByThisTerm(true);
+          if (machine.type() == null) {
+            machine.setType(h.kind.type);
             assignments.setZone(machine, h.kind.zone);
-            machine.spot = h.kind.spot;
-            machine.machineType = machineTypes.get(h.kind.type);
+            machine.setSpot(h.kind.spot);
+            machine.setMachineType(machineTypes.get(h.kind.type));
           }
-          machine.firstSeenAt = machine.firstSeenAt == 0 ? now : machine.firstSeenAt;
+          machine.setFirstSeenAt(machine.firstSeenAt() == 0 ? now : machine.firstSeenAt());
         }
         runtime.note(
             "hired "
@@ -601,8 +605,8 @@
 
   /** One of our machines has ended: what it was may be had again. */
   private void freed(Machine machine) {
-    if (machine.type != null) {
-      Kind k = new Kind(machine.type, machine.zone, machine.spot);
+    if (machine.type() != null) {
+      Kind k = new Kind(machine.type(), machine.zone(), machine.isSpot());
       refusals.remove(k);
       refusedUntil.computeIfPresent(k, (x, until) -> Math.min(until, runtime.now() + FREED_MS));
     }
@@ -616,11 +620,11 @@
   /** Takes machines that were to be returned back into use while they are needed. */
   private void keep(boolean spot, double target) {
     for (Machine machine : machines.present()) {
-      if (machine.scalingIn
-          && !machine.terminating
-          && machine.spot == spot
+      if (machine.isScalingIn()
+          && !machine.isTerminating()
+          && machine.isSpot() == spot
           && supply(spot) < target) {
-        machine.scalingIn = false;
+        machine.setScalingIn(false);
         hold(machine, 1);
         assignments.markChanged();
       }
@@ -634,23 +638,23 @@
     }
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : machines.present()) {
-      if (machine.spot == spot
+      if (machine.isSpot() == spot
           && counts(machine)
-          && machine.lastHeartbeatAt != Job.UNKNOWN
-          && runtime.now() - machine.firstSeenAt > PAID_MS / 2
-          && supply(spot) - machine.machineType.cpus() >= target) {
+          && machine.lastHeartbeatAt() != Job.UNKNOWN
+          && runtime.now() - machine.firstSeenAt() > PAID_MS / 2
+          && supply(spot) - machine.machineType().cpus() >= target) {
         candidates.add(machine);
       }
     }
-    candidates.sort(Comparator.comparingDouble(machine -> machine.cpusUsed));
+    candidates.sort(Comparator.comparingDouble(machine -> machine.cpusUsed()));
     int most = 1 + candidates.size() / RETURNED_OF;
     int tried = 0;
     for (Machine machine : candidates) {
-      if (supply(spot) - machine.machineType.cpus() < target) {
+      if (supply(spot) - machine.machineType().cpus() < target) {
         continue;
       }
       if (spot || replicasCanMove(machine)) {
-        machine.scalingIn = true;
+        machine.setScalingIn(true);
         hold(machine, -1);
         most--;
       }
@@ -662,7 +666,7 @@
 
   private boolean arraysWait() {
     for (Job job : assignments.jobs()) {
-      if (job.wantsRoom() && !job.spec.service() && !job.suspect) {
+      if (job.wantsRoom() && !job.spec.service() && !job.isSuspect()) {
         return true;
       }
     }
@@ -686,7 +690,7 @@
       return;
     }
     for (Machine machine : machines.present()) {
-      if (!machine.scalingIn || machine.terminating) {
+      if (!machine.isScalingIn() || machine.isTerminating()) {
         continue;
       }
       for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
@@ -708,26 +712,26 @@
     int sick = 0;
     for (Machine machine : machines.present()) {
       present++;
-      sick += machine.quarantined ? 1 : 0;
+      sick += machine.isQuarantined() ? 1 : 0;
     }
     shrink(false, target(false));
     shrink(true, target(true));
     moveReplica();
     for (Machine machine : machines.present()) {
-      if (machine.terminating) {
+      if (machine.isTerminating()) {
         continue;
       }
-      if (machine.quarantined && (sick * 3 <= present || now >= nextSickAt)) {
+      if (machine.isQuarantined() && (sick * 3 <= present || now >= nextSickAt)) {
         // Where most are sick, one after the other: what replaces them has to show that it is not.
         nextSickAt = now + SICK_EVERY_MS;
         discard(machine, "every task fails there");
       }
       boolean idle =
-          machine.scalingIn
+          machine.isScalingIn()
               && machine.assigned.isEmpty()
-              && machine.unaccounted == 0
-              && now - machine.firstSeenAt > PAID_MS - 5_000
-              && now - machine.idleSince > tunables.idleReturnS() * 1000;
+              && machine.unaccounted() == 0
+              && now - machine.firstSeenAt() > PAID_MS - 5_000
+              && now - machine.idleSince() > tunables.idleReturnS() * 1000;
       if (idle) {
         discard(machine, "not needed");
       }
--- a/src/main/java/org/snowturn/core/scheduling/Preemptor.java
+++ b/src/main/java/org/snowturn/core/scheduling/Preemptor.java
@@ -67,12 +67,12 @@
 
   /** Makes room, or waits for room being made, on a machine that has a new service's image. */
   boolean roomWithImage(Job job, List<Machine> usable) {
-    if (runtime.wallMs() - job.releasedWall > IMAGE_PATIENCE_MS || !mayStop.getAsBoolean()) {
+    if (runtime.wallMs() - job.releasedWall() > IMAGE_PATIENCE_MS || !mayStop.getAsBoolean()) {
       return false;
     }
-    if (runtime.now() < job.preemptingUntil) {
+    if (runtime.now() < job.preemptingUntil()) {
       // Where more replicas wait than room was made for, the others would wait for nothing.
-      return runtime.now() < job.preemptingUntil - ROOM_MS + STOPPED_MS;
+      return runtime.now() < job.preemptingUntil() - ROOM_MS + STOPPED_MS;
     }
     List<Machine> having = new ArrayList<>();
     for (Machine machine : usable) {
@@ -86,7 +86,7 @@
   /** Moves a settled replica that can start elsewhere at once, to make room beside an image. */
   private boolean swap(Job job, List<Machine> having) {
     for (Machine machine : having) {
-      if (runtime.now() < machine.preemptingUntil) {
+      if (runtime.now() < machine.preemptingUntil()) {
         continue;
       }
       for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
@@ -108,8 +108,8 @@
                   + ", image of "
                   + job.spec.id()
                   + " there");
-          machine.preemptingUntil = runtime.now() + ROOM_MS;
-          job.preemptingUntil = machine.preemptingUntil;
+          machine.setPreemptingUntil(runtime.now() + ROOM_MS);
+          job.setPreemptingUntil(machine.preemptingUntil());
           victim.excludedMachine.put(task, machine.index);
           assignments.stop(victim, task);
           return true;
@@ -125,19 +125,20 @@
    */
   boolean makeRoom(Job job, List<Machine> usable) {
     long now = runtime.now();
-    if (now < job.preemptingUntil) {
+    if (now < job.preemptingUntil()) {
       return true; // room is being made already; see what it brings first
     }
     if (!mayStop.getAsBoolean()
-        || (!job.withinGuarantee && assignments.assignedBelow(job.priority) == 0)
+        || (!job.isWithinGuarantee() && assignments.assignedBelow(job.priority()) == 0)
         || !assignments.quota().allows(job.spec)
         || knownNoRoom(job)) {
       return false;
     }
     List<Room> rooms = new ArrayList<>();
-    for (Machine machine : (job.withinGuarantee ? usable : withStoppable(job.priority, usable))) {
+    for (Machine machine :
+        (job.isWithinGuarantee() ? usable : withStoppable(job.priority(), usable))) {
       scheduler.looked();
-      if (now >= machine.preemptingUntil && scheduler.allowed(job, machine)) {
+      if (now >= machine.preemptingUntil() && scheduler.allowed(job, machine)) {
         List<Long> victims = victims(job, machine);
         if (victims != null) {
           rooms.add(
@@ -146,22 +147,22 @@
       }
     }
     if (rooms.isEmpty() && TaskScheduler.unconstrained(job.spec)) {
-      noRoom.add(new NoRoom(job.spec, job.priority, job.withinGuarantee));
+      noRoom.add(new NoRoom(job.spec, job.priority(), job.isWithinGuarantee()));
     }
     rooms.sort(Comparator.comparingDouble(Room::score));
-    int[] inZone = job.assignedInZone.clone();
-    int wanted = job.pending;
+    int[] inZone = job.copyOfAssignedInZone();
+    int wanted = job.pending();
     for (Room r : rooms) {
       if (wanted == 0) {
         break;
       }
-      if (job.spec.spread() && inZone[r.machine.zone] >= job.spec.perZoneLimit()) {
+      if (job.spec.spread() && inZone[r.machine.zone()] >= job.spec.perZoneLimit()) {
         continue;
       }
-      inZone[r.machine.zone]++;
+      inZone[r.machine.zone()]++;
       wanted--;
-      r.machine.preemptingUntil = now + ROOM_MS;
-      job.preemptingUntil = r.machine.preemptingUntil;
+      r.machine.setPreemptingUntil(now + ROOM_MS);
+      job.setPreemptingUntil(r.machine.preemptingUntil());
       for (long ref : r.victims) {
         Job victim = assignments.job(ref);
         int task = TaskAssignments.task(ref);
@@ -176,7 +177,7 @@
         assignments.stop(victim, task);
       }
     }
-    return now < job.preemptingUntil;
+    return now < job.preemptingUntil();
   }
 
   /**
@@ -188,9 +189,9 @@
     for (NoRoom n : noRoom) {
       // Whose work may be stopped for a guarantee depends on the team.
       boolean same =
-          job.withinGuarantee == n.within
-              && (!job.withinGuarantee || job.spec.team().equals(n.spec.team()));
-      boolean noHigher = job.priority.compareTo(n.priority) >= 0;
+          job.isWithinGuarantee() == n.within
+              && (!job.isWithinGuarantee() || job.spec.team().equals(n.spec.team()));
+      boolean noHigher = job.priority().compareTo(n.priority) >= 0;
       if (same && noHigher && TaskScheduler.asksNoLess(job.spec, n.spec)) {
         return true;
       }
@@ -226,21 +227,21 @@
    */
   private static boolean mayBeStopped(Job victim, Job job) {
     boolean sameTeam = victim.spec.team().equals(job.spec.team());
-    if (victim.withinGuarantee && !sameTeam) {
+    if (victim.isWithinGuarantee() && !sameTeam) {
       return false;
     }
-    if (job.withinGuarantee && !sameTeam) {
+    if (job.isWithinGuarantee() && !sameTeam) {
       return true;
     }
-    boolean keeps = victim.byMinimumShare && job.priority != Priority.PRODUCTION;
-    return victim.priority.compareTo(job.priority) > 0 && !keeps;
+    boolean keeps = victim.isByMinimumShare() && job.priority() != Priority.PRODUCTION;
+    return victim.priority().compareTo(job.priority()) > 0 && !keeps;
   }
 
   /** The tasks whose end would make room, least loss first; null if there are not enough. */
   private List<Long> victims(Job job, Machine machine) {
     double cpus = job.spec.cpus() - machine.cpusFree();
-    double memory = job.spec.memoryGb() - (machine.machineType.memoryGb() - machine.memoryUsed);
-    double gpus = job.spec.gpus() - (machine.machineType.gpus() - machine.gpusUsed);
+    double memory = job.spec.memoryGb() - (machine.machineType().memoryGb() - machine.memoryUsed());
+    double gpus = job.spec.gpus() - (machine.machineType().gpus() - machine.gpusUsed());
     List<Long> candidates = new ArrayList<>();
     for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
       Job victim = assignments.job(ref);
@@ -249,8 +250,8 @@
       }
     }
     candidates.sort(
-        Comparator.<Long>comparingInt(r -> -assignments.job(r).priority.ordinal())
-            .thenComparingLong(r -> -assignments.job(r).stateSince[TaskAssignments.task(r)]));
+        Comparator.<Long>comparingInt(r -> -assignments.job(r).priority().ordinal())
+            .thenComparingLong(r -> -assignments.job(r).stateSince(TaskAssignments.task(r))));
     List<Long> out = new ArrayList<>();
     for (long ref : candidates) {
       if (cpus <= 1e-6 && memory <= 1e-6 && gpus <= 1e-6) {
--- a/src/main/java/org/snowturn/core/scheduling/SchedulingOrder.java
+++ b/src/main/java/org/snowturn/core/scheduling/SchedulingOrder.java
@@ -63,7 +63,7 @@
     Placed[] all = new Placed[jobs.size()];
     int n = 0;
     for (Job job : jobs) {
-      int rank = 2 * job.priority.ordinal() + (job.spec.service() ? 0 : 1);
+      int rank = 2 * job.priority().ordinal() + (job.spec.service() ? 0 : 1);
       all[n++] = new Placed(job, rank, urgency(job, wall), workLeft(job));
     }
     Arrays.sort(all);
@@ -81,10 +81,10 @@
     double spare =
         Math.min(spare(job.deadlineWallMs(1) - end), spare(job.deadlineWallMs(1.5) - end));
     for (double s : aims.startWithinS) {
-      spare = Math.min(spare, spare(job.releasedWall + s * 1000 - wall));
+      spare = Math.min(spare, spare(job.releasedWall() + s * 1000 - wall));
     }
     for (double s : aims.doneWithinS) {
-      spare = Math.min(spare, spare(job.releasedWall + s * 1000 - end));
+      spare = Math.min(spare, spare(job.releasedWall() + s * 1000 - end));
     }
     return spare < urgentMs ? 0 : spare < MISSED ? 1 : 2;
   }
@@ -95,6 +95,6 @@
   }
 
   private static double workLeft(Job job) {
-    return job.pending * job.spec.cpus() * Math.max(1, job.spec.estimateS());
+    return job.pending() * job.spec.cpus() * Math.max(1, job.spec.estimateS());
   }
 }
--- a/src/main/java/org/snowturn/core/scheduling/Speculator.java
+++ b/src/main/java/org/snowturn/core/scheduling/Speculator.java
@@ -74,7 +74,7 @@
                 () -> RestartRecords.json(job),
                 () ->
                     new org.snowturn.wire.StateMessage.Condition(
-                        StorageKeys.job(id), job.version)));
+                        StorageKeys.job(id), job.version())));
   }
 
   /** A running task's running time over the run that is expected of it; above 1: overdue. */
@@ -110,8 +110,8 @@
     int running = 0;
     int again = 0;
     for (Job job : assignments.jobs()) {
-      running += job.assigned;
-      again += job.restarts > 0 ? boundAgain(job) : 0;
+      running += job.assigned();
+      again += job.restarts() > 0 ? boundAgain(job) : 0;
     }
     if (again + 1 > Math.max(1, figures.speculativeCap() * running)) {
       return;
@@ -121,7 +121,7 @@
       if (job.spec.kind() == JobSpec.Kind.ARRAY
           && !job.isCancelled()
           && !job.runTimes.isEmpty()
-          && job.running > 0) {
+          && job.running() > 0) {
         addSlow(job, slow);
       }
     }
@@ -149,11 +149,11 @@
   }
 
   private double totalWork(Machine machine) {
-    double work = machine.workDone;
+    double work = machine.workDone();
     for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
       Job job = assignments.job(ref);
       int task = TaskAssignments.task(ref);
-      if (!job.spec.service() && job.stateSince[task] != Job.UNKNOWN && !job.runTimes.isEmpty()) {
+      if (!job.spec.service() && job.stateSince(task) != Job.UNKNOWN && !job.runTimes.isEmpty()) {
         work += Math.min(1, score(ran(job, task), expected(job, machine)));
       }
     }
@@ -181,7 +181,7 @@
   }
 
   private double ran(Job job, int task) {
-    return (runtime.now() - job.stateSince[task]) / 1000.0;
+    return (runtime.now() - job.stateSince(task)) / 1000.0;
   }
 
   private double expected(Job job, Machine machine) {
@@ -192,7 +192,7 @@
   private void addSlow(Job job, List<Candidate> slow) {
     DoubleSamples rates = null;
     int mostBytes = gate.limits().valueBytes();
-    for (int task = 0; task < job.stateOf.length; task++) {
+    for (int task = 0; task < job.taskCount(); task++) {
       if (!judged(job, task)
           || job.restarted.get(task)
           || job.stopping.get(task)
@@ -204,7 +204,7 @@
         continue;
       }
       rates = rates == null ? rates(job) : rates;
-      double expected = expected(job, machines.get(job.machineOf[task]));
+      double expected = expected(job, machines.get(job.machineOf(task)));
       if (rate(ran, expected) < rates.percentile(figures.slowTaskPercentile())) {
         slow.add(new Candidate(job, task, ran > expected, timeLeft(ran, expected)));
       }
@@ -217,27 +217,27 @@
     for (int i = 0; i < job.runTimes.size(); i++) {
       rates.add(1 / Math.max(0.1, job.runTimes.get(i)));
     }
-    for (int task = 0; task < job.stateOf.length; task++) {
+    for (int task = 0; task < job.taskCount(); task++) {
       if (judged(job, task)) {
-        rates.add(rate(ran(job, task), expected(job, machines.get(job.machineOf[task]))));
+        rates.add(rate(ran(job, task), expected(job, machines.get(job.machineOf(task)))));
       }
     }
     return rates;
   }
 
   private boolean judged(Job job, int task) {
-    return job.stateOf[task] == Job.RUNNING && job.stateSince[task] != Job.UNKNOWN;
+    return job.stateOf(task) == Job.RUNNING && job.stateSince(task) != Job.UNKNOWN;
   }
 
   private boolean gains(Candidate c, List<Machine> fast) {
-    Machine target = target(c.job, machines.get(c.job.machineOf[c.task]), fast);
+    Machine target = target(c.job, machines.get(c.job.machineOf(c.task)), fast);
     if (target == null) {
       return false;
     }
     double fetch =
         target.images.containsKey(c.job.spec.image())
             ? 0
-            : c.job.spec.imageGb() / Math.max(0.01, target.machineType.fetchGbPerS());
+            : c.job.spec.imageGb() / Math.max(0.01, target.machineType().fetchGbPerS());
     return c.left > figures.gainFactor() * expected(c.job, target) + fetch;
   }
 
@@ -259,10 +259,10 @@
   private void restart(Candidate c) {
     Job job = c.job;
     int task = c.task;
-    long attempt = job.attemptOf[task];
-    Machine at = machines.get(job.machineOf[task]);
+    long attempt = job.attemptOf(task);
+    Machine at = machines.get(job.machineOf(task));
     job.restarted.set(task);
-    job.restarts++;
+    job.addRestarts(1);
     restarts++;
     runtime.note(
         String.format(
@@ -279,7 +279,7 @@
         slot(job),
         3,
         () -> {
-          if (job.isAssigned(task) && job.attemptOf[task] == attempt) {
+          if (job.isAssigned(task) && job.attemptOf(task) == attempt) {
             assignments.stop(job, task);
             job.excludedMachine.put(task, at.index);
           }
--- a/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
+++ b/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
@@ -112,7 +112,7 @@
     plenty = scalingPolicy.plenty();
     List<Machine> usable = new ArrayList<>();
     for (Machine machine : machines.present()) {
-      if (machine.usable(now) && machines.zoneKnown(machine.zone)) {
+      if (machine.usable(now) && machines.zoneKnown(machine.zone())) {
         usable.add(machine);
       }
     }
@@ -127,18 +127,19 @@
     for (Job job : assignments.jobs()) {
       largestReplica =
           job.spec.service() ? Math.max(largestReplica, job.spec.cpus()) : largestReplica;
-      if (job.wantsRoom() && job.suspect) {
-        if (now >= job.backOffUntil && (job.assigned < TRIALS || job.running == job.assigned)) {
+      if (job.wantsRoom() && job.isSuspect()) {
+        if (now >= job.backOffUntil()
+            && (job.assigned() < TRIALS || job.running() == job.assigned())) {
           trials.add(job);
         }
       } else if (job.wantsRoom()) {
-        if (job.shareGroup < 0) {
-          job.shareGroup = minimumShares.group(job.spec.jobClass(), job.spec.team());
-          minimumShares.arrived(job.shareGroup, job.stateOf.length);
+        if (job.shareGroup() < 0) {
+          job.setShareGroup(minimumShares.group(job.spec.jobClass(), job.spec.team()));
+          minimumShares.arrived(job.shareGroup(), job.taskCount());
         }
         minimumShares.waits(
-            job.shareGroup, (runtime.wallMs() - job.releasedWall) / 1000.0, job.pending);
-        if (now >= job.backOffUntil) {
+            job.shareGroup(), (runtime.wallMs() - job.releasedWall()) / 1000.0, job.pending());
+        if (now >= job.backOffUntil()) {
           waiting.add(job);
         }
       }
@@ -147,11 +148,11 @@
     tooLarge.clear();
     rooms.begin(usable);
     trials.stream()
-        .filter(job -> now - job.backOffUntil >= OVERDUE_MS)
+        .filter(job -> now - job.backOffUntil() >= OVERDUE_MS)
         .forEach(job -> tryOne(job, usable));
     boolean longWaitingWent = false;
     for (Job job : starvingFirst(order.sorted(waiting, runtime.wallMs()))) {
-      if (!longWaitingWent && job.priority != Priority.PRODUCTION && !job.withinGuarantee) {
+      if (!longWaitingWent && job.priority() != Priority.PRODUCTION && !job.isWithinGuarantee()) {
         longWaitingWent = true;
         letLongWaitingGo(waiting, usable);
       }
@@ -161,7 +162,7 @@
       }
     }
     trials.stream()
-        .filter(job -> now - job.backOffUntil < OVERDUE_MS)
+        .filter(job -> now - job.backOffUntil() < OVERDUE_MS)
         .forEach(job -> tryOne(job, usable));
     return room;
   }
@@ -173,12 +174,12 @@
       if (!aging.mayGo(runtime.now())) {
         return;
       }
-      int before = job.pending;
+      int before = job.pending();
       asLongWaiting = true;
       boolean room = placeJob(job, usable, Aging.slice(job));
       asLongWaiting = false;
-      job.byMinimumShare |= job.pending < before;
-      if (!room && job.pending == before && aging.mayKeep(runtime.now())) {
+      job.setByMinimumShare(job.isByMinimumShare() || job.pending() < before);
+      if (!room && job.pending() == before && aging.mayKeep(runtime.now())) {
         aging.keep(job, soonestRoom(job, usable), runtime.now());
       }
     }
@@ -199,8 +200,8 @@
 
   /** Replicas stay for as long as their users want them. */
   private boolean fitsBesideReplicas(JobSpec spec, Machine machine) {
-    double cpus = machine.machineType.cpus();
-    double memory = machine.machineType.memoryGb();
+    double cpus = machine.machineType().cpus();
+    double memory = machine.machineType().memoryGb();
     for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
       JobSpec there = assignments.job(ref).spec;
       cpus -= there.service() ? there.cpus() : 0;
@@ -229,7 +230,7 @@
       }
       // Where nearly all machines have become sick, those that seem sound are not: every other
       // trial goes to one of which nothing is known.
-      boolean preferred = machine.sound == (job.probeCount % 2 == 0);
+      boolean preferred = machine.isSound() == (job.probeCount() % 2 == 0);
       double score =
           score(job, machine)
               + (preferred ? 0 : TRIED_ELSEWHERE_S)
@@ -247,7 +248,7 @@
   /** Jobs that await others, or are cancelled, hold no part of a guarantee. */
   private static boolean claims(Job job) {
     boolean holds = !job.isCancelled() && !job.awaitsDependencies();
-    job.withinGuarantee &= holds;
+    job.setWithinGuarantee(job.isWithinGuarantee() && holds);
     return holds;
   }
 
@@ -260,12 +261,12 @@
 
     @Override
     public double cpus() {
-      return job.spec.cpus() * job.stateOf.length;
+      return job.spec.cpus() * job.taskCount();
     }
 
     @Override
     public double gpus() {
-      return job.spec.gpus() * job.stateOf.length;
+      return job.spec.gpus() * job.taskCount();
     }
 
     @Override
@@ -280,7 +281,7 @@
 
     @Override
     public void within(boolean is) {
-      job.withinGuarantee = is;
+      job.setWithinGuarantee(is);
     }
   }
 
@@ -293,15 +294,15 @@
   private List<Job> starvingFirst(List<Job> ordered) {
     List<Job> out = new ArrayList<>(ordered.size());
     if (guarantees.any()) {
-      ordered.stream().filter(job -> job.withinGuarantee).forEach(out::add);
+      ordered.stream().filter(job -> job.isWithinGuarantee()).forEach(out::add);
     }
     for (boolean production : new boolean[] {true, false}) {
       for (boolean first : new boolean[] {true, false}) {
         for (Job job : ordered) {
           boolean here =
-              (job.priority == Priority.PRODUCTION) == production && !job.withinGuarantee;
-          if (here && minimumShares.first(job.shareGroup) == first) {
-            job.byMinimumShare |= first;
+              (job.priority() == Priority.PRODUCTION) == production && !job.isWithinGuarantee();
+          if (here && minimumShares.first(job.shareGroup()) == first) {
+            job.setByMinimumShare(job.isByMinimumShare() || first);
             out.add(job);
           }
         }
@@ -367,7 +368,7 @@
     }
     boolean gang = job.spec.kind() == JobSpec.Kind.GANG;
     long together = gang ? assignments.newAttempt() : 0;
-    for (int placed = 0; job.pending > 0 && placed < most; placed++) {
+    for (int placed = 0; job.pending() > 0 && placed < most; placed++) {
       if (!assignments.quota().allows(job.spec)) {
         return true;
       }
@@ -386,7 +387,7 @@
         return true; // the task stopped for it ends within milliseconds, a fetch takes seconds
       }
       assignments.assign(job, task, best, gang ? together : assignments.newAttempt());
-      minimumShares.given(job.shareGroup, job.spec.cpus(), runtime.now());
+      minimumShares.given(job.shareGroup(), job.spec.cpus(), runtime.now());
       aging.given(job.spec.cpus(), asLongWaiting, runtime.now());
       offer(candidates, job, best);
     }
@@ -404,7 +405,7 @@
 
   private void offer(PriorityQueue<Candidate> candidates, Job job, Machine machine) {
     looks++;
-    boolean kept = job.priority != Priority.PRODUCTION && aging.keptFrom(job) == machine;
+    boolean kept = job.priority() != Priority.PRODUCTION && aging.keptFrom(job) == machine;
     if (!kept && fits(job, machine)) {
       candidates.add(new Candidate(machine, score(job, machine)));
     }
@@ -453,8 +454,8 @@
 
   /** A gang is placed whole or not at all: its tasks do nothing until all of them are there. */
   private boolean gangFits(Job job, List<Machine> usable) {
-    job.gangZone = -1;
-    if (job.assigned > 0) {
+    job.setGangZone(-1);
+    if (job.assigned() > 0) {
       return false; // its tasks only meet tasks of their own attempt: wait until all have ended
     }
     int[] room = new int[machines.zoneCount()];
@@ -462,16 +463,16 @@
     for (Machine machine : usable) {
       if (allowed(job, machine)) {
         int n = machine.roomFor(job.spec);
-        room[machine.zone] += n;
+        room[machine.zone()] += n;
         all += n;
       }
     }
     if (!job.spec.oneZone()) {
-      return all >= job.pending;
+      return all >= job.pending();
     }
     for (int zone = 0; zone < room.length; zone++) {
-      if (room[zone] >= job.pending) {
-        job.gangZone = zone;
+      if (room[zone] >= job.pending()) {
+        job.setGangZone(zone);
         return true;
       }
     }
@@ -481,22 +482,25 @@
   /** Whether the job's constraints allow one more task of it on the machine, room aside. */
   public boolean allowed(Job job, Machine machine) {
     JobSpec spec = job.spec;
-    if (machine.spot && !spec.spot()) {
+    if (machine.isSpot() && !spec.spot()) {
       return false;
     }
-    if (spec.types() != null && !spec.types().contains(machine.type)) {
+    if (spec.types() != null && !spec.types().contains(machine.type())) {
       return false;
     }
-    if (spec.zone() != null && machines.zone(spec.zone()) != machine.zone) {
+    if (spec.zone() != null && machines.zone(spec.zone()) != machine.zone()) {
       return false;
     }
-    if (spec.spread() && job.assignedInZone[machine.zone] >= spec.perZoneLimit()) {
+    if (spec.spread() && job.assignedInZone(machine.zone()) >= spec.perZoneLimit()) {
       return false;
     }
-    if (spec.oneZone() && job.assigned == 0 && job.gangZone >= 0 && job.gangZone != machine.zone) {
+    if (spec.oneZone()
+        && job.assigned() == 0
+        && job.gangZone() >= 0
+        && job.gangZone() != machine.zone()) {
       return false;
     }
-    return !spec.oneZone() || job.assigned == job.assignedInZone[machine.zone];
+    return !spec.oneZone() || job.assigned() == job.assignedInZone(machine.zone());
   }
 
   private boolean fits(Job job, Machine machine) {
@@ -515,18 +519,18 @@
       score += machine.images.containsKey(spec.image()) ? 0 : FETCH_S;
       // Replicas of one job apart, as far as their image is there to start them in time.
       score += 2.0 * job.tasksOn(machine);
-      score += 0.5 * job.assignedInZone[machine.zone];
+      score += 0.5 * job.assignedInZone(machine.zone());
     } else {
-      score += machine.spot ? plenty * spotRiskS(spec) : ORDINARY_PENALTY_S;
+      score += machine.isSpot() ? plenty * spotRiskS(spec) : ORDINARY_PENALTY_S;
       // A replica that finds no room stops a task: room is left where that costs nothing.
-      boolean crowded = !machine.spot && machine.cpusFree() - spec.cpus() < largestReplica;
+      boolean crowded = !machine.isSpot() && machine.cpusFree() - spec.cpus() < largestReplica;
       score += crowded ? plenty * CROWDED_S : 0;
       score += spec.estimateS() * Math.max(-0.5, machine.slowness() - 1);
     }
-    double free = machine.cpusFree() / machine.machineType.cpus();
+    double free = machine.cpusFree() / machine.machineType().cpus();
     // Where money is an aim the fullest machine is best, so that others can be returned.
     score += plenty * (1 - free) + (1 - plenty) * 3.0 * free;
-    if (machine.unexplainedFailures > 0) {
+    if (machine.unexplainedFailures() > 0) {
       score += 20;
     }
     return score;
@@ -543,7 +547,7 @@
   }
 
   private static double fetchS(JobSpec spec, Machine machine) {
-    return spec.imageGb() / Math.max(0.01, machine.machineType.fetchGbPerS());
+    return spec.imageGb() / Math.max(0.01, machine.machineType().fetchGbPerS());
   }
 
   /** Whether a task would start too late there for its users, since its image has to be fetched. */
@@ -565,7 +569,7 @@
               && machine.usable(runtime.now())
               && machine.hasRoom(job.spec)
               && machine.images.containsKey(job.spec.image());
-      if (ready && (machine.zone == from.zone || allowed(job, machine))) {
+      if (ready && (machine.zone() == from.zone() || allowed(job, machine))) {
         return true;
       }
     }
--- a/src/main/java/org/snowturn/core/scheduling/ZoneOutages.java
+++ b/src/main/java/org/snowturn/core/scheduling/ZoneOutages.java
@@ -38,8 +38,8 @@
 
   /** Counts a machine that has been up. */
   public void count(Machine machine, boolean quiet) {
-    (quiet ? silent : heard)[machine.zone]++;
-    kept[machine.zone] += quiet && !machine.terminating ? 1 : 0;
+    (quiet ? silent : heard)[machine.zone()]++;
+    kept[machine.zone()] += quiet && !machine.isTerminating() ? 1 : 0;
   }
 
   /** Judges by the count; a dark zone stays dark until one of its machines is heard. */
--- a/src/test/java/org/snowturn/core/RecordsTest.java
+++ b/src/test/java/org/snowturn/core/RecordsTest.java
@@ -43,19 +43,19 @@
     }
     for (int t = 0; t < 120; t++) {
       job.setState(t, t % 3 == 0 ? Job.DONE : Job.RUNNING);
-      job.machineOf[t] = machines.getOrAdd(machine + t).index;
-      job.attemptOf[t] = ((t < 60 ? 7L : 9_000L) << TaskLayout.ATTEMPT_BITS) + t;
-      job.epoch[t] = t % 5 == 0 ? 12 : 1;
+      job.setMachineOf(t, machines.getOrAdd(machine + t).index);
+      job.setAttemptOf(t, ((t < 60 ? 7L : 9_000L) << TaskLayout.ATTEMPT_BITS) + t);
+      job.setEpochOf(t, t % 5 == 0 ? 12 : 1);
     }
     return job;
   }
 
   private List<String> told(Job job) {
     List<String> out = new ArrayList<>();
-    for (int r = 0; r < job.layout.records(); r++) {
+    for (int r = 0; r < job.layout().records(); r++) {
       TaskRecords.read(
           job.taskRecordJson(r, machines),
-          job.layout.from(r),
+          job.layout().from(r),
           new TaskRecords.Reader() {
             @Override
             public void done(int task) {
@@ -108,11 +108,11 @@
       int n = 0;
       for (int t = job.nextPending(); t >= 0; t = job.nextPending()) {
         Machine machine = machines.getOrAdd(name + (10 + t));
-        job.machineOf[t] = machine.index;
-        job.attemptOf[t] = ((t == 0 ? 1L : 90_000L) << TaskLayout.ATTEMPT_BITS) + t;
-        job.epoch[t] = 100;
+        job.setMachineOf(t, machine.index);
+        job.setAttemptOf(t, ((t == 0 ? 1L : 90_000L) << TaskLayout.ATTEMPT_BITS) + t);
+        job.setEpochOf(t, 100);
         job.setState(t, Job.PLACING);
-        job.pending--;
+        job.addPending(-1);
         job.adjustRecordSize(t, machine, 1);
         n++;
       }
@@ -158,9 +158,9 @@
     job.useSecondFormat(new RecordSizes(51, 51), VALUE, machines);
     for (int t = 99_999; RestartRecords.fits(job, t, VALUE); t--) {
       job.restarted.set(t);
-      job.restarts++;
+      job.addRestarts(1);
     }
-    assertTrue(job.restarts > 200);
+    assertTrue(job.restarts() > 200);
     assertTrue(Json.bytes(RestartRecords.json(job)).length <= VALUE);
     Job next = new Job(0, spec(100_000, "i"), 0, 2);
     RestartRecords.load(next, RestartRecords.json(job));
--- a/src/test/java/org/snowturn/core/assignment/AttemptGuardTest.java
+++ b/src/test/java/org/snowturn/core/assignment/AttemptGuardTest.java
@@ -57,12 +57,12 @@
   void aTaskIsStartedOnAMachine() throws Exception {
     job = new Job(0, JobSpec.parse(Submissions.array("wk-000001", 2)), 0, 1);
     runtime.setTime(1_000, 1_000);
-    machine.epoch = SESSION;
-    machine.lastAnswerAt = 1_000;
-    job.stateOf[0] = Job.STARTING;
-    job.machineOf[0] = machine.index;
-    job.attemptOf[0] = ATTEMPT;
-    job.epoch[0] = SESSION;
+    machine.setEpoch(SESSION);
+    machine.setLastAnswerAt(1_000);
+    job.setStateOf(0, Job.STARTING);
+    job.setMachineOf(0, machine.index);
+    job.setAttemptOf(0, ATTEMPT);
+    job.setEpochOf(0, SESSION);
   }
 
   private static Command start(long attempt) {
@@ -87,7 +87,7 @@
 
   @Test
   void aStartThatOutlivesItsAttemptMayNot() {
-    job.stateOf[0] = Job.PENDING;
+    job.setStateOf(0, Job.PENDING);
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
     assertFalse(guard.mayStart(machine, null, start(ATTEMPT)));
     assertEquals(2, violations("start_is_placed"));
@@ -98,13 +98,13 @@
   void noStartLeavesForAnotherAttemptMachineOrSessionOrBeforeItIsDurable() {
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT + 1)));
     assertFalse(guard.mayStart(machines.getOrAdd("i-2"), job, start(ATTEMPT)));
-    machine.epoch = SESSION + 1;
+    machine.setEpoch(SESSION + 1);
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
-    machine.epoch = SESSION;
-    job.stateOf[0] = Job.PLACING;
+    machine.setEpoch(SESSION);
+    job.setStateOf(0, Job.PLACING);
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
-    job.stateOf[0] = Job.STARTING;
-    job.cancelConfirmed = true;
+    job.setStateOf(0, Job.STARTING);
+    job.setCancellationConfirmed(true);
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
   }
 
--- a/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
+++ b/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
@@ -188,7 +188,7 @@
   @ParameterizedTest
   @EnumSource(Heard.class)
   void aCheckInThatANewerMessageHasOvertakenIsAnsweredWithTheStops(Heard how) throws Exception {
-    long attempt = started().attemptOf[0];
+    long attempt = started().attemptOf(0);
     hear(how);
     Heartbeat overtaken = report(10, List.of(at(JOB, attempt, State.RUNNING)));
     heartbeats.apply(machine, report(11, List.of(at(JOB, attempt, State.RUNNING))));
@@ -198,7 +198,7 @@
 
   @Test
   void soIsOneThatDoesNotListItYet() throws Exception {
-    long attempt = started().attemptOf[0];
+    long attempt = started().attemptOf(0);
     hear(Heard.FROM_A_PEER);
     heartbeats.apply(machine, report(11, List.of(at(JOB, attempt, State.RUNNING))));
     HeartbeatCommands.Answer o = answer(report(10, List.of()));
@@ -230,7 +230,7 @@
   void aStartInDoubtIsNotRepeatedAndItsMachineRenewedOnlyWhileItWouldLapseInTime()
       throws Exception {
     Job job = started();
-    machine.startsInDoubt.add(CommandQueue.attemptKey(job.attemptOf[0], 0));
+    machine.startsInDoubt.add(CommandQueue.attemptKey(job.attemptOf(0), 0));
     known.until = now - 300;
     hear(Heard.FROM_BOTH);
     for (int s = 0; s < 40; s++) {
@@ -244,7 +244,7 @@
     }
     // Once it has been carried out it can be stopped, so nothing else need lapse with it.
     HeartbeatCommands.Answer o =
-        answer(report(50, List.of(at(JOB, job.attemptOf[0], State.RUNNING))));
+        answer(report(50, List.of(at(JOB, job.attemptOf(0), State.RUNNING))));
     assertTrue(o.renews() && stops(o, JOB), o.toString());
   }
 
@@ -252,7 +252,7 @@
   @Test
   void aBusyRefusalBesideALiveAttemptReleasesNothing() throws Exception {
     Job job = started();
-    long attempt = job.attemptOf[0];
+    long attempt = job.attemptOf(0);
     TaskStatus refused = new TaskStatus(JOB, 0, attempt, State.ENDED, TaskStatus.ExitReason.BUSY);
     TaskStatus other = at(JOB, attempt - 1, State.RUNNING);
     HeartbeatCommands.Answer o = answer(report(2, List.of(refused, other)));
@@ -265,7 +265,7 @@
   @Test
   void otherTasksOfTheMachineGoOnAsBefore() throws Exception {
     Job job = started();
-    machine.startsInDoubt.add(CommandQueue.attemptKey(job.attemptOf[0], 0));
+    machine.startsInDoubt.add(CommandQueue.attemptKey(job.attemptOf(0), 0));
     HeartbeatCommands.Answer o = answer(report(2, List.of()));
     assertTrue(o.renews() && starts(o) && !stops(o, JOB), o.toString());
   }
@@ -276,7 +276,7 @@
     SplittableRandom random = new SplittableRandom(5);
     int renewed = 0;
     Job job = started();
-    long attempt = job.attemptOf[0];
+    long attempt = job.attemptOf(0);
     boolean heard = false;
     List<Heartbeat> late = new ArrayList<>();
     for (int seq = 2; seq < 2_000; seq++) {
--- a/src/test/java/org/snowturn/core/scheduling/AgingTest.java
+++ b/src/test/java/org/snowturn/core/scheduling/AgingTest.java
@@ -48,16 +48,16 @@
         if (!elders.mayGo(now)) {
           break;
         }
-        for (int i = 0; i < Aging.slice(job) && room > 0 && job.pending > 0; i++, room--) {
+        for (int i = 0; i < Aging.slice(job) && room > 0 && job.pending() > 0; i++, room--) {
           begun[job.index] = begun[job.index] == 0 ? now : begun[job.index];
-          job.pending--;
-          job.placedWall = now;
+          job.addPending(-1);
+          job.setPlacedWall(now);
           elders.given(1, true, now);
           given++;
           toElders++;
         }
       }
-      waiting.removeIf(job -> job.pending == 0);
+      waiting.removeIf(job -> job.pending() == 0);
       // Small ones take all that is left, as they always would.
       for (; room > 0; room--, given++) {
         elders.given(1, false, now);
