--- a/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
+++ b/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
@@ -12,6 +12,7 @@
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
 import org.snowturn.core.model.MachineIndex;
+import org.snowturn.core.model.TaskState;
 import org.snowturn.wire.CloudMachine;
 import org.snowturn.wire.Command;
 
@@ -71,7 +72,7 @@
         token,
         runtime.now(),
         job.epochOf(task),
-        job.stateOf(task) != Job.PLACING,
+        job.stateOf(task) != TaskState.PLACING,
         job.adopted.get(task),
         job.stopping.get(task),
         ReconciliationCases.inDoubt(machine, job.attemptOf(task), task),
@@ -105,7 +106,7 @@
     if (job.attemptOf(task) != start.attempt() || job.machineOf(task) != machine.index) {
       return "the task has another attempt";
     }
-    if (job.stateOf(task) == Job.PLACING) {
+    if (job.stateOf(task) == TaskState.PLACING) {
       return "its placement is not durable";
     }
     if (job.epochOf(task) != machine.epoch()) {
--- a/src/main/java/org/snowturn/core/assignment/FailureHandler.java
+++ b/src/main/java/org/snowturn/core/assignment/FailureHandler.java
@@ -1,6 +1,7 @@
 package org.snowturn.core.assignment;
 
 import java.util.Map;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.health.FailureAttribution;
 import org.snowturn.core.model.Job;
@@ -79,7 +80,7 @@
 
   private void condemnIfSick(Machine machine) {
     if (!machine.isQuarantined() && blame.sick(machine.index)) {
-      machine.setQuarantined(true);
+      machine.quarantine();
       condemned++;
       runtime.note(
           machine.id
@@ -107,7 +108,7 @@
   void keepsRunning(Machine machine, Job job, int task) {
     boolean tells = machine.unexplainedFailures() > 0 || (job.failures() > 0 && job.done() == 0);
     if (tells
-        && job.stateSince(task) != Job.UNKNOWN
+        && job.stateSince(task) != MonotonicTime.NEVER
         && runtime.now() - job.stateSince(task) >= PROVEN_BY_RUNNING_MS) {
       succeeded(machine, job);
     }
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
@@ -3,6 +3,7 @@
 import org.agrona.collections.LongArrayList;
 import org.agrona.collections.LongHashSet;
 import org.snowturn.config.Settings;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.health.EndEvidence;
 import org.snowturn.core.health.EndEvidence.ReportedEnded;
@@ -11,6 +12,7 @@
 import org.snowturn.core.model.MachineIndex;
 import org.snowturn.core.model.MachineTypes;
 import org.snowturn.core.model.PreemptionRate;
+import org.snowturn.core.model.TaskState;
 import org.snowturn.core.recovery.Reconciliation;
 import org.snowturn.core.recovery.Reconciliation.Verdict;
 import org.snowturn.wire.Heartbeat;
@@ -112,24 +114,24 @@
       // yet:
       // counted from the last answer it would be taken for lapsed while its tasks run.
       machine.setLastAnswerAt(Math.max(machine.lastAnswerAt(), runtime.now()));
-      machine.setAcknowledged(false);
+      machine.clearAcknowledgement();
       machine.startsInDoubt.clear();
       machine.commands().drop();
       machine.reachability.newSession(runtime.now());
       endSessionsBefore(machine, heartbeat.epoch());
     }
     machine.setHeartbeatSeq(heartbeat.seq());
-    if (machine.lastHeartbeatAt() == Job.UNKNOWN) {
+    if (machine.lastHeartbeatAt() == MonotonicTime.NEVER) {
       machine.setHeartbeatDueAt(runtime.now() + reassignmentMs(settings));
     }
     machine.setLastHeartbeatAt(runtime.now());
     machine.setSilentFrom(runtime.now() + silenceLimitMs(settings));
-    machine.setSuspected(false);
+    machine.clearSuspicion();
     boolean noticed = false;
     boolean mine = heartbeat.token() == token;
     machine.reachability.believed(mine);
     if (mine && !machine.isAcknowledged()) {
-      machine.setAcknowledged(true);
+      machine.acknowledge();
       assignments.markChanged();
     }
     if (!Double.isNaN(heartbeat.preemptionNoticeS())) {
@@ -180,9 +182,9 @@
       }
       double run = job.runTimes.size() >= KNOWN_RUNS ? job.median() : job.spec.estimateS() / 2;
       double ran =
-          job.stateOf(task) != Job.RUNNING
+          job.stateOf(task) != TaskState.RUNNING
               ? 0
-              : job.stateSince(task) == Job.UNKNOWN
+              : job.stateSince(task) == MonotonicTime.NEVER
                   ? run
                   : (runtime.now() - job.stateSince(task)) / 1000.0;
       if (runtime.now() + (run - ran) * 1000 > machine.preemptionAt()) {
@@ -227,12 +229,12 @@
       Machine machine, Job job, TaskStatus status, Verdict verdict, Heartbeat heartbeat) {
     int task = status.task();
     switch (status.state()) {
-      case FETCHING -> job.setState(task, Job.FETCHING);
+      case FETCHING -> job.setState(task, TaskState.FETCHING);
       case RUNNING, SAVING -> {
-        if (job.stateOf(task) != Job.RUNNING) {
+        if (job.stateOf(task) != TaskState.RUNNING) {
           // Times of tasks that an earlier leader started are unknown, so they never look slow.
-          job.setStateSince(task, job.adopted.get(task) ? Job.UNKNOWN : runtime.now());
-          job.setState(task, Job.RUNNING);
+          job.setStateSince(task, job.adopted.get(task) ? MonotonicTime.NEVER : runtime.now());
+          job.setState(task, TaskState.RUNNING);
           double waited = (runtime.wallMs() - job.releasedWall()) / 1000.0;
           if (job.spec.service() && waited > 1.5 && job.failures() == 0 && !job.adopted.get(task)) {
             runtime.note(
@@ -276,7 +278,7 @@
     long now = runtime.now();
     switch (why) {
       case DONE -> {
-        if (job.stateSince(task) != Job.UNKNOWN) {
+        if (job.stateSince(task) != MonotonicTime.NEVER) {
           double ran = (now - job.stateSince(task)) / 1000.0;
           job.runTimes.add(ran);
           double median = job.median();
@@ -311,7 +313,7 @@
       machine.setEndedEpoch(
           Math.max(machine.endedEpoch(), assignments.job(ref).epochOf(TaskAssignments.task(ref))));
     }
-    machine.setAcknowledged(false);
+    machine.clearAcknowledgement();
     releaseAll(machine, new EndEvidence.LeaseLapsed());
   }
 
--- a/src/main/java/org/snowturn/core/assignment/JobCompletion.java
+++ b/src/main/java/org/snowturn/core/assignment/JobCompletion.java
@@ -42,7 +42,7 @@
         return; // retried when that write is settled
       }
     }
-    job.setFinishing(true);
+    job.beginFinishing();
     String id = job.spec.id();
     JobStatus.Phase phase = done ? JobStatus.Phase.DONE : JobStatus.Phase.ABORTED;
     List<Change> apply = new ArrayList<>();
@@ -80,7 +80,7 @@
             assignments.rereadJob(
                 id,
                 () -> {
-                  job.setFinishing(false);
+                  job.finishingFailed();
                   if (assignments.job(id) != job) {
                     // It was carried out, and only its answer was lost.
                     writer.drop(List.of(), later);
--- a/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.effects.CoreRuntime;
-import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
 import org.snowturn.core.model.MachineIndex;
 import org.snowturn.core.storage.FormatGate;
@@ -55,8 +55,8 @@
     /** Whether the stored page still has machines that were struck out. */
     boolean struck;
 
-    long struckAt = Job.UNKNOWN;
-    long imagesAt = Job.UNKNOWN;
+    long struckAt = MonotonicTime.NEVER;
+    long imagesAt = MonotonicTime.NEVER;
 
     Page(PendingRecord record) {
       this.record = record;
--- a/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
+++ b/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
@@ -3,6 +3,7 @@
 import org.snowturn.core.health.EndEvidence;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
+import org.snowturn.core.model.TaskState;
 import org.snowturn.core.recovery.Reconciliation;
 import org.snowturn.core.recovery.Reconciliation.Seen;
 import org.snowturn.core.recovery.Reconciliation.Stored;
@@ -37,7 +38,7 @@
   }
 
   private static Stored stored(Job job, int task) {
-    return job.stateOf(task) == Job.PLACING
+    return job.stateOf(task) == TaskState.PLACING
         ? Stored.PLACING
         : job.adopted.get(task) ? Stored.INHERITED : Stored.STARTED;
   }
@@ -89,9 +90,9 @@
     Stored stored =
         job == null
             ? Stored.NOTHING
-            : job.stateOf(status.task()) == Job.DONE
+            : job.stateOf(status.task()) == TaskState.DONE
                 ? Stored.FINISHED
-                : job.stateOf(status.task()) == Job.PENDING && !job.isCancellationRecorded()
+                : job.stateOf(status.task()) == TaskState.PENDING && !job.isCancellationRecorded()
                     ? Stored.WAITING
                     : Stored.ELSEWHERE;
     boolean settled =
--- a/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.Outcome;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.health.EndEvidence;
@@ -15,6 +16,7 @@
 import org.snowturn.core.model.Machine;
 import org.snowturn.core.model.MachineIndex;
 import org.snowturn.core.model.Quota;
+import org.snowturn.core.model.TaskState;
 import org.snowturn.core.storage.FormatGate;
 import org.snowturn.core.storage.JobRecord;
 import org.snowturn.core.storage.LruMap;
@@ -182,10 +184,10 @@
   }
 
   private void cancel(Job job) {
-    job.setCancellationRecorded(true);
+    boolean known = job.isCancelled();
+    job.recordCancellation(cancellations.knownUntil());
     runtime.note(job.spec.id() + " cancelled, " + job.assigned() + " tasks to stop");
-    if (!job.isCancellationConfirmed()) {
-      job.setNotConfirmedBefore(cancellations.knownUntil());
+    if (!known) {
       stopAll(job);
     }
     listeners.forEach(l -> l.cancelled(job));
@@ -198,8 +200,7 @@
   public void cancelConfirmed(String id) {
     Job job = jobs.get(id);
     if (job != null && !job.isCancelled()) {
-      job.setCancellationConfirmed(true);
-      job.setNotConfirmedBefore(cancellations.knownUntil());
+      job.confirmCancellation(cancellations.knownUntil());
       runtime.note(id + " cancelled by what users were told, " + job.assigned() + " tasks to stop");
       stopAll(job);
     }
@@ -281,7 +282,7 @@
   /** Binds a task that an earlier leader placed. */
   void adopt(Job job, int task, Machine machine, long attempt, long session) {
     take(job, task, machine, attempt, session);
-    job.setState(task, Job.STARTING);
+    job.setState(task, TaskState.STARTING);
     job.adopted.set(task);
     machine.addAdoptedTasks(1);
     unconfirmedAdopted++;
@@ -292,7 +293,7 @@
     job.setMachineOf(task, machine.index);
     job.setAttemptOf(task, attempt);
     job.setEpochOf(task, session);
-    job.setStateSince(task, Job.UNKNOWN);
+    job.setStateSince(task, MonotonicTime.NEVER);
     job.addPending(-1);
     job.addAssigned(1);
     job.addAssignedInZone(machine.zone(), 1);
@@ -397,7 +398,7 @@
   /** Binds a pending task; its start is sent when the placement is durable. */
   public void assign(Job job, int task, Machine machine, long attempt) {
     take(job, task, machine, attempt, machine.epoch());
-    job.setState(task, Job.PLACING);
+    job.setState(task, TaskState.PLACING);
     job.setPlacedWall(runtime.wallMs());
     placements++;
     machine.touchImage(job.spec.image(), job.spec.imageGb());
@@ -408,7 +409,7 @@
   }
 
   private void sendStart(Job job, int task, long attempt) {
-    if (job.stateOf(task) != Job.PLACING || job.attemptOf(task) != attempt) {
+    if (job.stateOf(task) != TaskState.PLACING || job.attemptOf(task) != attempt) {
       return;
     }
     Machine machine = machines.get(job.machineOf(task));
@@ -416,7 +417,7 @@
       release(job, task, new EndEvidence.NeverSent());
       return;
     }
-    job.setState(task, Job.STARTING);
+    job.setState(task, TaskState.STARTING);
     runtime.note("start " + job.spec.id() + "/" + task + " on " + machine.id);
     machine.commands().add(startCommand(job, task));
   }
@@ -442,7 +443,7 @@
 
   /** Tells a bound task to stop; it stays bound until it is seen to have ended. */
   public void stop(Job job, int task) {
-    if (job.stateOf(task) == Job.PLACING) {
+    if (job.stateOf(task) == TaskState.PLACING) {
       release(job, task, new EndEvidence.NeverSent());
       return;
     }
@@ -469,7 +470,7 @@
         }
         job.setBackOffUntil(runtime.now() + NOT_RECORDED_MS);
         for (int task = job.layout().from(c); task < job.layout().to(c); task++) {
-          if (job.stateOf(task) == Job.PLACING) {
+          if (job.stateOf(task) == TaskState.PLACING) {
             release(job, task, new EndEvidence.NeverSent());
           }
         }
@@ -489,7 +490,7 @@
 
   private void detach(Job job, int task) {
     unbind(job, task);
-    job.setState(task, Job.PENDING);
+    job.setState(task, TaskState.PENDING);
     job.addPending(1);
   }
 
@@ -525,7 +526,7 @@
 
   /** The result of a task that waits has turned up: an earlier attempt of it had ended with it. */
   public void completeWaiting(Job job, int task) {
-    if (job.stateOf(task) == Job.PENDING) {
+    if (job.stateOf(task) == TaskState.PENDING) {
       job.addPending(-1);
       completed(job, task);
     }
@@ -533,7 +534,7 @@
 
   /** The task's result is kept by its machine until the record of it is durable. */
   private void completed(Job job, int task) {
-    job.setState(task, Job.DONE);
+    job.setState(task, TaskState.DONE);
     job.addDone(1);
     changed = true;
     if (!job.isCancellationRecorded()) {
--- a/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
@@ -8,6 +8,7 @@
 import org.snowturn.core.model.Machine;
 import org.snowturn.core.model.MachineIndex;
 import org.snowturn.core.model.TaskRecords;
+import org.snowturn.core.model.TaskState;
 import org.snowturn.core.storage.FormatGate;
 import org.snowturn.core.storage.PendingRecord;
 import org.snowturn.core.storage.RecordWriter;
@@ -91,14 +92,14 @@
           private boolean isNews(int task) {
             return task >= 0
                 && task < job.taskCount()
-                && job.stateOf(task) == Job.PENDING
+                && job.stateOf(task) == TaskState.PENDING
                 && tellsOf.test(task);
           }
 
           @Override
           public void done(int task) {
             if (isNews(task)) {
-              job.setState(task, Job.DONE);
+              job.setState(task, TaskState.DONE);
               job.addPending(-1);
               job.addDone(1);
             }
--- a/src/main/java/org/snowturn/core/leader/HealthChecks.java
+++ b/src/main/java/org/snowturn/core/leader/HealthChecks.java
@@ -111,7 +111,7 @@
   void answered(Machine machine, Heartbeat heartbeat) {
     hearing.heard();
     connectivity.workerHeard();
-    machine.setProbing(false);
+    machine.probeSettled();
     if (machine.reachability.answersAnew(isBefore(machine, heartbeat))) {
       autoscaler.discard(machine, "has started anew");
     }
@@ -154,11 +154,11 @@
           machine.id + " has left " + Reachability.DEAF_AFTER + " messages in a row unanswered");
     }
     if (machine.isProbing() || (hasBeenUp(machine) && quiet(machine))) {
-      machine.setProbing(false);
+      machine.probeSettled();
       if (machine.isSuspected() && machine.lastHeartbeatAt() != Job.UNKNOWN && replaceable()) {
         autoscaler.discard(machine, "silent");
       }
-      machine.setSuspected(true);
+      machine.suspect();
     }
   }
 
@@ -184,7 +184,7 @@
 
   /** Heard by this leader, or recorded by an earlier one. */
   private static boolean hasBeenUp(Machine machine) {
-    return machine.lastHeartbeatAt() != Job.UNKNOWN || machine.isRecorded();
+    return machine.lastHeartbeatAt() != Job.UNKNOWN || machine.isRegistered();
   }
 
   /** Whether a machine that has been up should have been heard again by now. */
@@ -266,7 +266,7 @@
             autoscaler.discard(machine, "taken back");
           }
         } else if (machine.commands().idle()) {
-          machine.setProbing(true);
+          machine.probeSent();
           machine.commands().probe();
         }
       }
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -9,6 +9,7 @@
 import java.util.function.DoubleUnaryOperator;
 import org.snowturn.config.Settings;
 import org.snowturn.config.Tunables;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.Outcome;
 import org.snowturn.core.PeerMessage;
 import org.snowturn.core.admission.RequestClass;
@@ -36,6 +37,8 @@
 import org.snowturn.core.model.PreemptionRate;
 import org.snowturn.core.model.Quota;
 import org.snowturn.core.model.RestartRecords;
+import org.snowturn.core.model.TaskState;
+import org.snowturn.core.model.TaskStateCounts;
 import org.snowturn.core.scheduling.Autoscaler;
 import org.snowturn.core.scheduling.ExternallyManagedMachines;
 import org.snowturn.core.scheduling.ScalingPolicy;
@@ -140,7 +143,9 @@
         new TaskAssignments.Listener() {
           @Override
           public void joined(Job job) {
-            job.setCancellationConfirmed(cancellations.known(job.spec.id()));
+            if (cancellations.known(job.spec.id())) {
+              job.confirmCancellation(MonotonicTime.NEVER);
+            }
           }
         });
     registry = new MachineRegistry(runtime, writer, machines, gate);
@@ -499,7 +504,7 @@
   }
 
   private void take(Machine machine, Heartbeat heartbeat) {
-    if (machine.addr() == null || machine.machineType() == null || !machine.isRecorded()) {
+    if (machine.addr() == null || machine.machineType() == null || !machine.isRegistered()) {
       heartbeats.describe(machine, heartbeat);
       if (machine.firstSeenAt() == 0) {
         machine.setFirstSeenAt(runtime.now());
@@ -508,12 +513,12 @@
     if (machine.idleSince() == 0) {
       machine.setIdleSince(runtime.now());
     }
-    if (!machine.isRecorded() && !machine.isRecording() && machine.machineType() != null) {
-      machine.setRecording(true);
+    if (machine.needsRegistration() && machine.machineType() != null) {
+      machine.beginRegistration();
       registry.register(
           machine,
           () -> {
-            machine.setRecorded(true);
+            machine.registered();
             assignments.markChanged();
           });
     }
@@ -610,7 +615,7 @@
       pending += job.wantsRoom() ? job.pending() : 0;
       bound += job.assigned();
     }
-    int[] stages = new int[Job.DONE + 1];
+    TaskStateCounts stages = new TaskStateCounts();
     for (Job job : assignments.jobs()) {
       job.countStates(stages);
     }
@@ -640,10 +645,10 @@
             dependencies.waitingJobs(),
             pending,
             bound,
-            stages[Job.PLACING],
-            stages[Job.STARTING],
-            stages[Job.FETCHING],
-            stages[Job.RUNNING],
+            stages.of(TaskState.PLACING),
+            stages.of(TaskState.STARTING),
+            stages.of(TaskState.FETCHING),
+            stages.of(TaskState.RUNNING),
             up[0],
             coming[0],
             used[0],
--- a/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
@@ -277,7 +277,7 @@
     machine.setImagesChanged(false);
     machine.setLastAnswerAt(Math.max(machine.lastAnswerAt(), runtime.now()));
     machine.setFirstSeenAt(runtime.now());
-    machine.setRecorded(true);
+    machine.registered();
   }
 
   /**
@@ -385,7 +385,7 @@
       }
     }
     for (Machine machine : machines.present()) {
-      if (machine.isRecorded() && !machine.isAcknowledged()) {
+      if (machine.isRegistered() && !machine.isAcknowledged()) {
         boolean reports = machine.lastHeartbeatAt() != Job.UNKNOWN;
         long notBefore = reports ? runtime.now() + COMES_BY_ITSELF_MS : 0;
         probes.add(machine.index, urgency(machine, replica, task), notBefore);
--- a/src/main/java/org/snowturn/core/model/Job.java
+++ b/src/main/java/org/snowturn/core/model/Job.java
@@ -10,6 +10,7 @@
 import java.util.Set;
 import org.agrona.collections.Int2IntHashMap;
 import org.agrona.collections.IntHashSet;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.storage.JobRecord;
 import org.snowturn.core.storage.PendingRecord;
 import org.snowturn.core.storage.RecordSizes;
@@ -25,20 +26,8 @@
  * is proof that it has ended.
  */
 public final class Job {
-  public static final byte PENDING = 0;
-
-  /** Its placement is being written; no start has been sent. */
-  public static final byte PLACING = 1;
-
-  /** Its start may have been sent. */
-  public static final byte STARTING = 2;
-
-  public static final byte FETCHING = 3;
-  public static final byte RUNNING = 4;
-  public static final byte DONE = 5;
-
-  /** No such time; far in the past, but safe to subtract from. */
-  public static final long UNKNOWN = Long.MIN_VALUE / 4;
+  /** The same as {@link MonotonicTime#NEVER}. */
+  public static final long UNKNOWN = MonotonicTime.NEVER;
 
   /** A replica that has only just started is left alone. */
   private static final long SETTLED_MS = 40_000;
@@ -108,16 +97,10 @@
   private long releasedWall;
 
   private long version;
-  private boolean cancellationRecorded;
-
-  /**
-   * A user was told that the job is cancelled, but its record has not been read since: its tasks
-   * are stopped and none is placed, but nothing is written, forgotten or completed on that ground.
-   */
-  private boolean cancellationConfirmed;
+  private Cancellation cancellation = Cancellation.NONE;
 
   /** Before this moment no user was told that the job is cancelled. */
-  private long notConfirmedBefore = UNKNOWN;
+  private long notConfirmedBefore = MonotonicTime.NEVER;
 
   private boolean finishing;
   private int pending;
@@ -128,7 +111,7 @@
   private long backOffUntil;
 
   /** Room is being made for waiting tasks, so none more is made until then. */
-  private long preemptingUntil = UNKNOWN;
+  private long preemptingUntil = MonotonicTime.NEVER;
 
   private int failures;
 
@@ -228,9 +211,10 @@
   }
 
   /** Changes a task's state, and the count of running tasks with it. */
-  public void setState(int task, byte next) {
-    running += (next == RUNNING ? 1 : 0) - (stateOf[task] == RUNNING ? 1 : 0);
-    stateOf[task] = next;
+  public void setState(int task, TaskState next) {
+    running += next == TaskState.RUNNING ? 1 : 0;
+    running -= stateOf(task) == TaskState.RUNNING ? 1 : 0;
+    stateOf[task] = next.code();
   }
 
   /** Keeps account of a service's tasks by machine. */
@@ -251,7 +235,7 @@
   }
 
   public boolean isAssigned(int task) {
-    return stateOf[task] >= PLACING && stateOf[task] <= RUNNING;
+    return stateOf(task).isAssigned();
   }
 
   /**
@@ -259,7 +243,7 @@
    */
   public boolean isMovable(int task, long now) {
     return spec.service()
-        && stateOf[task] == RUNNING
+        && stateOf(task) == TaskState.RUNNING
         && !stopping.get(task)
         && pending == 0
         && now - stateSince[task] > SETTLED_MS;
@@ -272,7 +256,7 @@
     }
     for (int i = 0; i < stateOf.length; i++) {
       int task = cursor + i < stateOf.length ? cursor + i : cursor + i - stateOf.length;
-      if (stateOf[task] == PENDING && recordHasRoom(task)) {
+      if (stateOf(task) == TaskState.PENDING && recordHasRoom(task)) {
         cursor = task;
         return task;
       }
@@ -295,7 +279,7 @@
 
   /** Whether nothing of it is to run any more. */
   public boolean isCancelled() {
-    return cancellationRecorded || cancellationConfirmed;
+    return cancellation != Cancellation.NONE;
   }
 
   /** The record that it has once it is cancelled, without what only its starts need. */
@@ -310,9 +294,9 @@
   }
 
   /** Adds how many of its tasks are in each state to a count by state. */
-  public void countStates(int[] counts) {
-    for (byte state : stateOf) {
-      counts[state]++;
+  public void countStates(TaskStateCounts counts) {
+    for (byte code : stateOf) {
+      counts.add(TaskState.ofCode(code));
     }
   }
 
@@ -328,12 +312,8 @@
         : TaskRecords.first(this, chunk, machines);
   }
 
-  public byte stateOf(int task) {
-    return stateOf[task];
-  }
-
-  public void setStateOf(int task, byte value) {
-    stateOf[task] = value;
+  public TaskState stateOf(int task) {
+    return TaskState.ofCode(stateOf[task]);
   }
 
   public int machineOf(int task) {
@@ -457,24 +437,32 @@
     this.version = version;
   }
 
+  /** Whether its stored record says that it is cancelled. */
   public boolean isCancellationRecorded() {
-    return cancellationRecorded;
-  }
-
-  public void setCancellationRecorded(boolean cancellationRecorded) {
-    this.cancellationRecorded = cancellationRecorded;
+    return cancellation == Cancellation.RECORDED;
   }
 
   /**
    * A user was told that the job is cancelled, but its record has not been read since: its tasks
    * are stopped and none is placed, but nothing is written, forgotten or completed on that ground.
+   *
+   * @param notBefore before this moment no user was told so
    */
-  public boolean isCancellationConfirmed() {
-    return cancellationConfirmed;
+  public void confirmCancellation(long notBefore) {
+    if (cancellation == Cancellation.NONE) {
+      cancellation = Cancellation.CONFIRMED;
+      notConfirmedBefore = notBefore;
+    }
   }
 
-  public void setCancellationConfirmed(boolean cancellationConfirmed) {
-    this.cancellationConfirmed = cancellationConfirmed;
+  /**
+   * Its stored record says that it is cancelled.
+   *
+   * @param notBefore before this moment no user was told so, unless that is known already
+   */
+  public void recordCancellation(long notBefore) {
+    confirmCancellation(notBefore);
+    cancellation = Cancellation.RECORDED;
   }
 
   /** Before this moment no user was told that the job is cancelled. */
@@ -482,16 +470,19 @@
     return notConfirmedBefore;
   }
 
-  public void setNotConfirmedBefore(long notConfirmedBefore) {
-    this.notConfirmedBefore = notConfirmedBefore;
-  }
-
+  /** Whether the move of its record to the finished jobs is under way. */
   public boolean isFinishing() {
     return finishing;
   }
 
-  public void setFinishing(boolean finishing) {
-    this.finishing = finishing;
+  /** The move of its record to the finished jobs begins. */
+  public void beginFinishing() {
+    finishing = true;
+  }
+
+  /** The move did not go through and may be tried again. */
+  public void finishingFailed() {
+    finishing = false;
   }
 
   public int pending() {
--- a/src/main/java/org/snowturn/core/model/Machine.java
+++ b/src/main/java/org/snowturn/core/model/Machine.java
@@ -3,6 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.agrona.collections.LongHashSet;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.health.Reachability;
 import org.snowturn.wire.CloudMachine;
 import org.snowturn.wire.JobSpec;
@@ -25,10 +26,10 @@
   /** The highest session in which everything has certainly ended. */
   private long endedEpoch = -1;
 
-  private long lastHeartbeatAt = Job.UNKNOWN;
+  private long lastHeartbeatAt = MonotonicTime.NEVER;
 
   /** From then on, without another report, the machine may have died: nothing new goes there. */
-  private long silentFrom = Job.UNKNOWN;
+  private long silentFrom = MonotonicTime.NEVER;
 
   /**
    * By then it should have checked in here. What it answers to direct messages renews no lease, so
@@ -42,26 +43,20 @@
   /** Whether a report in the current session carried this leader's token. */
   private boolean acknowledged;
 
-  private boolean recorded;
-  private boolean recording;
-  private boolean terminated;
-
-  /** Gone for good: the cloud confirmed it. */
-  private boolean terminationConfirmed;
-
-  private boolean terminating;
+  private Registration registration = Registration.NONE;
+  private Presence presence = Presence.PRESENT;
+  private Usage usage = Usage.IN_USE;
   private long terminateRetryAt;
   private boolean probing;
   private boolean suspected;
   private boolean quarantined;
-  private boolean scalingIn;
   private long preemptionAt = Long.MAX_VALUE;
   private long firstSeenAt;
 
   /** Whether this leader has hired it. */
   private boolean rentedByThisTerm;
 
-  private long listedAt = Job.UNKNOWN;
+  private long listedAt = MonotonicTime.NEVER;
   private CloudMachine.State cloudState = CloudMachine.State.STARTING;
   private long blockedUntil;
   private long idleSince;
@@ -172,10 +167,9 @@
 
   /** Taken for gone because it was neither heard of nor listed, and yet there: starts anew. */
   public void restart() {
-    terminated = false;
+    presence = Presence.PRESENT;
     acknowledged = false;
-    recorded = false;
-    recording = false;
+    registration = Registration.NONE;
     endedEpoch = Math.max(endedEpoch, epoch);
     reachability.doubt(lastHeartbeatAt);
   }
@@ -192,10 +186,10 @@
 
   /** Why no new work may go there, in a word for operators; null if it may. */
   public String whyNotUsable(long now) {
-    if (terminated || terminating || scalingIn) {
+    if (presence != Presence.PRESENT || usage != Usage.IN_USE) {
       return "leaving";
     }
-    if (lastHeartbeatAt == Job.UNKNOWN) {
+    if (lastHeartbeatAt == MonotonicTime.NEVER) {
       return "unheard";
     }
     if (preemptionAt != Long.MAX_VALUE) {
@@ -216,7 +210,7 @@
     if (!reachability.proven()) {
       return reachability.inVain() >= Reachability.DEAF_AFTER ? "deaf" : "unproven";
     }
-    if (!recorded) {
+    if (!isRegistered()) {
       return "unrecorded";
     }
     if (unaccounted > 0) {
@@ -365,54 +359,86 @@
     this.lastAnswerAt = lastAnswerAt;
   }
 
-  /** Whether a report in the current session carried this leader's token. */
+  /** Whether a heartbeat of the current session carried this leader's token. */
   public boolean isAcknowledged() {
     return acknowledged;
   }
 
-  public void setAcknowledged(boolean acknowledged) {
-    this.acknowledged = acknowledged;
+  /** A heartbeat of the current session carried this leader's token. */
+  public void acknowledge() {
+    acknowledged = true;
   }
 
-  public boolean isRecorded() {
-    return recorded;
+  /** Its session is over: a new one has not seen this leader's token yet. */
+  public void clearAcknowledgement() {
+    acknowledged = false;
   }
 
-  public void setRecorded(boolean recorded) {
-    this.recorded = recorded;
+  /** Whether its entry in the stored registry is durable. */
+  public boolean isRegistered() {
+    return registration == Registration.DURABLE;
   }
 
-  public boolean isRecording() {
-    return recording;
+  /** Whether nothing has been done yet to enter it in the stored registry. */
+  public boolean needsRegistration() {
+    return registration == Registration.NONE;
   }
 
-  public void setRecording(boolean recording) {
-    this.recording = recording;
+  /** Its entry in the stored registry is being written. */
+  public void beginRegistration() {
+    registration = Registration.IN_PROGRESS;
   }
 
-  public boolean isTerminated() {
-    return terminated;
+  /** Its entry in the stored registry is durable. */
+  public void registered() {
+    registration = Registration.DURABLE;
   }
 
-  public void setTerminated(boolean terminated) {
-    this.terminated = terminated;
+  /** Whether it is taken for gone, whether or not the cloud has confirmed that. */
+  public boolean isTerminated() {
+    return presence != Presence.PRESENT;
   }
 
-  /** Gone for good: the cloud confirmed it. */
+  /** Whether the cloud has confirmed that it is gone for good. */
   public boolean isTerminationConfirmed() {
-    return terminationConfirmed;
+    return presence == Presence.TERMINATED;
   }
 
-  public void setTerminationConfirmed(boolean terminationConfirmed) {
-    this.terminationConfirmed = terminationConfirmed;
+  /** It is taken for gone. */
+  void presumeGone() {
+    if (presence == Presence.PRESENT) {
+      presence = Presence.PRESUMED_GONE;
+    }
   }
 
+  /** The cloud has confirmed that it is gone for good. */
+  public void confirmTermination() {
+    presence = Presence.TERMINATED;
+  }
+
+  /** Whether it is to be deleted; once it is, that stays so. */
   public boolean isTerminating() {
-    return terminating;
+    return usage == Usage.TERMINATING;
+  }
+
+  /** It is to be deleted. */
+  public void beginTermination() {
+    usage = Usage.TERMINATING;
+  }
+
+  /** Whether it is drained since it is not needed, and not to be deleted yet. */
+  public boolean isScalingIn() {
+    return usage == Usage.SCALING_IN;
+  }
+
+  /** It is not needed any more and gets no new work, unless it is to be deleted anyway. */
+  public void beginScaleIn() {
+    usage = usage == Usage.IN_USE ? Usage.SCALING_IN : usage;
   }
 
-  public void setTerminating(boolean terminating) {
-    this.terminating = terminating;
+  /** It is needed after all. */
+  public void cancelScaleIn() {
+    usage = usage == Usage.SCALING_IN ? Usage.IN_USE : usage;
   }
 
   public long terminateRetryAt() {
@@ -423,36 +449,44 @@
     this.terminateRetryAt = terminateRetryAt;
   }
 
+  /** Whether a message that is to find out whether it is up has no answer yet. */
   public boolean isProbing() {
     return probing;
   }
 
-  public void setProbing(boolean probing) {
-    this.probing = probing;
+  /** A message that is to find out whether it is up has been queued. */
+  public void probeSent() {
+    probing = true;
   }
 
+  /** That message was answered, or was in vain. */
+  public void probeSettled() {
+    probing = false;
+  }
+
+  /** Whether it left a message unanswered while no heartbeat of it came. */
   public boolean isSuspected() {
     return suspected;
   }
 
-  public void setSuspected(boolean suspected) {
-    this.suspected = suspected;
+  /** It left a message unanswered while no heartbeat of it came. */
+  public void suspect() {
+    suspected = true;
   }
 
-  public boolean isQuarantined() {
-    return quarantined;
+  /** It has been heard. */
+  public void clearSuspicion() {
+    suspected = false;
   }
 
-  public void setQuarantined(boolean quarantined) {
-    this.quarantined = quarantined;
-  }
-
-  public boolean isScalingIn() {
-    return scalingIn;
+  /** Whether tasks of sound jobs fail there: it gets no more work. */
+  public boolean isQuarantined() {
+    return quarantined;
   }
 
-  public void setScalingIn(boolean scalingIn) {
-    this.scalingIn = scalingIn;
+  /** It gets no more work, since tasks of sound jobs fail there. */
+  public void quarantine() {
+    quarantined = true;
   }
 
   public long preemptionAt() {
@@ -471,13 +505,14 @@
     this.firstSeenAt = firstSeenAt;
   }
 
-  /** Whether this leader has hired it. */
+  /** Whether this leader has rented it. */
   public boolean isRentedByThisTerm() {
     return rentedByThisTerm;
   }
 
-  public void setRentedByThisTerm(boolean rentedByThisTerm) {
-    this.rentedByThisTerm = rentedByThisTerm;
+  /** This leader has rented it. */
+  public void markRentedByThisTerm() {
+    rentedByThisTerm = true;
   }
 
   public long listedAt() {
--- a/src/main/java/org/snowturn/core/model/MachineIndex.java
+++ b/src/main/java/org/snowturn/core/model/MachineIndex.java
@@ -70,7 +70,7 @@
 
   /** The machine is taken for gone. */
   public void remove(Machine machine) {
-    machine.setTerminated(true);
+    machine.presumeGone();
     present = null;
   }
 
--- a/src/main/java/org/snowturn/core/model/TaskRecords.java
+++ b/src/main/java/org/snowturn/core/model/TaskRecords.java
@@ -68,7 +68,7 @@
     int from = job.layout().from(record);
     BitSet finished = new BitSet();
     for (int task = from; task < job.layout().to(record); task++) {
-      if (job.stateOf(task) == Job.DONE) {
+      if (job.stateOf(task) == TaskState.DONE) {
         finished.set(task - from);
       }
     }
--- a/src/main/java/org/snowturn/core/scheduling/Autoscaler.java
+++ b/src/main/java/org/snowturn/core/scheduling/Autoscaler.java
@@ -230,7 +230,7 @@
       if (c.state() == CloudMachine.State.FAILED && !machine.isTerminating()) {
         runtime.note(machine.id + " failed, says the cloud");
         heartbeats.machineFailed(machine);
-        machine.setTerminating(true);
+        machine.beginTermination();
       }
       boolean neverCameUp =
           machine.lastHeartbeatAt() == Job.UNKNOWN
@@ -240,7 +240,7 @@
               && c.ageS() > tunables.bootPatience() * machine.machineType().bootS() + 10;
       if (neverCameUp && !machine.isTerminating()) {
         runtime.note(machine.id + " never came up");
-        machine.setTerminating(true);
+        machine.beginTermination();
       }
     }
     long stale = (long) (1000 * (3 * settings.cloudLimits().listLagS() + 8));
@@ -260,7 +260,7 @@
   public void discard(Machine machine, String why) {
     if (!machine.isTerminating() && !machine.isTerminated()) {
       runtime.note(machine.id + " is deleted: " + why);
-      machine.setTerminating(true);
+      machine.beginTermination();
       if (machine.isSpot() && machine.isSuspected() && machine.preemptionAt() == Long.MAX_VALUE) {
         spotLosses.recordPreemption();
       }
@@ -308,7 +308,7 @@
             if (outcome == Outcome.ANSWERED && status == 200) {
               runtime.events().info(LogEvent.TERMINATED).with(LogField.MACHINE, machine.id).write();
               machines.remove(machine);
-              machine.setTerminationConfirmed(true);
+              machine.confirmTermination();
               freed(machine);
               heartbeats.machineDeleted(machine);
             } else {
@@ -559,7 +559,7 @@
         List<String> ids = CloudMachine.parseHired(body);
         for (String id : ids) {
           Machine machine = machines.getOrAdd(id);
-          machine.setRentedByThisTerm(true);
+          machine.markRentedByThisTerm();
           if (machine.type() == null) {
             machine.setType(h.kind.type);
             assignments.setZone(machine, h.kind.zone);
@@ -624,7 +624,7 @@
           && !machine.isTerminating()
           && machine.isSpot() == spot
           && supply(spot) < target) {
-        machine.setScalingIn(false);
+        machine.cancelScaleIn();
         hold(machine, 1);
         assignments.markChanged();
       }
@@ -654,7 +654,7 @@
         continue;
       }
       if (spot || replicasCanMove(machine)) {
-        machine.setScalingIn(true);
+        machine.beginScaleIn();
         hold(machine, -1);
         most--;
       }
--- a/src/main/java/org/snowturn/core/scheduling/Speculator.java
+++ b/src/main/java/org/snowturn/core/scheduling/Speculator.java
@@ -13,6 +13,7 @@
 import org.snowturn.core.model.Machine;
 import org.snowturn.core.model.MachineIndex;
 import org.snowturn.core.model.RestartRecords;
+import org.snowturn.core.model.TaskState;
 import org.snowturn.core.storage.FormatGate;
 import org.snowturn.core.storage.PendingRecord;
 import org.snowturn.core.storage.RecordWriter;
@@ -226,7 +227,7 @@
   }
 
   private boolean judged(Job job, int task) {
-    return job.stateOf(task) == Job.RUNNING && job.stateSince(task) != Job.UNKNOWN;
+    return job.stateOf(task) == TaskState.RUNNING && job.stateSince(task) != Job.UNKNOWN;
   }
 
   private boolean gains(Candidate c, List<Machine> fast) {
--- a/src/test/java/org/snowturn/core/RecordsTest.java
+++ b/src/test/java/org/snowturn/core/RecordsTest.java
@@ -15,6 +15,7 @@
 import org.snowturn.core.model.MachineIndex;
 import org.snowturn.core.model.RestartRecords;
 import org.snowturn.core.model.TaskRecords;
+import org.snowturn.core.model.TaskState;
 import org.snowturn.core.storage.JobRecord;
 import org.snowturn.core.storage.RecordSizes;
 import org.snowturn.core.storage.TaskLayout;
@@ -42,7 +43,7 @@
       job.useFirstFormat(spans.first());
     }
     for (int t = 0; t < 120; t++) {
-      job.setState(t, t % 3 == 0 ? Job.DONE : Job.RUNNING);
+      job.setState(t, t % 3 == 0 ? TaskState.DONE : TaskState.RUNNING);
       job.setMachineOf(t, machines.getOrAdd(machine + t).index);
       job.setAttemptOf(t, ((t < 60 ? 7L : 9_000L) << TaskLayout.ATTEMPT_BITS) + t);
       job.setEpochOf(t, t % 5 == 0 ? 12 : 1);
@@ -111,7 +112,7 @@
         job.setMachineOf(t, machine.index);
         job.setAttemptOf(t, ((t == 0 ? 1L : 90_000L) << TaskLayout.ATTEMPT_BITS) + t);
         job.setEpochOf(t, 100);
-        job.setState(t, Job.PLACING);
+        job.setState(t, TaskState.PLACING);
         job.addPending(-1);
         job.adjustRecordSize(t, machine, 1);
         n++;
--- a/src/test/java/org/snowturn/core/assignment/AttemptGuardTest.java
+++ b/src/test/java/org/snowturn/core/assignment/AttemptGuardTest.java
@@ -8,12 +8,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.snowturn.core.Effect;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.health.EndEvidence;
 import org.snowturn.core.model.CommandChannel;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
 import org.snowturn.core.model.MachineIndex;
+import org.snowturn.core.model.TaskState;
 import org.snowturn.wire.Command;
 import org.snowturn.wire.JobSpec;
 import org.snowturn.wire.Submissions;
@@ -59,7 +61,7 @@
     runtime.setTime(1_000, 1_000);
     machine.setEpoch(SESSION);
     machine.setLastAnswerAt(1_000);
-    job.setStateOf(0, Job.STARTING);
+    job.setState(0, TaskState.STARTING);
     job.setMachineOf(0, machine.index);
     job.setAttemptOf(0, ATTEMPT);
     job.setEpochOf(0, SESSION);
@@ -87,7 +89,7 @@
 
   @Test
   void aStartThatOutlivesItsAttemptMayNot() {
-    job.setStateOf(0, Job.PENDING);
+    job.setState(0, TaskState.PENDING);
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
     assertFalse(guard.mayStart(machine, null, start(ATTEMPT)));
     assertEquals(2, violations("start_is_placed"));
@@ -101,10 +103,10 @@
     machine.setEpoch(SESSION + 1);
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
     machine.setEpoch(SESSION);
-    job.setStateOf(0, Job.PLACING);
+    job.setState(0, TaskState.PLACING);
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
-    job.setStateOf(0, Job.STARTING);
-    job.setCancellationConfirmed(true);
+    job.setState(0, TaskState.STARTING);
+    job.confirmCancellation(MonotonicTime.NEVER);
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
   }
 
--- a/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
+++ b/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
@@ -22,6 +22,7 @@
 import org.snowturn.core.model.MachineTypes;
 import org.snowturn.core.model.PreemptionRate;
 import org.snowturn.core.model.Quota;
+import org.snowturn.core.model.TaskState;
 import org.snowturn.core.storage.FormatGate;
 import org.snowturn.core.storage.JobRecord;
 import org.snowturn.core.storage.RecordWriter;
@@ -146,7 +147,7 @@
     record(JobStatus.Phase.QUEUED, 5);
     Job job = assignments.job(JOB);
     assignments.assign(job, 0, machine, assignments.newAttempt());
-    job.setState(0, Job.STARTING);
+    job.setState(0, TaskState.STARTING);
     return job;
   }
 
