--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -20,29 +20,33 @@
 
 /**
  * A controller as a state machine: inputs with their time go in, effects come out. It does no I/O,
- * reads no clock and starts no thread, so that tests drive the very code that runs.
+ * reads no clock and starts no thread, so that tests drive the very code that runs. One thread at a
+ * time may call it.
  */
 public final class Controller {
-  /** For so long after its authority has ended, a leader sends workers to a peer. */
-  private static final long SENT_ON_MS = 3_000;
+  /** For so long after its authority has ended, a leader redirects workers to a peer. */
+  private static final long REDIRECT_MS = 3_000;
+
+  /** The HTTP status that sends a worker to another controller. */
+  private static final int MISDIRECTED_REQUEST = 421;
 
   private final CoreRuntime runtime;
   private final Settings settings;
   private final Tunables tunables;
   private final MachineTypes machineTypes;
-  private final FormatGate gate;
+  private final FormatGate formatGate;
   private final JobApi jobApi;
   private final Election election;
   private final ConnectivityMonitor connectivity;
-  private final StateRequestRelay relays;
+  private final StateRequestRelay relay;
   private final RateAllocator rateAllocator;
   private final LiveJobCache liveJobs;
   private final CancellationWatermark watermark;
   private Leader leader;
-  private long authorityAt;
+  private long lastAuthorityAt;
 
   /**
-   * Makes a controller that has done nothing yet.
+   * A controller that has done nothing yet.
    *
    * @param incarnation a name that no other process of this node has had
    * @param startedMs when the process began, in milliseconds of the steady clock
@@ -60,25 +64,26 @@
             startedMs);
     runtime.limitStateRequests(rateAllocator.budget());
     watermark = new CancellationWatermark(settings, runtime, incarnation);
-    watermark.listen(this::cancelled);
-    liveJobs = new LiveJobCache(settings, runtime, proofs());
+    watermark.listen(this::onCancellation);
+    liveJobs = new LiveJobCache(settings, runtime, cacheListener());
     machineTypes = new MachineTypes(runtime);
     election = new Election(settings, tunables, runtime, watermark, incarnation, startedMs);
-    gate = new FormatGate(settings, runtime);
-    connectivity = new ConnectivityMonitor(settings, runtime, election::stateOkAt);
-    election.holdBackIf(connectivity::betterElsewhere);
-    relays =
-        new StateRequestRelay(settings, runtime, connectivity, () -> connectivity.mine().state());
+    formatGate = new FormatGate(settings, runtime);
+    connectivity = new ConnectivityMonitor(settings, runtime, election::stateServiceAnsweredAt);
+    election.deferIf(connectivity::betterElsewhere);
+    relay =
+        new StateRequestRelay(
+            settings, runtime, connectivity, () -> connectivity.mine().stateService());
     jobApi =
         new JobApi(
             settings,
             runtime,
             machineTypes,
-            gate,
-            relays,
+            formatGate,
+            relay,
             rateAllocator.gate(),
             liveJobs,
-            election::stateHealthy,
+            election::stateServiceHealthy,
             cancelledJobs());
   }
 
@@ -86,7 +91,7 @@
     return new JobApi.CancelledJobs() {
       @Override
       public void tell(String job) {
-        watermark.tell(job);
+        watermark.confirm(job);
       }
 
       @Override
@@ -96,13 +101,13 @@
 
       @Override
       public boolean current() {
-        return watermark.tells();
+        return watermark.mayReportLive();
       }
     };
   }
 
-  /** What the cache of live jobs proves, the watermark of cancellations rests on. */
-  private LiveJobCache.Listener proofs() {
+  /** The watermark of cancellations moves with what the cache of live jobs has read. */
+  private LiveJobCache.Listener cacheListener() {
     return new LiveJobCache.Listener() {
       @Override
       public void cancelled(String job) {
@@ -116,43 +121,52 @@
     };
   }
 
-  private void cancelled(String job) {
+  private void onCancellation(String job) {
     if (leader != null) {
       leader.cancelled(job);
     }
   }
 
-  /** Writes a line of the log for each task, report and answer as well. */
+  /** Whether to write a line of the log for each task, heartbeat and answer as well. */
   public void logDetails(boolean on) {
     runtime.events().debug(on);
   }
 
-  /** Takes one input and returns what is to be done. */
+  /**
+   * Takes one input and returns what is to be done.
+   *
+   * @param nowMs the steady clock
+   * @param wallMs the time of day, in milliseconds since 1970
+   */
   public List<Effect> handle(long nowMs, long wallMs, Input input) {
     runtime.setTime(nowMs, wallMs);
-    if (input instanceof Input.Tick) {
-      tick();
-    } else if (input instanceof Input.Reply reply) {
-      runtime.handleReply(reply);
-    } else if (input instanceof Input.HeartbeatReceived c) {
-      checkIn(c);
-    } else if (input instanceof Input.Submit s) {
-      jobApi.submit(s.exchange(), s.spec());
-    } else if (input instanceof Input.Poll p) {
-      jobApi.poll(p.exchange(), p.job());
-    } else if (input instanceof Input.Cancel c) {
-      jobApi.cancel(c.exchange(), c.job());
-    } else if (input instanceof Input.FromPeer p) {
-      fromPeer(p);
-    }
+    dispatch(input);
     runtime.rejectUnbudgeted();
-    follow();
+    followElection();
     if (leader != null) {
       leader.flush();
     }
     return runtime.drainEffects();
   }
 
+  private void dispatch(Input input) {
+    if (input instanceof Input.Tick) {
+      tick();
+    } else if (input instanceof Input.Reply reply) {
+      runtime.handleReply(reply);
+    } else if (input instanceof Input.HeartbeatReceived heartbeat) {
+      onHeartbeat(heartbeat);
+    } else if (input instanceof Input.Submit submission) {
+      jobApi.submit(submission.exchange(), submission.spec());
+    } else if (input instanceof Input.Poll poll) {
+      jobApi.poll(poll.exchange(), poll.job());
+    } else if (input instanceof Input.Cancel cancellation) {
+      jobApi.cancel(cancellation.exchange(), cancellation.job());
+    } else if (input instanceof Input.FromPeer received) {
+      onPeerMessage(received.message());
+    }
+  }
+
   /** Whether this node may give commands now. */
   public boolean hasAuthority() {
     return election.hasAuthority();
@@ -164,17 +178,17 @@
    * each other of, they stay in place.
    */
   public boolean ready() {
-    return election.stateHealthy()
-        || relays.possible()
+    return election.stateServiceHealthy()
+        || relay.possible()
         || settings.peers().isEmpty()
-        || (connectivity.hearsPeers() && !election.peersReachState());
+        || (connectivity.hearsPeers() && !election.peersReachStateService());
   }
 
   /** Figures for operators. */
   public Map<String, Double> gauges() {
     Map<String, Double> gauges = new HashMap<>();
-    gauges.put("snowturn.format.gate", gate.open() ? 1.0 : 0.0);
-    gauges.put("snowturn.relayed", (double) relays.relayed());
+    gauges.put("snowturn.format.gate", formatGate.open() ? 1.0 : 0.0);
+    gauges.put("snowturn.relayed", (double) relay.relayed());
     gauges.putAll(connectivity.gauges());
     gauges.putAll(watermark.gauges());
     gauges.putAll(rateAllocator.gauges(runtime.now()));
@@ -192,20 +206,21 @@
     runtime.tick();
     machineTypes.tick();
     election.tick();
-    gate.tick();
+    formatGate.tick();
     liveJobs.tick();
-    admit();
-    follow();
-    authorityAt = election.hasAuthority() ? runtime.now() : authorityAt;
+    tickRateAllocation();
+    followElection();
+    lastAuthorityAt = election.hasAuthority() ? runtime.now() : lastAuthorityAt;
     if (leader != null) {
       leader.tick();
     }
-    boolean names = leader != null && connectivity.wantsSample();
+    boolean sampleDue = leader != null && connectivity.wantsSample();
     connectivity.tick(
-        leader != null, names ? leader.someWorkers(ConnectivityMonitor.SAMPLE) : List.of());
+        leader != null,
+        sampleDue ? leader.someWorkers(ConnectivityMonitor.SAMPLE_SIZE) : List.of());
   }
 
-  private void admit() {
+  private void tickRateAllocation() {
     rateAllocator.led(leader == null ? 0 : leader.changesMade());
     if (rateAllocator.tick(runtime.now())) {
       runtime.broadcast(
@@ -214,7 +229,7 @@
   }
 
   /** Starts or ends a term as the election has it. */
-  private void follow() {
+  private void followElection() {
     if (leader != null && (!election.leading() || election.token() != leader.token())) {
       leader.end();
       leader = null;
@@ -229,55 +244,58 @@
               election,
               watermark,
               machineTypes,
-              gate,
+              formatGate,
               jobApi,
               connectivity,
               rate -> rateAllocator.mayLead(rate, runtime.now()));
     }
   }
 
-  private void checkIn(Input.HeartbeatReceived c) {
+  private void onHeartbeat(Input.HeartbeatReceived received) {
     connectivity.workerHeard();
     if (leader != null && election.hasAuthority()) {
-      leader.checkIn(c.exchange(), c.heartbeat());
+      leader.checkIn(received.exchange(), received.heartbeat());
       return;
     }
     runtime.answer(
-        c.exchange(), 421, Command.elsewhere(leader != null ? anyPeer() : election.leader()));
+        received.exchange(),
+        MISDIRECTED_REQUEST,
+        Command.elsewhere(leader != null ? anyPeer() : election.leader()));
   }
 
   /**
    * Where workers go from a leader that has lost its authority, and so most likely its links to the
    * state service and to the peers, so that it does not know who leads now: to a node that does, at
-   * once, instead of to the next one a second later.
+   * once, instead of to the next one a second later. Null once nobody may lead for longer: workers
+   * that all nodes redirect at once would be a flood.
    */
   private String anyPeer() {
     List<Settings.Peer> peers = settings.peers();
-    if (runtime.now() - authorityAt > SENT_ON_MS) {
-      return null; // nobody leads: sent to and fro at once, a thousand workers would be a flood
+    if (runtime.now() - lastAuthorityAt > REDIRECT_MS) {
+      return null;
     }
     return peers.isEmpty() ? null : peers.get(runtime.random().nextInt(peers.size())).node();
   }
 
-  private void fromPeer(Input.FromPeer p) {
-    if (p.message() instanceof PeerMessage.JobProgress g) {
-      jobApi.progress(g);
-    } else if (p.message() instanceof PeerMessage.RateDemandReport m) {
-      rateAllocator.told(m.from(), m.demand(), runtime.now());
-    } else if (p.message() instanceof PeerMessage.ConnectivityReport m) {
-      connectivity.told(m);
-    } else if (p.message() instanceof PeerMessage.WorkerSample m) {
-      connectivity.told(m);
-    } else if (p.message() instanceof PeerMessage.RelayRequest m) {
-      relays.asked(m);
-    } else if (p.message() instanceof PeerMessage.RelayReply m) {
-      relays.answered(m);
-    } else if (p.message() instanceof PeerMessage.CancellationsRequest m) {
-      watermark.asked(m);
-    } else if (p.message() instanceof PeerMessage.CancellationsReply m) {
-      watermark.heard(m);
+  private void onPeerMessage(PeerMessage message) {
+    if (message instanceof PeerMessage.JobProgress progress) {
+      jobApi.onProgress(progress);
+    } else if (message instanceof PeerMessage.RateDemandReport report) {
+      rateAllocator.told(report.from(), report.demand(), runtime.now());
+    } else if (message instanceof PeerMessage.ConnectivityReport report) {
+      connectivity.onReport(report);
+    } else if (message instanceof PeerMessage.WorkerSample sample) {
+      connectivity.onSample(sample);
+    } else if (message instanceof PeerMessage.RelayRequest request) {
+      relay.onRequest(request);
+    } else if (message instanceof PeerMessage.RelayReply reply) {
+      relay.onReply(reply);
+    } else if (message instanceof PeerMessage.CancellationsRequest request) {
+      watermark.onRequest(request);
+    } else if (message instanceof PeerMessage.CancellationsReply reply) {
+      watermark.onReply(reply);
     } else {
-      election.fromPeer(p.message());
+      election.fromPeer(message);
     }
   }
 }
--- a/src/main/java/org/snowturn/core/Outcome.java
+++ b/src/main/java/org/snowturn/core/Outcome.java
@@ -7,5 +7,24 @@
   /** Certainly not executed. */
   REFUSED,
   /** No usable reply: it may have been executed, or may be later. */
-  UNKNOWN
+  UNKNOWN;
+
+  private static final int OK = 200;
+  private static final int NOT_FOUND = 404;
+  private static final int CONFLICT = 409;
+
+  /** Whether the request was executed and, by the HTTP status of its reply, succeeded. */
+  public boolean succeeded(int status) {
+    return this == ANSWERED && status == OK;
+  }
+
+  /** Whether the request was executed and what it names does not exist. */
+  public boolean notFound(int status) {
+    return this == ANSWERED && status == NOT_FOUND;
+  }
+
+  /** Whether the request was executed and changed nothing, since a condition did not hold. */
+  public boolean conflict(int status) {
+    return this == ANSWERED && status == CONFLICT;
+  }
 }
--- a/src/main/java/org/snowturn/core/PeerMessage.java
+++ b/src/main/java/org/snowturn/core/PeerMessage.java
@@ -12,18 +12,19 @@
   String from();
 
   /** A node that does not lead says so, and whether the state service answers it. */
-  record StandbyStatus(String from, boolean stateOk) implements PeerMessage {}
+  record StandbyStatus(String from, boolean stateServiceAnswers) implements PeerMessage {}
 
   /**
    * A leader asks for promises.
    *
-   * @param trouble whether the state service has stopped answering the leader
+   * @param stateServiceTrouble whether the state service has stopped answering the leader
    */
-  record PromiseRequest(String from, long seq, long token, boolean trouble)
+  record PromiseRequest(String from, long requestId, long token, boolean stateServiceTrouble)
       implements PeerMessage {}
 
   /** For this long from the arrival of the request on, the sender will not claim leadership. */
-  record Promise(String from, long seq, long token, int durationMs, boolean stateOk)
+  record Promise(
+      String from, long requestId, long token, int durationMs, boolean stateServiceAnswers)
       implements PeerMessage {}
 
   /**
@@ -41,7 +42,7 @@
   record LeaseEnded(String from, long token) implements PeerMessage {}
 
   /** What the sender reaches, by its own clock. */
-  record ConnectivityReport(String from, Connectivity reach) implements PeerMessage {}
+  record ConnectivityReport(String from, Connectivity connectivity) implements PeerMessage {}
 
   /** Addresses of some workers that the sender, a leader, hears. */
   record WorkerSample(String from, List<String> workers) implements PeerMessage {}
@@ -52,11 +53,18 @@
    * @param body null for none
    */
   record RelayRequest(
-      String from, String to, long seq, String method, String path, JsonNode body, int timeoutMs)
+      String from,
+      String to,
+      long requestId,
+      String method,
+      String path,
+      JsonNode body,
+      int timeoutMs)
       implements PeerMessage {}
 
   /** What came of it. */
-  record RelayReply(String from, String to, long seq, Outcome outcome, int status, JsonNode body)
+  record RelayReply(
+      String from, String to, long requestId, Outcome outcome, int status, JsonNode body)
       implements PeerMessage {}
 
   /** What the sender needs of the state service's rates. */
@@ -66,39 +74,39 @@
   record JobProgress(String from, String job, int done, int running) implements PeerMessage {}
 
   /** Up to which of its entries the sender has heard a peer's list, in the life that it names. */
-  record LogPosition(String life, long upTo) {}
+  record LogPosition(String incarnation, long lastReceived) {}
 
   /** A leader asks each peer for the cancellations that it has told users of. */
-  record CancellationsRequest(String from, long seq, Map<String, LogPosition> heard)
+  record CancellationsRequest(String from, long requestId, Map<String, LogPosition> logPositions)
       implements PeerMessage {}
 
   /**
    * Cancellations that the sender has told users of since its process began, in the order in which
    * it did, numbered from 1.
    *
-   * @param seq the question that this answers
-   * @param life names the sender's process
+   * @param requestId the question that this answers
+   * @param incarnation names the sender's process
    * @param after the number of the entry before the first of {@code jobs}
    * @param last the number of its last entry, as it answers
-   * @param dropped the number of the last entry that it no longer has; 0: it has all
-   * @param droppedAgeMs how long ago it told of that one
+   * @param lastDropped the number of the last entry that it no longer has; 0: it has all
+   * @param lastDroppedAgeMs how long ago it told of that one
    */
   record CancellationsReply(
       String from,
       String to,
-      long seq,
-      String life,
+      long requestId,
+      String incarnation,
       long after,
       long last,
-      long dropped,
-      long droppedAgeMs,
+      long lastDropped,
+      long lastDroppedAgeMs,
       List<String> jobs)
       implements PeerMessage {
     /** Whether the numbers agree with each other. */
-    public boolean possible() {
-      return dropped >= 0
-          && droppedAgeMs >= 0
-          && after >= dropped
+    public boolean consistent() {
+      return lastDropped >= 0
+          && lastDroppedAgeMs >= 0
+          && after >= lastDropped
           && last >= after
           && jobs.size() <= last - after
           && (!jobs.isEmpty() || last == after);
--- a/src/main/java/org/snowturn/core/api/JobApi.java
+++ b/src/main/java/org/snowturn/core/api/JobApi.java
@@ -97,7 +97,7 @@
     this.machineTypes = machineTypes;
   }
 
-  public void progress(PeerMessage.JobProgress p) {
+  public void onProgress(PeerMessage.JobProgress p) {
     progress.put(p.job(), p);
   }
 
@@ -269,7 +269,7 @@
 
     /** Learns what an earlier try has stored already. */
     void look() {
-      relays.state(
+      relays.callState(
           RequestClass.USERS,
           "GET",
           "/kv?prefix=" + prefix + "&most=1000",
@@ -316,7 +316,7 @@
         commit(exchange, spec, job.live(), List.of(new Condition(prefix + 0, first)));
         return;
       }
-      relays.state(
+      relays.callState(
           RequestClass.USERS,
           "POST",
           "/txn",
@@ -345,7 +345,7 @@
   private void commit(long exchange, JobSpec spec, ObjectNode record, List<Condition> parts) {
     List<Condition> when = new ArrayList<>(isNew(spec.id()));
     when.addAll(parts);
-    relays.state(
+    relays.callState(
         RequestClass.USERS,
         "POST",
         "/txn",
@@ -532,7 +532,7 @@
   }
 
   private void readOne(RequestClass purpose, long exchange, String key, Read then) {
-    relays.state(
+    relays.callState(
         purpose,
         "GET",
         "/kv/" + key,
@@ -596,7 +596,7 @@
         StateMessage.txn(
             List.of(new Condition(StorageKeys.job(id), live.stamp())),
             List.of(Change.put(StorageKeys.job(id), value)));
-    relays.state(
+    relays.callState(
         RequestClass.USERS,
         "POST",
         "/txn",
--- a/src/main/java/org/snowturn/core/connectivity/Connectivity.java
+++ b/src/main/java/org/snowturn/core/connectivity/Connectivity.java
@@ -18,7 +18,7 @@
   private static final int WORKERS_FRESH_MS = 3_000;
 
   /** Whether the state service answers the node. */
-  public boolean state() {
+  public boolean stateService() {
     return stateMs != NEVER && stateMs <= STATE_FRESH_MS;
   }
 
@@ -28,7 +28,12 @@
   }
 
   /** Whether the node has what a leader needs. */
-  public boolean serves() {
-    return state() && workers();
+  public boolean complete() {
+    return stateService() && workers();
+  }
+
+  /** Whether both reach the same at present. */
+  boolean sameLinks(Connectivity other) {
+    return stateService() == other.stateService() && workers() == other.workers();
   }
 }
--- a/src/main/java/org/snowturn/core/connectivity/ConnectivityMatrix.java
+++ b/src/main/java/org/snowturn/core/connectivity/ConnectivityMatrix.java
@@ -9,13 +9,28 @@
  * nothing counts as unknown. Nothing of it is a ground of authority: it only says who had better
  * claim leadership, and whom to ask for help.
  */
-public final class ConnectivityMatrix {
+final class ConnectivityMatrix {
   /** Rows come every 300 ms; three may be lost. */
   private static final long STALE_MS = 1_200;
 
-  private static final long LATER_MS = 400;
+  /** What probes and reports take: only a greater difference between two nodes says anything. */
+  private static final long REPORT_DELAY_MS = 400;
 
-  private record Row(Connectivity reach, long at) {}
+  private record Row(Connectivity connectivity, long receivedAt) {
+    boolean fresh(long nowMs) {
+      return nowMs - receivedAt <= STALE_MS;
+    }
+
+    boolean betterThan(Connectivity mine, long nowMs) {
+      if (!fresh(nowMs) || !connectivity.complete()) {
+        return false;
+      }
+      long workersMs = connectivity.workersMs() + (nowMs - receivedAt);
+      return !mine.stateService()
+          || mine.workersMs() == Connectivity.NEVER
+          || workersMs + REPORT_DELAY_MS < mine.workersMs();
+    }
+  }
 
   private final Map<String, Row> rows = new TreeMap<>();
 
@@ -23,31 +38,26 @@
    * A peer has told what it reaches.
    *
    * @param nowMs this node's steady clock
-   * @return whether that is news: whether its state service or its workers came or went
+   * @return whether its links to the state service or to workers have come or gone
    */
-  public boolean told(String peer, Connectivity reach, long nowMs) {
-    Row before = rows.put(peer, new Row(reach, nowMs));
-    return before == null
-        || before.reach.state() != reach.state()
-        || before.reach.workers() != reach.workers();
+  boolean update(String peer, Connectivity connectivity, long nowMs) {
+    Row before = rows.put(peer, new Row(connectivity, nowMs));
+    return before == null || !before.connectivity.sameLinks(connectivity);
   }
 
   /** Whether any peer has told lately what it reaches. */
-  public boolean known(long nowMs) {
-    return rows.values().stream().anyMatch(r -> fresh(r, nowMs));
+  boolean anyFresh(long nowMs) {
+    return rows.values().stream().anyMatch(row -> row.fresh(nowMs));
   }
 
   /**
-   * Whether a peer could serve where a node with this reach cannot, or hardly. Where both have
-   * heard workers lately, it has to have heard them later, and by more than what probes and records
-   * take: in the first seconds of a cut, all rows still show what was before it.
+   * Whether a peer could serve where a node with this connectivity cannot, or hardly. Where both
+   * have heard workers lately, it has to have heard them later, and by more than what probes and
+   * reports take: in the first seconds of a cut, all rows still show what was before it.
    */
-  public boolean better(Connectivity mine, long nowMs) {
-    for (Row r : rows.values()) {
-      boolean serves = fresh(r, nowMs) && r.reach.serves();
-      long heard = r.reach.workersMs() + (nowMs - r.at);
-      boolean later = mine.workersMs() == Connectivity.NEVER || heard + LATER_MS < mine.workersMs();
-      if (serves && (later || !mine.state())) {
+  boolean anyBetterThan(Connectivity mine, long nowMs) {
+    for (Row row : rows.values()) {
+      if (row.betterThan(mine, nowMs)) {
         return true;
       }
     }
@@ -55,32 +65,28 @@
   }
 
   /** A peer that the state service answers, one with workers rather than without; or null. */
-  public String withState(long nowMs) {
+  String peerWithStateService(long nowMs) {
     String found = null;
-    for (Map.Entry<String, Row> e : rows.entrySet()) {
-      Connectivity connectivity = e.getValue().reach;
-      if (fresh(e.getValue(), nowMs)
-          && connectivity.state()
+    for (Map.Entry<String, Row> entry : rows.entrySet()) {
+      Connectivity connectivity = entry.getValue().connectivity;
+      if (entry.getValue().fresh(nowMs)
+          && connectivity.stateService()
           && (found == null || connectivity.workers())) {
-        found = e.getKey();
+        found = entry.getKey();
       }
     }
     return found;
   }
 
-  /** The rows that say something now, by the peers' names. */
-  public Map<String, Connectivity> rows(long nowMs) {
-    Map<String, Connectivity> out = new TreeMap<>();
+  /** What the peers reach whose rows say something now, by their names. */
+  Map<String, Connectivity> fresh(long nowMs) {
+    Map<String, Connectivity> fresh = new TreeMap<>();
     rows.forEach(
         (peer, row) -> {
-          if (fresh(row, nowMs)) {
-            out.put(peer, row.reach);
+          if (row.fresh(nowMs)) {
+            fresh.put(peer, row.connectivity);
           }
         });
-    return out;
-  }
-
-  private static boolean fresh(Row r, long nowMs) {
-    return nowMs - r.at <= STALE_MS;
+    return fresh;
   }
 }
--- a/src/main/java/org/snowturn/core/connectivity/ConnectivityMonitor.java
+++ b/src/main/java/org/snowturn/core/connectivity/ConnectivityMonitor.java
@@ -8,155 +8,190 @@
 import org.snowturn.core.Effect;
 import org.snowturn.core.Outcome;
 import org.snowturn.core.PeerMessage;
+import org.snowturn.core.SteadyTime;
 import org.snowturn.core.effects.CoreRuntime;
-import org.snowturn.core.model.Job;
+import org.snowturn.core.effects.LogEvent;
+import org.snowturn.core.effects.LogField;
 
 /**
  * What this node reaches, and what its peers say that they reach. A node that does not lead hears
- * workers only when they look for a leader, so the leader names a few of them, which the others ask
- * now and then whether they answer.
+ * workers only when they look for a leader, so the leader names a few of them, which the others
+ * probe regularly.
  */
 public final class ConnectivityMonitor {
-  /** What goes round in a sample, and how often. */
-  public static final int SAMPLE = 6;
+  /** How many workers a sample names. */
+  public static final int SAMPLE_SIZE = 6;
 
-  private static final long SAMPLE_EVERY_MS = 3_000;
-  private static final long TELL_MS = 300;
-  private static final long PROBE_EVERY_MS = 500;
+  private static final long SAMPLE_INTERVAL_MS = 3_000;
+  private static final long REPORT_INTERVAL_MS = 300;
+  private static final long PROBE_INTERVAL_MS = 500;
   private static final int PROBE_TIMEOUT_MS = 1_000;
 
   private final Settings settings;
   private final CoreRuntime runtime;
-  private final LongSupplier stateOkAt;
+  private final LongSupplier stateServiceAnsweredAt;
   private final ConnectivityMatrix matrix = new ConnectivityMatrix();
   private List<String> sample = List.of();
-  private int next;
-  private long workersAt = Job.UNKNOWN;
-  private long probeAt;
-  private long tellAt;
-  private long sampleAt;
-  private Connectivity shown;
+  private int probes;
+  private long workerHeardAt = SteadyTime.NEVER;
+  private long nextProbeAt;
+  private long nextReportAt;
+  private long nextSampleAt;
+  private Connectivity logged;
 
   /**
    * Knows nothing yet.
    *
-   * @param stateOkAt when the last request that the state service answered was sent
+   * @param stateServiceAnsweredAt when the last request that the state service answered was sent,
+   *     in milliseconds of the steady clock; {@link SteadyTime#NEVER} if none was
    */
-  public ConnectivityMonitor(Settings settings, CoreRuntime runtime, LongSupplier stateOkAt) {
+  public ConnectivityMonitor(
+      Settings settings, CoreRuntime runtime, LongSupplier stateServiceAnsweredAt) {
     this.settings = settings;
     this.runtime = runtime;
-    this.stateOkAt = stateOkAt;
+    this.stateServiceAnsweredAt = stateServiceAnsweredAt;
   }
 
-  /** A worker has reported here, or answered this node. */
+  /** A worker has sent a heartbeat here, or answered this node. */
   public void workerHeard() {
-    workersAt = runtime.now();
+    workerHeardAt = runtime.now();
   }
 
   /** What this node reaches. */
   public Connectivity mine() {
-    return new Connectivity(age(stateOkAt.getAsLong()), age(workersAt));
+    return new Connectivity(ageMs(stateServiceAnsweredAt.getAsLong()), ageMs(workerHeardAt));
   }
 
-  private int age(long at) {
-    return at == Job.UNKNOWN
+  private int ageMs(long at) {
+    return at == SteadyTime.NEVER
         ? Connectivity.NEVER
         : (int) Math.min(Integer.MAX_VALUE, runtime.now() - at);
   }
 
   /** Whether a peer could serve where this node cannot. */
   public boolean betterElsewhere() {
-    return matrix.better(mine(), runtime.now());
+    return matrix.anyBetterThan(mine(), runtime.now());
   }
 
-  /** The same, or nobody tells, so that it is as good as any other guess. */
+  /** Whether a peer could serve where this node cannot, or no peer is heard, so that one may. */
   public boolean otherMayServe() {
     return betterElsewhere() || !hearsPeers();
   }
 
   /** Whether any peer has told lately what it reaches. */
   public boolean hearsPeers() {
-    return matrix.known(runtime.now());
+    return matrix.anyFresh(runtime.now());
   }
 
-  /** A peer that the state service answers, or null. */
-  public String peerWithState() {
-    return matrix.withState(runtime.now());
+  /** A peer that the state service answers; null if none is known. */
+  public String peerWithStateService() {
+    return matrix.peerWithStateService(runtime.now());
   }
 
-  /** Looks and tells; {@code workers} are some that a leader hears, empty on other nodes. */
+  /**
+   * Probes a worker and tells the peers what this node reaches, each if it is time.
+   *
+   * @param workers addresses of some that a leader hears; empty on other nodes
+   */
   public void tick(boolean leading, List<String> workers) {
-    long now = runtime.now();
-    if (leading && !workers.isEmpty() && now >= sampleAt) {
-      sampleAt = now + SAMPLE_EVERY_MS;
+    if (leading) {
+      sendSample(workers);
+    } else {
+      probeWorker();
+    }
+    report();
+  }
+
+  private void sendSample(List<String> workers) {
+    if (!workers.isEmpty() && wantsSample()) {
+      nextSampleAt = runtime.now() + SAMPLE_INTERVAL_MS;
       sample = workers;
       runtime.broadcast(new PeerMessage.WorkerSample(settings.node(), workers));
     }
-    if (!leading && now >= probeAt && !sample.isEmpty()) {
-      probeAt = now + PROBE_EVERY_MS;
-      String addr = sample.get(next++ % sample.size());
-      runtime.call(
-          Effect.Target.WORKER,
-          addr,
-          "GET",
-          "/status",
-          null,
-          PROBE_TIMEOUT_MS,
-          (outcome, status, body) -> {
-            if (outcome == Outcome.ANSWERED) {
-              workerHeard();
-            }
-          });
+  }
+
+  private void probeWorker() {
+    if (runtime.now() < nextProbeAt || sample.isEmpty()) {
+      return;
+    }
+    nextProbeAt = runtime.now() + PROBE_INTERVAL_MS;
+    String address = sample.get(probes++ % sample.size());
+    runtime.call(
+        Effect.Target.WORKER,
+        address,
+        "GET",
+        "/status",
+        null,
+        PROBE_TIMEOUT_MS,
+        (outcome, status, body) -> {
+          if (outcome == Outcome.ANSWERED) {
+            workerHeard();
+          }
+        });
+  }
+
+  private void report() {
+    if (runtime.now() < nextReportAt) {
+      return;
     }
-    if (now >= tellAt) {
-      tellAt = now + TELL_MS;
-      Connectivity mine = mine();
-      if (shown == null || shown.state() != mine.state() || shown.workers() != mine.workers()) {
-        shown = mine;
-        runtime.note(settings.node() + " reaches " + words(mine));
-      }
-      runtime.broadcast(new PeerMessage.ConnectivityReport(settings.node(), mine));
+    nextReportAt = runtime.now() + REPORT_INTERVAL_MS;
+    Connectivity mine = mine();
+    if (logged == null || !logged.sameLinks(mine)) {
+      logged = mine;
+      log(settings.node(), mine);
     }
+    runtime.broadcast(new PeerMessage.ConnectivityReport(settings.node(), mine));
   }
 
   /** Whether it is time for a leader to name workers. */
   public boolean wantsSample() {
-    return runtime.now() >= sampleAt;
+    return runtime.now() >= nextSampleAt;
   }
 
-  public void told(PeerMessage.ConnectivityReport r) {
-    if (isPeer(r.from()) && matrix.told(r.from(), r.reach(), runtime.now())) {
-      runtime.note(r.from() + " reaches " + words(r.reach()));
+  /** A peer tells what it reaches. */
+  public void onReport(PeerMessage.ConnectivityReport report) {
+    if (isPeer(report.from())
+        && matrix.update(report.from(), report.connectivity(), runtime.now())) {
+      log(report.from(), report.connectivity());
     }
   }
 
-  public void told(PeerMessage.WorkerSample s) {
-    if (isPeer(s.from())) {
-      sample = s.workers().size() <= SAMPLE ? s.workers() : s.workers().subList(0, SAMPLE);
+  /** A leader names workers to probe. */
+  public void onSample(PeerMessage.WorkerSample received) {
+    if (isPeer(received.from())) {
+      List<String> workers = received.workers();
+      sample = workers.size() <= SAMPLE_SIZE ? workers : workers.subList(0, SAMPLE_SIZE);
     }
   }
 
   private boolean isPeer(String node) {
-    return settings.peers().stream().anyMatch(p -> p.node().equals(node));
+    return settings.peers().stream().anyMatch(peer -> peer.node().equals(node));
   }
 
-  private static String words(Connectivity connectivity) {
-    return "the state service: "
-        + (connectivity.state() ? "yes" : "no")
-        + ", workers: "
-        + (connectivity.workers() ? "yes" : "no");
+  private void log(String node, Connectivity connectivity) {
+    runtime
+        .events()
+        .info(LogEvent.CONNECTIVITY_CHANGED)
+        .with(LogField.NODE, node)
+        .with(LogField.STATE_SERVICE, connectivity.stateService())
+        .with(LogField.WORKERS, connectivity.workers())
+        .write();
   }
 
   /** For each node, 1 where it reaches the state service and 1 where it reaches workers. */
   public Map<String, Double> gauges() {
     Map<String, Double> gauges = new HashMap<>();
-    matrix.rows(runtime.now()).forEach((node, reach) -> put(gauges, node, reach));
-    put(gauges, settings.node(), mine());
+    matrix
+        .fresh(runtime.now())
+        .forEach((node, connectivity) -> addGauges(gauges, node, connectivity));
+    addGauges(gauges, settings.node(), mine());
     return gauges;
   }
 
-  private static void put(Map<String, Double> gauges, String node, Connectivity connectivity) {
-    gauges.put("snowturn.reach.state{node=\"" + node + "\"}", connectivity.state() ? 1.0 : 0.0);
+  private static void addGauges(
+      Map<String, Double> gauges, String node, Connectivity connectivity) {
+    gauges.put(
+        "snowturn.reach.state{node=\"" + node + "\"}", connectivity.stateService() ? 1.0 : 0.0);
     gauges.put("snowturn.reach.workers{node=\"" + node + "\"}", connectivity.workers() ? 1.0 : 0.0);
   }
 }
--- a/src/main/java/org/snowturn/core/connectivity/StateRequestRelay.java
+++ b/src/main/java/org/snowturn/core/connectivity/StateRequestRelay.java
@@ -19,19 +19,21 @@
  * the peer says was not executed counts as refused.
  */
 public final class StateRequestRelay {
-  /** Longer ones do not fit a record that the version before this one would skip. */
-  private static final int MOST_BYTES = 3_000;
+  /** A message must not be longer than what nodes of the previous version read. */
+  private static final int MAX_BODY_BYTES = 3_000;
 
-  /** So many may be under way through peers, and from peers; the next is refused at once. */
-  private static final int MOST_OPEN = 200;
+  /** So many may be open through peers, and from peers; the next is refused at once. */
+  private static final int MAX_OPEN = 200;
+
+  private static final int UNAVAILABLE = 503;
 
   private final Settings settings;
   private final CoreRuntime runtime;
   private final ConnectivityMonitor connectivity;
   private final BooleanSupplier ownLink;
   private final Map<Long, CoreRuntime.ReplyHandler> open = new HashMap<>();
-  private int forPeers;
-  private long seq;
+  private int openForPeers;
+  private long lastRequestId;
   private long relayed;
 
   /**
@@ -48,11 +50,9 @@
     this.runtime = runtime;
     this.connectivity = connectivity;
     this.ownLink = ownLink;
-    // A peer may still be about to answer what this node's former life asked: back within a
-    // fraction
-    // of a second, this one would take it for the answer to a question of its own, about another
-    // job.
-    this.seq = runtime.random().nextLong() >>> 2;
+    // A peer may still be about to answer what the previous process of this node asked: restarted
+    // within a fraction of a second, this one would take it for the answer to a request of its own.
+    this.lastRequestId = runtime.random().nextLong() >>> 2;
   }
 
   /** Whether the state service answers this node itself. */
@@ -62,74 +62,82 @@
 
   /** Whether there is any way to the state service. */
   public boolean possible() {
-    return ownLink.getAsBoolean() || connectivity.peerWithState() != null;
+    return direct() || connectivity.peerWithStateService() != null;
   }
 
-  /** One call to the state service, whichever way. */
-  public void state(
+  /**
+   * Makes one call to the state service, directly or through a peer.
+   *
+   * @param body null for none
+   */
+  public void callState(
       RequestClass purpose,
       String method,
       String path,
       JsonNode body,
       int timeoutMs,
       CoreRuntime.ReplyHandler then) {
-    String peer = ownLink.getAsBoolean() ? null : connectivity.peerWithState();
+    String peer = direct() ? null : connectivity.peerWithStateService();
     if (peer == null) {
       runtime.callState(purpose, method, path, body, timeoutMs, then);
       return;
     }
-    boolean tooLong = body != null && Json.bytes(body).length > MOST_BYTES;
-    if (tooLong || open.size() >= MOST_OPEN) {
-      then.on(Outcome.REFUSED, 503, null);
+    if (tooLong(body) || open.size() >= MAX_OPEN) {
+      then.on(Outcome.REFUSED, UNAVAILABLE, null);
       return;
     }
-    long mine = ++seq;
+    long id = ++lastRequestId;
     relayed++;
-    open.put(mine, then);
+    open.put(id, then);
     runtime.broadcast(
-        new PeerMessage.RelayRequest(settings.node(), peer, mine, method, path, body, timeoutMs));
-    runtime.schedule(timeoutMs, () -> answer(mine, Outcome.UNKNOWN, 0, null));
+        new PeerMessage.RelayRequest(settings.node(), peer, id, method, path, body, timeoutMs));
+    runtime.schedule(timeoutMs, () -> complete(id, Outcome.UNKNOWN, 0, null));
+  }
+
+  private static boolean tooLong(JsonNode body) {
+    return body != null && Json.bytes(body).length > MAX_BODY_BYTES;
   }
 
-  private void answer(long id, Outcome outcome, int status, JsonNode body) {
+  private void complete(long id, Outcome outcome, int status, JsonNode body) {
     CoreRuntime.ReplyHandler then = open.remove(id);
     if (then != null) {
       then.on(outcome, status, body);
     }
   }
 
-  /** A peer asks: for this node only, and not handed on any further. */
-  public void asked(PeerMessage.RelayRequest r) {
-    if (!r.to().equals(settings.node())) {
+  /** A peer asks this node to make a call, which is not handed on any further. */
+  public void onRequest(PeerMessage.RelayRequest request) {
+    if (!request.to().equals(settings.node())) {
       return;
     }
-    if (!ownLink.getAsBoolean() || forPeers >= MOST_OPEN) {
-      reply(r, Outcome.REFUSED, 503, null);
+    if (!direct() || openForPeers >= MAX_OPEN) {
+      reply(request, Outcome.REFUSED, UNAVAILABLE, null);
       return;
     }
-    forPeers++;
+    openForPeers++;
     runtime.callState(
         RequestClass.USERS,
-        r.method(),
-        r.path(),
-        r.body(),
-        r.timeoutMs(),
+        request.method(),
+        request.path(),
+        request.body(),
+        request.timeoutMs(),
         (outcome, status, body) -> {
-          forPeers--;
-          boolean tooLong = body != null && Json.bytes(body).length > MOST_BYTES;
-          reply(r, tooLong ? Outcome.UNKNOWN : outcome, status, tooLong ? null : body);
+          openForPeers--;
+          boolean tooLong = tooLong(body);
+          reply(request, tooLong ? Outcome.UNKNOWN : outcome, status, tooLong ? null : body);
         });
   }
 
-  private void reply(PeerMessage.RelayRequest r, Outcome outcome, int status, JsonNode body) {
+  private void reply(PeerMessage.RelayRequest request, Outcome outcome, int status, JsonNode body) {
     runtime.broadcast(
-        new PeerMessage.RelayReply(settings.node(), r.from(), r.seq(), outcome, status, body));
+        new PeerMessage.RelayReply(
+            settings.node(), request.from(), request.requestId(), outcome, status, body));
   }
 
-  /** A peer answers. */
-  public void answered(PeerMessage.RelayReply r) {
-    if (r.to().equals(settings.node())) {
-      answer(r.seq(), r.outcome(), r.status(), r.body());
+  /** A peer tells what came of a call that it was asked to make. */
+  public void onReply(PeerMessage.RelayReply reply) {
+    if (reply.to().equals(settings.node())) {
+      complete(reply.requestId(), reply.outcome(), reply.status(), reply.body());
     }
   }
 
--- a/src/main/java/org/snowturn/core/connectivity/WorkerSilence.java
+++ b/src/main/java/org/snowturn/core/connectivity/WorkerSilence.java
@@ -1,26 +1,32 @@
 package org.snowturn.core.connectivity;
 
 /**
- * Whether a leader is heard by workers at all. Reports that stop altogether are the leader's own
+ * Whether a leader is heard by workers at all. Heartbeats that stop altogether are the leader's own
  * trouble, and are known long before its machines, one after the other, would seem to have died and
- * be deleted. Counted in sweeps, not by the clock: a node that stood still has not listened
+ * be deleted. Counted in sweeps, not by the clock: a node that was paused has not listened
  * meanwhile.
  */
 public final class WorkerSilence {
-  /** So many sweeps without a report, where so many reports were due, are no accident. */
-  private static final int SWEEPS = 6;
+  private static final int MIN_SILENT_SWEEPS = 6;
 
-  private static final int REPORTS = 15;
+  /** So many messages that were due and did not come are no accident. */
+  private static final int MIN_MISSED_MESSAGES = 15;
 
-  /** After such a silence probes that it spoilt are still to run out, and workers to come back. */
-  private static final long AGAIN_MS = 2_500;
+  /** How many machines to probe for each missed message that makes the silence certain. */
+  private static final int PROBES_PER_MISSED_MESSAGE = 3;
+
+  /** Two in a row: at the end of a cut all links come back, but not in the same moment. */
+  private static final int MIN_HANDOVER_SWEEPS = 2;
+
+  /** After a silence, probes that it made fail time out, and workers come back. */
+  private static final long RECOVERY_MS = 2_500;
 
   private final long sweepMs;
-  private final double reportS;
-  private boolean heard;
-  private int unheardSweeps;
-  private int inVain;
-  private int betterSweeps;
+  private final double heartbeatS;
+  private boolean heardSinceSweep;
+  private int silentSweeps;
+  private int unansweredProbes;
+  private int handoverSweeps;
   private boolean silent;
   private boolean everSilent;
   private long silentAt;
@@ -29,21 +35,21 @@
    * A leader that has just begun.
    *
    * @param sweepMs the time between two sweeps
-   * @param reportS the interval of the workers' reports
+   * @param heartbeatS the interval of the workers' heartbeats
    */
-  public WorkerSilence(long sweepMs, double reportS) {
+  public WorkerSilence(long sweepMs, double heartbeatS) {
     this.sweepMs = sweepMs;
-    this.reportS = reportS;
+    this.heartbeatS = heartbeatS;
   }
 
-  /** A worker has reported or answered. */
+  /** A worker has sent a heartbeat or answered. */
   public void heard() {
-    heard = true;
+    heardSinceSweep = true;
   }
 
-  /** A question or a command got no answer. */
+  /** A probe or a command got no answer. */
   public void unanswered() {
-    inVain++;
+    unansweredProbes++;
   }
 
   /**
@@ -53,11 +59,11 @@
    *     no machine reaches any more would soon expect none to
    */
   public void sweep(int machines, long nowMs) {
-    unheardSweeps = heard ? 0 : unheardSweeps + 1;
-    inVain = heard ? 0 : inVain;
-    heard = false;
-    double expected = unheardSweeps * sweepMs / 1000.0 * machines / reportS;
-    silent = unheardSweeps >= SWEEPS && expected > REPORTS;
+    silentSweeps = heardSinceSweep ? 0 : silentSweeps + 1;
+    unansweredProbes = heardSinceSweep ? 0 : unansweredProbes;
+    heardSinceSweep = false;
+    double missedHeartbeats = silentSweeps * sweepMs / 1000.0 * machines / heartbeatS;
+    silent = silentSweeps >= MIN_SILENT_SWEEPS && missedHeartbeats > MIN_MISSED_MESSAGES;
     if (silent) {
       everSilent = true;
       silentAt = nowMs;
@@ -65,37 +71,34 @@
   }
 
   /**
-   * Whether nobody reaches this node any more.
+   * Whether no worker reaches this node any more.
    *
-   * @param turnedOver whether workers have had the time to find this leader. Before, they may still
-   *     wait for an answer from the one that led before it, and only questions in vain tell
+   * @param workersHadTime whether workers have had the time to find this leader. Before, they may
+   *     still wait for an answer from the previous one, and only unanswered probes tell
    */
-  public boolean deaf(boolean turnedOver) {
-    return silent && (turnedOver || inVain >= REPORTS);
+  public boolean deaf(boolean workersHadTime) {
+    return silent && (workersHadTime || unansweredProbes >= MIN_MISSED_MESSAGES);
   }
 
-  /**
-   * How many machines to ask now, so that it becomes clear whether anybody is reached; mostly 0.
-   */
+  /** How many machines to probe now, so that it becomes clear whether any is reached; mostly 0. */
   public int wantsAsked() {
-    return silent && inVain < REPORTS && unheardSweeps % SWEEPS == 0 ? 3 * REPORTS : 0;
+    return silent && unansweredProbes < MIN_MISSED_MESSAGES && silentSweeps % MIN_SILENT_SWEEPS == 0
+        ? PROBES_PER_MISSED_MESSAGE * MIN_MISSED_MESSAGES
+        : 0;
   }
 
   /**
-   * Whether machines are heard, and have been for a while. A leader that stays through a cut, since
-   * nobody is better placed, must not judge single machines meanwhile: the first to fall silent
+   * Whether workers are heard, and have been for a while. A leader that stays through a cut, since
+   * no peer is better placed, must not judge single machines meanwhile: the first to fall silent
    * would be taken for dead while the others are not yet late.
    */
   public boolean hears(long nowMs) {
-    return !everSilent || nowMs - silentAt > AGAIN_MS;
+    return !everSilent || nowMs - silentAt > RECOVERY_MS;
   }
 
-  /**
-   * Whether to leave the place to a node that can serve: if that is so in two sweeps in a row. At
-   * the end of a cut all links come back, but not in the same moment.
-   */
+  /** Counts a sweep; returns whether to leave leadership to a node that can serve. */
   public boolean handOver(boolean cannotServe, boolean betterElsewhere) {
-    betterSweeps = cannotServe && betterElsewhere ? betterSweeps + 1 : 0;
-    return betterSweeps >= 2;
+    handoverSweeps = cannotServe && betterElsewhere ? handoverSweeps + 1 : 0;
+    return handoverSweeps >= MIN_HANDOVER_SWEEPS;
   }
 }
--- a/src/main/java/org/snowturn/core/election/PeerPromises.java
+++ b/src/main/java/org/snowturn/core/election/PeerPromises.java
@@ -12,15 +12,12 @@
  * when the request arrived, the leader from when it was sent, so the leader always stops first.
  */
 final class PeerPromises {
-  private static final double DRIFT = 0.002;
   private static final long MARGIN_MS = 20;
-
-  /** So many requests may be without an answer. */
-  private static final int MOST_OPEN = 50;
+  private static final int MAX_UNANSWERED_REQUESTS = 50;
 
   private final List<Settings.Peer> peers;
-  private final Map<String, Long> until = new HashMap<>();
-  private final Map<Long, Long> sentAt = new LinkedHashMap<>();
+  private final Map<String, Long> validUntil = new HashMap<>();
+  private final Map<Long, Long> requestsSentAt = new LinkedHashMap<>();
   private long lastRequest;
 
   PeerPromises(List<Settings.Peer> peers) {
@@ -29,37 +26,37 @@
 
   /** A new term begins, to which nobody has promised anything. */
   void clear() {
-    until.clear();
-    sentAt.clear();
+    validUntil.clear();
+    requestsSentAt.clear();
   }
 
   /** Notes that a request is sent to all peers now; returns its number. */
   long request(long nowMs) {
-    sentAt.put(++lastRequest, nowMs);
-    if (sentAt.size() > MOST_OPEN) {
-      sentAt.remove(sentAt.keySet().iterator().next());
+    requestsSentAt.put(++lastRequest, nowMs);
+    if (requestsSentAt.size() > MAX_UNANSWERED_REQUESTS) {
+      requestsSentAt.remove(requestsSentAt.keySet().iterator().next());
     }
     return lastRequest;
   }
 
-  /** Takes a promise; tells whether it answers a request of this process. */
-  boolean take(PeerMessage.Promise promise) {
-    Long asked = sentAt.get(promise.seq());
-    if (asked == null) {
+  /** Takes a promise; returns whether it answers a request of this term. */
+  boolean accept(PeerMessage.Promise promise) {
+    Long sentAt = requestsSentAt.get(promise.requestId());
+    if (sentAt == null) {
       return false;
     }
-    long end = asked + (long) (promise.durationMs() * (1 - DRIFT)) - MARGIN_MS;
-    until.merge(promise.from(), end, Math::max);
+    long until = sentAt + ClockDrift.minElapsedMs(promise.durationMs()) - MARGIN_MS;
+    validUntil.merge(promise.from(), until, Math::max);
     return true;
   }
 
-  /** Whether every peer's promise still holds; nobody else can lead then. */
-  boolean holdOfAll(long nowMs) {
+  /** Whether every peer's promise is valid: nobody else can lead then. False without peers. */
+  boolean validOfAllPeers(long nowMs) {
     if (peers.isEmpty()) {
       return false;
     }
-    for (Settings.Peer p : peers) {
-      if (until.getOrDefault(p.node(), Long.MIN_VALUE) <= nowMs) {
+    for (Settings.Peer peer : peers) {
+      if (validUntil.getOrDefault(peer.node(), Long.MIN_VALUE) <= nowMs) {
         return false;
       }
     }
--- a/src/main/java/org/snowturn/core/election/StateServiceHealth.java
+++ b/src/main/java/org/snowturn/core/election/StateServiceHealth.java
@@ -2,62 +2,61 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.snowturn.core.Outcome;
+import org.snowturn.core.SteadyTime;
 import org.snowturn.core.effects.CoreRuntime;
-import org.snowturn.core.model.Job;
 import org.snowturn.core.storage.StorageKeys;
 
 /** Whether the state service answers this node, and whether it answers the peers. */
 final class StateServiceHealth {
-  private static final long PROBE_MS = 700;
+  private static final long PROBE_INTERVAL_MS = 700;
+  private static final int PROBE_TIMEOUT_MS = 1000;
 
   /**
-   * While the leader has trouble with the state service, peers look more often, and what they saw
+   * While the leader has trouble with the state service, peers probe more often, and an answer
    * counts for less long: a leader that resigns in an outage that has just begun leaves nobody.
    */
-  private static final long PROBE_TROUBLED_MS = 250;
+  private static final long TROUBLED_PROBE_INTERVAL_MS = 250;
 
-  private static final long OK_TROUBLED_MS = 500;
+  private static final long TROUBLED_FRESH_MS = 500;
 
-  /** For so long; a state service that answers slowly would seem to be out for ever. */
-  private static final long TROUBLED_MS = 5_000;
+  /** After this, trouble counts as the normal state of a slow state service. */
+  private static final long MAX_TROUBLE_MS = 5_000;
 
-  /** Without a good reply for this long, this node counts as having lost the state service. */
-  private static final long STATE_LOST_MS = 2200;
+  /** Without a good reply for this long, this node counts as cut off from the state service. */
+  private static final long LOST_AFTER_MS = 2200;
 
-  private static final long PEER_NEWS_MS = 1500;
-  private static final int PROBE_TIMEOUT_MS = 1000;
+  private static final long PEER_REPORT_FRESH_MS = 1500;
 
   private final CoreRuntime runtime;
   private final Map<String, Long> peersAnsweredAt = new HashMap<>();
-  private long troubledSince = Job.UNKNOWN;
-  private long probeAt;
+  private long leaderTroubledSince = SteadyTime.NEVER;
+  private long nextProbeAt;
   private boolean probing;
-  private long answeredAt = Job.UNKNOWN;
+  private long answeredAt = SteadyTime.NEVER;
 
   StateServiceHealth(CoreRuntime runtime) {
     this.runtime = runtime;
   }
 
-  /** When the last request that it answered was sent; {@link Job#UNKNOWN}: never. */
+  /** When the last request that it answered was sent; {@link SteadyTime#NEVER} if none was. */
   long answeredAt() {
     return answeredAt;
   }
 
-  /** It has answered a request that was sent then. */
+  /** It has answered a request that was sent at this moment. */
   void answered(long sentAt) {
     answeredAt = Math.max(answeredAt, sentAt);
   }
 
   /** Whether it has answered this node lately. */
   boolean healthy() {
-    return runtime.now() - STATE_LOST_MS < answeredAt;
+    return runtime.now() - LOST_AFTER_MS < answeredAt;
   }
 
   /** Whether a peer has said lately that it is answered. */
   boolean answersPeers() {
     for (long at : peersAnsweredAt.values()) {
-      if (runtime.now() - PEER_NEWS_MS < at) {
+      if (runtime.now() - PEER_REPORT_FRESH_MS < at) {
         return true;
       }
     }
@@ -65,7 +64,7 @@
   }
 
   /** A peer says whether it is answered. */
-  void heard(String peer, boolean answered) {
+  void onPeerReport(String peer, boolean answered) {
     if (answered) {
       peersAnsweredAt.put(peer, runtime.now());
     } else {
@@ -74,23 +73,28 @@
   }
 
   /** The leader says whether it has trouble with the state service. */
-  void leaderInTrouble(boolean trouble) {
-    if (!trouble) {
-      troubledSince = Job.UNKNOWN;
-    } else if (troubledSince == Job.UNKNOWN) {
-      troubledSince = runtime.now();
-      probeAt = Math.min(probeAt, runtime.now());
+  void onLeaderReport(boolean troubled) {
+    if (!troubled) {
+      leaderTroubledSince = SteadyTime.NEVER;
+    } else if (leaderTroubledSince == SteadyTime.NEVER) {
+      leaderTroubledSince = runtime.now();
+      nextProbeAt = Math.min(nextProbeAt, runtime.now());
     }
   }
 
-  /** One cheap read at a time tells whether the state service answers this node. */
+  /**
+   * Sends a cheap read if it is time, one at a time.
+   *
+   * @param leading whether this node leads itself
+   */
   void probe(boolean leading) {
-    if (probing || runtime.now() < probeAt) {
+    if (probing || runtime.now() < nextProbeAt) {
       return;
     }
     probing = true;
     long sentAt = runtime.now();
-    probeAt = sentAt + (troubled(leading) ? PROBE_TROUBLED_MS : PROBE_MS);
+    nextProbeAt =
+        sentAt + (!leading && leaderTroubled() ? TROUBLED_PROBE_INTERVAL_MS : PROBE_INTERVAL_MS);
     runtime.callForAuthority(
         "GET",
         "/kv/" + StorageKeys.LEADER,
@@ -98,19 +102,21 @@
         PROBE_TIMEOUT_MS,
         (outcome, status, body) -> {
           probing = false;
-          if (outcome == Outcome.ANSWERED && (status == 200 || status == 404)) {
+          if (outcome.succeeded(status) || outcome.notFound(status)) {
             answered(sentAt);
           }
         });
   }
 
-  /** Whether it has answered so lately that peers may rely on it. */
-  boolean answersNow(boolean leading) {
-    return runtime.now() - (troubled(leading) ? OK_TROUBLED_MS : 2 * PROBE_MS) < answeredAt;
+  /** Whether it has answered this standby so lately that a leader may rely on it. */
+  boolean answersNow() {
+    long freshMs = leaderTroubled() ? TROUBLED_FRESH_MS : 2 * PROBE_INTERVAL_MS;
+    return runtime.now() - freshMs < answeredAt;
   }
 
   /** Whether the leader has begun to say that the state service does not answer it. */
-  private boolean troubled(boolean leading) {
-    return !leading && troubledSince != Job.UNKNOWN && runtime.now() - troubledSince < TROUBLED_MS;
+  private boolean leaderTroubled() {
+    return leaderTroubledSince != SteadyTime.NEVER
+        && runtime.now() - leaderTroubledSince < MAX_TROUBLE_MS;
   }
 }
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -663,7 +663,7 @@
       PeerMessage.JobProgress p =
           new PeerMessage.JobProgress(settings.node(), job.spec.id(), job.done, job.running);
       if (!p.equals(told.put(job.spec.id(), p))) {
-        jobApi.progress(p);
+        jobApi.onProgress(p);
         runtime.broadcast(p);
       }
     }
--- a/src/main/java/org/snowturn/peer/PeerCodec.java
+++ b/src/main/java/org/snowturn/peer/PeerCodec.java
@@ -52,18 +52,18 @@
       out.writeByte(VERSION);
       if (message instanceof PeerMessage.StandbyStatus x) {
         head(out, STATUS, message);
-        out.writeBoolean(x.stateOk());
+        out.writeBoolean(x.stateServiceAnswers());
       } else if (message instanceof PeerMessage.PromiseRequest x) {
         head(out, ASK, message);
-        out.writeLong(x.seq());
+        out.writeLong(x.requestId());
         out.writeLong(x.token());
-        out.writeBoolean(x.trouble());
+        out.writeBoolean(x.stateServiceTrouble());
       } else if (message instanceof PeerMessage.Promise x) {
         head(out, PROMISE, message);
-        out.writeLong(x.seq());
+        out.writeLong(x.requestId());
         out.writeLong(x.token());
         out.writeInt(x.durationMs());
-        out.writeBoolean(x.stateOk());
+        out.writeBoolean(x.stateServiceAnswers());
       } else if (message instanceof PeerMessage.StepDown x) {
         head(out, RESIGN, message);
         out.writeLong(x.lease());
@@ -75,15 +75,15 @@
         out.writeInt(x.running());
       } else if (message instanceof PeerMessage.ConnectivityReport x) {
         head(out, REACHES, message);
-        out.writeInt(x.reach().stateMs());
-        out.writeInt(x.reach().workersMs());
+        out.writeInt(x.connectivity().stateMs());
+        out.writeInt(x.connectivity().workersMs());
       } else if (message instanceof PeerMessage.WorkerSample x) {
         head(out, SAMPLE, message);
         texts(out, x.workers());
       } else if (message instanceof PeerMessage.RelayRequest x) {
         head(out, RELAY, message);
         out.writeUTF(x.to());
-        out.writeLong(x.seq());
+        out.writeLong(x.requestId());
         out.writeUTF(x.method());
         out.writeUTF(x.path());
         out.writeInt(x.timeoutMs());
@@ -91,7 +91,7 @@
       } else if (message instanceof PeerMessage.RelayReply x) {
         head(out, RELAYED, message);
         out.writeUTF(x.to());
-        out.writeLong(x.seq());
+        out.writeLong(x.requestId());
         out.writeByte(x.outcome().ordinal());
         out.writeInt(x.status());
         json(out, x.body());
@@ -109,22 +109,22 @@
         out.writeLong(x.token());
       } else if (message instanceof PeerMessage.CancellationsRequest x) {
         head(out, ASK_CANCELLED, message);
-        out.writeLong(x.seq());
-        out.writeShort(x.heard().size());
-        for (Map.Entry<String, PeerMessage.LogPosition> e : x.heard().entrySet()) {
+        out.writeLong(x.requestId());
+        out.writeShort(x.logPositions().size());
+        for (Map.Entry<String, PeerMessage.LogPosition> e : x.logPositions().entrySet()) {
           out.writeUTF(e.getKey());
-          out.writeUTF(e.getValue().life());
-          out.writeLong(e.getValue().upTo());
+          out.writeUTF(e.getValue().incarnation());
+          out.writeLong(e.getValue().lastReceived());
         }
       } else if (message instanceof PeerMessage.CancellationsReply x) {
         head(out, CANCELLED, message);
         out.writeUTF(x.to());
-        out.writeLong(x.seq());
-        out.writeUTF(x.life());
+        out.writeLong(x.requestId());
+        out.writeUTF(x.incarnation());
         out.writeLong(x.after());
         out.writeLong(x.last());
-        out.writeLong(x.dropped());
-        out.writeLong(x.droppedAgeMs());
+        out.writeLong(x.lastDropped());
+        out.writeLong(x.lastDroppedAgeMs());
         texts(out, x.jobs());
       }
     } catch (IOException e) {
--- a/src/test/java/org/snowturn/core/connectivity/StateRequestRelayTest.java
+++ b/src/test/java/org/snowturn/core/connectivity/StateRequestRelayTest.java
@@ -20,7 +20,7 @@
 
   /** One life of node "a" asks its peer once; returns what it sent. */
   private PeerMessage.RelayRequest ask(StateRequestRelay relays, CoreRuntime runtime) {
-    relays.state(
+    relays.callState(
         RequestClass.USERS,
         "GET",
         "/kv/j/x",
@@ -39,7 +39,7 @@
   private static StateRequestRelay life(CoreRuntime runtime) {
     runtime.setTime(1000, 1000);
     ConnectivityMonitor s = new ConnectivityMonitor(TestSettings.withPeer("b"), runtime, () -> 0);
-    s.told(new PeerMessage.ConnectivityReport("b", new Connectivity(0, 0)));
+    s.onReport(new PeerMessage.ConnectivityReport("b", new Connectivity(0, 0)));
     return new StateRequestRelay(TestSettings.withPeer("b"), runtime, s, () -> false);
   }
 
@@ -50,11 +50,13 @@
     CoreRuntime second = new CoreRuntime("life-2".hashCode());
     StateRequestRelay relays = life(second);
     PeerMessage.RelayRequest mine = ask(relays, second);
-    relays.answered(
-        new PeerMessage.RelayReply("b", "a", former.seq(), Outcome.ANSWERED, 404, Json.object()));
+    relays.onReply(
+        new PeerMessage.RelayReply(
+            "b", "a", former.requestId(), Outcome.ANSWERED, 404, Json.object()));
     assertTrue(answers.isEmpty(), "the former life's 404 was told: " + answers);
-    relays.answered(
-        new PeerMessage.RelayReply("b", "a", mine.seq(), Outcome.ANSWERED, 200, Json.object()));
+    relays.onReply(
+        new PeerMessage.RelayReply(
+            "b", "a", mine.requestId(), Outcome.ANSWERED, 200, Json.object()));
     assertEquals(List.of(200), answers);
   }
 }
--- a/src/test/java/org/snowturn/core/election/CancellationWatermarkTest.java
+++ b/src/test/java/org/snowturn/core/election/CancellationWatermarkTest.java
@@ -103,9 +103,9 @@
     void take(Node to, PeerMessage message) {
       at(to);
       if (message instanceof PeerMessage.CancellationsRequest a) {
-        to.watermark.asked(a);
+        to.watermark.onRequest(a);
       } else if (message instanceof PeerMessage.CancellationsReply c) {
-        to.watermark.heard(c);
+        to.watermark.onReply(c);
       }
       deliver(to);
     }
@@ -136,7 +136,7 @@
       for (int i = 0; i < jobs; i++) {
         String job = "wk-" + String.format("%06d", told.size());
         told.put(job, now);
-        n.watermark.tell(job);
+        n.watermark.confirm(job);
       }
     }
 
@@ -234,7 +234,7 @@
     PeerMessage.CancellationsRequest asked =
         (PeerMessage.CancellationsRequest) messages(n.leader()).get(0);
     n.at(peer);
-    peer.watermark.asked(asked);
+    peer.watermark.onRequest(asked);
     List<PeerMessage> late = messages(peer);
     n.leader().begin(n.now);
     step(n, 50);
@@ -245,7 +245,7 @@
     for (int lost = 0; lost < 8; lost++) {
       step(n, 400, n.all.subList(2, 3)); // what this peer is asked is lost
     }
-    late.forEach(c -> n.leader().watermark.heard((PeerMessage.CancellationsReply) c));
+    late.forEach(c -> n.leader().watermark.onReply((PeerMessage.CancellationsReply) c));
     assertTrue(n.leader().watermark.knownUntil() < n.told.get("wk-000000"));
   }
 
@@ -264,7 +264,7 @@
     wrong.add(new PeerMessage.CancellationsReply("n1", LEADER, 1, "x", 0, 1, 0, -1, job));
     wrong.add(
         new PeerMessage.CancellationsReply("n1", LEADER, 1, "x", 0, 1, 0, 0, List.of("../j")));
-    wrong.forEach(h::heard);
+    wrong.forEach(h::onReply);
     assertEquals((double) wrong.size(), h.gauges().get("snowturn.cancellations.unusable"));
     assertEquals(before, h.knownUntil());
     assertFalse(h.cancelled("wk-1"));
@@ -292,8 +292,8 @@
     List<PeerMessage> asks = messages(n.leader());
     for (Node peer : reached) {
       n.at(peer);
-      asks.forEach(a -> peer.watermark.asked((PeerMessage.CancellationsRequest) a));
-      messages(peer).forEach(c -> n.leader().watermark.heard((PeerMessage.CancellationsReply) c));
+      asks.forEach(a -> peer.watermark.onRequest((PeerMessage.CancellationsRequest) a));
+      messages(peer).forEach(c -> n.leader().watermark.onReply((PeerMessage.CancellationsReply) c));
     }
   }
 
--- a/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
+++ b/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
@@ -1,6 +1,7 @@
 package org.snowturn.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -31,6 +32,9 @@
   /** From this index on, whoever leads just then. */
   private static final int LEADER = 3;
 
+  private static final String ACQUIRED = "event=leadership_acquired ";
+  private static final String TOKEN_FIELD = " token=";
+
   private record Fault(int gapMs, int node, int kind, int lastsMs) {
     static Fault drawn(RandomGenerator random) {
       return new Fault(
@@ -89,14 +93,14 @@
     Set<Long> tokens = new HashSet<>();
     long last = 0;
     for (String line : cluster.log) {
-      int i = line.indexOf("leading with token ");
-      if (i >= 0) {
-        String rest = line.substring(i + "leading with token ".length());
-        long token = Long.parseLong(rest.substring(0, rest.indexOf(',')));
+      if (line.contains(ACQUIRED)) {
+        String rest = line.substring(line.indexOf(TOKEN_FIELD) + TOKEN_FIELD.length());
+        long token = Long.parseLong(rest.substring(0, rest.indexOf(' ')));
         assertTrue(tokens.add(token) && token > last, line + " after " + last);
         last = token;
       }
     }
+    assertFalse(tokens.isEmpty(), "no term in the log: " + cluster.log);
   }
 
   private static void apply(SimulatedCluster cluster, Fault f) {
