--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -14,6 +14,7 @@
 import org.snowturn.core.election.CancellationWatermark;
 import org.snowturn.core.election.Election;
 import org.snowturn.core.leader.Leader;
+import org.snowturn.core.leader.LeaderDependencies;
 import org.snowturn.core.model.MachineTypes;
 import org.snowturn.core.storage.FormatGate;
 import org.snowturn.wire.Command;
@@ -223,16 +224,17 @@
       liveJobs.refresh(); // workers are answered as far as cancellations are known
       leader =
           new Leader(
-              runtime,
-              settings,
-              tunables,
-              election,
-              watermark,
-              machineTypes,
-              gate,
-              jobApi,
-              connectivity,
-              rate -> rateAllocator.mayLead(rate, runtime.now()));
+              new LeaderDependencies(
+                  runtime,
+                  settings,
+                  tunables,
+                  election,
+                  watermark,
+                  machineTypes,
+                  gate,
+                  jobApi,
+                  connectivity,
+                  rate -> rateAllocator.mayLead(rate, runtime.now())));
     }
   }
 
--- /dev/null
+++ b/src/main/java/org/snowturn/core/leader/ClusterSummary.java
@@ -0,0 +1,95 @@
+package org.snowturn.core.leader;
+
+import java.util.Map;
+import java.util.TreeMap;
+import org.snowturn.core.assignment.TaskAssignments;
+import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.effects.EventLog;
+import org.snowturn.core.effects.LogEvent;
+import org.snowturn.core.effects.LogField;
+import org.snowturn.core.model.Job;
+import org.snowturn.core.model.Machine;
+
+/** Writes a line to the log now and then that tells how full the cluster is. */
+final class ClusterSummary {
+  private static final long INTERVAL_MS = 10_000;
+
+  /** Machines of one kind. */
+  private static final class Capacity {
+    private int up;
+    private int down;
+    private double cpus;
+    private double cpusUsed;
+  }
+
+  private final CoreRuntime runtime;
+  private final AssignmentServices services;
+  private final SchedulingServices scheduling;
+  private long nextAt;
+
+  ClusterSummary(CoreRuntime runtime, AssignmentServices services, SchedulingServices scheduling) {
+    this.runtime = runtime;
+    this.services = services;
+    this.scheduling = scheduling;
+  }
+
+  /** Writes the line if it is time for it. */
+  void tick() {
+    if (runtime.now() >= nextAt) {
+      nextAt = runtime.now() + INTERVAL_MS;
+      write();
+    }
+  }
+
+  private void write() {
+    EventLog.Line line = runtime.events().info(LogEvent.SUMMARY);
+    addJobs(line);
+    addMachines(line);
+    line.with(LogField.RESTARTS, scheduling.speculator().restarts())
+        .with(LogField.WRITES_WAITING, services.writer().waiting())
+        .write();
+  }
+
+  private void addJobs(EventLog.Line line) {
+    TaskAssignments assignments = services.assignments();
+    TaskCounts tasks = TaskCounts.of(assignments.jobs());
+    int[] states = new int[Job.DONE + 1];
+    for (Job job : assignments.jobs()) {
+      job.countStates(states);
+    }
+    line.with(LogField.JOBS, assignments.jobs().size())
+        .with(LogField.JOBS_AWAITING_DEPENDENCIES, services.dependencies().waitingJobs())
+        .with(LogField.TASKS_WAITING, tasks.waiting())
+        .with(LogField.TASKS_ASSIGNED, tasks.assigned())
+        .with(LogField.TASKS_PLACING, states[Job.PLACING])
+        .with(LogField.TASKS_STARTING, states[Job.STARTING])
+        .with(LogField.TASKS_FETCHING, states[Job.FETCHING])
+        .with(LogField.TASKS_RUNNING, states[Job.RUNNING]);
+  }
+
+  private void addMachines(EventLog.Line line) {
+    Capacity onDemand = new Capacity();
+    Capacity spot = new Capacity();
+    Map<String, Integer> downReasons = new TreeMap<>();
+    for (Machine machine : services.machines().present()) {
+      Capacity capacity = machine.isSpot() ? spot : onDemand;
+      if (machine.usable(runtime.now())) {
+        capacity.up++;
+        capacity.cpus += machine.machineType().cpus();
+        capacity.cpusUsed += machine.cpusUsed();
+      } else {
+        capacity.down++;
+        downReasons.merge(machine.whyNotUsable(runtime.now()), 1, Integer::sum);
+      }
+    }
+    line.with(LogField.ON_DEMAND_UP, onDemand.up)
+        .with(LogField.ON_DEMAND_DOWN, onDemand.down)
+        .with(LogField.ON_DEMAND_CPUS_USED, onDemand.cpusUsed)
+        .with(LogField.ON_DEMAND_CPUS, onDemand.cpus)
+        .with(LogField.SPOT_UP, spot.up)
+        .with(LogField.SPOT_DOWN, spot.down)
+        .with(LogField.SPOT_CPUS_USED, spot.cpusUsed)
+        .with(LogField.SPOT_CPUS, spot.cpus)
+        .with(LogField.DOWN_REASONS, downReasons.toString());
+  }
+}
--- /dev/null
+++ b/src/main/java/org/snowturn/core/leader/LeaderGauges.java
@@ -0,0 +1,55 @@
+package org.snowturn.core.leader;
+
+import java.util.HashMap;
+import java.util.Map;
+import org.snowturn.core.assignment.TaskAssignments;
+
+/** Collects the gauges of a term for the metrics page. */
+final class LeaderGauges {
+  private final AssignmentServices services;
+  private final SchedulingServices scheduling;
+  private final LeaderRecovery recovery;
+  private final ReachabilityChecks reachability;
+  private final HealthSweep healthSweep;
+  private final CommandDispatcher dispatcher;
+
+  LeaderGauges(
+      AssignmentServices services,
+      SchedulingServices scheduling,
+      LeaderRecovery recovery,
+      ReachabilityChecks reachability,
+      HealthSweep healthSweep,
+      CommandDispatcher dispatcher) {
+    this.services = services;
+    this.scheduling = scheduling;
+    this.recovery = recovery;
+    this.reachability = reachability;
+    this.healthSweep = healthSweep;
+    this.dispatcher = dispatcher;
+  }
+
+  /** All gauges of the term by name. */
+  Map<String, Double> collect() {
+    TaskAssignments assignments = services.assignments();
+    TaskCounts tasks = TaskCounts.of(assignments.jobs());
+    Map<String, Double> gauges = new HashMap<>();
+    gauges.put("snowturn.jobs.awaiting", (double) services.dependencies().waitingJobs());
+    gauges.put("snowturn.jobs.live", (double) assignments.jobs().size());
+    gauges.put("snowturn.tasks.waiting", (double) tasks.waiting());
+    gauges.put("snowturn.tasks.bound", (double) tasks.assigned());
+    gauges.put("snowturn.machines", (double) services.machines().present().size());
+    gauges.putAll(healthSweep.gauges());
+    gauges.putAll(reachability.gauges());
+    gauges.putAll(services.failureHandler().gauges());
+    gauges.putAll(services.guard().gauges());
+    gauges.put("snowturn.restarts", (double) scheduling.speculator().restarts());
+    gauges.put("snowturn.writes.waiting", (double) services.writer().waiting());
+    gauges.put("snowturn.placements", (double) assignments.placements());
+    gauges.put("snowturn.placements.looks", (double) scheduling.scheduler().looks());
+    gauges.put("snowturn.outboxes.looks", (double) dispatcher.flushes());
+    gauges.put("snowturn.starts.repeated", (double) services.heartbeatCommands().repeatedStarts());
+    gauges.putAll(recovery.gauges());
+    gauges.putAll(scheduling.scheduler().gauges());
+    return gauges;
+  }
+}
--- /dev/null
+++ b/src/main/java/org/snowturn/core/leader/ProgressPublisher.java
@@ -0,0 +1,45 @@
+package org.snowturn.core.leader;
+
+import java.util.HashMap;
+import java.util.Map;
+import org.snowturn.core.PeerMessage;
+import org.snowturn.core.api.JobApi;
+import org.snowturn.core.assignment.TaskAssignments;
+import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.model.Job;
+
+/** Tells the peers, which answer users' polls as well, how far each job has come. */
+final class ProgressPublisher {
+  private static final long INTERVAL_MS = 1_000;
+
+  private final CoreRuntime runtime;
+  private final String node;
+  private final JobApi jobApi;
+  private final TaskAssignments assignments;
+  private final Map<String, PeerMessage.JobProgress> published = new HashMap<>();
+  private long nextAt;
+
+  ProgressPublisher(LeaderDependencies node, TaskAssignments assignments) {
+    this.runtime = node.runtime();
+    this.node = node.settings().node();
+    this.jobApi = node.jobApi();
+    this.assignments = assignments;
+  }
+
+  /** Publishes what has changed since the last time, if it is time for it. */
+  void tick() {
+    if (runtime.now() < nextAt) {
+      return;
+    }
+    nextAt = runtime.now() + INTERVAL_MS;
+    published.keySet().removeIf(id -> assignments.job(id) == null);
+    for (Job job : assignments.jobs()) {
+      PeerMessage.JobProgress progress =
+          new PeerMessage.JobProgress(node, job.spec.id(), job.done(), job.running());
+      if (!progress.equals(published.put(job.spec.id(), progress))) {
+        jobApi.progress(progress);
+        runtime.broadcast(progress);
+      }
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/org/snowturn/core/leader/SchedulingServices.java
@@ -0,0 +1,83 @@
+package org.snowturn.core.leader;
+
+import java.util.function.BooleanSupplier;
+import org.snowturn.config.Settings;
+import org.snowturn.config.Tunables;
+import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.scheduling.Autoscaler;
+import org.snowturn.core.scheduling.ExternallyManagedMachines;
+import org.snowturn.core.scheduling.ScalingPolicy;
+import org.snowturn.core.scheduling.SchedulingOrder;
+import org.snowturn.core.scheduling.Speculator;
+import org.snowturn.core.scheduling.TaskScheduler;
+import org.snowturn.core.scheduling.ZoneOutages;
+
+/** The parts of a term that choose machines for tasks and decide how many machines there are. */
+record SchedulingServices(
+    ExternallyManagedMachines externallyManaged,
+    TaskScheduler scheduler,
+    Speculator speculator,
+    ZoneOutages zoneOutages,
+    Autoscaler autoscaler) {
+
+  /**
+   * Creates the parts; none acts yet.
+   *
+   * @param mayPreempt whether enough machines are known for tasks to be stopped for others
+   */
+  static SchedulingServices create(
+      LeaderDependencies node, Term term, AssignmentServices services, BooleanSupplier mayPreempt) {
+    CoreRuntime runtime = node.runtime();
+    Settings settings = node.settings();
+    Tunables tunables = node.tunables();
+    ExternallyManagedMachines externallyManaged =
+        new ExternallyManagedMachines(runtime, services.writer());
+    ScalingPolicy scalingPolicy =
+        ScalingPolicy.of(settings, node.machineTypes()::quickestBootS, externallyManaged::present);
+    TaskScheduler scheduler = newScheduler(node, services, scalingPolicy, mayPreempt);
+    Speculator speculator =
+        new Speculator(
+            runtime,
+            tunables,
+            services.assignments(),
+            services.machines(),
+            scheduler,
+            services.writer(),
+            node.gate());
+    ZoneOutages zoneOutages = new ZoneOutages(services.machines().zoneCount());
+    Autoscaler autoscaler =
+        new Autoscaler(
+            runtime,
+            settings,
+            tunables,
+            node.machineTypes(),
+            services.machines(),
+            services.assignments(),
+            services.heartbeats(),
+            scheduler,
+            zoneOutages,
+            scalingPolicy,
+            externallyManaged,
+            services.preemptionRate(),
+            term.token());
+    return new SchedulingServices(
+        externallyManaged, scheduler, speculator, zoneOutages, autoscaler);
+  }
+
+  private static TaskScheduler newScheduler(
+      LeaderDependencies node,
+      AssignmentServices services,
+      ScalingPolicy scalingPolicy,
+      BooleanSupplier mayPreempt) {
+    return new TaskScheduler(
+        node.runtime(),
+        node.settings(),
+        services.assignments(),
+        services.machines(),
+        scalingPolicy,
+        new SchedulingOrder(node.settings(), node.tunables().urgentSlackS()),
+        services.preemptionRate(),
+        node.tunables().beginWithinS(),
+        mayPreempt);
+  }
+}
--- a/src/main/java/org/snowturn/core/recovery/PacedProbes.java
+++ b/src/main/java/org/snowturn/core/recovery/PacedProbes.java
@@ -185,13 +185,13 @@
    *
    * @param sinceMs the time in milliseconds that must have passed since the first question
    */
-  public boolean inVain(int id, long sinceMs, long nowMs) {
+  public boolean isUnresponsive(int id, long sinceMs, long nowMs) {
     Question q = all.get(id);
     return q != null && q.failed >= TRIES && nowMs - q.firstAt >= sinceMs;
   }
 
   /** Whether this one has left a question unanswered and has not been heard since. */
-  public boolean unansweredOnce(int id) {
+  public boolean hasMissed(int id) {
     Question q = all.get(id);
     return q != null && q.failed > 0;
   }
@@ -202,7 +202,7 @@
   }
 
   /** How many questions have been asked. */
-  public long asked() {
+  public long sent() {
     return asked;
   }
 
--- a/src/main/java/org/snowturn/core/recovery/RecoveryPhase.java
+++ b/src/main/java/org/snowturn/core/recovery/RecoveryPhase.java
@@ -7,7 +7,7 @@
   /** The stored records are being read. Workers are answered, so that their leases go on. */
   READING,
   /** All records are known. Machines that have shown the token may get work; others are asked. */
-  ASKING,
+  PROBING,
   /** Every machine of the records has shown the token, has ended, or is known not to answer. */
   RECONCILED,
   /** The fate of every task that an earlier leader started is known. */
--- a/src/test/java/org/snowturn/core/recovery/PacedProbesTest.java
+++ b/src/test/java/org/snowturn/core/recovery/PacedProbesTest.java
@@ -66,7 +66,7 @@
     assertEquals(List.of(2), askedAt(400));
     assertEquals(List.of(3), askedAt(700));
     assertEquals(2, probes.unheard());
-    assertEquals(2, probes.asked());
+    assertEquals(2, probes.sent());
   }
 
   @Test
@@ -75,21 +75,21 @@
     long now = 0;
     for (int i = 0; i < PacedProbes.TRIES; i++) {
       assertEquals(List.of(7), askedAt(now));
-      assertFalse(probes.inVain(7, 2000, now));
+      assertFalse(probes.isUnresponsive(7, 2000, now));
       probes.unanswered(7, now + 1000, true);
       now += 1500;
     }
-    assertTrue(probes.inVain(7, 2000, now));
-    assertFalse(probes.inVain(7, 60_000, now));
+    assertTrue(probes.isUnresponsive(7, 2000, now));
+    assertFalse(probes.isUnresponsive(7, 60_000, now));
     probes.add(8, 0, now);
     for (int i = 0; i < 9; i++) {
       askedAt(now);
       probes.unanswered(8, now, false);
       now += 600;
     }
-    assertFalse(probes.inVain(8, 2000, now));
+    assertFalse(probes.isUnresponsive(8, 2000, now));
     probes.heard(7, now);
-    assertFalse(probes.inVain(7, 2000, now));
+    assertFalse(probes.isUnresponsive(7, 2000, now));
   }
 
   @Test
@@ -119,11 +119,11 @@
   @Test
   void phasesOnlyGoForward() {
     RecoveryProgress phases = new RecoveryProgress(100);
-    assertTrue(phases.enter(RecoveryPhase.ASKING, 350));
+    assertTrue(phases.enter(RecoveryPhase.PROBING, 350));
     assertFalse(phases.enter(RecoveryPhase.READING, 400));
-    assertFalse(phases.enter(RecoveryPhase.ASKING, 500));
-    assertEquals(250, phases.afterMs(RecoveryPhase.ASKING));
+    assertFalse(phases.enter(RecoveryPhase.PROBING, 500));
+    assertEquals(250, phases.afterMs(RecoveryPhase.PROBING));
     assertEquals(-1, phases.afterMs(RecoveryPhase.READING));
-    assertEquals("won 0 ms, asking 250 ms", phases.toString());
+    assertEquals("won 0 ms, probing 250 ms", phases.toString());
   }
 }
