--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -60,7 +60,7 @@
     summary = new ClusterSummary(runtime, services, scheduling);
     gauges =
         new LeaderGauges(services, scheduling, recovery, reachability, healthSweep, dispatcher);
-    scheduling.externallyManaged().look();
+    scheduling.externallyManaged().load();
     recovery.begin(this::loaded);
   }
 
--- a/src/main/java/org/snowturn/core/leader/MachineSilence.java
+++ b/src/main/java/org/snowturn/core/leader/MachineSilence.java
@@ -2,11 +2,11 @@
 
 import org.snowturn.config.Settings;
 import org.snowturn.core.assignment.HeartbeatProcessor;
+import org.snowturn.core.autoscaling.ZoneOutages;
 import org.snowturn.core.connectivity.WorkerSilence;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
-import org.snowturn.core.scheduling.ZoneOutages;
 
 /**
  * Judges the silence of machines: whether one should have been heard by now, and whether its
--- a/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
+++ b/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
@@ -3,13 +3,13 @@
 import java.util.Map;
 import org.snowturn.config.Settings;
 import org.snowturn.core.assignment.HeartbeatProcessor;
+import org.snowturn.core.autoscaling.Autoscaler;
 import org.snowturn.core.connectivity.ConnectivityMonitor;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.effects.LogEvent;
 import org.snowturn.core.effects.LogField;
 import org.snowturn.core.health.Reachability;
 import org.snowturn.core.model.Machine;
-import org.snowturn.core.scheduling.Autoscaler;
 import org.snowturn.wire.Heartbeat;
 
 /** Learns from heartbeats, replies and missing replies which machines receive messages. */
--- a/src/main/java/org/snowturn/core/leader/SchedulingServices.java
+++ b/src/main/java/org/snowturn/core/leader/SchedulingServices.java
@@ -3,14 +3,16 @@
 import java.util.function.BooleanSupplier;
 import org.snowturn.config.Settings;
 import org.snowturn.config.Tunables;
+import org.snowturn.core.autoscaling.Autoscaler;
+import org.snowturn.core.autoscaling.ClusterContext;
+import org.snowturn.core.autoscaling.ExternallyManagedMachines;
+import org.snowturn.core.autoscaling.ScalingPolicy;
+import org.snowturn.core.autoscaling.ZoneOutages;
 import org.snowturn.core.effects.CoreRuntime;
-import org.snowturn.core.scheduling.Autoscaler;
-import org.snowturn.core.scheduling.ExternallyManagedMachines;
-import org.snowturn.core.scheduling.ScalingPolicy;
 import org.snowturn.core.scheduling.SchedulingOrder;
+import org.snowturn.core.scheduling.SchedulingPolicy;
 import org.snowturn.core.scheduling.Speculator;
 import org.snowturn.core.scheduling.TaskScheduler;
-import org.snowturn.core.scheduling.ZoneOutages;
 
 /** The parts of a term that choose machines for tasks and decide how many machines there are. */
 record SchedulingServices(
@@ -47,16 +49,17 @@
     ZoneOutages zoneOutages = new ZoneOutages(services.machines().zoneCount());
     Autoscaler autoscaler =
         new Autoscaler(
-            runtime,
-            settings,
-            tunables,
-            node.machineTypes(),
-            services.machines(),
-            services.assignments(),
-            services.heartbeats(),
+            new ClusterContext(
+                runtime,
+                settings,
+                tunables,
+                node.machineTypes(),
+                services.machines(),
+                services.assignments(),
+                services.heartbeats()),
             scheduler,
-            zoneOutages,
             scalingPolicy,
+            zoneOutages,
             externallyManaged,
             services.preemptionRate(),
             term.token());
@@ -74,10 +77,11 @@
         node.settings(),
         services.assignments(),
         services.machines(),
-        scalingPolicy,
-        new SchedulingOrder(node.settings(), node.tunables().urgentSlackS()),
-        services.preemptionRate(),
-        node.tunables().beginWithinS(),
-        mayPreempt);
+        new SchedulingPolicy(
+            new SchedulingOrder(node.settings(), node.tunables().urgentSlackS()),
+            scalingPolicy::overprovisioning,
+            node.tunables().beginWithinS(),
+            mayPreempt),
+        services.preemptionRate());
   }
 }
