--- a/src/main/java/org/snowturn/core/assignment/JobCompletion.java
+++ b/src/main/java/org/snowturn/core/assignment/JobCompletion.java
@@ -38,7 +38,7 @@
       return;
     }
     for (PendingRecord record : job.taskRecords) {
-      if (record != null && record.inFlight) {
+      if (record != null && record.inFlight()) {
         return; // retried when that write is settled
       }
     }
@@ -91,8 +91,8 @@
   }
 
   private static void dropIfStored(PendingRecord record, List<Change> drops) {
-    if (record.stamp != 0) {
-      drops.add(Change.delete(record.key));
+    if (record.stored()) {
+      drops.add(Change.delete(record.key()));
     }
   }
 
--- a/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
@@ -227,7 +227,7 @@
    */
   public void load(StateMessage.Entry entry, Consumer<Machine> each) {
     int number = Integer.parseInt(entry.key().substring(StorageKeys.REGISTRY.length()));
-    page(number).record.stamp = entry.stamp();
+    page(number).record.setVersion(entry.stamp());
     if (!entry.value().path("m").isArray()) {
       throw new IllegalArgumentException("no list of machines");
     }
--- a/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
@@ -459,7 +459,7 @@
   public void placementRejected(String key) {
     for (Job job : jobs.values()) {
       for (int c = 0; c < job.taskRecords.length; c++) {
-        if (job.taskRecords[c] == null || !job.taskRecords[c].key.equals(key)) {
+        if (job.taskRecords[c] == null || !job.taskRecords[c].key().equals(key)) {
           continue;
         }
         job.backOffUntil = runtime.now() + NOT_RECORDED_MS;
--- a/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
@@ -47,7 +47,7 @@
     if (chunk < 0 || chunk >= job.taskRecords.length) {
       return;
     }
-    assignments.taskRecord(job, chunk).stamp = stamp;
+    assignments.taskRecord(job, chunk).setVersion(stamp);
     load(job, value, job.layout.from(chunk), job.secondFormat, task -> true);
   }
 
@@ -67,7 +67,7 @@
         false,
         task -> {
           PendingRecord newer = job.taskRecords[job.layout.recordOf(task)];
-          return newer == null || newer.stamp == 0;
+          return newer == null || !newer.stored();
         });
   }
 
@@ -129,7 +129,7 @@
       }
       boolean unsettled = job.finishing;
       for (PendingRecord record : job.taskRecords) {
-        unsettled |= record != null && record.inFlight;
+        unsettled |= record != null && record.inFlight();
       }
       left |= unsettled;
       if (!unsettled) {
@@ -143,12 +143,12 @@
     PendingRecord[] older = job.taskRecords;
     job.useSecondFormat(gate.spans(), gate.limits().valueBytes(), machines);
     for (int c = 0; c < older.length; c++) {
-      if (older[c] == null || !older[c].dirty) {
+      if (older[c] == null || !older[c].queued()) {
         continue;
       }
       // What waited for the old record waits for every piece of it now.
-      int urgency = older[c].urgency;
-      List<Runnable> actions = List.copyOf(older[c].onDurable);
+      int urgency = older[c].urgency();
+      List<Runnable> actions = older[c].durableActions();
       writer.clear(older[c]);
       int first = c * job.layout.pieces();
       int end = Math.min(first + job.layout.pieces(), job.taskRecords.length);
--- a/src/main/java/org/snowturn/core/effects/CoreRuntime.java
+++ b/src/main/java/org/snowturn/core/effects/CoreRuntime.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
+import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import org.snowturn.core.Effect;
 import org.snowturn.core.Input;
@@ -15,30 +16,36 @@
 import org.snowturn.core.admission.RequestClass;
 import org.snowturn.core.admission.StateRequestBudget;
 import org.snowturn.core.recovery.Backoff;
-
-/** Collects effects, and remembers what to do with each reply and when a time has come. */
+import org.snowturn.wire.StateMessage;
+import org.snowturn.wire.StateMessage.Change;
+import org.snowturn.wire.StateMessage.Condition;
+
+/**
+ * Collects the effects of the present input, and remembers what to do with each reply and when a
+ * timer expires. Only the core's thread may use it.
+ */
 public final class CoreRuntime {
   /** Continues after a reply. */
   public interface ReplyHandler {
+    /** Takes the reply; status and body are only meaningful if the outcome is an answer. */
     void on(Outcome outcome, int status, JsonNode body);
   }
 
-  /** Failed calls to the outside are repeated after this long at first, and at the most. */
-  private static final long AGAIN_LEAST_MS = 50;
-
-  private static final long AGAIN_MOST_MS = 2_000;
+  private static final long MIN_RETRY_DELAY_MS = 50;
+  private static final long MAX_RETRY_DELAY_MS = 2_000;
+  private static final int TOO_MANY_REQUESTS = 429;
 
   private record Timer(long at, long order, Runnable run) implements Comparable<Timer> {
     @Override
-    public int compareTo(Timer o) {
-      return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
+    public int compareTo(Timer other) {
+      return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
     }
   }
 
   /** A call that has no reply yet. */
-  private record Open(ReplyHandler then, boolean countsRequests) {}
+  private record OpenCall(ReplyHandler then, boolean countsRequests) {}
 
-  private final Map<Long, Open> openCalls = new HashMap<>();
+  private final Map<Long, OpenCall> openCalls = new HashMap<>();
   private StateRequestBudget budget;
 
   /**
@@ -62,26 +69,28 @@
   }
 
   /** From now on, calls to the state service have to find room in this. */
-  public void limitStateRequests(StateRequestBudget b) {
-    budget = b;
+  public void limitStateRequests(StateRequestBudget requestBudget) {
+    budget = requestBudget;
   }
 
+  /** The source of all random draws of this node. */
   public RandomGenerator random() {
     return random;
   }
 
+  /** The monotonic time of the present input, in milliseconds. */
   public long now() {
     return now;
   }
 
   /** Delays between the tries of one call. */
   public Backoff backoff() {
-    return backoff(AGAIN_LEAST_MS, AGAIN_MOST_MS);
+    return backoff(MIN_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS);
   }
 
   /** The same between other bounds, in milliseconds. */
-  public Backoff backoff(long leastMs, long mostMs) {
-    return new Backoff(random, leastMs, mostMs);
+  public Backoff backoff(long minMs, long maxMs) {
+    return new Backoff(random, minMs, maxMs);
   }
 
   /** What the reply that is being handled asks for, in milliseconds; 0 if nothing. */
@@ -89,38 +98,41 @@
     return retryAfterMs;
   }
 
-  /** In the handling of a reply that failed: does it once more when it is time. */
+  /** While a failed reply is handled: repeats the call after the delay that is due. */
   public void retry(Backoff backoff, Runnable run) {
     schedule(backoff.next(retryAfterMs), run);
   }
 
-  /** Does something at the first tick after this time, in milliseconds. */
+  /** Runs something at the first tick after this delay, in milliseconds. */
   public void schedule(long ms, Runnable run) {
     timers.add(new Timer(now + ms, timerOrder++, run));
   }
 
-  /** Time has passed. */
+  /** Runs the timers that have expired. */
   public void tick() {
     while (!timers.isEmpty() && timers.peek().at <= now) {
       timers.poll().run.run();
     }
   }
 
+  /** The time of day of the present input, in milliseconds since the epoch. */
   public long wallMs() {
     return wallMs;
   }
 
+  /** Sets both clocks for the next input. */
   public void setTime(long nowMs, long wallMs) {
     now = nowMs;
     this.wallMs = wallMs;
   }
 
-  /** What a term reads or writes. */
+  /** A read or write of a term; see {@link #readState} and {@link #writeState}. */
   public void callState(
       String method, String path, JsonNode body, int timeoutMs, ReplyHandler then) {
     callState(RequestClass.WORK, method, path, body, timeoutMs, then);
   }
 
+  /** A call to the state service, if the request budget allows it; else it counts as refused. */
   public void callState(
       RequestClass purpose,
       String method,
@@ -133,6 +145,46 @@
     }
   }
 
+  /**
+   * Reads from the state service for a term.
+   *
+   * @param path of a key or a range, from {@link StateMessage}
+   */
+  public void readState(String path, int timeoutMs, Consumer<StateReply> then) {
+    readState(RequestClass.WORK, path, timeoutMs, then);
+  }
+
+  /**
+   * Reads from the state service.
+   *
+   * @param path of a key or a range, from {@link StateMessage}
+   */
+  public void readState(
+      RequestClass purpose, String path, int timeoutMs, Consumer<StateReply> then) {
+    callState(purpose, "GET", path, null, timeoutMs, typed(then));
+  }
+
+  /** Makes the changes for a term in one transaction if all conditions hold (compare-and-swap). */
+  public void writeState(
+      List<Condition> conditions, List<Change> changes, int timeoutMs, Consumer<StateReply> then) {
+    writeState(RequestClass.WORK, conditions, changes, timeoutMs, then);
+  }
+
+  /** Makes the changes in one transaction if all conditions hold (compare-and-swap). */
+  public void writeState(
+      RequestClass purpose,
+      List<Condition> conditions,
+      List<Change> changes,
+      int timeoutMs,
+      Consumer<StateReply> then) {
+    JsonNode body = StateMessage.txn(conditions, changes);
+    callState(purpose, "POST", StateMessage.TXN_PATH, body, timeoutMs, typed(then));
+  }
+
+  private static ReplyHandler typed(Consumer<StateReply> then) {
+    return (outcome, status, body) -> then.accept(new StateReply(outcome, status, body));
+  }
+
   /** A question for changes, which may be held open. */
   public void watchState(RequestClass purpose, String path, int timeoutMs, ReplyHandler then) {
     if (mayAsk(purpose, then)) {
@@ -155,7 +207,7 @@
   public void rejectUnbudgeted() {
     List<ReplyHandler> all = rejected;
     rejected = new ArrayList<>();
-    all.forEach(t -> t.on(Outcome.REFUSED, 0, null));
+    all.forEach(handler -> handler.on(Outcome.REFUSED, 0, null));
   }
 
   /** A call on which this node's authority rests: it waits for no others. */
@@ -165,6 +217,12 @@
     call(Effect.Target.AUTHORITY, null, method, path, body, timeoutMs, then);
   }
 
+  /**
+   * A call to another service.
+   *
+   * @param addr the worker's address; null for the other targets
+   * @param body null for none
+   */
   public void call(
       Effect.Target target,
       String addr,
@@ -174,20 +232,23 @@
       int timeoutMs,
       ReplyHandler then) {
     long id = nextId++;
-    boolean changes = path.equals("/txn"); // refused for either rate
+    boolean changes = path.equals(StateMessage.TXN_PATH); // refused for either rate
     boolean state = target != Effect.Target.CLOUD && target != Effect.Target.WORKER;
-    openCalls.put(id, new Open(then, state && !changes));
+    openCalls.put(id, new OpenCall(then, state && !changes));
     effects.add(new Effect.Call(id, target, addr, method, path, body, timeoutMs));
   }
 
+  /** Answers a request; {@code body} may be null. */
   public void answer(long exchange, int status, JsonNode body) {
     effects.add(new Effect.Answer(exchange, status, body, 0));
   }
 
+  /** Answers a request that is to be made again after some seconds. */
   public void answerUnavailable(long exchange, int status, int retryAfterS) {
     effects.add(new Effect.Answer(exchange, status, null, retryAfterS));
   }
 
+  /** Sends a message to all peers. */
   public void broadcast(PeerMessage message) {
     effects.add(new Effect.Broadcast(message));
   }
@@ -197,14 +258,16 @@
     return events;
   }
 
+  /** A line of prose for the log; new lines use {@link #events()}. */
   public void note(String text) {
     effects.add(new Effect.Note(text));
   }
 
+  /** Hands a reply to whoever made the call. */
   public void handleReply(Input.Reply reply) {
-    Open open = openCalls.remove(reply.call());
+    OpenCall open = openCalls.remove(reply.call());
     if (open != null) {
-      if (reply.status() == 429 && open.countsRequests && budget != null) {
+      if (reply.status() == TOO_MANY_REQUESTS && open.countsRequests && budget != null) {
         budget.refusedThere(now);
       }
       retryAfterMs = reply.retryAfterMs();
@@ -213,6 +276,7 @@
     }
   }
 
+  /** All effects since the last time. */
   public List<Effect> drainEffects() {
     List<Effect> out = effects;
     effects = new ArrayList<>();
--- a/src/main/java/org/snowturn/core/scheduling/Speculator.java
+++ b/src/main/java/org/snowturn/core/scheduling/Speculator.java
@@ -61,7 +61,7 @@
 
   /** The counter record of an array as it was read. */
   public void loaded(Job job, long stamp) {
-    slot(job).stamp = stamp;
+    slot(job).setVersion(stamp);
   }
 
   private PendingRecord slot(Job job) {
--- a/src/main/java/org/snowturn/core/storage/RangeReader.java
+++ b/src/main/java/org/snowturn/core/storage/RangeReader.java
@@ -5,20 +5,21 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.snowturn.core.Outcome;
 import org.snowturn.core.admission.RequestClass;
 import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.effects.LogEvent;
+import org.snowturn.core.effects.LogField;
 import org.snowturn.core.recovery.Backoff;
 import org.snowturn.wire.MalformedException;
 import org.snowturn.wire.StateMessage;
 
 /**
- * Reads whole ranges of the state service, page by page, until it has them. What fails is tried
- * again ever later: at once, a refusal (429, 503) would become a loop at the network's speed.
+ * Reads whole ranges of the state service, page by page, until it has them. A page that fails is
+ * read again with exponential backoff.
  */
 public final class RangeReader {
   private static final int TIMEOUT_MS = 2_500;
-  private static final int PAGE = 500;
+  private static final int PAGE_KEYS = 500;
 
   private final CoreRuntime runtime;
   private final RequestClass purpose;
@@ -46,35 +47,41 @@
   /** All keys of a range; {@code epoch} is the oldest revision that any page showed. */
   public record Range(List<StateMessage.Entry> entries, long epoch) {}
 
+  /** Reads all keys with a prefix; {@code then} is called once all pages are there. */
   public void read(String prefix, Consumer<Range> then) {
     page(prefix, null, new ArrayList<>(), Long.MAX_VALUE, then);
   }
 
   private void page(
       String prefix,
-      String since,
-      List<StateMessage.Entry> sofar,
-      long epoch,
+      String after,
+      List<StateMessage.Entry> entriesBefore,
+      long revision,
       Consumer<Range> then) {
-    String path =
-        "/kv?prefix=" + prefix + "&most=" + PAGE + (since == null ? "" : "&since=" + since);
-    runtime.callState(
+    StateMessage.RangePath path = new StateMessage.RangePath(prefix).limit(PAGE_KEYS);
+    if (after != null) {
+      path.after(after);
+    }
+    runtime.readState(
         purpose,
-        "GET",
-        path,
-        null,
+        path.toString(),
         TIMEOUT_MS,
-        (outcome, status, body) -> {
-          if (outcome == Outcome.ANSWERED && status == 200) {
+        reply -> {
+          if (reply.ok()) {
             try {
-              take(prefix, body, sofar, epoch, then);
+              take(prefix, reply.body(), entriesBefore, revision, then);
               return;
             } catch (MalformedException e) {
-              runtime.note("unusable page of " + prefix + ": " + e.getMessage());
+              runtime
+                  .events()
+                  .info(LogEvent.REPLY_MALFORMED)
+                  .with(LogField.PREFIX, prefix)
+                  .with(LogField.ERROR, e.getMessage())
+                  .write();
             }
           }
           if (!over.getAsBoolean()) {
-            runtime.retry(backoff, () -> page(prefix, since, sofar, epoch, then));
+            runtime.retry(backoff, () -> page(prefix, after, entriesBefore, revision, then));
           }
         });
   }
@@ -82,18 +89,18 @@
   private void take(
       String prefix,
       JsonNode body,
-      List<StateMessage.Entry> sofar,
-      long epoch,
+      List<StateMessage.Entry> entriesBefore,
+      long revision,
       Consumer<Range> then)
       throws MalformedException {
     List<StateMessage.Entry> got = StateMessage.entries(body);
-    long oldest = Math.min(epoch, StateMessage.epoch(body));
+    long oldest = Math.min(revision, StateMessage.epoch(body));
     backoff.reset();
-    sofar.addAll(got);
+    entriesBefore.addAll(got);
     if (StateMessage.more(body) && !got.isEmpty()) {
-      page(prefix, got.get(got.size() - 1).key(), sofar, oldest, then);
+      page(prefix, got.get(got.size() - 1).key(), entriesBefore, oldest, then);
     } else {
-      then.accept(new Range(sofar, oldest));
+      then.accept(new Range(entriesBefore, oldest));
     }
   }
 }
--- a/src/main/java/org/snowturn/core/storage/RecordWriter.java
+++ b/src/main/java/org/snowturn/core/storage/RecordWriter.java
@@ -3,90 +3,75 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Collection;
 import java.util.EnumMap;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
 import java.util.function.DoubleUnaryOperator;
 import java.util.function.Supplier;
 import org.snowturn.config.Settings;
-import org.snowturn.core.Outcome;
-import org.snowturn.core.admission.RateMeter;
 import org.snowturn.core.effects.CoreRuntime;
-import org.snowturn.core.recovery.Backoff;
-import org.snowturn.wire.Json;
-import org.snowturn.wire.MalformedException;
-import org.snowturn.wire.StateMessage;
+import org.snowturn.core.effects.StateReply;
 import org.snowturn.wire.StateMessage.Change;
 import org.snowturn.wire.StateMessage.Condition;
 
 /**
- * Groups the leader's writes into transactions within the state service's limits.
+ * Writes the leader's records, grouped into transactions within the state service's limits.
  *
- * <p>Every transaction carries the leader key's version, and each key's own last version: one that
- * is executed late, after this leader has lost its place or has written the key again, changes
- * nothing. A reply that never came is settled by reading.
+ * <p>Every transaction is conditional on the leader key's version and on each key's own last
+ * version: one that is executed late, after this leader has lost its place or has written the key
+ * again, changes nothing. A reply that never came is settled by reading.
  */
 public final class RecordWriter {
-  /** Slots of this urgency or more can wait a while. */
+  /** Records of this urgency or more are deferrable: they can wait for seconds. */
   public static final int CAN_WAIT = 20;
 
-  /** The share of the budget that is kept for slots that cannot wait. */
-  private static final double KEPT = 0.4;
+  static final int TIMEOUT_MS = 1500;
 
-  /**
-   * So long a slot stands behind more urgent ones; then one in so many goes first. In a flood of
-   * one priority there is always a slot of that one, and those below it would never be written.
-   */
-  private static final long PATIENCE_MS = 1_500;
-
-  private static final long PATIENCE_CAN_WAIT_MS = 15_000;
-  private static final int ONE_IN = 5;
+  private static final long PAUSE_AFTER_REFUSAL_MS = 200;
 
   /**
-   * What has waited so long for spare changes goes, one at a time: a leader that always has
-   * something to write would never clear away cancelled jobs, and each next leader read them all.
+   * A transaction that has waited so long for spare budget is sent without any. A leader that
+   * always has something to write would otherwise never delete the records of cancelled jobs, and
+   * every next leader would read them all.
    */
-  private static final long SPARE_PATIENCE_MS = 10_000;
-
-  private static final long SPARE_EVERY_MS = 2_000;
+  private static final long MAX_SPARE_WAIT_MS = 10_000;
 
-  private static final int TIMEOUT_MS = 1500;
-  private static final int IN_FLIGHT = 3;
-  private static final int MAX_BYTES = 40_000;
+  private static final long OVERDUE_SPARE_INTERVAL_MS = 2_000;
 
   /** When a whole transaction's turn comes. */
   public enum Turn {
     /** Before all others: somebody has been told that it will happen soon. */
     FIRST,
-    /** Before all slots. */
+    /** Before all records, in turn with those that are not deferrable. */
     NEXT,
-    /** With what no slot that cannot wait has a use for. */
+    /** With budget for which no record that is not deferrable has a use. */
     SPARE
   }
 
   /** A transaction of its own that begins or ends something. */
-  private record Special(
+  private record Transaction(
       Turn turn,
-      List<Condition> when,
-      List<Change> apply,
-      CoreRuntime.ReplyHandler then,
-      long since) {}
+      List<Condition> conditions,
+      List<Change> changes,
+      CoreRuntime.ReplyHandler onReply,
+      long queuedSinceMs) {}
 
   /** What the writer needs of the leader. */
   public interface Host {
+    /** Whether this node may act as leader now. */
     boolean hasAuthority();
 
     /** Whether the term is over for good. */
     boolean over();
 
+    /** The term's fencing token: the version of the leader key. */
     long token();
 
+    /** The leader key has changed: the term is over. */
     void leaderKeyLost();
 
+    /** A guard of a record has another version than was thought. */
     void guardFailed(String key);
 
     /** The state service finds a value too long, or wrong in another way. */
@@ -96,21 +81,13 @@
   private final CoreRuntime runtime;
   private final Host host;
   private final Supplier<Settings.StateLimits> limits;
-  private final DoubleUnaryOperator share;
-  private final Map<String, PendingRecord> slots = new HashMap<>();
-  private final TreeMap<Integer, LinkedHashMap<String, PendingRecord>> dirty = new TreeMap<>();
-  private final Map<Turn, ArrayDeque<Special>> specials = new EnumMap<>(Turn.class);
-  private final RateMeter spent = new RateMeter(3_000);
-  private double budget;
-  private long filledAt;
-  private int inFlight;
-  private int mostTogether = Integer.MAX_VALUE;
-  private long pauseUntil;
-  private boolean slotsTurn;
-  private long nextSpareAt;
-
-  /** How many slots went since one that had waited long did. */
-  private int passed;
+  private final Map<String, PendingRecord> records = new HashMap<>();
+  private final Map<Turn, ArrayDeque<Transaction>> transactions = new EnumMap<>(Turn.class);
+  private final WriteQueue queue = new WriteQueue();
+  private final WriteBudget budget;
+  private final BatchSettlement settlement;
+  private boolean recordsNext;
+  private long nextOverdueSpareMs;
 
   /**
    * Has nothing to write yet.
@@ -123,14 +100,13 @@
       Host host,
       Supplier<Settings.StateLimits> limits,
       DoubleUnaryOperator share) {
-    this.share = share;
     this.runtime = runtime;
     this.host = host;
     this.limits = limits;
-    this.budget = rate();
-    this.filledAt = runtime.now();
-    for (Turn t : Turn.values()) {
-      specials.put(t, new ArrayDeque<>());
+    this.budget = new WriteBudget(limits, share, runtime.now());
+    this.settlement = new BatchSettlement(runtime, host, queue, budget);
+    for (Turn turn : Turn.values()) {
+      transactions.put(turn, new ArrayDeque<>());
     }
   }
 
@@ -139,372 +115,178 @@
     return host.over();
   }
 
-  /** The changes a second that are the leader's: the rest is for the users of all nodes. */
-  private double rate() {
-    return share.applyAsDouble(limits.get().writeRps());
-  }
-
+  /**
+   * The record of a key; it is made if there is none.
+   *
+   * @param stamp the key's version, as it was read; 0: it does not exist
+   * @param content the value to write when its turn comes; null deletes the key
+   * @param guard a condition on another key, under which alone this one may be written; null: none
+   */
   public PendingRecord slot(
       String key, long stamp, Supplier<JsonNode> content, Supplier<Condition> guard) {
-    return slots.computeIfAbsent(key, k -> new PendingRecord(k, stamp, content, guard));
+    return records.computeIfAbsent(key, k -> new PendingRecord(k, stamp, content, guard));
   }
 
+  /** Writes the record no more. */
   public void forget(PendingRecord record) {
-    unqueue(record);
-    slots.remove(record.key);
+    queue.remove(record);
+    records.remove(record.key());
   }
 
-  /** Asks for the slot's content to be written; smaller urgencies go first. */
+  /**
+   * Asks for the record's content to be written; smaller urgencies go first.
+   *
+   * @param onDurable called once the content as it is now, or a later one, is durable; may be null
+   */
   public void mark(PendingRecord record, int urgency, Runnable onDurable) {
     if (onDurable != null) {
-      record.onDurable.add(onDurable);
-    }
-    if (!record.dirty || urgency < record.urgency) {
-      record.since = record.dirty ? record.since : runtime.now();
-      unqueue(record);
-      record.dirty = true;
-      record.urgency = urgency;
-      dirty.computeIfAbsent(urgency, u -> new LinkedHashMap<>()).put(record.key, record);
+      record.addDurableAction(onDurable);
     }
+    queue.add(record, urgency, runtime.now());
   }
 
   /** Queues one whole transaction; the leader key's condition is added. */
   public void whole(
       Turn turn, List<Condition> when, List<Change> apply, CoreRuntime.ReplyHandler then) {
-    specials.get(turn).add(new Special(turn, when, apply, then, runtime.now()));
+    transactions.get(turn).add(new Transaction(turn, when, apply, then, runtime.now()));
   }
 
   /** Removes records that no longer mean anything, when there is time for it. */
   public void drop(List<Condition> when, List<Change> drops) {
     int most = Math.max(1, limits.get().txnOps());
     for (int i = 0; i < drops.size(); i += most) {
-      whole(Turn.SPARE, when, drops.subList(i, Math.min(drops.size(), i + most)), (o, s, b) -> {});
+      List<Change> part = drops.subList(i, Math.min(drops.size(), i + most));
+      whole(Turn.SPARE, when, part, (outcome, status, body) -> {});
     }
   }
 
-  /** Takes a slot out of the queue: its content is about to be removed. */
+  /** Takes a record out of the queue: its content is about to be removed. */
   public void clear(PendingRecord record) {
-    unqueue(record);
-    record.onDurable.clear();
+    queue.remove(record);
+    record.clearDurableActions();
   }
 
-  private void unqueue(PendingRecord record) {
-    if (record.dirty) {
-      LinkedHashMap<String, PendingRecord> queue = dirty.get(record.urgency);
-      queue.remove(record.key);
-      if (queue.isEmpty()) {
-        dirty.remove(record.urgency);
-      }
-      record.dirty = false;
-      record.urgency = Integer.MAX_VALUE;
-    }
-  }
-
-  /** Whether what cannot wait is queueing up. */
+  /** Whether what is not deferrable is queueing up. */
   public boolean pressed() {
-    return specials.get(Turn.NEXT).size() > 1 || (budget < rate() * KEPT && urgentWaits());
-  }
-
-  private boolean urgentWaits() {
-    return !dirty.isEmpty() && dirty.firstKey() < CAN_WAIT;
+    return transactions.get(Turn.NEXT).size() > 1
+        || (budget.available() < budget.reserved() && queue.hasUrgent());
   }
 
   /** Changes a second that this term has made lately. */
   public double spent() {
-    return spent.perSecond(runtime.now());
+    return budget.writeRate(runtime.now());
   }
 
+  /** How many records wait to be written. */
   public int waiting() {
-    int n = 0;
-    for (var q : dirty.values()) {
-      n += q.size();
-    }
-    return n;
+    return queue.size();
   }
 
+  /** Sends what the budget allows. */
   public void flush() {
     long now = runtime.now();
-    double rate = rate();
-    budget = Math.min(rate, budget + rate * (now - filledAt) / 1000.0);
-    filledAt = now;
-    while (inFlight < IN_FLIGHT && now >= pauseUntil && host.hasAuthority() && sendOne()) {
+    budget.refill(now);
+    while (budget.maySend(now) && host.hasAuthority() && sendOne()) {
       // each pass sends one transaction
     }
   }
 
   private boolean sendOne() {
-    Special special = specials.get(Turn.FIRST).peek();
-    if (special != null) {
-      return send(special, 0);
+    Transaction first = transactions.get(Turn.FIRST).peek();
+    if (first != null) {
+      return send(first, 0);
     }
-    special = specials.get(Turn.SPARE).peek();
-    if (special != null
-        && runtime.now() - special.since > SPARE_PATIENCE_MS
-        && runtime.now() >= nextSpareAt
-        && send(special, 0)) {
-      nextSpareAt = runtime.now() + SPARE_EVERY_MS;
+    if (sendOverdueSpare()) {
       return true;
     }
-    special = specials.get(Turn.NEXT).peek();
-    if (special != null) {
-      // In turn with placements: after an outage hundreds of jobs are over at once, and their
-      // records alone would keep every start waiting for seconds.
-      if (urgentWaits() && slotsTurn && sendSlots()) {
-        slotsTurn = false;
-        return true;
-      }
-      boolean sent = send(special, 0);
-      slotsTurn |= sent;
-      return sent;
+    Transaction next = transactions.get(Turn.NEXT).peek();
+    if (next != null) {
+      return sendInTurnWithRecords(next);
     }
-    if (sendSlots()) {
+    if (sendRecords()) {
       return true;
     }
-    special = specials.get(Turn.SPARE).peek();
-    return special != null && send(special, rate() * KEPT);
+    Transaction spare = transactions.get(Turn.SPARE).peek();
+    return spare != null && send(spare, budget.reserved());
   }
 
-  /** Sends a whole transaction if that leaves so much of the budget to others. */
-  private boolean send(Special special, double left) {
-    int cost = special.apply.size();
-    if (budget - left < Math.min(cost, rate() - left)) {
+  private boolean sendOverdueSpare() {
+    Transaction spare = transactions.get(Turn.SPARE).peek();
+    long now = runtime.now();
+    if (spare == null
+        || now - spare.queuedSinceMs <= MAX_SPARE_WAIT_MS
+        || now < nextOverdueSpareMs
+        || !send(spare, 0)) {
       return false;
     }
-    specials.get(special.turn).poll();
-    budget -= cost;
-    spent.add(cost, runtime.now());
-    inFlight++;
-    List<Condition> when = new ArrayList<>(special.when);
-    when.add(0, new Condition(StorageKeys.LEADER, host.token()));
-    runtime.callState(
-        "POST",
-        "/txn",
-        StateMessage.txn(when, special.apply),
-        TIMEOUT_MS,
-        (outcome, status, body) -> {
-          inFlight--;
-          if (outcome == Outcome.REFUSED) {
-            pauseUntil = runtime.now() + 200;
-            specials.get(special.turn).addFirst(special);
-          } else if (outcome == Outcome.ANSWERED
-              && status == 409
-              && StateMessage.failed(body).contains(StorageKeys.LEADER)) {
-            host.leaderKeyLost();
-          } else {
-            special.then.on(outcome, status, body);
-          }
-        });
+    nextOverdueSpareMs = now + OVERDUE_SPARE_INTERVAL_MS;
     return true;
   }
 
-  private boolean sendSlots() {
-    List<PendingRecord> taken = new ArrayList<>();
-    List<Condition> when = new ArrayList<>();
-    List<Change> apply = new ArrayList<>();
-    when.add(new Condition(StorageKeys.LEADER, host.token()));
-    Map<String, Condition> guards = new LinkedHashMap<>();
-    int most = (int) Math.min(Math.min(limits.get().txnOps(), mostTogether), Math.floor(budget));
-    int canWait = mostThatCanWait();
-    int bytes = 0;
-    PendingRecord overdue = most < 1 ? null : overdue();
-    List<PendingRecord> first = overdue == null ? List.of() : List.of(overdue);
-    List<Collection<PendingRecord>> queues = new ArrayList<>();
-    queues.add(first);
-    dirty.values().forEach(q -> queues.add(q.values()));
-    outer:
-    for (Collection<PendingRecord> queue : queues) {
-      for (PendingRecord record : queue) {
-        boolean urgent = record.urgency < CAN_WAIT || record == overdue;
-        boolean enough = taken.size() >= (urgent ? most : canWait);
-        if (enough || taken.size() >= most || bytes > MAX_BYTES) {
-          break outer;
-        }
-        if (record.inFlight || (record == overdue && queue != first)) {
-          continue;
-        }
-        JsonNode value = record.content.get();
-        int size = value == null ? 50 : Json.bytes(value).length + 250;
-        if (!taken.isEmpty() && bytes + size > MAX_BYTES) {
-          continue;
-        }
-        bytes += size;
-        taken.add(record);
-        when.add(new Condition(record.key, record.stamp));
-        apply.add(new Change(record.key, value, 0));
-        Condition g = record.guard.get();
-        if (g != null) {
-          guards.put(g.key(), g);
-        }
-      }
-    }
-    if (taken.isEmpty()) {
-      return false;
-    }
-    passed = taken.get(0) == overdue ? 0 : passed + taken.size();
-    when.addAll(guards.values());
-    budget -= taken.size();
-    spent.add(taken.size(), runtime.now());
-    inFlight++;
-    List<List<Runnable>> actions = new ArrayList<>();
-    List<Integer> urgencies = new ArrayList<>();
-    for (PendingRecord record : taken) {
-      urgencies.add(record.urgency);
-      unqueue(record);
-      record.inFlight = true;
-      actions.add(record.onDurable);
-      record.onDurable = new ArrayList<>();
+  /**
+   * After an outage hundreds of jobs are over at once, and their transactions alone would keep
+   * every start waiting for seconds.
+   */
+  private boolean sendInTurnWithRecords(Transaction transaction) {
+    if (queue.hasUrgent() && recordsNext && sendRecords()) {
+      recordsNext = false;
+      return true;
     }
-    runtime.callState(
-        "POST",
-        "/txn",
-        StateMessage.txn(when, apply),
-        TIMEOUT_MS,
-        (outcome, status, body) ->
-            settle(taken, apply, actions, urgencies, guards, outcome, status, body));
-    return true;
+    boolean sent = send(transaction, 0);
+    recordsNext |= sent;
+    return sent;
   }
 
-  /** The slot that has waited longest for its urgency behind others; null if none has its turn. */
-  private PendingRecord overdue() {
-    if (passed < ONE_IN - 1) {
-      return null;
-    }
-    PendingRecord found = null;
-    double longest = 1;
-    boolean front = true;
-    for (var queue : dirty.entrySet()) {
-      PendingRecord head = null;
-      for (PendingRecord record : queue.getValue().values()) {
-        if (!record.inFlight) {
-          head = record;
-          break;
-        }
-      }
-      boolean canWait = queue.getKey() >= CAN_WAIT;
-      double patience = canWait ? PATIENCE_CAN_WAIT_MS : PATIENCE_MS;
-      if (!front && head != null && (runtime.now() - head.since) / patience > longest) {
-        longest = (runtime.now() - head.since) / patience;
-        found = head;
-      }
-      front = false;
+  /** Sends a whole transaction if that leaves so much of the budget to others. */
+  private boolean send(Transaction transaction, double reserve) {
+    int cost = transaction.changes.size();
+    if (budget.available() - reserve < Math.min(cost, budget.rate() - reserve)) {
+      return false;
     }
-    return found;
+    transactions.get(transaction.turn).poll();
+    budget.spend(cost, runtime.now());
+    List<Condition> conditions = new ArrayList<>(transaction.conditions);
+    conditions.add(0, leaderCondition());
+    runtime.writeState(
+        conditions, transaction.changes, TIMEOUT_MS, reply -> settle(transaction, reply));
+    return true;
   }
 
-  /**
-   * How many slots that can wait the next transaction may hold in all: they leave a share of the
-   * budget to placements, which else would find it spent on results, and go several at a time.
-   */
-  private int mostThatCanWait() {
-    int left = (int) Math.floor(budget - rate() * KEPT);
-    int enough = Math.min(waiting(), Math.max(1, limits.get().txnOps() / 2));
-    return left < enough ? 0 : left;
+  private Condition leaderCondition() {
+    return new Condition(StorageKeys.LEADER, host.token());
   }
 
-  private void settle(
-      List<PendingRecord> taken,
-      List<Change> apply,
-      List<List<Runnable>> actions,
-      List<Integer> urgencies,
-      Map<String, Condition> guards,
-      Outcome outcome,
-      int status,
-      JsonNode body) {
-    inFlight--;
-    if (outcome == Outcome.ANSWERED && status == 200) {
-      try {
-        long epoch = StateMessage.epoch(body);
-        for (int i = 0; i < taken.size(); i++) {
-          PendingRecord record = taken.get(i);
-          record.inFlight = false;
-          record.stamp = apply.get(i).value() == null ? 0 : epoch;
-        }
-        actions.forEach(list -> list.forEach(Runnable::run));
-        return;
-      } catch (MalformedException e) {
-        runtime.note("unusable reply to a write: " + e.getMessage());
-      }
-    }
-    if (outcome == Outcome.ANSWERED && status == 400 && taken.size() == 1) {
-      // The same again would be refused for ever: it waits until there is something else to write.
-      PendingRecord record = taken.get(0);
-      record.onDurable.addAll(0, actions.get(0));
-      record.inFlight = false;
-      mostTogether = Integer.MAX_VALUE; // it was this value, not the number of changes
-      runtime.note("the state service will not have " + record.key + ": " + body);
-      host.notTaken(record.key);
-      return;
-    }
-    for (int i = 0; i < taken.size(); i++) {
-      PendingRecord record = taken.get(i);
-      record.onDurable.addAll(0, actions.get(i));
-      mark(record, urgencies.get(i), null);
-    }
-    if (outcome == Outcome.ANSWERED && status == 400) {
-      // Too many changes, or one of them too long: fewer at a time tell which.
-      mostTogether = Math.max(1, taken.size() / 2);
-      runtime.note("the state service will not have " + taken.size() + " changes at once: " + body);
-      taken.forEach(record -> record.inFlight = false);
-      return;
-    }
-    if (outcome == Outcome.REFUSED) {
-      taken.forEach(record -> record.inFlight = false);
-      pauseUntil = runtime.now() + 200;
-      return;
-    }
-    List<String> failed =
-        outcome == Outcome.ANSWERED && status == 409 ? StateMessage.failed(body) : List.of();
-    if (failed.contains(StorageKeys.LEADER)) {
+  private void settle(Transaction transaction, StateReply reply) {
+    budget.callEnded();
+    if (reply.notExecuted()) {
+      budget.pauseUntil(runtime.now() + PAUSE_AFTER_REFUSAL_MS);
+      transactions.get(transaction.turn).addFirst(transaction);
+    } else if (reply.failedKeys().contains(StorageKeys.LEADER)) {
       host.leaderKeyLost();
-      return;
-    }
-    for (String key : failed) {
-      if (guards.containsKey(key)) {
-        host.guardFailed(key);
-      }
-    }
-    if (failed.isEmpty()) {
-      pauseUntil = runtime.now() + 100;
-      taken.forEach(this::reread);
     } else {
-      for (PendingRecord record : taken) {
-        if (failed.contains(record.key)) {
-          reread(record);
-        } else {
-          record.inFlight = false;
-        }
-      }
+      transaction.onReply.on(reply.outcome(), reply.status(), reply.body());
     }
   }
 
-  /** Learns a key's present version; the slot stays in flight until then. */
-  private void reread(PendingRecord record) {
-    reread(record, runtime.backoff());
-  }
-
-  private void reread(PendingRecord record, Backoff backoff) {
-    runtime.callState("GET", "/kv/" + record.key, null, TIMEOUT_MS, rereadThen(record, backoff));
-  }
-
-  private CoreRuntime.ReplyHandler rereadThen(PendingRecord record, Backoff backoff) {
-    return (outcome, status, body) -> {
-      if (outcome == Outcome.ANSWERED && status == 404) {
-        record.stamp = 0;
-        record.inFlight = false;
-        return;
-      }
-      if (outcome == Outcome.ANSWERED && status == 200) {
-        try {
-          record.stamp = StateMessage.entry(body).stamp();
-          record.inFlight = false;
-          return;
-        } catch (MalformedException e) {
-          runtime.note("unusable reply for " + record.key + ": " + e.getMessage());
-        }
-      }
-      if (!host.over()) {
-        runtime.retry(backoff, () -> reread(record, backoff));
-      }
-    };
+  private boolean sendRecords() {
+    int maxRecords = budget.maxChanges();
+    int maxIfDeferrable = budget.maxChangesIfDeferrable(queue.size());
+    PendingRecord overdue = maxRecords < 1 ? null : queue.overdue(runtime.now());
+    RecordBatch batch = RecordBatch.collect(queue, overdue, maxRecords, maxIfDeferrable);
+    if (batch.isEmpty()) {
+      return false;
+    }
+    queue.recordSent(batch.size(), batch.first() == overdue);
+    budget.spend(batch.size(), runtime.now());
+    batch.begin(queue);
+    runtime.writeState(
+        batch.conditions(leaderCondition()),
+        batch.changes(),
+        TIMEOUT_MS,
+        reply -> {
+          budget.callEnded();
+          settlement.settle(batch, reply);
+        });
+    return true;
   }
 }
--- a/src/main/java/org/snowturn/wire/StateMessage.java
+++ b/src/main/java/org/snowturn/wire/StateMessage.java
@@ -8,8 +8,45 @@
 
 /** The state service's messages in the project's own terms. */
 public final class StateMessage {
+  /** The path of transactions. */
+  public static final String TXN_PATH = "/txn";
+
+  private static final String KEYS_PATH = "/kv";
+
   private StateMessage() {}
 
+  /** The path at which one key is read. */
+  public static String keyPath(String key) {
+    return KEYS_PATH + "/" + key;
+  }
+
+  /** The path at which a range of keys is read; parameters appear in the order of the calls. */
+  public static final class RangePath {
+    private final StringBuilder path;
+
+    /** All keys with a prefix. */
+    public RangePath(String prefix) {
+      path = new StringBuilder(KEYS_PATH).append("?prefix=").append(prefix);
+    }
+
+    /** Only keys that sort after this one. */
+    public RangePath after(String key) {
+      path.append("&since=").append(key);
+      return this;
+    }
+
+    /** At most so many keys. */
+    public RangePath limit(int keys) {
+      path.append("&most=").append(keys);
+      return this;
+    }
+
+    @Override
+    public String toString() {
+      return path.toString();
+    }
+  }
+
   /** A key with its value (null in a removal) and the version at which it last changed. */
   public record Entry(String key, JsonNode value, long stamp) {}
 
--- a/src/test/java/org/snowturn/LayersTest.java
+++ b/src/test/java/org/snowturn/LayersTest.java
@@ -116,6 +116,10 @@
   /** The classes of storage that read, write and watch records, as opposed to their formats. */
   private static final String[] RECORD_ACCESS = {
     "org.snowturn.core.storage.RecordWriter",
+    "org.snowturn.core.storage.RecordBatch",
+    "org.snowturn.core.storage.BatchSettlement",
+    "org.snowturn.core.storage.WriteBudget",
+    "org.snowturn.core.storage.WriteQueue",
     "org.snowturn.core.storage.RangeReader",
     "org.snowturn.core.storage.JobLookup",
     "org.snowturn.core.storage.FormatGate"
