--- a/src/main/java/org/snowturn/core/api/JobApi.java
+++ b/src/main/java/org/snowturn/core/api/JobApi.java
@@ -239,8 +239,9 @@
       return;
     }
     String text = Json.text(spec.toJson());
-    List<ObjectNode> parts = JobRecord.cut(text, room);
-    new PartsWriter(exchange, spec, job.inParts(JobRecord.nameOf(text, room), parts.size()), parts)
+    List<ObjectNode> parts = JobRecord.split(text, room);
+    new PartsWriter(
+            exchange, spec, job.inParts(JobRecord.submissionName(text, room), parts.size()), parts)
         .look();
   }
 
--- a/src/main/java/org/snowturn/core/assignment/DependencyGraph.java
+++ b/src/main/java/org/snowturn/core/assignment/DependencyGraph.java
@@ -232,7 +232,7 @@
         });
   }
 
-  private void found(String id, JobLookup.Fact fact) {
+  private void found(String id, JobLookup.StoredJob fact) {
     if (!unknown.contains(id)) {
       return; // known by now
     }
--- a/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
@@ -145,7 +145,7 @@
       quarantined.remove(id); // cancelled: whatever runs of it may be stopped
     }
     Job job = jobs.get(id);
-    if (job == null && stored.incomplete()) {
+    if (job == null && stored.needsParts()) {
       parts.read(id, stored, stamp, texts -> addChunkedJob(id, stored, stamp, texts));
       return;
     }
--- a/src/main/java/org/snowturn/core/effects/CoreRuntime.java
+++ b/src/main/java/org/snowturn/core/effects/CoreRuntime.java
@@ -140,7 +140,7 @@
       JsonNode body,
       int timeoutMs,
       ReplyHandler then) {
-    if (mayAsk(purpose, then)) {
+    if (withinBudget(purpose, then)) {
       call(Effect.Target.STATE, null, method, path, body, timeoutMs, then);
     }
   }
@@ -187,12 +187,12 @@
 
   /** A question for changes, which may be held open. */
   public void watchState(RequestClass purpose, String path, int timeoutMs, ReplyHandler then) {
-    if (mayAsk(purpose, then)) {
+    if (withinBudget(purpose, then)) {
       call(Effect.Target.STATE_WATCH, null, "GET", path, null, timeoutMs, then);
     }
   }
 
-  private boolean mayAsk(RequestClass purpose, ReplyHandler then) {
+  private boolean withinBudget(RequestClass purpose, ReplyHandler then) {
     if (budget == null || budget.take(purpose, now)) {
       return true;
     }
@@ -213,7 +213,7 @@
   /** A call on which this node's authority rests: it waits for no others. */
   public void callForAuthority(
       String method, String path, JsonNode body, int timeoutMs, ReplyHandler then) {
-    mayAsk(RequestClass.AUTHORITY, then);
+    withinBudget(RequestClass.AUTHORITY, then);
     call(Effect.Target.AUTHORITY, null, method, path, body, timeoutMs, then);
   }
 
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -276,7 +276,7 @@
   }
 
   @Override
-  public void notTaken(String key) {
+  public void recordRejected(String key) {
     assignments.placementRejected(key);
   }
 
@@ -296,7 +296,7 @@
 
   /** How many changes a second this term has written lately. */
   public double changesMade() {
-    return writer.spent();
+    return writer.writeRate();
   }
 
   public Map<String, Double> gauges() {
@@ -316,7 +316,7 @@
     gauges.putAll(failureHandler.gauges());
     gauges.putAll(guard.gauges());
     gauges.put("snowturn.restarts", (double) speculator.restarts());
-    gauges.put("snowturn.writes.waiting", (double) writer.waiting());
+    gauges.put("snowturn.writes.waiting", (double) writer.queuedRecords());
     gauges.put("snowturn.placements", (double) assignments.placements());
     gauges.put("snowturn.placements.looks", (double) scheduler.looks());
     gauges.put("snowturn.outboxes.looks", (double) outboxLooks);
@@ -653,7 +653,7 @@
             used[1],
             cpus[1],
             speculator.restarts(),
-            writer.waiting(),
+            writer.queuedRecords(),
             why));
   }
 
--- a/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
@@ -149,7 +149,7 @@
     this.then = then;
     enter(RecoveryPhase.READING);
     // First of all the gate: it tells in which format the records are that are to be written.
-    gate.look(
+    gate.check(
         () -> {
           if (ended.getAsBoolean()) {
             return;
@@ -301,7 +301,7 @@
                 JobRecord stored = JobRecord.parse(entry.value());
                 List<String> keys = JobRecord.partKeys(id, stored.submission(), stored.parts());
                 used.addAll(keys);
-                if (stored.incomplete() && texts.keySet().containsAll(keys)) {
+                if (stored.needsParts() && texts.keySet().containsAll(keys)) {
                   assignments.addChunkedJob(id, stored, entry.stamp(), texts);
                 } else {
                   assignments.addJob(id, stored, entry.stamp());
--- a/src/main/java/org/snowturn/core/model/Job.java
+++ b/src/main/java/org/snowturn/core/model/Job.java
@@ -192,7 +192,7 @@
     layout = TaskLayout.second(stateOf.length, spans);
     taskRecords = new PendingRecord[layout.records()];
     recordBytes = new int[layout.records()];
-    recordRoom = TaskLayout.room(valueBytes, layout.piece());
+    recordRoom = TaskLayout.entryCapacityBytes(valueBytes, layout.piece());
     for (int task = 0; task < stateOf.length; task++) {
       if (isAssigned(task)) {
         adjustRecordSize(task, machines.get(machineOf[task]), 1);
--- a/src/main/java/org/snowturn/core/storage/BatchSettlement.java
+++ b/src/main/java/org/snowturn/core/storage/BatchSettlement.java
@@ -82,7 +82,7 @@
         .with(LogField.KEY, record.key())
         .with(LogField.BODY, String.valueOf(reply.body()))
         .write();
-    host.notTaken(record.key());
+    host.recordRejected(record.key());
   }
 
   private void requeue(RecordBatch batch) {
--- a/src/main/java/org/snowturn/core/storage/FormatGate.java
+++ b/src/main/java/org/snowturn/core/storage/FormatGate.java
@@ -5,10 +5,13 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import java.util.function.Consumer;
 import org.snowturn.config.Settings;
-import org.snowturn.core.Outcome;
 import org.snowturn.core.admission.RequestClass;
 import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.effects.LogEvent;
+import org.snowturn.core.effects.LogField;
+import org.snowturn.core.effects.StateReply;
 import org.snowturn.wire.Json;
 import org.snowturn.wire.MalformedException;
 import org.snowturn.wire.StateMessage;
@@ -16,183 +19,204 @@
 import org.snowturn.wire.StateMessage.Condition;
 
 /**
- * Whether records may be written in the second format. Each node that reads it says so in the state
- * service, once and for good; when all nodes of the settings have, whoever sees it first writes the
- * gate's own record. Until then the version before this one may come back on any node that has not
- * said so, and has to be able to read everything.
+ * Whether records may be written in the second format. Each node that reads it announces that in
+ * the state service, once and for good; when all nodes of the settings have, whoever sees it first
+ * writes the gate's own record. Until then the version before this one may come back on any node
+ * that has not announced it, and has to be able to read everything.
  *
- * <p>The gate's record keeps the spans of both formats: results are numbered by them, so neither
- * may follow later settings.
+ * <p>The gate's record keeps the record sizes of both formats: results are numbered by them, so
+ * neither may follow later settings.
  */
 public final class FormatGate {
-  private static final long LOOK_MS = 1_000;
-  private static final long RETRY_MS = 200;
+  private static final long CHECK_INTERVAL_MS = 1_000;
+  private static final long RETRY_DELAY_MS = 200;
   private static final int TIMEOUT_MS = 1_500;
+  private static final int MAX_ENTRIES = 500;
 
-  /** In the first format a placement was given so many bytes of a value. */
-  private static final int FIRST_BYTES = 80;
+  /** The first format reserves so many bytes of a value for each placement. */
+  private static final int FIRST_FORMAT_ENTRY_BYTES = 80;
+
+  private static final int MIN_FIRST_FORMAT_TASKS = 8;
 
   private final Settings settings;
   private final CoreRuntime runtime;
-  private boolean announced;
-  private boolean open;
-  private boolean busy;
-  private long lookAt;
   private final List<Runnable> waiting = new ArrayList<>();
-  private RecordSizes spans;
+  private boolean announcing;
+  private boolean open;
+  private boolean reading;
+  private long nextCheckAt;
+  private RecordSizes sizes;
 
+  /** Takes the gate for shut until the state service has been read. */
   public FormatGate(Settings settings, CoreRuntime runtime) {
     this.settings = settings;
     this.runtime = runtime;
-    int first = Math.max(8, settings.stateLimits().valueBytes() / FIRST_BYTES);
-    spans = new RecordSizes(first, TaskLayout.span(least().valueBytes()));
+    int first =
+        Math.max(
+            MIN_FIRST_FORMAT_TASKS, settings.stateLimits().valueBytes() / FIRST_FORMAT_ENTRY_BYTES);
+    sizes = new RecordSizes(first, TaskLayout.span(smallerLimits().valueBytes()));
   }
 
+  /** Whether all nodes read the second format, as far as is known here. */
   public boolean open() {
     return open;
   }
 
+  /** How many tasks share a record; final once the gate is open. */
   public RecordSizes spans() {
-    return spans;
+    return sizes;
   }
 
   /** The limits that writes have to keep now: once the gate is open, the smaller of both. */
   public Settings.StateLimits limits() {
-    return open ? least() : settings.stateLimits();
+    return open ? smallerLimits() : settings.stateLimits();
   }
 
-  private Settings.StateLimits least() {
+  private Settings.StateLimits smallerLimits() {
     return settings.stateLimits().least(settings.nextStateLimits());
   }
 
+  /** Reads the announcements again when it is time, until the gate is open. */
   public void tick() {
     boolean wanted = !waiting.isEmpty() || !open;
-    if (wanted && !busy && runtime.now() >= lookAt) {
-      look();
+    if (wanted && !reading && runtime.now() >= nextCheckAt) {
+      readAnnouncements();
     }
   }
 
-  /** Looks how far the nodes are, and goes on once that is known. */
-  public void look(Runnable then) {
+  /** Reads the announcements, and calls {@code then} once they are known. */
+  public void check(Runnable then) {
     if (open) {
       then.run();
       return;
     }
     waiting.add(then);
-    if (!busy) {
-      look();
+    if (!reading) {
+      readAnnouncements();
     }
   }
 
-  private void look() {
-    busy = true;
-    lookAt = runtime.now() + LOOK_MS;
-    // What is asked for from now on wants a newer answer than this one.
-    List<Runnable> toTell = List.copyOf(waiting);
+  private void readAnnouncements() {
+    reading = true;
+    nextCheckAt = runtime.now() + CHECK_INTERVAL_MS;
+    // Callers from now on want a newer answer than this one.
+    List<Runnable> callers = List.copyOf(waiting);
     waiting.clear();
-    runtime.callState(
+    runtime.readState(
         RequestClass.REST,
-        "GET",
-        "/kv?prefix=" + StorageKeys.FORMAT + "&most=500",
-        null,
+        new StateMessage.RangePath(StorageKeys.FORMAT).limit(MAX_ENTRIES).toString(),
         TIMEOUT_MS,
-        (outcome, status, body) -> {
-          busy = false;
-          try {
-            if (outcome == Outcome.ANSWERED && status == 200) {
-              found(StateMessage.entries(body));
-              toTell.forEach(Runnable::run);
-              return;
-            }
-          } catch (MalformedException e) {
-            runtime.note("unusable list of formats: " + e.getMessage());
+        reply -> {
+          reading = false;
+          if (evaluated(reply)) {
+            callers.forEach(Runnable::run);
+          } else {
+            waiting.addAll(callers);
+            nextCheckAt = runtime.now() + RETRY_DELAY_MS;
           }
-          waiting.addAll(toTell);
-          lookAt = runtime.now() + RETRY_MS;
         });
   }
 
-  private void found(List<StateMessage.Entry> entries) {
-    Set<String> nodes = new HashSet<>();
+  private boolean evaluated(StateReply reply) {
+    if (!reply.ok()) {
+      return false;
+    }
+    try {
+      evaluate(StateMessage.entries(reply.body()));
+      return true;
+    } catch (MalformedException e) {
+      runtime
+          .events()
+          .info(LogEvent.REPLY_MALFORMED)
+          .with(LogField.PREFIX, StorageKeys.FORMAT)
+          .with(LogField.ERROR, e.getMessage())
+          .write();
+      return false;
+    }
+  }
+
+  private void evaluate(List<StateMessage.Entry> entries) {
+    Set<String> readers = new HashSet<>();
     for (StateMessage.Entry entry : entries) {
       if (entry.key().equals(StorageKeys.GATE)) {
-        opened(entry.value());
+        setOpen(entry.value());
         return;
       }
       if (entry.value().path("reads").asInt(0) >= StorageKeys.SECOND) {
-        nodes.add(entry.key().substring(StorageKeys.READERS.length()));
+        readers.add(entry.key().substring(StorageKeys.READERS.length()));
       }
     }
     if (open) {
       return;
     }
-    if (!nodes.contains(settings.node())) {
+    if (!readers.contains(settings.node())) {
       announce();
-      return;
-    }
-    for (Settings.Peer p : settings.peers()) {
-      if (!nodes.contains(p.node())) {
-        return;
-      }
+    } else if (settings.peers().stream().allMatch(peer -> readers.contains(peer.node()))) {
+      openGate();
     }
-    write();
   }
 
   private void announce() {
-    if (announced) {
+    if (announcing) {
       return;
     }
-    announced = true;
-    String key = StorageKeys.READERS + settings.node();
+    announcing = true;
     JsonNode value = Json.object().put("v", StorageKeys.VERSION).put("reads", StorageKeys.SECOND);
-    put(
-        key,
+    create(
+        StorageKeys.READERS + settings.node(),
         value,
-        (outcome, status, body) -> {
-          announced = false;
-          if (outcome == Outcome.ANSWERED && status == 200) {
-            runtime.note("this node reads format " + StorageKeys.SECOND);
-            lookAt = runtime.now();
+        reply -> {
+          announcing = false;
+          if (reply.ok()) {
+            runtime
+                .events()
+                .info(LogEvent.FORMAT_SUPPORTED)
+                .with(LogField.FORMAT, StorageKeys.SECOND)
+                .write();
+            nextCheckAt = runtime.now();
           }
         });
   }
 
-  private void write() {
+  private void openGate() {
     JsonNode value =
         Json.object()
             .put("v", StorageKeys.SECOND)
-            .put("first", spans.first())
-            .put("second", spans.second());
-    put(
+            .put("first", sizes.first())
+            .put("second", sizes.second());
+    create(
         StorageKeys.GATE,
         value,
-        (outcome, status, body) -> {
-          if (outcome == Outcome.ANSWERED && status == 200) {
-            opened(value);
+        reply -> {
+          if (reply.ok()) {
+            setOpen(value);
           } else {
-            lookAt = runtime.now(); // another node was first, or nothing is known: look again
+            nextCheckAt = runtime.now(); // another node was first, or the effect is unknown
           }
         });
   }
 
-  private void put(String key, JsonNode value, CoreRuntime.ReplyHandler then) {
-    runtime.callState(
+  private void create(String key, JsonNode value, Consumer<StateReply> then) {
+    runtime.writeState(
         RequestClass.REST,
-        "POST",
-        "/txn",
-        StateMessage.txn(List.of(new Condition(key, 0)), List.of(Change.put(key, value))),
+        List.of(new Condition(key, 0)),
+        List.of(Change.put(key, value)),
         TIMEOUT_MS,
         then);
   }
 
-  private void opened(JsonNode gate) {
+  private void setOpen(JsonNode gate) {
     if (open) {
       return;
     }
-    int first = gate.path("first").asInt(spans.first());
-    spans =
-        new RecordSizes(Math.max(1, first), Math.max(1, gate.path("second").asInt(spans.second())));
+    int first = gate.path("first").asInt(sizes.first());
+    int second = gate.path("second").asInt(sizes.second());
+    sizes = new RecordSizes(Math.max(1, first), Math.max(1, second));
     open = true;
-    runtime.note("the gate is open: all nodes read format " + StorageKeys.SECOND);
+    runtime
+        .events()
+        .info(LogEvent.FORMAT_GATE_OPENED)
+        .with(LogField.FORMAT, StorageKeys.SECOND)
+        .write();
   }
 }
--- a/src/main/java/org/snowturn/core/storage/JobRecord.java
+++ b/src/main/java/org/snowturn/core/storage/JobRecord.java
@@ -32,64 +32,83 @@
     String submission,
     int parts,
     boolean whole) {
-  private static final int FIXED_BYTES = 40;
-  private static final int NAME_BYTES = 16;
+  private static final String FORMAT = "v";
+  private static final String PHASE = "p";
+  private static final String SUBMITTED_AT = "at";
+  private static final String SPEC = "s";
+  private static final String SERVICE = "service";
+  private static final String TASKS = "n";
 
+  /** In a job's record the name of its submission; in a part the part's text. */
+  private static final String PART_TEXT = "x";
+
+  private static final String PART_COUNT = "k";
+
+  /** A part's size beside its text. */
+  private static final int PART_OVERHEAD_BYTES = 40;
+
+  private static final int SUBMISSION_NAME_BYTES = 16;
+
+  /** A record that holds the whole submission. */
   public JobRecord(JobStatus.Phase phase, long submittedWall, JobSpec spec) {
     this(phase, submittedWall, spec, null, 0, true);
   }
 
+  /**
+   * Reads a live or a short record.
+   *
+   * @throws MalformedException if it cannot be read; it is to be left alone then
+   */
   public static JobRecord parse(JsonNode value) throws MalformedException {
-    JobStatus.Phase phase =
-        switch (value.path("p").asText()) {
-          case "done" -> JobStatus.Phase.DONE;
-          case "aborted" -> JobStatus.Phase.ABORTED;
-          case "queued" -> JobStatus.Phase.QUEUED;
-          default -> throw new MalformedException("p: unknown phase in a job's record");
-        };
-    JobSpec spec = value.has("s") ? JobSpec.parse(value.get("s")) : null;
+    JobStatus.Phase phase = phaseOf(value);
+    if (phase == JobStatus.Phase.QUEUED && !value.path(PHASE).asText().equals(phase.wire())) {
+      throw new MalformedException("p: unknown phase in a job's record");
+    }
+    JobSpec spec = value.has(SPEC) ? JobSpec.parse(value.get(SPEC)) : null;
     return new JobRecord(
         phase,
-        value.path("at").asLong(0),
+        value.path(SUBMITTED_AT).asLong(0),
         spec,
-        value.path("x").asText(null),
-        value.path("k").asInt(0),
-        !value.has("x"));
+        value.path(PART_TEXT).asText(null),
+        value.path(PART_COUNT).asInt(0),
+        !value.has(PART_TEXT));
   }
 
-  /** Whether the record forbids any change of phase. */
+  /** The phase of a live or short record; a phase that is not terminal counts as queued. */
   public static JobStatus.Phase phaseOf(JsonNode value) {
-    String p = value.path("p").asText();
-    return p.equals("done")
-        ? JobStatus.Phase.DONE
-        : p.equals("aborted") ? JobStatus.Phase.ABORTED : JobStatus.Phase.QUEUED;
+    return switch (value.path(PHASE).asText()) {
+      case "done" -> JobStatus.Phase.DONE;
+      case "aborted" -> JobStatus.Phase.ABORTED;
+      default -> JobStatus.Phase.QUEUED;
+    };
   }
 
   /**
-   * The jobs that a live record names as awaited. One whose submission is kept in parts names none
-   * here.
+   * The ids of the jobs that a live record depends on. One whose submission is kept in parts names
+   * none here.
    */
   public static List<String> awaits(JsonNode value) {
-    JsonNode all = value.path("s").path("awaits");
+    JsonNode all = value.path(SPEC).path("awaits");
     if (all.isEmpty()) {
       return List.of();
     }
-    List<String> out = new ArrayList<>(all.size());
-    all.forEach(node -> out.add(node.asText()));
-    return out;
+    List<String> ids = new ArrayList<>(all.size());
+    all.forEach(node -> ids.add(node.asText()));
+    return ids;
   }
 
   /** Whether a live or short record is that of a service; older short records do not tell. */
   public static boolean service(JsonNode value) {
-    return value.path("service").asBoolean(false)
-        || value.path("s").path("shape").asText().equals("service");
+    return value.path(SERVICE).asBoolean(false)
+        || value.path(SPEC).path("shape").asText().equals("service");
   }
 
   /** Whether the parts have to be read before the job can be started. */
-  public boolean incomplete() {
+  public boolean needsParts() {
     return !whole && phase == JobStatus.Phase.QUEUED;
   }
 
+  /** The keys of a submission's parts in their order; none for a submission that has none. */
   public static List<String> partKeys(String id, String submission, int parts) {
     return submission == null
         ? List.of()
@@ -98,18 +117,19 @@
 
   /** The texts of stored parts, by their keys. */
   public static Map<String, String> texts(List<StateMessage.Entry> entries) {
-    Map<String, String> out = new HashMap<>();
-    entries.forEach(entry -> out.put(entry.key(), entry.value().path("x").asText("")));
-    return out;
+    Map<String, String> texts = new HashMap<>();
+    entries.forEach(entry -> texts.put(entry.key(), entry.value().path(PART_TEXT).asText("")));
+    return texts;
   }
 
+  /** The stored form of a job that is not over. */
   public ObjectNode live() {
     ObjectNode object = Json.object();
-    object.put("v", submission == null ? StorageKeys.VERSION : StorageKeys.SECOND);
-    object.put("p", phase.wire()).put("at", submittedWall);
-    object.set("s", spec.toJson());
+    object.put(FORMAT, submission == null ? StorageKeys.VERSION : StorageKeys.SECOND);
+    object.put(PHASE, phase.wire()).put(SUBMITTED_AT, submittedWall);
+    object.set(SPEC, spec.toJson());
     if (submission != null) {
-      object.put("x", submission).put("k", parts);
+      object.put(PART_TEXT, submission).put(PART_COUNT, parts);
     }
     return object;
   }
@@ -136,12 +156,12 @@
   /** The record of a job that is cancelled; what only starts need goes if a value is too short. */
   public static ObjectNode cancelled(JsonNode live, int valueBytes) {
     ObjectNode object = live.deepCopy();
-    object.put("p", JobStatus.Phase.ABORTED.wire());
+    object.put(PHASE, JobStatus.Phase.ABORTED.wire());
     if (Json.bytes(object).length > valueBytes) {
       try {
-        object.set("s", JobSpec.parse(object.path("s")).withoutStart().toJson());
+        object.set(SPEC, JobSpec.parse(object.path(SPEC)).withoutStart().toJson());
       } catch (MalformedException e) {
-        object.remove("s");
+        object.remove(SPEC);
       }
     }
     return object;
@@ -149,42 +169,42 @@
 
   /** The short record that remains of a job that is over. */
   public static ObjectNode over(JobStatus.Phase phase, JobSpec spec) {
-    ObjectNode object = Json.object().put("v", StorageKeys.VERSION).put("p", phase.wire());
-    object.put("n", spec.tasks());
-    return spec.service() ? object.put("service", true) : object;
+    ObjectNode object = Json.object().put(FORMAT, StorageKeys.VERSION).put(PHASE, phase.wire());
+    object.put(TASKS, spec.tasks());
+    return spec.service() ? object.put(SERVICE, true) : object;
   }
 
-  /** A name for the parts of a text, cut to this size: the same for the same. */
-  public static String nameOf(String text, int valueBytes) {
+  /** A name for the parts of a text that is cut to this size; depends on nothing else. */
+  public static String submissionName(String text, int valueBytes) {
     try {
       MessageDigest digest = MessageDigest.getInstance("SHA-256");
       byte[] hash = digest.digest(Json.bytes(Json.array().add(text).add(valueBytes)));
-      return HexFormat.of().formatHex(hash, 0, NAME_BYTES);
+      return HexFormat.of().formatHex(hash, 0, SUBMISSION_NAME_BYTES);
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException(e); // every Java platform has it
     }
   }
 
   /** Cuts a text into parts, each of which a value can hold. */
-  public static List<ObjectNode> cut(String text, int valueBytes) {
-    List<ObjectNode> out = new ArrayList<>();
+  public static List<ObjectNode> split(String text, int valueBytes) {
+    List<ObjectNode> parts = new ArrayList<>();
     int from = 0;
     while (from < text.length()) {
-      // An escaped character takes up to six bytes; most take one.
-      int to = Math.min(text.length(), from + Math.max(1, valueBytes - FIXED_BYTES));
+      // Most characters take one byte; one that is escaped takes up to six.
+      int to = Math.min(text.length(), from + Math.max(1, valueBytes - PART_OVERHEAD_BYTES));
       while (to > from + 1 && Json.bytes(part(text, from, to)).length > valueBytes) {
         to = from + (to - from) * 3 / 4;
       }
       if (to < text.length() && Character.isHighSurrogate(text.charAt(to - 1))) {
         to = to - 1 > from ? to - 1 : to + 1;
       }
-      out.add(part(text, from, to));
+      parts.add(part(text, from, to));
       from = to;
     }
-    return out;
+    return parts;
   }
 
   private static ObjectNode part(String text, int from, int to) {
-    return Json.object().put("v", StorageKeys.SECOND).put("x", text.substring(from, to));
+    return Json.object().put(FORMAT, StorageKeys.SECOND).put(PART_TEXT, text.substring(from, to));
   }
 }
--- a/src/main/java/org/snowturn/core/storage/LruMap.java
+++ b/src/main/java/org/snowturn/core/storage/LruMap.java
@@ -3,17 +3,21 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Remembers a bounded number of things, those used last. */
+/** A map of bounded size that evicts the entry whose last use is the longest ago. */
 public final class LruMap<K, V> extends LinkedHashMap<K, V> {
-  private final int most;
+  private static final int INITIAL_CAPACITY = 64;
+  private static final float LOAD_FACTOR = 0.75f;
 
-  public LruMap(int most) {
-    super(64, 0.75f, true);
-    this.most = most;
+  private final int maxEntries;
+
+  /** An empty map that will hold at most so many entries. */
+  public LruMap(int maxEntries) {
+    super(INITIAL_CAPACITY, LOAD_FACTOR, true);
+    this.maxEntries = maxEntries;
   }
 
   @Override
   protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-    return size() > most;
+    return size() > maxEntries;
   }
 }
--- a/src/main/java/org/snowturn/core/storage/RecordSizes.java
+++ b/src/main/java/org/snowturn/core/storage/RecordSizes.java
@@ -1,4 +1,9 @@
 package org.snowturn.core.storage;
 
-/** How many tasks share a record: in the first format, and at most in the second. */
+/**
+ * How many tasks share a record.
+ *
+ * @param first in the first format
+ * @param second at most in the second format
+ */
 public record RecordSizes(int first, int second) {}
--- a/src/main/java/org/snowturn/core/storage/RecordWriter.java
+++ b/src/main/java/org/snowturn/core/storage/RecordWriter.java
@@ -75,7 +75,7 @@
     void guardFailed(String key);
 
     /** The state service finds a value too long, or wrong in another way. */
-    void notTaken(String key);
+    void recordRejected(String key);
   }
 
   private final CoreRuntime runtime;
@@ -173,12 +173,12 @@
   }
 
   /** Changes a second that this term has made lately. */
-  public double spent() {
+  public double writeRate() {
     return budget.writeRate(runtime.now());
   }
 
   /** How many records wait to be written. */
-  public int waiting() {
+  public int queuedRecords() {
     return queue.size();
   }
 
--- a/src/main/java/org/snowturn/core/storage/StorageKeys.java
+++ b/src/main/java/org/snowturn/core/storage/StorageKeys.java
@@ -5,45 +5,73 @@
  * ignore fields they do not know.
  */
 public final class StorageKeys {
+  /** The leader key: its version is the leader's fencing token. */
   public static final String LEADER = "l/leader";
+
   public static final String LEADER_PREFIX = "l/";
+
+  /** Jobs that are not over. */
   public static final String JOBS = "j/";
+
+  /** Short records of jobs that are over. */
   public static final String OVER = "d/";
+
+  /** Results and assignments of tasks in the first format. */
   public static final String TASKS = "t/";
+
+  /** The machines that tasks may be on. */
   public static final String REGISTRY = "r/";
+
+  /** How often tasks of a job were restarted. */
   public static final String RESTARTS = "s/";
+
+  /** The first stored format. */
   public static final int VERSION = 1;
 
-  /** Since the second format; the version before reads none of these prefixes. */
+  /** The second stored format; the prefixes below came with it. */
   public static final int SECOND = 2;
 
+  /** What the nodes say of the stored formats. */
   public static final String FORMAT = "f/";
+
+  /** The nodes that read the second format, by name. */
   public static final String READERS = "f/n/";
+
+  /** Exists once all nodes read the second format. */
   public static final String GATE = "f/gate";
+
+  /** Results and assignments of tasks in the second format. */
   public static final String TASKS2 = "p/";
+
+  /** Submissions that are too long for a value. */
   public static final String PARTS = "x/";
 
-  /** How many ordinary machines the operators kept up when the first leader came. */
+  /** How many on-demand machines the operators kept up when the first leader took office. */
   public static final String STANDING = "o/standing";
 
   private StorageKeys() {}
 
+  /** A job that is not over. */
   public static String job(String id) {
     return JOBS + id;
   }
 
+  /** The short record of a job that is over. */
   public static String over(String id) {
     return OVER + id;
   }
 
+  /** One record of tasks in the first format. */
   public static String tasks(String id, int chunk) {
     return TASKS + id + "/" + chunk;
   }
 
+  /** One record of tasks in the second format. */
   public static String tasks2(String id, int chunk) {
     return TASKS2 + id + "/" + chunk;
   }
 
+  /** The count of restarts of one job. */
   public static String restarts(String id) {
     return RESTARTS + id;
   }
--- a/src/main/java/org/snowturn/core/storage/TaskLayout.java
+++ b/src/main/java/org/snowturn/core/storage/TaskLayout.java
@@ -4,47 +4,67 @@
  * Which tasks of a job share a stored record. In the first format a record holds {@code first}
  * tasks; in the second each of those is cut into equal pieces that a smaller value can hold, so
  * that a piece never lies in two records of the first format.
+ *
+ * @param tasks how many tasks the job has
+ * @param first how many of them a record of the first format holds
+ * @param pieces into how many records each of those is cut
+ * @param piece how many tasks a piece holds, except for the last one, which may hold fewer
  */
 public record TaskLayout(int tasks, int first, int pieces, int piece) {
-  /** An attempt's number is its leader's token, shifted by so many bits, and a count. */
+  /** An attempt's number is its leader's fencing token, shifted by so many bits, plus a count. */
   public static final int ATTEMPT_BITS = 20;
 
-  /** A placement in the second format, beside the machine's name: numbers and punctuation. */
+  /** An assignment in the second format, beside the machine's name: numbers and punctuation. */
   private static final int ENTRY_BYTES = 28;
 
-  /** What names of machines usually take; longer ones are provided for by {@link #room}. */
-  private static final int USUAL_NAME = 8;
+  /**
+   * Usual length of a machine's name; longer ones are provided for by {@link #entryCapacityBytes}.
+   */
+  private static final int TYPICAL_NAME_BYTES = 8;
 
   private static final int FIXED_BYTES = 80;
+  private static final int MIN_TASKS_PER_RECORD = 4;
 
-  /** How many tasks to a record in the second format. */
+  /** Room that a record always has beside one assignment. */
+  private static final int MIN_SPARE_BYTES = 200;
+
+  /** Results are a bitmap in Base64: six tasks take a character. */
+  private static final int RESULTS_PER_BYTE = 6;
+
+  /** How many tasks share a record in the second format. */
   public static int span(int valueBytes) {
-    return Math.max(4, (valueBytes - FIXED_BYTES) / (ENTRY_BYTES + USUAL_NAME + 1));
+    return Math.max(
+        MIN_TASKS_PER_RECORD, (valueBytes - FIXED_BYTES) / (ENTRY_BYTES + TYPICAL_NAME_BYTES + 1));
   }
 
-  /** Bytes that a placement takes at the most, with a machine's name of this length. */
+  /** The most bytes that an assignment takes, with a machine's name of this length. */
   public static int entryBytes(int nameBytes) {
     return ENTRY_BYTES + nameBytes;
   }
 
-  /** How many bytes the placements of one record may take together. */
-  public static int room(int valueBytes, int span) {
-    return Math.max(ENTRY_BYTES + 200, valueBytes - FIXED_BYTES - span / 6);
+  /** How many bytes the assignments of one record may take together. */
+  public static int entryCapacityBytes(int valueBytes, int span) {
+    return Math.max(
+        ENTRY_BYTES + MIN_SPARE_BYTES, valueBytes - FIXED_BYTES - span / RESULTS_PER_BYTE);
   }
 
+  /** The layout of a job in the first format, with so many tasks to a record. */
   public static TaskLayout first(int tasks, int first) {
     return new TaskLayout(tasks, first, 1, first);
   }
 
+  /** The layout of a job in the second format. */
   public static TaskLayout second(int tasks, RecordSizes spans) {
     int pieces = (spans.first() + spans.second() - 1) / spans.second();
     return new TaskLayout(tasks, spans.first(), pieces, (spans.first() + pieces - 1) / pieces);
   }
 
+  /** How many records the job has. */
   public int records() {
     return tasks == 0 ? 0 : recordOf(tasks - 1) + 1;
   }
 
+  /** The record that holds a task. */
   public int recordOf(int task) {
     return task / first * pieces + task % first / piece;
   }
--- a/src/test/java/org/snowturn/core/RecordsTest.java
+++ b/src/test/java/org/snowturn/core/RecordsTest.java
@@ -126,9 +126,9 @@
     String image = "\u0001\"\\\ud83d\ude00é".repeat(30);
     JobSpec s = spec(3, image);
     JobRecord whole = new JobRecord(JobStatus.Phase.QUEUED, 5, s);
-    List<ObjectNode> parts = JobRecord.cut(Json.text(s.toJson()), 120);
+    List<ObjectNode> parts = JobRecord.split(Json.text(s.toJson()), 120);
     JobRecord stored = JobRecord.parse(whole.inParts("n", parts.size()).live());
-    assertTrue(stored.incomplete());
+    assertTrue(stored.needsParts());
     Map<String, String> texts = new HashMap<>();
     List<String> keys = JobRecord.partKeys("wk-000001", "n", parts.size());
     for (int i = 0; i < parts.size(); i++) {
--- a/src/test/java/org/snowturn/core/TestWriterHost.java
+++ b/src/test/java/org/snowturn/core/TestWriterHost.java
@@ -21,5 +21,5 @@
   public void guardFailed(String key) {}
 
   @Override
-  public void notTaken(String key) {}
+  public void recordRejected(String key) {}
 }
