--- a/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
@@ -147,7 +147,7 @@
       quarantined.remove(id); // cancelled: whatever runs of it may be stopped
     }
     Job job = jobs.get(id);
-    if (job == null && stored.incomplete()) {
+    if (job == null && stored.needsParts()) {
       parts.read(id, stored, stamp, texts -> addChunkedJob(id, stored, stamp, texts));
       return;
     }
@@ -465,7 +465,7 @@
   public void placementRejected(String key) {
     for (Job job : jobs.values()) {
       for (int c = 0; c < job.taskRecords().length; c++) {
-        if (job.taskRecord(c) == null || !job.taskRecord(c).key.equals(key)) {
+        if (job.taskRecord(c) == null || !job.taskRecord(c).key().equals(key)) {
           continue;
         }
         job.setBackOffUntil(runtime.now() + NOT_RECORDED_MS);
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -181,7 +181,7 @@
 
   /** How many changes a second this term has written lately. */
   public double changesMade() {
-    return services.writer().spent();
+    return services.writer().writeRate();
   }
 
   /** All gauges of the term by name. */
@@ -217,7 +217,7 @@
   }
 
   @Override
-  public void notTaken(String key) {
+  public void recordRejected(String key) {
     assignments.placementRejected(key);
   }
 
--- a/src/main/java/org/snowturn/core/leader/LeaderGauges.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderGauges.java
@@ -43,7 +43,7 @@
     gauges.putAll(services.failureHandler().gauges());
     gauges.putAll(services.guard().gauges());
     gauges.put("snowturn.restarts", (double) scheduling.speculator().restarts());
-    gauges.put("snowturn.writes.waiting", (double) services.writer().waiting());
+    gauges.put("snowturn.writes.waiting", (double) services.writer().queuedRecords());
     gauges.put("snowturn.placements", (double) assignments.placements());
     gauges.put("snowturn.placements.looks", (double) scheduling.scheduler().looks());
     gauges.put("snowturn.outboxes.looks", (double) dispatcher.flushes());
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
@@ -143,7 +143,7 @@
     JobRecord stored = JobRecord.parse(entry.value());
     List<String> keys = JobRecord.partKeys(id, stored.submission(), stored.parts());
     used.addAll(keys);
-    if (stored.incomplete() && texts.keySet().containsAll(keys)) {
+    if (stored.needsParts() && texts.keySet().containsAll(keys)) {
       assignments.addChunkedJob(id, stored, entry.stamp(), texts);
     } else {
       assignments.addJob(id, stored, entry.stamp());
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsReader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsReader.java
@@ -43,7 +43,7 @@
 
   /** Starts to read. The gate comes first: it tells which format is to be written. */
   void start() {
-    gate.look(
+    gate.check(
         () -> {
           if (!term.ended()) {
             readRanges();
--- a/src/main/java/org/snowturn/core/scheduling/Speculator.java
+++ b/src/main/java/org/snowturn/core/scheduling/Speculator.java
@@ -70,7 +70,7 @@
 
   /** The record of an array's restarts was read, at this revision. */
   public void loaded(Job job, long stamp) {
-    restartRecord(job).stamp = stamp;
+    restartRecord(job).setVersion(stamp);
   }
 
   private PendingRecord restartRecord(Job job) {
