--- a/src/main/java/org/snowturn/core/health/EndEvidence.java
+++ b/src/main/java/org/snowturn/core/health/EndEvidence.java
@@ -2,77 +2,161 @@
 
 /**
  * What is offered as proof that an attempt has ended without a result, or that it never began. No
- * task waits again without one of these; {@link AttemptSnapshot#objection} judges whether it holds.
+ * task is queued again without one of these; {@link #objection} judges whether it holds.
  */
-public sealed interface EndEvidence {
+public abstract sealed class EndEvidence {
+  private final String kind;
+
+  private EndEvidence(String kind) {
+    this.kind = kind;
+  }
+
   /** The name of this kind of evidence in logs and metrics; it stays the same. */
-  String kind();
-
-  /**
-   * A report of the attempt's machine lists it as ended.
-   *
-   * @param token the highest token that the machine had seen when it reported
-   * @param session the machine's session when it reported
-   */
-  record ReportedEnded(long token, long session) implements EndEvidence {
+  public final String kind() {
+    return kind;
+  }
+
+  /** Why this does not prove that the attempt has ended; null if it does. */
+  abstract String objection(AttemptSnapshot attempt);
+
+  /** A heartbeat of the attempt's machine. */
+  public abstract static sealed class Reported extends EndEvidence {
+    private final long token;
+    private final long agentEpoch;
+
+    private Reported(String kind, long token, long agentEpoch) {
+      super(kind);
+      this.token = token;
+      this.agentEpoch = agentEpoch;
+    }
+
+    /** Why the heartbeat proves nothing of the attempt, whatever it says of it; null if it may. */
+    final String reportObjection(AttemptSnapshot attempt) {
+      if (token != attempt.token()) {
+        return "the report does not bear the present token";
+      }
+      if (agentEpoch != attempt.agentEpoch()) {
+        return "the report is of another session";
+      }
+      return attempt.durable() ? null : "no start has been sent that could be reported";
+    }
+  }
+
+  /** A heartbeat of the attempt's machine lists it as ended. */
+  public static final class ReportedEnded extends Reported {
+    /**
+     * Evidence from a heartbeat.
+     *
+     * @param token the highest token that the machine had seen when it sent the heartbeat
+     * @param agentEpoch the machine's agent epoch at that time
+     */
+    public ReportedEnded(long token, long agentEpoch) {
+      super("reported_ended", token, agentEpoch);
+    }
+
     @Override
-    public String kind() {
-      return "reported_ended";
+    String objection(AttemptSnapshot attempt) {
+      return reportObjection(attempt);
     }
   }
 
-  /**
-   * A report of the attempt's machine does not list it.
-   *
-   * @param token the highest token that the machine had seen when it reported
-   * @param session the machine's session when it reported
-   * @param checkIn whether the report is a check-in, so that what earlier answers carried has been
-   *     carried out or never will be
-   */
-  record NotListed(long token, long session, boolean checkIn) implements EndEvidence {
+  /** A heartbeat of the attempt's machine does not list it. */
+  public static final class NotListed extends Reported {
+    private final boolean ownHeartbeat;
+
+    /**
+     * Evidence from a heartbeat.
+     *
+     * @param token the highest token that the machine had seen when it sent the heartbeat
+     * @param agentEpoch the machine's agent epoch at that time
+     * @param ownHeartbeat whether the machine sent it by itself and not in reply to a message, so
+     *     that what earlier answers carried has been carried out or never will be
+     */
+    public NotListed(long token, long agentEpoch, boolean ownHeartbeat) {
+      super("not_listed", token, agentEpoch);
+      this.ownHeartbeat = ownHeartbeat;
+    }
+
     @Override
-    public String kind() {
-      return "not_listed";
+    String objection(AttemptSnapshot attempt) {
+      String objection = reportObjection(attempt);
+      if (objection != null || attempt.inherited()) {
+        return objection;
+      }
+      // An attempt of this term is missing: that proves its end only once no start can arrive.
+      if (!attempt.stopping()) {
+        return "the start is repeated until the attempt is listed";
+      }
+      return ownHeartbeat && !attempt.startInFlight() ? null : "a start of it may still arrive";
     }
   }
 
-  /** The attempt's machine has reported from a later session. */
-  record LaterSession(long session) implements EndEvidence {
+  /** The attempt's machine has sent a heartbeat of a later agent epoch. */
+  public static final class LaterSession extends EndEvidence {
+    private final long agentEpoch;
+
+    /** Evidence from a heartbeat of this agent epoch. */
+    public LaterSession(long agentEpoch) {
+      super("later_session");
+      this.agentEpoch = agentEpoch;
+    }
+
     @Override
-    public String kind() {
-      return "later_session";
+    String objection(AttemptSnapshot attempt) {
+      return agentEpoch > attempt.agentEpoch() ? null : "the session is not later";
     }
   }
 
-  /** The session of the attempt's machine has run out. */
-  record LeaseLapsed() implements EndEvidence {
+  /** The lease of the attempt's machine has expired. */
+  public static final class LeaseLapsed extends EndEvidence {
+    /** Evidence from the clock. */
+    public LeaseLapsed() {
+      super("lease_lapsed");
+    }
+
     @Override
-    public String kind() {
-      return "lease_lapsed";
+    String objection(AttemptSnapshot attempt) {
+      boolean expired = attempt.nowMs() - attempt.leaseRenewedMs() >= attempt.leaseExpiryMs();
+      return expired ? null : "the lease has not run out";
     }
   }
 
   /** The cloud has confirmed that the machine is deleted. */
-  record MachineDeleted() implements EndEvidence {
+  public static final class MachineDeleted extends EndEvidence {
+    /** Evidence from the cloud. */
+    public MachineDeleted() {
+      super("machine_deleted");
+    }
+
     @Override
-    public String kind() {
-      return "machine_deleted";
+    String objection(AttemptSnapshot attempt) {
+      return attempt.machineDeleted() ? null : "the deletion is not confirmed";
     }
   }
 
   /** The cloud lists the machine as failed. */
-  record MachineFailed() implements EndEvidence {
+  public static final class MachineFailed extends EndEvidence {
+    /** Evidence from the cloud. */
+    public MachineFailed() {
+      super("machine_failed");
+    }
+
     @Override
-    public String kind() {
-      return "machine_failed";
+    String objection(AttemptSnapshot attempt) {
+      return attempt.machineFailed() ? null : "the machine is not listed as failed";
     }
   }
 
   /** No start of the attempt has been decided yet, since its placement is not durable. */
-  record NeverSent() implements EndEvidence {
+  public static final class NeverSent extends EndEvidence {
+    /** Evidence from the term's own records. */
+    public NeverSent() {
+      super("never_sent");
+    }
+
     @Override
-    public String kind() {
-      return "never_sent";
+    String objection(AttemptSnapshot attempt) {
+      return attempt.durable() ? "a start may have been sent" : null;
     }
   }
 }
--- a/src/main/java/org/snowturn/core/health/FailureAttribution.java
+++ b/src/main/java/org/snowturn/core/health/FailureAttribution.java
@@ -6,150 +6,164 @@
 
 /**
  * Whose fault it is when a task fails: its job's, which was submitted with a mistake, or its
- * machine's. Each is judged by the other. A job any task of which has succeeded is sound, for good;
- * a machine is sound from a success there until a sound job fails on it.
+ * machine's. Each is judged by the other. A job any task of which has succeeded is healthy, for
+ * good; a machine is healthy from a success there until a healthy job fails on it.
  *
  * <ul>
- *   <li>A job without any success is suspect once it has failed on two sound machines, or on four
- *       of which nothing is known. It never is for good: one success clears it.
- *   <li>A machine is sick once sound jobs have failed there so often, without a success between.
- *       Failures of a job that is not known to be sound wait: they count when it turns out to be.
- *       (Three unknown jobs on one machine are no proof: after a change of leader, all broken ones
- *       are tried anew at once.)
+ *   <li>A job without any success is suspected once it has failed on two healthy machines, or on
+ *       four of which nothing is known. It never is for good: one success clears it.
+ *   <li>A machine is faulty once healthy jobs have failed there so often, without a success
+ *       between. Failures of a job that is not known to be healthy wait: they count when it turns
+ *       out to be. (Three unknown jobs on one machine are no proof: after a change of leader, all
+ *       broken ones are tried anew at once.)
  * </ul>
  *
  * Jobs and machines are dense indices. What is kept is bounded by what has failed lately.
  */
 public final class FailureAttribution {
-  private static final int SOUND_MACHINES = 2;
-  private static final int ANY_MACHINES = 4;
+  /** Failures on so many healthy machines make a job suspected. */
+  private static final int MIN_HEALTHY_MACHINES = 2;
 
-  /** So many machines are remembered for each job. */
-  private static final int REMEMBERED = 16;
+  /** Failures on so many machines, whatever is known of them, make a job suspected. */
+  private static final int MIN_MACHINES = 4;
 
-  private static final class JobCase {
-    final IntHashSet machines = new IntHashSet();
-    int onSound;
-    boolean sound;
-    boolean suspect;
+  /** So many machines are remembered for each job. */
+  private static final int MAX_REMEMBERED = 16;
+
+  /** What is known of a job. */
+  private static final class JobHistory {
+    private final IntHashSet failedMachines = new IntHashSet();
+    private int failedHealthyMachines;
+    private boolean healthy;
+    private boolean suspected;
   }
 
-  private static final class MachineCase {
+  /** What is known of a machine. */
+  private static final class MachineHistory {
     /** Failures of each job since the last success. */
-    final Int2IntHashMap failures = new Int2IntHashMap(0);
+    private final Int2IntHashMap failures = new Int2IntHashMap(0);
 
-    /** Failures since then of sound jobs that are over. */
-    int ofJobsOver;
+    /** Failures since then of healthy jobs that are over. */
+    private int failuresOfFinishedJobs;
 
-    boolean sound;
+    private boolean healthy;
   }
 
-  private final Int2ObjectHashMap<JobCase> jobs = new Int2ObjectHashMap<>();
-  private final Int2ObjectHashMap<MachineCase> machines = new Int2ObjectHashMap<>();
-  private final int sickAfter;
-
-  /** Knows of no failure yet; so many of sound jobs in a row make a machine sick. */
-  public FailureAttribution(int sickAfter) {
-    this.sickAfter = sickAfter;
+  private final Int2ObjectHashMap<JobHistory> jobs = new Int2ObjectHashMap<>();
+  private final Int2ObjectHashMap<MachineHistory> machines = new Int2ObjectHashMap<>();
+  private final int faultyAfter;
+
+  /**
+   * Knows of no failure yet.
+   *
+   * @param faultyAfter so many failures of healthy jobs in a row make a machine faulty
+   */
+  public FailureAttribution(int faultyAfter) {
+    this.faultyAfter = faultyAfter;
   }
 
-  private JobCase job(int job) {
-    return jobs.computeIfAbsent(job, j -> new JobCase());
+  private JobHistory job(int job) {
+    return jobs.computeIfAbsent(job, index -> new JobHistory());
   }
 
-  private MachineCase machine(int machine) {
-    return machines.computeIfAbsent(machine, m -> new MachineCase());
+  private MachineHistory machine(int machine) {
+    return machines.computeIfAbsent(machine, index -> new MachineHistory());
   }
 
   /** A task of the job has succeeded on the machine. */
   public void succeeded(int job, int machine) {
     proven(job);
-    MachineCase m = machine(machine);
-    m.failures.clear();
-    m.ofJobsOver = 0;
-    m.sound = true;
+    MachineHistory history = machine(machine);
+    history.failures.clear();
+    history.failuresOfFinishedJobs = 0;
+    history.healthy = true;
   }
 
   /** A task of the job is known to have succeeded somewhere. */
   public void proven(int job) {
-    JobCase j = job(job);
-    j.sound = true;
-    j.suspect = false;
+    JobHistory history = job(job);
+    history.healthy = true;
+    history.suspected = false;
   }
 
   /** A task of the job has failed on the machine. */
   public void failed(int job, int machine) {
-    JobCase j = job(job);
-    MachineCase m = machine(machine);
-    m.failures.put(job, m.failures.get(job) + 1);
-    boolean first = j.machines.size() < REMEMBERED && j.machines.add(machine);
-    if (j.sound) {
-      m.sound = false;
+    JobHistory jobHistory = job(job);
+    MachineHistory machineHistory = machine(machine);
+    machineHistory.failures.put(job, machineHistory.failures.get(job) + 1);
+    boolean first =
+        jobHistory.failedMachines.size() < MAX_REMEMBERED && jobHistory.failedMachines.add(machine);
+    if (jobHistory.healthy) {
+      machineHistory.healthy = false;
       return;
     }
-    j.onSound += first && m.sound ? 1 : 0;
-    j.suspect = j.onSound >= SOUND_MACHINES || j.machines.size() >= ANY_MACHINES;
+    jobHistory.failedHealthyMachines += first && machineHistory.healthy ? 1 : 0;
+    jobHistory.suspected =
+        jobHistory.failedHealthyMachines >= MIN_HEALTHY_MACHINES
+            || jobHistory.failedMachines.size() >= MIN_MACHINES;
   }
 
   /** Whether the job seems to fail wherever it runs. */
   public boolean suspect(int job) {
-    JobCase j = jobs.get(job);
-    return j != null && j.suspect;
+    JobHistory history = jobs.get(job);
+    return history != null && history.suspected;
   }
 
-  /** Whether work has succeeded on the machine, and no sound job has failed there since. */
+  /** Whether work has succeeded on the machine, and no healthy job has failed there since. */
   public boolean sound(int machine) {
-    MachineCase m = machines.get(machine);
-    return m != null && m.sound;
+    MachineHistory history = machines.get(machine);
+    return history != null && history.healthy;
   }
 
-  /** Failures there since the last success that no suspect job explains. */
+  /** Failures there since the last success that no suspected job explains. */
   public int unexplained(int machine) {
-    return count(machine, false);
+    return countFailures(machine, false);
   }
 
-  private int count(int machine, boolean ofSound) {
-    MachineCase m = machines.get(machine);
-    int[] n = {m == null ? 0 : m.ofJobsOver};
-    if (m != null) {
-      m.failures.forEachInt(
-          (job, times) -> {
-            JobCase j = jobs.get(job);
-            if (j != null && (ofSound ? j.sound : !j.suspect)) {
-              n[0] += times;
-            }
-          });
+  private int countFailures(int machine, boolean ofHealthyJobsOnly) {
+    MachineHistory machineHistory = machines.get(machine);
+    if (machineHistory == null) {
+      return 0;
     }
-    return n[0];
+    int[] count = {machineHistory.failuresOfFinishedJobs};
+    machineHistory.failures.forEachInt(
+        (job, failures) -> {
+          JobHistory jobHistory = jobs.get(job);
+          if (jobHistory != null
+              && (ofHealthyJobsOnly ? jobHistory.healthy : !jobHistory.suspected)) {
+            count[0] += failures;
+          }
+        });
+    return count[0];
   }
 
   /** Whether whatever starts on the machine seems to fail. */
   public boolean sick(int machine) {
-    return count(machine, true) >= sickAfter;
+    return countFailures(machine, true) >= faultyAfter;
   }
 
-  /** The job is over. What it told of machines stays if it was sound. */
+  /** The job is over. What it told of machines stays if it was healthy. */
   public void forgetJob(int job) {
-    JobCase j = jobs.remove(job);
-    if (j == null) {
+    JobHistory jobHistory = jobs.remove(job);
+    if (jobHistory == null) {
       return;
     }
-    j.machines.forEachInt(
+    jobHistory.failedMachines.forEachInt(
         machine -> {
-          MachineCase m = machines.get(machine);
-          int times = m == null ? 0 : m.failures.remove(job);
-          if (m != null && j.sound) {
-            m.ofJobsOver += times;
+          MachineHistory machineHistory = machines.get(machine);
+          int failures = machineHistory == null ? 0 : machineHistory.failures.remove(job);
+          if (machineHistory != null && jobHistory.healthy) {
+            machineHistory.failuresOfFinishedJobs += failures;
           }
         });
   }
 
-  /** How many jobs are suspect. */
+  /** How many jobs are suspected. */
   public int suspects() {
-    int n = 0;
-    for (JobCase j : jobs.values()) {
-      n += j.suspect ? 1 : 0;
+    int count = 0;
+    for (JobHistory history : jobs.values()) {
+      count += history.suspected ? 1 : 0;
     }
-    return n;
+    return count;
   }
 }
--- a/src/main/java/org/snowturn/core/health/Reachability.java
+++ b/src/main/java/org/snowturn/core/health/Reachability.java
@@ -1,45 +1,53 @@
 package org.snowturn.core.health;
 
 /**
- * Whether a machine receives what it is sent. Its reports only tell what runs there: they may get
- * out while nothing gets in, and copies of them may come long after it has died. Only what shows
- * that something arrived counts:
+ * Whether a machine receives what it is sent. Its heartbeats only tell what runs there: they may
+ * get out while nothing gets in, and copies of them may come long after it has died. Only what
+ * shows that something arrived counts:
  *
  * <ul>
  *   <li>it has answered a message,
  *   <li>it has learnt a token that it did not have before,
- *   <li>two of its reports in a row have come here in their time, the first of which was answered:
- *       without the answer it would have gone to other nodes before.
+ *   <li>two of its heartbeats in a row have come here in their time, the first of which was
+ *       answered: without the answer it would have gone to other nodes before.
  * </ul>
  *
- * Nothing new is placed on a machine that is in doubt, and nothing follows for what may run there:
- * that stays bound until there is proof of its end. Times are milliseconds of the steady clock.
+ * Nothing new is placed on a machine that is not proven reachable, and nothing follows for what may
+ * run there: that stays assigned until there is proof of its end. Times are milliseconds of the
+ * steady clock.
  */
 public final class Reachability {
-  /** So many messages in vain while it reports are no accident. */
+  /** So many unanswered messages in a row, while its heartbeats come, are no accident. */
   public static final int DEAF_AFTER = 3;
 
-  /** A machine in doubt is asked at once, then ever later up to this. */
-  private static final long ASK_FIRST_MS = 500;
+  /**
+   * A machine that is not proven is probed at once, then after delays that double up to a bound.
+   */
+  private static final long MIN_PROBE_DELAY_MS = 500;
+
+  private static final long MAX_PROBE_DELAY_MS = 4_000;
 
-  private static final long ASK_MOST_MS = 4_000;
+  private static final int MAX_PROBE_DOUBLINGS = 4;
 
-  /** So many answers in a row that are older than what is known are no accident. */
-  private static final int ANEW_AFTER = 3;
+  /** So many replies in a row that are older than what is known are no accident. */
+  private static final int NEW_INCARNATION_AFTER = 3;
 
-  /** Two reports that come sooner after each other were held back together. */
-  private static final long LEAST_APART_MS = 400;
+  /** Two heartbeats that come sooner after each other were held back together. */
+  private static final long MIN_HEARTBEAT_GAP_MS = 400;
 
   private static final long NEVER = Long.MIN_VALUE / 4;
 
   private boolean proven;
+
+  /** Whether its last heartbeat did not bear the present token. */
   private boolean withoutToken;
-  private long doubtSince = NEVER;
-  private long answeredAt = NEVER;
-  private int inVain;
-  private int olderAnswers;
-  private long askAt = NEVER;
-  private long highestReport = -1;
+
+  private long unprovenSince = NEVER;
+  private long heartbeatAnsweredAt = NEVER;
+  private int unansweredMessages;
+  private int outdatedReplies;
+  private long nextProbeAt = NEVER;
+  private long highestSequence = -1;
 
   /** Whether it has shown that it receives, and nothing since speaks against it. */
   public boolean proven() {
@@ -48,104 +56,109 @@
 
   /** How many messages in a row got no answer. */
   public int inVain() {
-    return inVain;
+    return unansweredMessages;
   }
 
   /**
-   * Whether it reports and yet has received nothing for so long, though it was asked again and
-   * again.
+   * Whether it sends heartbeats and yet has received nothing for so long, despite several probes.
    */
-  public boolean deaf(long nowMs, long patienceMs) {
-    return !proven && inVain >= DEAF_AFTER && nowMs - doubtSince >= patienceMs;
+  public boolean isUnreachable(long nowMs, long limitMs) {
+    return !proven && unansweredMessages >= DEAF_AFTER && nowMs - unprovenSince >= limitMs;
   }
 
   /** A message got no answer: what came before proves nothing any more. */
   public void unanswered(long nowMs) {
-    inVain++;
+    unansweredMessages++;
     doubt(nowMs);
   }
 
   /** What it has shown so far counts no more. */
   public void doubt(long nowMs) {
-    doubtSince = doubtSince == NEVER ? nowMs : doubtSince;
+    unprovenSince = unprovenSince == NEVER ? nowMs : unprovenSince;
     proven = false;
-    answeredAt = NEVER;
+    heartbeatAnsweredAt = NEVER;
   }
 
-  /** A later session of it was seen. It has received nothing for as long as a lease. */
+  /** A later agent epoch of it was seen. It has received nothing for as long as a lease. */
   public void newSession(long nowMs) {
     doubt(nowMs);
     withoutToken = false;
-    highestReport = -1;
+    highestSequence = -1;
   }
 
-  /** Whether to ask it now, so that it may show that it receives; counts as asked. */
-  public boolean toAsk(long nowMs) {
-    if (proven || nowMs < askAt) {
+  /** Whether to probe it now, so that it may show that it receives; if so, it counts as probed. */
+  public boolean claimProbe(long nowMs) {
+    if (proven || nowMs < nextProbeAt) {
       return false;
     }
-    askAt = nowMs + Math.min(ASK_MOST_MS, ASK_FIRST_MS << Math.min(4, inVain));
+    int doublings = Math.min(MAX_PROBE_DOUBLINGS, unansweredMessages);
+    nextProbeAt = nowMs + Math.min(MAX_PROBE_DELAY_MS, MIN_PROBE_DELAY_MS << doublings);
     return true;
   }
 
   /**
    * It has answered a message; tells whether it has come back as a new machine under its old name,
-   * whose counts begin anew: nothing that it says would be believed, nor its silence noticed.
+   * whose counts begin anew: nothing that it says would be accepted, nor its silence noticed.
    *
-   * @param older whether the answer is older than what is known of it
+   * @param outdated whether the reply is older than what is known of it
    */
-  public boolean answersAnew(boolean older) {
-    olderAnswers = older ? olderAnswers + 1 : 0;
-    return olderAnswers >= ANEW_AFTER;
+  public boolean replyShowsNewIncarnation(boolean outdated) {
+    outdatedReplies = outdated ? outdatedReplies + 1 : 0;
+    return outdatedReplies >= NEW_INCARNATION_AFTER;
   }
 
-  /** It has answered a message. */
-  public void answered() {
+  /** It has received something. */
+  public void prove() {
     proven = true;
-    doubtSince = NEVER;
-    inVain = 0;
+    unprovenSince = NEVER;
+    unansweredMessages = 0;
   }
 
   /**
-   * A report of the present session was believed.
+   * A heartbeat of the present agent epoch was accepted.
    *
    * @param token whether it bears the present token
    */
   public void believed(boolean token) {
     if (token && withoutToken) {
       withoutToken = false;
-      answered();
+      prove();
     }
     withoutToken |= !token;
   }
 
   /**
-   * Whether a check-in of the present session, by its count, is a copy or was given up long ago.
+   * Whether a heartbeat of the present agent epoch, by its sequence number, is a copy or was given
+   * up long ago.
    */
-  public boolean late(long seq) {
-    return seq <= highestReport;
+  public boolean isStale(long sequence) {
+    return sequence <= highestSequence;
   }
 
   /**
-   * A check-in of the present session has come, by its count.
+   * A heartbeat of the present agent epoch has come.
    *
-   * @param inTimeMs within which a machine that was answered reports again
+   * @param sequence its sequence number
+   * @param dueMs within which a machine that was answered sends the next heartbeat
    */
-  public void checkedIn(long seq, long nowMs, long inTimeMs) {
-    highestReport = Math.max(highestReport, seq);
-    long since = nowMs - answeredAt;
-    if (!proven && answeredAt != NEVER && since >= LEAST_APART_MS && since <= inTimeMs) {
-      answered();
+  public void heartbeatReceived(long sequence, long nowMs, long dueMs) {
+    highestSequence = Math.max(highestSequence, sequence);
+    long sinceAnswer = nowMs - heartbeatAnsweredAt;
+    if (!proven
+        && heartbeatAnsweredAt != NEVER
+        && sinceAnswer >= MIN_HEARTBEAT_GAP_MS
+        && sinceAnswer <= dueMs) {
+      prove();
     }
   }
 
-  /** How long ago its last check-in since it came into doubt was answered; 0 if none was. */
-  public long answeredFor(long nowMs) {
-    return answeredAt == NEVER ? 0 : nowMs - answeredAt;
+  /** How long ago its last heartbeat since it was unproven was answered; 0 if none was. */
+  public long answeredAgoMs(long nowMs) {
+    return heartbeatAnsweredAt == NEVER ? 0 : nowMs - heartbeatAnsweredAt;
   }
 
-  /** That check-in is answered with what may renew its lease. */
+  /** That heartbeat is answered with what may renew its lease. */
   public void answeredCheckIn(long nowMs) {
-    answeredAt = nowMs;
+    heartbeatAnsweredAt = nowMs;
   }
 }
--- a/src/main/java/org/snowturn/core/leader/HealthSweep.java
+++ b/src/main/java/org/snowturn/core/leader/HealthSweep.java
@@ -166,7 +166,7 @@
     }
     reachability.probeIfDue(machine);
     countUnreachable += machine.reachability.inVain() >= Reachability.DEAF_AFTER ? 1 : 0;
-    if (machine.reachability.deaf(runtime.now(), unreachableLimitMs())
+    if (machine.reachability.isUnreachable(runtime.now(), unreachableLimitMs())
         && unreachable * 2 < total
         && silence.mayReplace()) {
       scheduling.autoscaler().discard(machine, "reports, but receives nothing");
--- a/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
+++ b/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
@@ -98,7 +98,7 @@
     reachability.messageAnswered(machine, heartbeat);
     apply(machine, heartbeat);
     if (!machine.reachability.proven()) {
-      machine.reachability.answered();
+      machine.reachability.prove();
       services.assignments().markChanged();
     }
   }
--- a/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
+++ b/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
@@ -51,7 +51,8 @@
   boolean isStale(Machine machine, Heartbeat heartbeat) {
     boolean stale =
         heartbeat.epoch() < machine.epoch()
-            || (heartbeat.epoch() == machine.epoch() && machine.reachability.late(heartbeat.seq()));
+            || (heartbeat.epoch() == machine.epoch()
+                && machine.reachability.isStale(heartbeat.seq()));
     staleHeartbeats += stale ? 1 : 0;
     return stale;
   }
@@ -64,7 +65,7 @@
   /** That heartbeat was applied. */
   void heartbeatApplied(Machine machine, Heartbeat heartbeat) {
     if (heartbeat.epoch() == machine.epoch()) {
-      machine.reachability.checkedIn(
+      machine.reachability.heartbeatReceived(
           heartbeat.seq(), runtime.now(), HeartbeatProcessor.heartbeatDueMs(settings));
     }
     probeIfDue(machine);
@@ -75,7 +76,7 @@
     silence.workerHeard();
     connectivity.workerHeard();
     machine.setProbing(false);
-    if (machine.reachability.answersAnew(isOutdated(machine, heartbeat))) {
+    if (machine.reachability.replyShowsNewIncarnation(isOutdated(machine, heartbeat))) {
       autoscaler.discard(machine, "has started anew");
     }
   }
@@ -96,11 +97,11 @@
     boolean inTurn =
         machine.isAcknowledged()
             || (recovery.mostHeard()
-                && machine.reachability.answeredFor(runtime.now()) > NEXT_HEARTBEAT_MS);
+                && machine.reachability.answeredAgoMs(runtime.now()) > NEXT_HEARTBEAT_MS);
     if (inTurn
         && machine.addr() != null
         && machine.commands().idle()
-        && machine.reachability.toAsk(runtime.now())) {
+        && machine.reachability.claimProbe(runtime.now())) {
       machine.commands().probe();
     }
   }
--- a/src/main/java/org/snowturn/core/leader/RecoveryProber.java
+++ b/src/main/java/org/snowturn/core/leader/RecoveryProber.java
@@ -133,9 +133,9 @@
     long now = runtime.now();
     if (now - lastTickAt > LATE_TICK_MS) {
       lastLateTickAt = now;
-      probes.late(now);
+      probes.nodeLate(now);
     } else if (now - lastTickAt < PROMPT_TICK_MS) {
-      probes.punctual();
+      probes.nodeOnTime();
     }
     lastTickAt = now;
   }
@@ -152,7 +152,7 @@
       probe();
     } else {
       // It has the token from our answer now, and a higher token makes it report again at once.
-      probes.expect(machine.index, runtime.now() + NEXT_HEARTBEAT_MS);
+      probes.postpone(machine.index, runtime.now() + NEXT_HEARTBEAT_MS);
     }
   }
 
--- a/src/main/java/org/snowturn/core/recovery/Backoff.java
+++ b/src/main/java/org/snowturn/core/recovery/Backoff.java
@@ -12,24 +12,24 @@
  */
 public final class Backoff {
   private final RandomGenerator random;
-  private final long leastMs;
-  private final long mostMs;
+  private final long minMs;
+  private final long maxMs;
   private long nextMs;
 
   /**
    * A sequence of delays that starts anew after each success.
    *
-   * @param leastMs the first delay's upper end
-   * @param mostMs what no delay of our own exceeds
+   * @param minMs the first delay's upper end
+   * @param maxMs what no delay of our own exceeds
    */
-  public Backoff(RandomGenerator random, long leastMs, long mostMs) {
-    if (leastMs < 1 || mostMs < leastMs) {
-      throw new IllegalArgumentException("delays from " + leastMs + " to " + mostMs + " ms");
+  public Backoff(RandomGenerator random, long minMs, long maxMs) {
+    if (minMs < 1 || maxMs < minMs) {
+      throw new IllegalArgumentException("delays from " + minMs + " to " + maxMs + " ms");
     }
     this.random = random;
-    this.leastMs = leastMs;
-    this.mostMs = mostMs;
-    this.nextMs = leastMs;
+    this.minMs = minMs;
+    this.maxMs = maxMs;
+    this.nextMs = minMs;
   }
 
   /**
@@ -39,14 +39,14 @@
    */
   public long next(long retryAfterMs) {
     long upper = nextMs;
-    nextMs = Math.min(mostMs, upper * 2);
+    nextMs = Math.min(maxMs, upper * 2);
     long half = upper / 2;
-    long ours = upper - (long) (random.nextDouble() * half);
-    return Math.max(ours, retryAfterMs);
+    long delay = upper - (long) (random.nextDouble() * half);
+    return Math.max(delay, retryAfterMs);
   }
 
   /** The last try went well. */
   public void reset() {
-    nextMs = leastMs;
+    nextMs = minMs;
   }
 }
--- a/src/main/java/org/snowturn/core/recovery/PacedProbes.java
+++ b/src/main/java/org/snowturn/core/recovery/PacedProbes.java
@@ -6,136 +6,139 @@
 import org.agrona.collections.Int2ObjectHashMap;
 
 /**
- * Whom a new leader asks next, and how many at a time.
+ * Which machines a new leader probes next, and how many at a time.
  *
- * <p>All at once, a thousand questions, their answers and the workers that then turn over would
- * stand before everything else that the node has to do, the renewal of its own lease included. So
- * only a window of questions is under way. It grows by one with each prompt answer and shrinks when
- * answers are late or when the node itself runs late; thereby it follows what node and wire can
- * bear, whatever the number of machines. A question without an answer does not hold its place for
- * long, since there may be many dead.
+ * <p>All at once, a thousand probes, their replies and the workers that then find the new leader
+ * would stand before everything else that the node has to do, the renewal of its own lease
+ * included. So only a window of probes is under way, as in congestion control: it grows by one with
+ * each prompt reply and shrinks when replies are late or when the node itself runs late. A probe
+ * without a reply does not hold its place in the window for long, since many machines may be dead.
  *
- * <p>Who is heard without being asked is not asked. Whoever does not answer is asked again, a few
- * times in all.
+ * <p>A machine that is heard without a probe is not probed. One that does not reply is probed
+ * again. Times are milliseconds of the steady clock.
  */
 public final class PacedProbes {
-  /** How many tries without an answer are needed before silence says anything. */
-  public static final int TRIES = 3;
+  /** How many probes without a reply are needed before silence says anything. */
+  public static final int MIN_ATTEMPTS = 3;
 
-  private static final int FIRST_WINDOW = 16;
-  private static final int LEAST_WINDOW = 4;
+  private static final int INITIAL_WINDOW = 16;
+  private static final int MIN_WINDOW = 4;
 
-  /** As far as the window grows without answers, so that hundreds of dead are found together. */
-  private static final int IDLE_WINDOW = 64;
+  /** As far as the window grows without replies, so that hundreds of dead are found together. */
+  private static final int MAX_WINDOW_WITHOUT_REPLIES = 64;
 
-  private static final int MOST_WINDOW = 256;
+  private static final int MAX_WINDOW = 256;
+  private static final double SHRINK_FACTOR = 0.7;
 
-  /** An answer within this time is prompt. */
+  /** A reply within this time is prompt. */
   private static final long PROMPT_MS = 120;
 
-  /** A question that has been open for so long no longer holds back others. */
-  private static final long HOLDS_MS = 300;
+  /** A probe that has been open for so long no longer holds a place in the window. */
+  private static final long MAX_HOLD_MS = 300;
 
   /** Between two shrinks, so that one late moment counts once. */
-  private static final long SHRINK_EVERY_MS = 200;
-
-  private static final class Question {
-    final int id;
-    int urgency;
-    int failed;
-    long notBefore;
-    long firstAt = Long.MAX_VALUE;
-    long askedAt;
-    boolean open;
-
-    Question(int id, int urgency) {
+  private static final long SHRINK_INTERVAL_MS = 200;
+
+  /** The probes of one machine. */
+  private static final class Probe {
+    private final int id;
+    private final int urgency;
+    private int unanswered;
+    private long notBefore;
+    private long firstSentAt = Long.MAX_VALUE;
+    private long sentAt;
+    private boolean open;
+
+    Probe(int id, int urgency, long notBefore) {
       this.id = id;
       this.urgency = urgency;
+      this.notBefore = notBefore;
     }
   }
 
-  private final Int2ObjectHashMap<Question> all = new Int2ObjectHashMap<>();
-  private final PriorityQueue<Question> waiting =
+  private final Int2ObjectHashMap<Probe> probes = new Int2ObjectHashMap<>();
+  private final PriorityQueue<Probe> waiting =
       new PriorityQueue<>(
-          Comparator.<Question>comparingLong(q -> q.notBefore)
-              .thenComparingInt(q -> q.urgency)
-              .thenComparingInt(q -> q.id));
+          Comparator.<Probe>comparingLong(probe -> probe.notBefore)
+              .thenComparingInt(probe -> probe.urgency)
+              .thenComparingInt(probe -> probe.id));
 
   /** Those under way that hold a place in the window, the longest first. */
-  private final ArrayDeque<Question> counted = new ArrayDeque<>();
+  private final ArrayDeque<Probe> inWindow = new ArrayDeque<>();
 
-  private final long againMs;
-  private double window = FIRST_WINDOW;
+  private final long retryMs;
+  private double window = INITIAL_WINDOW;
   private long shrunkAt = Long.MIN_VALUE / 2;
-  private long asked;
+  private long sent;
 
   /**
-   * Nobody is to be asked yet.
+   * No machine is to be probed yet.
    *
-   * @param againMs how long after a question that got no answer the next one is asked
+   * @param retryMs how long after a probe that got no reply the next one is sent
    */
-  public PacedProbes(long againMs) {
-    this.againMs = againMs;
+  public PacedProbes(long retryMs) {
+    this.retryMs = retryMs;
   }
 
   /**
-   * Asks for this one to be asked; smaller urgencies go first.
+   * Adds a machine that is to be probed, unless it is already known.
    *
+   * @param id the machine's index
+   * @param urgency smaller ones go first
    * @param notBeforeMs until then it is expected to be heard by itself
    */
   public void add(int id, int urgency, long notBeforeMs) {
-    if (!all.containsKey(id)) {
-      Question q = new Question(id, urgency);
-      q.notBefore = notBeforeMs;
-      all.put(id, q);
-      waiting.add(q);
+    if (!probes.containsKey(id)) {
+      Probe probe = new Probe(id, urgency, notBeforeMs);
+      probes.put(id, probe);
+      waiting.add(probe);
     }
   }
 
-  /** This one is expected to be heard by itself until then. */
-  public void expect(int id, long notBeforeMs) {
-    Question q = all.get(id);
-    if (q != null && !q.open && q.notBefore < notBeforeMs) {
-      waiting.remove(q);
-      q.notBefore = notBeforeMs;
-      waiting.add(q);
+  /** The machine is expected to be heard by itself until then. */
+  public void postpone(int id, long notBeforeMs) {
+    Probe probe = probes.get(id);
+    if (probe != null && !probe.open && probe.notBefore < notBeforeMs) {
+      waiting.remove(probe);
+      probe.notBefore = notBeforeMs;
+      waiting.add(probe);
     }
   }
 
-  /** Who is to be asked now, or -1 if nobody is or the window is full. */
+  /** The machine that is to be probed now, or -1 if none is or the window is full. */
   public int next(long nowMs) {
-    while (!counted.isEmpty() && nowMs - counted.peek().askedAt >= HOLDS_MS) {
-      release(counted.peek()); // dead, most likely: that is no sign of a node that is behind
+    while (!inWindow.isEmpty() && nowMs - inWindow.peek().sentAt >= MAX_HOLD_MS) {
+      release(inWindow.peek()); // dead, most likely: that is no sign of a node that is behind
     }
-    if (counted.size() >= (int) window) {
+    if (inWindow.size() >= (int) window) {
       return -1;
     }
-    Question q = waiting.peek();
-    if (q == null || q.notBefore > nowMs) {
+    Probe probe = waiting.peek();
+    if (probe == null || probe.notBefore > nowMs) {
       return -1;
     }
     waiting.poll();
-    q.askedAt = nowMs;
-    q.firstAt = Math.min(q.firstAt, nowMs);
-    q.open = true;
-    asked++;
-    counted.add(q);
-    return q.id;
+    probe.sentAt = nowMs;
+    probe.firstSentAt = Math.min(probe.firstSentAt, nowMs);
+    probe.open = true;
+    sent++;
+    inWindow.add(probe);
+    return probe.id;
   }
 
-  /** This one has been heard, asked or not. */
+  /** The machine has been heard, probed or not. */
   public void heard(int id, long nowMs) {
-    Question q = all.remove(id);
-    if (q == null) {
+    Probe probe = probes.remove(id);
+    if (probe == null) {
       return;
     }
-    if (!q.open) {
-      waiting.remove(q);
+    if (!probe.open) {
+      waiting.remove(probe);
       return;
     }
-    if (release(q)) {
-      if (nowMs - q.askedAt <= PROMPT_MS) {
-        window = Math.min(MOST_WINDOW, window + 1);
+    if (release(probe)) {
+      if (nowMs - probe.sentAt <= PROMPT_MS) {
+        window = Math.min(MAX_WINDOW, window + 1);
       } else {
         shrink(nowMs);
       }
@@ -143,83 +146,86 @@
   }
 
   /**
-   * A question got no answer: it is asked again later.
+   * A probe got no reply: it is repeated later.
    *
-   * @param counts whether that says something of the one who was asked
+   * @param counts whether that says something of the machine
    */
   public void unanswered(int id, long nowMs, boolean counts) {
-    Question q = all.get(id);
-    if (q == null || !q.open) {
+    Probe probe = probes.get(id);
+    if (probe == null || !probe.open) {
       return;
     }
-    release(q);
-    q.open = false;
-    q.failed += counts ? 1 : 0;
-    q.notBefore = nowMs + againMs;
-    waiting.add(q);
+    release(probe);
+    probe.open = false;
+    probe.unanswered += counts ? 1 : 0;
+    probe.notBefore = nowMs + retryMs;
+    waiting.add(probe);
   }
 
-  /** This one need not be asked any more. */
+  /** The machine need not be probed any more. */
   public void drop(int id) {
-    Question q = all.remove(id);
-    if (q != null) {
-      waiting.remove(q);
-      release(q);
+    Probe probe = probes.remove(id);
+    if (probe != null) {
+      waiting.remove(probe);
+      release(probe);
     }
   }
 
-  /** The node itself runs late. */
-  public void late(long nowMs) {
+  /** The node itself is behind with its work. */
+  public void nodeLate(long nowMs) {
     shrink(nowMs);
   }
 
-  /** The node keeps up with its work: it can bear more questions, though few are answered. */
-  public void punctual() {
-    if (window < IDLE_WINDOW) {
+  /** The node keeps up with its work: it can bear more probes, though few are answered. */
+  public void nodeOnTime() {
+    if (window < MAX_WINDOW_WITHOUT_REPLIES) {
       window++;
     }
   }
 
   /**
-   * Whether silence tells something: asked {@link #TRIES} times in vain, first so long ago.
+   * Whether the machine's silence says something: {@link #MIN_ATTEMPTS} probes got no reply, and
+   * the first was sent at least so long ago.
    *
-   * @param sinceMs the time in milliseconds that must have passed since the first question
+   * @param sinceMs the time that must have passed since the first probe
    */
   public boolean isUnresponsive(int id, long sinceMs, long nowMs) {
-    Question q = all.get(id);
-    return q != null && q.failed >= TRIES && nowMs - q.firstAt >= sinceMs;
+    Probe probe = probes.get(id);
+    return probe != null
+        && probe.unanswered >= MIN_ATTEMPTS
+        && nowMs - probe.firstSentAt >= sinceMs;
   }
 
-  /** Whether this one has left a question unanswered and has not been heard since. */
+  /** Whether the machine has left a probe unanswered and has not been heard since. */
   public boolean hasMissed(int id) {
-    Question q = all.get(id);
-    return q != null && q.failed > 0;
+    Probe probe = probes.get(id);
+    return probe != null && probe.unanswered > 0;
   }
 
-  /** How many have not been heard. */
+  /** How many machines have not been heard. */
   public int unheard() {
-    return all.size();
+    return probes.size();
   }
 
-  /** How many questions have been asked. */
+  /** How many probes have been sent. */
   public long sent() {
-    return asked;
+    return sent;
   }
 
-  /** How many questions may be under way now. */
+  /** How many probes may be under way now. */
   public int window() {
     return (int) window;
   }
 
-  /** Gives back the question's place in the window; false if it had none any more. */
-  private boolean release(Question q) {
-    return counted.remove(q);
+  /** Gives back the probe's place in the window; false if it had none any more. */
+  private boolean release(Probe probe) {
+    return inWindow.remove(probe);
   }
 
   private void shrink(long nowMs) {
-    if (nowMs - shrunkAt >= SHRINK_EVERY_MS) {
+    if (nowMs - shrunkAt >= SHRINK_INTERVAL_MS) {
       shrunkAt = nowMs;
-      window = Math.max(LEAST_WINDOW, window * 0.7);
+      window = Math.max(MIN_WINDOW, window * SHRINK_FACTOR);
     }
   }
 }
--- a/src/main/java/org/snowturn/core/recovery/Reconciliation.java
+++ b/src/main/java/org/snowturn/core/recovery/Reconciliation.java
@@ -73,64 +73,72 @@
   /**
    * One attempt on one machine.
    *
-   * @param ours whether the report bears the present token
+   * @param presentToken whether the report bears the present token
    * @param stopping whether the attempt has been told to stop, or is to be
    * @param settled whether nothing of the attempt is needed or in flight any more: its result, if
    *     any, is durable, and no start of it may still arrive
    */
   public record Case(
-      Stored stored, Seen seen, Session session, boolean ours, boolean stopping, boolean settled) {}
+      Stored stored,
+      Seen seen,
+      Session session,
+      boolean presentToken,
+      boolean stopping,
+      boolean settled) {}
 
   private Reconciliation() {}
 
   /** The verdict for a case. */
-  public static Verdict of(Case c) {
-    if (!c.stored.here()) {
-      return notHere(c);
+  public static Verdict of(Case attempt) {
+    if (!attempt.stored.here()) {
+      return notHere(attempt);
     }
-    return switch (c.session) {
+    return switch (attempt.session) {
       case LATER -> Verdict.RELEASE;
       case EARLIER -> Verdict.WAIT;
       // What was not sent cannot be listed; if it seems to be, nothing is done about it.
-      case SAME -> c.stored == Stored.PLACING ? Verdict.WAIT : here(c);
+      case SAME -> attempt.stored == Stored.PLACING ? Verdict.WAIT : here(attempt);
     };
   }
 
-  private static Verdict here(Case c) {
-    return switch (c.seen) {
-      case ALIVE -> c.stopping ? Verdict.STOP : Verdict.KEEP;
+  private static Verdict here(Case attempt) {
+    return switch (attempt.seen) {
+      case ALIVE -> attempt.stopping ? Verdict.STOP : Verdict.KEEP;
       // Not only absence but also an end has to be told under this token: a report without it may
       // be older than what an earlier leader has done since.
-      case DONE -> c.ours ? Verdict.COMPLETE : Verdict.WAIT;
-      case ENDED -> c.ours ? Verdict.RELEASE : Verdict.WAIT;
-      case ABSENT -> absent(c);
+      case DONE -> attempt.presentToken ? Verdict.COMPLETE : Verdict.WAIT;
+      case ENDED -> attempt.presentToken ? Verdict.RELEASE : Verdict.WAIT;
+      case ABSENT -> absent(attempt);
     };
   }
 
-  private static Verdict absent(Case c) {
-    return switch (c.stored) {
+  private static Verdict absent(Case attempt) {
+    return switch (attempt.stored) {
       // One that is to stop is not started to be stopped, once no start of it can still arrive.
-      case STARTED -> c.stopping && c.ours && c.settled ? Verdict.RELEASE : Verdict.START;
-      case INHERITED -> c.ours ? Verdict.RELEASE : Verdict.WAIT;
+      case STARTED ->
+          attempt.stopping && attempt.presentToken && attempt.settled
+              ? Verdict.RELEASE
+              : Verdict.START;
+      case INHERITED -> attempt.presentToken ? Verdict.RELEASE : Verdict.WAIT;
       default -> Verdict.WAIT;
     };
   }
 
-  private static Verdict notHere(Case c) {
-    return switch (c.seen) {
+  private static Verdict notHere(Case attempt) {
+    return switch (attempt.seen) {
       case ABSENT -> Verdict.WAIT;
       case ALIVE -> Verdict.STOP;
       case DONE -> {
-        if (c.stored == Stored.WAITING && c.ours) {
+        if (attempt.stored == Stored.WAITING && attempt.presentToken) {
           yield Verdict.COMPLETE;
         }
-        yield forget(c);
+        yield forget(attempt);
       }
-      case ENDED -> forget(c);
+      case ENDED -> forget(attempt);
     };
   }
 
-  private static Verdict forget(Case c) {
-    return c.ours && c.settled ? Verdict.FORGET : Verdict.WAIT;
+  private static Verdict forget(Case attempt) {
+    return attempt.presentToken && attempt.settled ? Verdict.FORGET : Verdict.WAIT;
   }
 }
--- a/src/test/java/org/snowturn/core/health/AttemptSnapshotTest.java
+++ b/src/test/java/org/snowturn/core/health/AttemptSnapshotTest.java
@@ -17,58 +17,67 @@
 /** Which evidence proves an attempt's end, and that nothing weaker does. */
 class AttemptSnapshotTest {
   private static final long TOKEN = 9;
-  private static final long SESSION = 4;
-  private static final long ANSWERED = 1_000;
-  private static final long LAPSE = 10_000;
+  private static final long AGENT_EPOCH = 4;
+  private static final long RENEWED = 1_000;
+  private static final long LEASE_EXPIRY_MS = 10_000;
 
-  private long now = ANSWERED;
+  private long now = RENEWED;
   private boolean durable = true;
   private boolean inherited;
   private boolean stopping;
-  private boolean inDoubt;
+  private boolean startInFlight;
   private boolean deleted;
   private boolean failed;
 
   private boolean proves(EndEvidence evidence) {
-    AttemptSnapshot view =
+    AttemptSnapshot attempt =
         new AttemptSnapshot(
-            TOKEN, now, SESSION, durable, inherited, stopping, inDoubt, deleted, failed, ANSWERED,
-            LAPSE);
-    return view.objection(evidence) == null;
+            TOKEN,
+            now,
+            AGENT_EPOCH,
+            durable,
+            inherited,
+            stopping,
+            startInFlight,
+            deleted,
+            failed,
+            RENEWED,
+            LEASE_EXPIRY_MS);
+    return attempt.objection(evidence) == null;
   }
 
   @Test
   void aReportedEndCountsUnderThePresentTokenAndInItsSessionOnly() {
-    assertEquals(true, proves(new ReportedEnded(TOKEN, SESSION)));
-    assertEquals(false, proves(new ReportedEnded(TOKEN - 1, SESSION)));
-    assertEquals(false, proves(new ReportedEnded(TOKEN, SESSION + 1)));
-    assertEquals(false, proves(new ReportedEnded(TOKEN, SESSION - 1)));
+    assertEquals(true, proves(new ReportedEnded(TOKEN, AGENT_EPOCH)));
+    assertEquals(false, proves(new ReportedEnded(TOKEN - 1, AGENT_EPOCH)));
+    assertEquals(false, proves(new ReportedEnded(TOKEN, AGENT_EPOCH + 1)));
+    assertEquals(false, proves(new ReportedEnded(TOKEN, AGENT_EPOCH - 1)));
     durable = false;
-    assertEquals(false, proves(new ReportedEnded(TOKEN, SESSION)));
+    assertEquals(false, proves(new ReportedEnded(TOKEN, AGENT_EPOCH)));
   }
 
   @Test
   void absenceProvesTheEndOfWhatAnEarlierLeaderPlaced() {
-    assertEquals(false, proves(new NotListed(TOKEN, SESSION, true)));
+    assertEquals(false, proves(new NotListed(TOKEN, AGENT_EPOCH, true)));
     inherited = true;
-    assertEquals(true, proves(new NotListed(TOKEN, SESSION, false)));
-    assertEquals(false, proves(new NotListed(TOKEN - 1, SESSION, true)));
+    assertEquals(true, proves(new NotListed(TOKEN, AGENT_EPOCH, false)));
+    assertEquals(false, proves(new NotListed(TOKEN - 1, AGENT_EPOCH, true)));
   }
 
   @Test
   void absenceProvesTheEndOfOurOwnOnlyOnceNoStartOfItCanArrive() {
     stopping = true;
-    assertEquals(true, proves(new NotListed(TOKEN, SESSION, true)));
-    assertEquals(false, proves(new NotListed(TOKEN, SESSION, false)));
-    inDoubt = true;
-    assertEquals(false, proves(new NotListed(TOKEN, SESSION, true)));
+    assertEquals(true, proves(new NotListed(TOKEN, AGENT_EPOCH, true)));
+    assertEquals(false, proves(new NotListed(TOKEN, AGENT_EPOCH, false)));
+    startInFlight = true;
+    assertEquals(false, proves(new NotListed(TOKEN, AGENT_EPOCH, true)));
   }
 
   @Test
   void aLeaseHasRunOutNotBeforeItsLastMoment() {
-    now = ANSWERED + LAPSE - 1;
+    now = RENEWED + LEASE_EXPIRY_MS - 1;
     assertEquals(false, proves(new LeaseLapsed()));
-    now = ANSWERED + LAPSE;
+    now = RENEWED + LEASE_EXPIRY_MS;
     assertEquals(true, proves(new LeaseLapsed()));
   }
 
@@ -95,12 +104,12 @@
       @ForAll @LongRange(min = 0, max = TOKEN - 1) long shown,
       @ForAll boolean wasInherited,
       @ForAll boolean wasStopping,
-      @ForAll boolean checkIn) {
+      @ForAll boolean ownHeartbeat) {
     inherited = wasInherited;
     stopping = wasStopping;
-    assertEquals(false, proves(new NotListed(shown, SESSION, checkIn)));
-    assertEquals(false, proves(new ReportedEnded(shown, SESSION)));
-    assertEquals(false, proves(new LaterSession(SESSION)));
-    assertEquals(true, proves(new LaterSession(SESSION + 1)));
+    assertEquals(false, proves(new NotListed(shown, AGENT_EPOCH, ownHeartbeat)));
+    assertEquals(false, proves(new ReportedEnded(shown, AGENT_EPOCH)));
+    assertEquals(false, proves(new LaterSession(AGENT_EPOCH)));
+    assertEquals(true, proves(new LaterSession(AGENT_EPOCH + 1)));
   }
 }
--- a/src/test/java/org/snowturn/core/health/FailureAttributionTest.java
+++ b/src/test/java/org/snowturn/core/health/FailureAttributionTest.java
@@ -7,6 +7,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import java.util.stream.IntStream;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
@@ -17,7 +18,7 @@
 
 /** Jobs and machines judged by each other, in any order of what happens. */
 class FailureAttributionTest {
-  private static final int SICK_AFTER = 3;
+  private static final int FAULTY_AFTER = 3;
 
   /** Jobs and machines below these numbers are broken and sick; both may be none or half of all. */
   record World(int jobs, int broken, int machines, int sick, List<int[]> runs) {
@@ -38,7 +39,7 @@
                 Combinators.combine(
                         Arbitraries.integers().between(0, jobs - 1),
                         Arbitraries.integers().between(0, machines - 1))
-                    .as((j, m) -> new int[] {j, m})
+                    .as((job, machine) -> new int[] {job, machine})
                     .list()
                     .ofMinSize(20)
                     .ofMaxSize(200)
@@ -52,76 +53,100 @@
                                 runs)));
   }
 
-  @Property(tries = 400, seed = "32")
-  void noSoundMachineIsCondemnedAndNoSoundJobStaysSuspect(@ForAll("worlds") World w) {
-    FailureAttribution b = new FailureAttribution(SICK_AFTER);
-    Set<Integer> proven = new HashSet<>();
-    int[] soundFailures = new int[w.machines];
-    int[] failuresOfJob = new int[w.jobs];
-    List<Set<Integer>> failedOn =
-        java.util.stream.IntStream.range(0, w.jobs)
-            .<Set<Integer>>mapToObj(i -> new HashSet<>())
-            .toList();
-    int[][] unproven = new int[w.machines][w.jobs];
-    for (int[] run : w.runs) {
-      int j = run[0];
-      int m = run[1];
-      if (w.fails(run)) {
-        b.failed(j, m);
-        failuresOfJob[j]++;
-        failedOn.get(j).add(m);
-        if (proven.contains(j)) {
-          soundFailures[m]++;
-        } else {
-          unproven[m][j]++;
-        }
+  /** What the attribution should find, from all that has happened. */
+  private static final class Expectation {
+    private final World world;
+    private final Set<Integer> provenJobs = new HashSet<>();
+    private final int[] healthyJobFailures;
+    private final int[][] unprovenFailures;
+    private final List<Set<Integer>> failedMachines;
+
+    Expectation(World world) {
+      this.world = world;
+      healthyJobFailures = new int[world.machines];
+      unprovenFailures = new int[world.machines][world.jobs];
+      failedMachines =
+          IntStream.range(0, world.jobs).<Set<Integer>>mapToObj(job -> new HashSet<>()).toList();
+    }
+
+    void failed(int job, int machine) {
+      failedMachines.get(job).add(machine);
+      if (provenJobs.contains(job)) {
+        healthyJobFailures[machine]++;
       } else {
-        b.succeeded(j, m);
-        proven.add(j);
-        for (int x = 0; x < w.machines; x++) {
-          soundFailures[x] += unproven[x][j];
-          unproven[x][j] = 0;
-        }
-        soundFailures[m] = 0;
+        unprovenFailures[machine][job]++;
       }
-      for (int x = w.sick; x < w.machines; x++) {
-        assertFalse(b.sick(x), "sound machine " + x + " condemned");
+    }
+
+    void succeeded(int job, int machine) {
+      provenJobs.add(job);
+      for (int other = 0; other < world.machines; other++) {
+        healthyJobFailures[other] += unprovenFailures[other][job];
+        unprovenFailures[other][job] = 0;
       }
-      for (int x = 0; x < w.sick; x++) {
-        assertEquals(soundFailures[x] >= SICK_AFTER, b.sick(x), "sick machine " + x);
+      healthyJobFailures[machine] = 0;
+    }
+
+    void check(FailureAttribution attribution) {
+      for (int machine = world.sick; machine < world.machines; machine++) {
+        assertFalse(attribution.sick(machine), "healthy machine " + machine + " condemned");
       }
-      for (int x = 0; x < w.jobs; x++) {
-        assertFalse(proven.contains(x) && b.suspect(x), "sound job " + x + " suspect");
-        assertTrue(x >= w.broken || failedOn.get(x).size() < 4 || b.suspect(x), "broken " + x);
+      for (int machine = 0; machine < world.sick; machine++) {
+        boolean faulty = healthyJobFailures[machine] >= FAULTY_AFTER;
+        assertEquals(faulty, attribution.sick(machine), "faulty machine " + machine);
+      }
+      for (int job = 0; job < world.jobs; job++) {
+        boolean suspected = attribution.suspect(job);
+        assertFalse(provenJobs.contains(job) && suspected, "healthy job " + job + " suspected");
+        boolean fewFailures = failedMachines.get(job).size() < 4;
+        assertTrue(job >= world.broken || fewFailures || suspected, "broken " + job);
+      }
+    }
+  }
+
+  @Property(tries = 400, seed = "32")
+  void noSoundMachineIsCondemnedAndNoSoundJobStaysSuspect(@ForAll("worlds") World world) {
+    FailureAttribution attribution = new FailureAttribution(FAULTY_AFTER);
+    Expectation expectation = new Expectation(world);
+    for (int[] run : world.runs) {
+      int job = run[0];
+      int machine = run[1];
+      if (world.fails(run)) {
+        attribution.failed(job, machine);
+        expectation.failed(job, machine);
+      } else {
+        attribution.succeeded(job, machine);
+        expectation.succeeded(job, machine);
       }
+      expectation.check(attribution);
     }
   }
 
   @Test
   void whatAJobToldOfAMachineOutlivesIt() {
-    FailureAttribution b = new FailureAttribution(SICK_AFTER);
+    FailureAttribution attribution = new FailureAttribution(FAULTY_AFTER);
     for (int job = 0; job < 3; job++) {
-      b.failed(job, 7);
-      b.succeeded(job, 8);
-      b.forgetJob(job);
+      attribution.failed(job, 7);
+      attribution.succeeded(job, 8);
+      attribution.forgetJob(job);
     }
-    assertTrue(b.sick(7));
-    b.failed(5, 8);
-    b.forgetJob(5); // cancelled: its user's mistake, perhaps
-    assertEquals(0, b.unexplained(8));
+    assertTrue(attribution.sick(7));
+    attribution.failed(5, 8);
+    attribution.forgetJob(5); // cancelled: its user's mistake, perhaps
+    assertEquals(0, attribution.unexplained(8));
   }
 
   @Test
   void twoSoundMachinesAreEnoughToSuspectAJob() {
-    FailureAttribution b = new FailureAttribution(SICK_AFTER);
-    b.succeeded(1, 1);
-    b.succeeded(1, 2);
-    b.failed(2, 1);
-    b.failed(2, 1);
-    assertFalse(b.suspect(2));
-    b.failed(2, 2);
-    assertTrue(b.suspect(2));
-    b.succeeded(2, 3);
-    assertFalse(b.suspect(2));
+    FailureAttribution attribution = new FailureAttribution(FAULTY_AFTER);
+    attribution.succeeded(1, 1);
+    attribution.succeeded(1, 2);
+    attribution.failed(2, 1);
+    attribution.failed(2, 1);
+    assertFalse(attribution.suspect(2));
+    attribution.failed(2, 2);
+    assertTrue(attribution.suspect(2));
+    attribution.succeeded(2, 3);
+    assertFalse(attribution.suspect(2));
   }
 }
--- a/src/test/java/org/snowturn/core/health/ReachabilityTest.java
+++ b/src/test/java/org/snowturn/core/health/ReachabilityTest.java
@@ -13,86 +13,86 @@
 
 /** What shows that a machine receives, and what does not. */
 class ReachabilityTest {
-  private static final long IN_TIME = 4_900;
+  private static final long DUE_MS = 4_900;
 
-  private long seq;
+  private long sequence;
 
-  private void checkIn(Reachability c, long at, boolean token) {
-    c.believed(token);
-    c.checkedIn(++seq, at, IN_TIME);
-    c.answeredCheckIn(at);
+  private void heartbeat(Reachability reachability, long at, boolean token) {
+    reachability.believed(token);
+    reachability.heartbeatReceived(++sequence, at, DUE_MS);
+    reachability.answeredCheckIn(at);
   }
 
   @Test
   void aLearntTokenProves() {
-    Reachability c = new Reachability();
-    checkIn(c, 0, false);
-    assertFalse(c.proven());
-    checkIn(c, 500, true);
-    assertTrue(c.proven());
+    Reachability reachability = new Reachability();
+    heartbeat(reachability, 0, false);
+    assertFalse(reachability.proven());
+    heartbeat(reachability, 500, true);
+    assertTrue(reachability.proven());
   }
 
   @Test
   void anUnansweredMessageIsDoubtUntilAnAnswerOrTwoReportsInTime() {
-    Reachability c = new Reachability();
-    c.answered();
-    c.unanswered(1_000);
-    assertFalse(c.proven());
-    c.answered();
-    assertTrue(c.proven());
-    c.unanswered(5_000);
-    checkIn(c, 6_000, true);
-    assertFalse(c.proven());
-    checkIn(c, 8_000, true);
-    assertTrue(c.proven());
+    Reachability reachability = new Reachability();
+    reachability.prove();
+    reachability.unanswered(1_000);
+    assertFalse(reachability.proven());
+    reachability.prove();
+    assertTrue(reachability.proven());
+    reachability.unanswered(5_000);
+    heartbeat(reachability, 6_000, true);
+    assertFalse(reachability.proven());
+    heartbeat(reachability, 8_000, true);
+    assertTrue(reachability.proven());
   }
 
   /** The next report of a worker without an answer comes after a time-out and a try elsewhere. */
   @Property(tries = 300, seed = "31")
   void aMachineThatReceivesNothingIsNeverProven(
       @ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 5) Integer> steps) {
-    Reachability c = new Reachability();
-    c.answered();
-    c.unanswered(0);
+    Reachability reachability = new Reachability();
+    reachability.prove();
+    reachability.unanswered(0);
     long now = 0;
     long last = 0;
     for (int step : steps) {
       switch (step) {
-        case 0, 1 -> checkIn(c, last = now += 5_000 + step * 1_000, true);
-        case 2 -> checkIn(c, last, true); // held back with the one before
-        case 3 -> c.unanswered(now += 1_000);
-        case 4 -> c.newSession(now);
-        default -> assertTrue(c.toAsk(now += 4_000));
+        case 0, 1 -> heartbeat(reachability, last = now += 5_000 + step * 1_000, true);
+        case 2 -> heartbeat(reachability, last, true); // held back with the one before
+        case 3 -> reachability.unanswered(now += 1_000);
+        case 4 -> reachability.newSession(now);
+        default -> assertTrue(reachability.claimProbe(now += 4_000));
       }
-      assertFalse(c.proven());
+      assertFalse(reachability.proven());
     }
     for (int i = 0; i < Reachability.DEAF_AFTER; i++) {
-      c.unanswered(now);
+      reachability.unanswered(now);
     }
-    assertTrue(c.deaf(now + 20_000, 20_000));
+    assertTrue(reachability.isUnreachable(now + 20_000, 20_000));
   }
 
   @Test
   void aCopyIsLateAndANewSessionCountsAnew() {
-    Reachability c = new Reachability();
-    c.checkedIn(7, 0, IN_TIME);
-    assertTrue(c.late(7));
-    assertTrue(c.late(3));
-    assertFalse(c.late(8));
-    c.newSession(0);
-    assertFalse(c.late(1));
+    Reachability reachability = new Reachability();
+    reachability.heartbeatReceived(7, 0, DUE_MS);
+    assertTrue(reachability.isStale(7));
+    assertTrue(reachability.isStale(3));
+    assertFalse(reachability.isStale(8));
+    reachability.newSession(0);
+    assertFalse(reachability.isStale(1));
   }
 
   @Test
   void whoDoesNotAnswerIsAskedEverLater() {
-    Reachability c = new Reachability();
-    int asked = 0;
+    Reachability reachability = new Reachability();
+    int probes = 0;
     for (long now = 0; now < 20_000; now += 250) {
-      if (c.toAsk(now)) {
-        asked++;
-        c.unanswered(now);
+      if (reachability.claimProbe(now)) {
+        probes++;
+        reachability.unanswered(now);
       }
     }
-    assertEquals(8, asked, 1);
+    assertEquals(8, probes, 1);
   }
 }
--- a/src/test/java/org/snowturn/core/recovery/PacedProbesTest.java
+++ b/src/test/java/org/snowturn/core/recovery/PacedProbesTest.java
@@ -12,7 +12,7 @@
 class PacedProbesTest {
   private final PacedProbes probes = new PacedProbes(500);
 
-  private List<Integer> askedAt(long now) {
+  private List<Integer> probedAt(long now) {
     List<Integer> out = new ArrayList<>();
     int id;
     while ((id = probes.next(now)) >= 0) {
@@ -26,10 +26,10 @@
     for (int id = 0; id < 1000; id++) {
       probes.add(id, id % 5, 0);
     }
-    List<Integer> first = askedAt(0);
+    List<Integer> first = probedAt(0);
     assertEquals(16, first.size());
     assertTrue(first.stream().allMatch(id -> id % 5 == 0));
-    assertEquals(List.of(), askedAt(1));
+    assertEquals(List.of(), probedAt(1));
   }
 
   @Test
@@ -37,20 +37,20 @@
     for (int id = 0; id < 1000; id++) {
       probes.add(id, 0, 0);
     }
-    List<Integer> asked = askedAt(0);
+    List<Integer> asked = probedAt(0);
     asked.forEach(id -> probes.heard(id, 10));
     assertEquals(32, probes.window());
-    askedAt(10).forEach(id -> probes.heard(id, 260));
+    probedAt(10).forEach(id -> probes.heard(id, 260));
     assertTrue(probes.window() < 32);
     int before = probes.window();
-    probes.late(1000);
+    probes.nodeLate(1000);
     assertTrue(probes.window() < before);
     for (int i = 0; i < 100; i++) {
-      probes.late(2000 + 200L * i);
+      probes.nodeLate(2000 + 200L * i);
     }
     assertEquals(4, probes.window());
     for (int i = 0; i < 100; i++) {
-      probes.punctual();
+      probes.nodeOnTime();
     }
     assertEquals(64, probes.window());
   }
@@ -61,10 +61,10 @@
     probes.add(2, 0, 0);
     probes.add(3, 0, 700);
     probes.heard(1, 0);
-    probes.expect(2, 400);
-    assertEquals(List.of(), askedAt(0));
-    assertEquals(List.of(2), askedAt(400));
-    assertEquals(List.of(3), askedAt(700));
+    probes.postpone(2, 400);
+    assertEquals(List.of(), probedAt(0));
+    assertEquals(List.of(2), probedAt(400));
+    assertEquals(List.of(3), probedAt(700));
     assertEquals(2, probes.unheard());
     assertEquals(2, probes.sent());
   }
@@ -73,8 +73,8 @@
   void silenceCountsAfterThreeTriesAndSomeTime() {
     probes.add(7, 0, 0);
     long now = 0;
-    for (int i = 0; i < PacedProbes.TRIES; i++) {
-      assertEquals(List.of(7), askedAt(now));
+    for (int i = 0; i < PacedProbes.MIN_ATTEMPTS; i++) {
+      assertEquals(List.of(7), probedAt(now));
       assertFalse(probes.isUnresponsive(7, 2000, now));
       probes.unanswered(7, now + 1000, true);
       now += 1500;
@@ -83,7 +83,7 @@
     assertFalse(probes.isUnresponsive(7, 60_000, now));
     probes.add(8, 0, now);
     for (int i = 0; i < 9; i++) {
-      askedAt(now);
+      probedAt(now);
       probes.unanswered(8, now, false);
       now += 600;
     }
@@ -97,9 +97,9 @@
     for (int id = 0; id < 64; id++) {
       probes.add(id, 0, 0);
     }
-    assertEquals(16, askedAt(0).size());
-    assertEquals(16, askedAt(300).size());
-    assertEquals(16, askedAt(600).size());
+    assertEquals(16, probedAt(0).size());
+    assertEquals(16, probedAt(300).size());
+    assertEquals(16, probedAt(600).size());
   }
 
   @Test
--- a/src/test/java/org/snowturn/core/recovery/ReconciliationTest.java
+++ b/src/test/java/org/snowturn/core/recovery/ReconciliationTest.java
@@ -106,7 +106,7 @@
                           new Case(c.stored(), c.seen(), c.session(), true, c.stopping(), true));
                   case "own-start" ->
                       // Our own start may be executed late: that it is not listed proves nothing.
-                      Reconciliation.of(c) == Verdict.START && c.ours()
+                      Reconciliation.of(c) == Verdict.START && c.presentToken()
                           ? Verdict.RELEASE
                           : Reconciliation.of(c);
                   case "stop-in-flight" ->
@@ -116,7 +116,12 @@
                   default ->
                       Reconciliation.of(
                           new Case(
-                              c.stored(), c.seen(), c.session(), c.ours(), c.stopping(), true));
+                              c.stored(),
+                              c.seen(),
+                              c.session(),
+                              c.presentToken(),
+                              c.stopping(),
+                              true));
                 });
     assertTrue(explorer.explore() != null, "no order breaks the rule without: " + guard);
   }
