--- a/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
+++ b/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
@@ -41,6 +41,11 @@
     this.invariants = new Invariants(runtime);
   }
 
+  /** The fencing token of the term. */
+  long token() {
+    return token;
+  }
+
   /** Whether the evidence proves that a bound task's attempt has ended, or never began. */
   boolean hasEnded(Job job, int task, EndEvidence evidence) {
     String objection = view(job, task).objection(evidence);
@@ -60,7 +65,7 @@
           .with(LogField.AGENT_EPOCH, job.epochOf(task))
           .with(LogField.TOKEN, token)
           .with(LogField.EVIDENCE, evidence.kind())
-          .with(LogField.LAST_ANSWER_MS_AGO, runtime.now() - machine.lastAnswerAt())
+          .with(LogField.LAST_ANSWER_MS_AGO, runtime.now() - machine.session.lastAnswerAt())
           .write();
     }
     return true;
@@ -78,7 +83,7 @@
         ReconciliationCases.inDoubt(machine, job.attemptOf(task), task),
         machine.isTerminationConfirmed(),
         machine.cloudState() == CloudMachine.State.FAILED,
-        machine.lastAnswerAt(),
+        machine.session.lastAnswerAt(),
         lapseMs);
   }
 
--- a/src/main/java/org/snowturn/core/assignment/CommandQueue.java
+++ b/src/main/java/org/snowturn/core/assignment/CommandQueue.java
@@ -8,6 +8,8 @@
 import org.snowturn.core.Effect;
 import org.snowturn.core.Outcome;
 import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.effects.LogEvent;
+import org.snowturn.core.effects.LogField;
 import org.snowturn.core.model.CommandChannel;
 import org.snowturn.core.model.Machine;
 import org.snowturn.wire.Command;
@@ -173,7 +175,12 @@
         }
         return;
       } catch (MalformedException e) {
-        runtime.note("report of " + machine.id + " ignored: " + e.getMessage());
+        runtime
+            .events()
+            .info(LogEvent.REPLY_MALFORMED)
+            .with(LogField.MACHINE, machine.id)
+            .with(LogField.ERROR, e.getMessage())
+            .write();
       }
     }
     // What is refused at once says that there was no socket, here or there: not that nothing gets
--- a/src/main/java/org/snowturn/core/assignment/DependencyGraph.java
+++ b/src/main/java/org/snowturn/core/assignment/DependencyGraph.java
@@ -13,6 +13,8 @@
 import org.snowturn.core.Outcome;
 import org.snowturn.core.admission.RequestClass;
 import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.effects.LogEvent;
+import org.snowturn.core.effects.LogField;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.storage.FormatGate;
 import org.snowturn.core.storage.JobLookup;
@@ -31,7 +33,7 @@
  * done, cancelled when one of them is, and until then lends its priority and its deadline to those
  * it waits for. All of it follows from stored records, so every leader comes to the same.
  */
-public final class DependencyGraph implements TaskAssignments.Listener {
+public final class DependencyGraph implements JobListener {
   private static final long LOOK_AGAIN_MS = 500;
   private static final long LOOK_WITHIN_MS = 10_000;
   private static final long RECOUNT_MS = 250;
@@ -179,11 +181,12 @@
 
   private void release(Job job) {
     job.setReleasedWall(runtime.wallMs());
-    runtime.note(
-        job.spec.id()
-            + " released "
-            + Math.round((job.releasedWall() - job.submittedWall) / 100.0) / 10.0
-            + " s after its submission");
+    runtime
+        .events()
+        .info(LogEvent.JOB_RELEASED)
+        .with(LogField.JOB, job.spec.id())
+        .with(LogField.WAITED_S, (job.releasedWall() - job.submittedWall) / 1000.0)
+        .write();
     assignments.markChanged();
   }
 
@@ -241,13 +244,13 @@
     if (fact == null) {
       // Accepted before the job that names it, so it must be there.
       lookAt = runtime.now() + LOOK_AGAIN_MS;
-      runtime.note(id + " is awaited and not found");
+      runtime.events().info(LogEvent.DEPENDENCY_MISSING).with(LogField.JOB, id).write();
     } else if (!fact.live()) {
       over(id, fact.phase());
     } else if (assignments.job(id) != null) {
       unknown.remove(id);
     } else {
-      assignments.rereadJob(id);
+      assignments.registry().reread(id);
       lookAt = runtime.now() + LOOK_AGAIN_MS;
     }
   }
@@ -289,16 +292,17 @@
             batch.forEach(cancelling::remove);
             batch.forEach(job -> cancelled(job, body));
           } else {
-            batch.forEach(job -> assignments.rereadJob(job.spec.id(), () -> retryCancel(job)));
+            batch.forEach(
+                job -> assignments.registry().reread(job.spec.id(), () -> retryCancel(job)));
           }
         });
   }
 
   private void cancelled(Job job, JsonNode body) {
     try {
-      assignments.addJob(job.spec.id(), job.cancelledRecord(), StateMessage.epoch(body));
+      assignments.registry().add(job.spec.id(), job.cancelledRecord(), StateMessage.epoch(body));
     } catch (MalformedException e) {
-      assignments.rereadJob(job.spec.id());
+      assignments.registry().reread(job.spec.id());
     }
   }
 
--- a/src/main/java/org/snowturn/core/assignment/FailureHandler.java
+++ b/src/main/java/org/snowturn/core/assignment/FailureHandler.java
@@ -3,6 +3,8 @@
 import java.util.Map;
 import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.effects.LogEvent;
+import org.snowturn.core.effects.LogField;
 import org.snowturn.core.health.FailureAttribution;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
@@ -14,14 +16,11 @@
  * with dozens of tasks each, which had blocked a tenth of the fleet for up to half a minute), and
  * such a job gets a trial now and then, but no more.
  */
-public final class FailureHandler implements TaskAssignments.Listener {
+public final class FailureHandler implements JobListener {
   private static final long FIRST_PAUSE_MS = 1_000;
   private static final long LONGEST_PAUSE_MS = 30_000;
   private static final long UNEXPLAINED_MS = 2_000;
 
-  /** So many machines are remembered for a job that fails. */
-  private static final int REMEMBERED = 64;
-
   /** Who has run for so long has not failed at its start. */
   private static final long PROVEN_BY_RUNNING_MS = 20_000;
 
@@ -38,43 +37,44 @@
 
   /** The task has its result. */
   void succeeded(Machine machine, Job job) {
-    if (job.isSuspect()) {
-      runtime.note(job.spec.id() + " has succeeded on " + machine.id + ": no longer suspect");
+    if (job.failures.isSuspect()) {
+      runtime
+          .events()
+          .info(LogEvent.JOB_CLEARED)
+          .with(LogField.JOB, job.spec.id())
+          .with(LogField.MACHINE, machine.id)
+          .write();
     }
     blame.succeeded(job.index, machine.index);
-    job.setSuspect(false);
-    job.setProbeCount(0);
-    job.setBackOffUntil(0);
-    machine.setUnexplainedFailures(0);
-    machine.setSound(true);
-    machine.setBlockedForFailures(0);
+    job.failures.clearSuspicion();
+    machine.failures.succeeded();
   }
 
   /** The task has failed; it waits again after this. */
   void failed(Machine machine, Job job, int task) {
     failed++;
-    runtime.note(job.spec.id() + "/" + task + " failed on " + machine.id);
+    runtime
+        .events()
+        .info(LogEvent.TASK_FAILED)
+        .with(LogField.TASK, job.spec.id() + "/" + task)
+        .with(LogField.MACHINE, machine.id)
+        .write();
     if (job.done() > 0) {
       blame.proven(job.index); // also by what earlier leaders have recorded
     }
     blame.failed(job.index, machine.index);
-    job.addFailures(1);
-    job.excludedMachine.put(task, machine.index);
-    if (job.failedOn.size() >= REMEMBERED) {
-      job.failedOn.clear();
-    }
-    job.failedOn.add(machine.index);
-    machine.setSound(blame.sound(machine.index));
+    job.failures.failed(task, machine.index);
+    machine.failures.failed(blame.sound(machine.index));
     if (blame.suspect(job.index)) {
       suspect(job);
     }
-    machine.setUnexplainedFailures(blame.unexplained(machine.index));
+    machine.failures.setUnexplained(blame.unexplained(machine.index));
     condemnIfSick(machine);
-    if (!machine.isSound() && machine.unexplainedFailures() > 0) {
-      int n = Math.min(4, machine.unexplainedFailures() - 1);
-      machine.setBlockedForFailures(runtime.now() + (UNEXPLAINED_MS << n));
+    if (!machine.failures.isSound() && machine.failures.unexplained() > 0) {
+      int n = Math.min(4, machine.failures.unexplained() - 1);
+      machine.failures.blockUntil(runtime.now() + (UNEXPLAINED_MS << n));
     } else {
-      machine.setBlockedForFailures(0);
+      machine.failures.blockUntil(0);
     }
   }
 
@@ -82,22 +82,28 @@
     if (!machine.isQuarantined() && blame.sick(machine.index)) {
       machine.quarantine();
       condemned++;
-      runtime.note(
-          machine.id
-              + " taken out of use: "
-              + machine.unexplainedFailures()
-              + " failures of sound jobs");
+      runtime
+          .events()
+          .info(LogEvent.MACHINE_QUARANTINED)
+          .with(LogField.MACHINE, machine.id)
+          .with(LogField.FAILURES, machine.failures.unexplained())
+          .write();
     }
   }
 
   private void suspect(Job job) {
-    if (!job.isSuspect()) {
-      job.setSuspect(true);
-      runtime.note(job.spec.id() + " is suspect: its tasks fail on one machine after another");
+    if (!job.failures.isSuspect()) {
+      job.failures.suspect();
+      runtime
+          .events()
+          .info(LogEvent.JOB_SUSPECTED)
+          .with(LogField.JOB, job.spec.id())
+          .with(LogField.FAILURES, job.failures.count())
+          .write();
     }
-    int n = Math.min(8, job.probeCount());
-    job.addProbeCount(1);
-    job.setBackOffUntil(runtime.now() + Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS << n));
+    int n = Math.min(8, job.failures.probeCount());
+    job.failures.probeFailed();
+    job.failures.backOff(runtime.now() + Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS << n));
   }
 
   /**
@@ -106,7 +112,8 @@
    * have no other success.
    */
   void keepsRunning(Machine machine, Job job, int task) {
-    boolean tells = machine.unexplainedFailures() > 0 || (job.failures() > 0 && job.done() == 0);
+    boolean tells =
+        machine.failures.unexplained() > 0 || (job.failures.count() > 0 && job.done() == 0);
     if (tells
         && job.stateSince(task) != MonotonicTime.NEVER
         && runtime.now() - job.stateSince(task) >= PROVEN_BY_RUNNING_MS) {
@@ -116,10 +123,10 @@
 
   /** Looks again at a machine: a job that failed there may have turned out suspect, or sound. */
   public void review(Machine machine) {
-    if (machine.unexplainedFailures() > 0) {
-      machine.setUnexplainedFailures(blame.unexplained(machine.index));
-      machine.setBlockedForFailures(
-          machine.unexplainedFailures() == 0 ? 0 : machine.blockedForFailures());
+    if (machine.failures.unexplained() > 0) {
+      machine.failures.setUnexplained(blame.unexplained(machine.index));
+      machine.failures.blockUntil(
+          machine.failures.unexplained() == 0 ? 0 : machine.failures.blockedUntil());
       condemnIfSick(machine);
     }
   }
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
@@ -46,7 +46,7 @@
   public Answer respond(Machine machine, Heartbeat heartbeat) {
     List<Command> out = new ArrayList<>();
     boolean newest =
-        heartbeat.epoch() == machine.epoch() && heartbeat.seq() == machine.heartbeatSeq();
+        heartbeat.epoch() == machine.epoch() && heartbeat.seq() == machine.session.heartbeatSeq();
     LongHashSet listed = new LongHashSet();
     for (TaskStatus status : heartbeat.tasks()) {
       Job named = assignments.job(status.job());
@@ -93,7 +93,7 @@
    * overtaken a check-in has given no orders, and the answer renews the lease all the same.
    */
   private boolean unwanted(TaskStatus status, Job job) {
-    boolean gone = job == null && !assignments.isQuarantined(status.job());
+    boolean gone = job == null && !assignments.registry().isQuarantined(status.job());
     return status.state() != TaskStatus.State.ENDED
         && (gone || cancellations.known(status.job()) || (job != null && job.isCancelled()));
   }
--- a/src/main/java/org/snowturn/core/assignment/JobCompletion.java
+++ b/src/main/java/org/snowturn/core/assignment/JobCompletion.java
@@ -2,9 +2,11 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import org.snowturn.core.Outcome;
 import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.effects.EventLog;
+import org.snowturn.core.effects.LogEvent;
+import org.snowturn.core.effects.LogField;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.storage.FormatGate;
 import org.snowturn.core.storage.JobRecord;
@@ -17,6 +19,9 @@
 
 /** Moves jobs that are over from their live records to their short ones. */
 final class JobCompletion {
+  /** Further ahead than any deadline: a job without one is "late" by less than the opposite. */
+  private static final double NO_DEADLINE_S = 1e9;
+
   private final CoreRuntime runtime;
   private final FormatGate gate;
   private final RecordWriter writer;
@@ -60,7 +65,7 @@
         dropIfStored(record, drops);
       }
     }
-    job.firstFormatRecords.forEach(record -> dropIfStored(record, drops));
+    job.firstFormatRecords().forEach(record -> dropIfStored(record, drops));
     // Where many jobs end together, what is only to be cleared away leaves the rate to others.
     int most = writer.pressed() ? 0 : gate.limits().txnOps() - apply.size();
     int now = Math.min(drops.size(), Math.max(0, most));
@@ -73,19 +78,21 @@
         apply,
         (outcome, status, body) -> {
           if (outcome == Outcome.ANSWERED && status == 200) {
-            runtime.note(id + " " + phase.wire() + outcome(job));
-            assignments.removeJob(id);
+            logFinished(job, phase);
+            assignments.registry().remove(id);
             writer.drop(List.of(), later);
           } else {
-            assignments.rereadJob(
-                id,
-                () -> {
-                  job.finishingFailed();
-                  if (assignments.job(id) != job) {
-                    // It was carried out, and only its answer was lost.
-                    writer.drop(List.of(), later);
-                  }
-                });
+            assignments
+                .registry()
+                .reread(
+                    id,
+                    () -> {
+                      job.finishingFailed();
+                      if (assignments.job(id) != job) {
+                        // It was carried out, and only its answer was lost.
+                        writer.drop(List.of(), later);
+                      }
+                    });
           }
         });
   }
@@ -97,20 +104,30 @@
   }
 
   /** What an operator wants to know of a job that is over. */
-  private String outcome(Job job) {
-    double late = (runtime.wallMs() - job.deadlineWallMs(1)) / 1000;
-    String due = late < -1e9 ? "no deadline" : String.format(Locale.ROOT, "%.1f s late", late);
-    return String.format(
-        Locale.ROOT,
-        ": %d tasks, estimate %.1f s, median %.1f s, last placed after %.1f s, done after %.1f s,"
-            + " released after %.1f s, %s, %d restarts",
-        job.taskCount(),
-        job.spec.estimateS(),
-        job.median(),
-        Math.max(0, job.placedWall() - job.submittedWall) / 1000.0,
-        (runtime.wallMs() - job.submittedWall) / 1000.0,
-        (job.releasedWall() - job.submittedWall) / 1000.0,
-        due,
-        job.restarts());
+  private void logFinished(Job job, JobStatus.Phase phase) {
+    double lateS = (runtime.wallMs() - job.deadlineWallMs(1)) / 1000;
+    EventLog.Line line =
+        runtime
+            .events()
+            .info(LogEvent.JOB_FINISHED)
+            .with(LogField.JOB, job.spec.id())
+            .with(LogField.PHASE, phase.wire())
+            .with(LogField.TASKS, job.taskCount())
+            .with(LogField.ESTIMATE_S, job.spec.estimateS())
+            .with(LogField.MEDIAN_S, job.median())
+            .with(
+                LogField.PLACED_AFTER_S,
+                secondsAfterSubmission(job, Math.max(job.placedWall(), job.submittedWall)))
+            .with(LogField.DONE_AFTER_S, secondsAfterSubmission(job, runtime.wallMs()))
+            .with(LogField.RELEASED_AFTER_S, secondsAfterSubmission(job, job.releasedWall()))
+            .with(LogField.RESTARTS, job.restarts());
+    if (lateS >= -NO_DEADLINE_S) {
+      line.with(LogField.LATE_S, lateS);
+    }
+    line.write();
+  }
+
+  private static double secondsAfterSubmission(Job job, long wallMs) {
+    return (wallMs - job.submittedWall) / 1000.0;
   }
 }
--- /dev/null
+++ b/src/main/java/org/snowturn/core/assignment/JobListener.java
@@ -0,0 +1,16 @@
+package org.snowturn.core.assignment;
+
+import org.snowturn.core.model.Job;
+import org.snowturn.wire.JobStatus;
+
+/** Is told how jobs come and go. */
+public interface JobListener {
+  /** A live job has become known. */
+  default void joined(Job job) {}
+
+  /** A job's record says that it is cancelled. */
+  default void cancelled(Job job) {}
+
+  /** The job's record is no longer live; {@code phase} is null where that is all that is known. */
+  default void over(Job job, JobStatus.Phase phase) {}
+}
--- a/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
@@ -190,7 +190,7 @@
       }
       ArrayNode has = entry.addArray();
       int skip = Math.max(0, machine.images.size() - most);
-      for (Map.Entry<String, Double> image : machine.images.entrySet()) {
+      for (Map.Entry<String, Double> image : machine.images.leastRecentFirst()) {
         if (skip-- > 0) {
           continue;
         }
@@ -268,7 +268,7 @@
           machine.setRegistryPage(-1);
           p.struck = true;
         }
-        images |= machine.isImagesChanged();
+        images |= machine.images.isChanged();
       }
       if (p.struck && runtime.now() - p.struckAt > STRIKES_EVERY_MS) {
         // The next leader takes what was placed there for ended: no waiting for a lease. Before
@@ -278,7 +278,7 @@
         writer.mark(p.record, URGENCY, null);
       } else if (images && runtime.now() - p.imagesAt > IMAGES_EVERY_MS) {
         p.imagesAt = runtime.now();
-        p.machines.forEach(machine -> machine.setImagesChanged(false));
+        p.machines.forEach(machine -> machine.images.markStored());
         writer.mark(p.record, RecordWriter.CAN_WAIT, null);
       }
     }
--- a/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
+++ b/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
@@ -34,7 +34,8 @@
 
   /** Whether the task is alive and its job is one that is left alone. */
   boolean isQuarantined(TaskStatus status) {
-    return status.state() != TaskStatus.State.ENDED && assignments.isQuarantined(status.job());
+    return status.state() != TaskStatus.State.ENDED
+        && assignments.registry().isQuarantined(status.job());
   }
 
   private static Stored stored(Job job, int task) {
--- a/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
@@ -60,7 +60,7 @@
   void loadOlderChunk(Job job, int chunk, JsonNode value, long stamp) {
     PendingRecord record =
         writer.slot(StorageKeys.tasks(job.spec.id(), chunk), stamp, () -> null, () -> null);
-    job.firstFormatRecords.add(record);
+    job.firstFormatRecords().add(record);
     load(
         job,
         value,
@@ -99,9 +99,7 @@
           @Override
           public void done(int task) {
             if (isNews(task)) {
-              job.setState(task, TaskState.DONE);
-              job.addPending(-1);
-              job.addDone(1);
+              job.complete(task);
             }
           }
 
@@ -111,7 +109,7 @@
               Machine m = machines.getOrAdd(machine);
               // An earlier leader may have answered it until now, whether or not it is on the
               // registry.
-              m.setLastAnswerAt(Math.max(m.lastAnswerAt(), runtime.now()));
+              m.session.setLastAnswerAt(Math.max(m.session.lastAnswerAt(), runtime.now()));
               assignments.adopt(job, task, m, attempt, session);
             }
           }
--- a/src/main/java/org/snowturn/core/leader/HealthChecks.java
+++ b/src/main/java/org/snowturn/core/leader/HealthChecks.java
@@ -124,7 +124,7 @@
    */
   private void prove(Machine machine) {
     boolean inTurn =
-        machine.isAcknowledged()
+        machine.session.isAcknowledged()
             || (takeover.mostHeard()
                 && machine.reachability.answeredFor(runtime.now()) > COMES_BACK_MS);
     if (inTurn
@@ -139,7 +139,7 @@
   private static boolean isBefore(Machine machine, Heartbeat heartbeat) {
     return heartbeat.epoch() < machine.epoch()
         || (heartbeat.epoch() == machine.epoch()
-            && heartbeat.seq() + OVERTAKEN < machine.heartbeatSeq());
+            && heartbeat.seq() + OVERTAKEN < machine.session.heartbeatSeq());
   }
 
   /** A message to the machine got no answer. */
@@ -190,7 +190,7 @@
   /** Whether a machine that has been up should have been heard again by now. */
   private boolean quiet(Machine machine) {
     return machine.lastHeartbeatAt() != Job.UNKNOWN
-        ? runtime.now() > machine.silentFrom()
+        ? runtime.now() > machine.session.silentFrom()
         : takeover.askedInVain(machine) || turnedOver();
   }
 
@@ -252,7 +252,7 @@
         }
       }
       boolean muteForLong =
-          now - HeartbeatProcessor.leaseExpiryMs(settings) > machine.heartbeatDueAt();
+          now - HeartbeatProcessor.leaseExpiryMs(settings) > machine.session.heartbeatDueAt();
       if (!quiet
           && !machine.isTerminating()
           && muteForLong
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -21,6 +21,7 @@
 import org.snowturn.core.assignment.FailureHandler;
 import org.snowturn.core.assignment.HeartbeatCommands;
 import org.snowturn.core.assignment.HeartbeatProcessor;
+import org.snowturn.core.assignment.JobListener;
 import org.snowturn.core.assignment.KnownCancellations;
 import org.snowturn.core.assignment.MachineRegistry;
 import org.snowturn.core.assignment.TaskAssignments;
@@ -127,27 +128,22 @@
     guard = new AttemptGuard(runtime, machines, token, HeartbeatProcessor.leaseExpiryMs(settings));
     assignments =
         new TaskAssignments(
-            runtime,
-            gate,
-            writer,
-            machines,
-            new Quota(settings.teams()),
-            cancellations,
-            guard,
-            token);
+            runtime, gate, writer, machines, new Quota(settings.teams()), cancellations, guard);
     dependencies = new DependencyGraph(runtime, gate, assignments, writer);
     failureHandler = new FailureHandler(runtime, tunables.sickErrors());
-    assignments.listen(dependencies);
-    assignments.listen(failureHandler);
-    assignments.listen(
-        new TaskAssignments.Listener() {
-          @Override
-          public void joined(Job job) {
-            if (cancellations.known(job.spec.id())) {
-              job.confirmCancellation(MonotonicTime.NEVER);
-            }
-          }
-        });
+    assignments.registry().listen(dependencies);
+    assignments.registry().listen(failureHandler);
+    assignments
+        .registry()
+        .listen(
+            new JobListener() {
+              @Override
+              public void joined(Job job) {
+                if (cancellations.known(job.spec.id())) {
+                  job.confirmCancellation(MonotonicTime.NEVER);
+                }
+              }
+            });
     registry = new MachineRegistry(runtime, writer, machines, gate);
     PreemptionRate spotLosses = new PreemptionRate();
     heartbeats =
@@ -243,7 +239,7 @@
 
   /** A user was told, by whichever node, that the job is cancelled. */
   public void cancelled(String job) {
-    assignments.cancelConfirmed(job);
+    assignments.registry().confirmCancellation(job);
   }
 
   /** Nothing of this term may act any more. */
@@ -276,7 +272,7 @@
   @Override
   public void guardFailed(String key) {
     if (key.startsWith(StorageKeys.JOBS)) {
-      assignments.rereadJob(key.substring(StorageKeys.JOBS.length()));
+      assignments.registry().reread(key.substring(StorageKeys.JOBS.length()));
     }
   }
 
@@ -357,7 +353,7 @@
     if (entry.value() == null) {
       Job job = assignments.job(id);
       if (job != null && entry.stamp() >= job.version()) {
-        assignments.removeJob(id);
+        assignments.registry().remove(id);
       }
       return;
     }
@@ -369,7 +365,7 @@
       watermark.learn(id);
     }
     try {
-      assignments.addJob(id, JobRecord.parse(entry.value()), entry.stamp());
+      assignments.registry().add(id, JobRecord.parse(entry.value()), entry.stamp());
     } catch (MalformedException ex) {
       runtime.note("unusable record " + entry.key() + ": " + ex.getMessage());
     }
@@ -434,14 +430,14 @@
         && heartbeat.epoch() > machine.epoch()) {
       machines.restore(machine);
     }
-    if (machine.isTerminated() || heartbeat.epoch() <= machine.endedEpoch()) {
+    if (machine.isTerminated() || heartbeat.epoch() <= machine.session.endedEpoch()) {
       // Deleted, or a session that has certainly ended: nothing may renew it.
       refuse(exchange, heartbeat, "session_over");
       return;
     }
     if (!recovery.loaded()) {
       recovery.keep(machine, heartbeat);
-      machine.setLastAnswerAt(runtime.now());
+      machine.session.setLastAnswerAt(runtime.now());
       answer(exchange, machine, heartbeat, heartbeatCommands.stops(heartbeat));
       return;
     }
--- a/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
@@ -221,7 +221,7 @@
     List<StateMessage.Change> orphans = new ArrayList<>();
     loadTasks(read.get(StorageKeys.TASKS2), StorageKeys.TASKS2, quarantined, orphans);
     loadTasks(read.get(StorageKeys.TASKS), StorageKeys.TASKS, quarantined, orphans);
-    quarantined.forEach(assignments::quarantine);
+    quarantined.forEach(assignments.registry()::quarantine);
     for (StateMessage.Entry entry : read.get(StorageKeys.RESTARTS).entries()) {
       readable(
           entry,
@@ -235,7 +235,7 @@
     }
     for (Machine machine : machines.present()) {
       for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
-        machine.setEpoch(
+        machine.session.setEpoch(
             Math.max(machine.epoch(), assignments.job(ref).epochOf(TaskAssignments.task(ref))));
       }
     }
@@ -274,8 +274,8 @@
 
   private void recorded(Machine machine) {
     machine.setMachineType(machineTypes.get(machine.type()));
-    machine.setImagesChanged(false);
-    machine.setLastAnswerAt(Math.max(machine.lastAnswerAt(), runtime.now()));
+    machine.images.markStored();
+    machine.session.setLastAnswerAt(Math.max(machine.session.lastAnswerAt(), runtime.now()));
     machine.setFirstSeenAt(runtime.now());
     machine.registered();
   }
@@ -302,9 +302,9 @@
                 List<String> keys = JobRecord.partKeys(id, stored.submission(), stored.parts());
                 used.addAll(keys);
                 if (stored.incomplete() && texts.keySet().containsAll(keys)) {
-                  assignments.addChunkedJob(id, stored, entry.stamp(), texts);
+                  assignments.registry().addChunked(id, stored, entry.stamp(), texts);
                 } else {
-                  assignments.addJob(id, stored, entry.stamp());
+                  assignments.registry().add(id, stored, entry.stamp());
                 }
               });
       if (!read && JobRecord.phaseOf(entry.value()) != JobStatus.Phase.ABORTED) {
@@ -385,7 +385,7 @@
       }
     }
     for (Machine machine : machines.present()) {
-      if (machine.isRegistered() && !machine.isAcknowledged()) {
+      if (machine.isRegistered() && !machine.session.isAcknowledged()) {
         boolean reports = machine.lastHeartbeatAt() != Job.UNKNOWN;
         long notBefore = reports ? runtime.now() + COMES_BY_ITSELF_MS : 0;
         probes.add(machine.index, urgency(machine, replica, task), notBefore);
@@ -447,7 +447,7 @@
     if (!loaded()) {
       return;
     }
-    if (machine.isAcknowledged()) {
+    if (machine.session.isAcknowledged()) {
       probes.heard(machine.index, runtime.now());
       ask();
     } else {
--- a/src/main/java/org/snowturn/core/model/Job.java
+++ b/src/main/java/org/snowturn/core/model/Job.java
@@ -1,15 +1,11 @@
 package org.snowturn.core.model;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.BitSet;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Objects;
 import java.util.Set;
 import org.agrona.collections.Int2IntHashMap;
-import org.agrona.collections.IntHashSet;
 import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.storage.JobRecord;
 import org.snowturn.core.storage.PendingRecord;
@@ -35,11 +31,11 @@
   public final int index;
   public final JobSpec spec;
   public final long submittedWall;
-  private final byte[] stateOf;
-  private final int[] machineOf;
-  private final long[] attemptOf;
-  private final long[] epochOf;
-  private final long[] stateSince;
+  private final TaskTable tasks;
+  private final JobTaskRecords records;
+
+  /** What failures of its tasks tell of it. */
+  public final JobFailures failures = new JobFailures();
 
   /** Tasks told to stop. */
   public final BitSet stopping = new BitSet();
@@ -53,25 +49,9 @@
   /** Results not yet known to be durable. */
   public final BitSet resultPending = new BitSet();
 
-  /** The machine that a restarted task must not go back to. */
-  public final Int2IntHashMap excludedMachine = new Int2IntHashMap(-1);
-
-  /** Which tasks share a record, and the records; another format's are kept until the end. */
-  private TaskLayout layout;
-
-  private boolean secondFormat;
-  private PendingRecord[] taskRecords;
-  public final List<PendingRecord> firstFormatRecords = new ArrayList<>();
-
-  /** What the placements of each record take of its value, and what they may; second format. */
-  private int[] recordBytes;
-
-  private int recordRoom = Integer.MAX_VALUE;
-
-  /** The most that one placement took so far. */
-  private int entryBytes;
-
+  /** Seconds that finished tasks have run. */
   public final DoubleSamples runTimes = new DoubleSamples();
+
   private final int[] assignedInZone;
 
   /** How many tasks of a service may be on each machine. */
@@ -103,27 +83,11 @@
   private long notConfirmedBefore = MonotonicTime.NEVER;
 
   private boolean finishing;
-  private int pending;
-  private int assigned;
-  private int running;
-  private int done;
   private int restarts;
-  private long backOffUntil;
 
   /** Room is being made for waiting tasks, so none more is made until then. */
   private long preemptingUntil = MonotonicTime.NEVER;
 
-  private int failures;
-
-  /** Whether its tasks seem to fail wherever they run: it gets a trial now and then. */
-  private boolean suspect;
-
-  /** Machines on which it has failed lately. */
-  public final IntHashSet failedOn = new IntHashSet();
-
-  /** Trials in vain since it became suspect. */
-  private int probeCount;
-
   /** When a task was last placed. */
   private long placedWall;
 
@@ -141,6 +105,7 @@
 
   private int cursor;
 
+  /** A job that was submitted at this time of day; none of its tasks is on a machine yet. */
   public Job(int index, JobSpec spec, long submittedWall, int zones) {
     this.index = index;
     this.spec = spec;
@@ -149,53 +114,26 @@
     this.priority = spec.priority();
     this.unmetDependencies =
         spec.awaits().isEmpty() ? Set.of() : new LinkedHashSet<>(spec.awaits());
-    int n = spec.tasks();
-    stateOf = new byte[n];
-    machineOf = new int[n];
-    attemptOf = new long[n];
-    epochOf = new long[n];
-    stateSince = new long[n];
-    Arrays.fill(machineOf, -1);
+    tasks = new TaskTable(spec.tasks());
+    records = new JobTaskRecords(spec.tasks());
     assignedInZone = new int[zones];
-    pending = n;
   }
 
   /** Starts with records of the first format, as the version in production writes them. */
   public void useFirstFormat(int span) {
-    layout = TaskLayout.first(stateOf.length, span);
-    taskRecords = new PendingRecord[layout.records()];
+    records.useFirstFormat(span);
   }
 
   /** Goes on with records of the second format; those of the first stay until the job is over. */
   public void useSecondFormat(RecordSizes spans, int valueBytes, MachineIndex machines) {
-    if (taskRecords != null) {
-      Arrays.stream(taskRecords).filter(Objects::nonNull).forEach(firstFormatRecords::add);
-    }
-    secondFormat = true;
-    layout = TaskLayout.second(stateOf.length, spans);
-    taskRecords = new PendingRecord[layout.records()];
-    recordBytes = new int[layout.records()];
-    recordRoom = TaskLayout.room(valueBytes, layout.piece());
-    for (int task = 0; task < stateOf.length; task++) {
+    records.useSecondFormat(spans, valueBytes);
+    for (int task = 0; task < tasks.size(); task++) {
       if (isAssigned(task)) {
-        adjustRecordSize(task, machines.get(machineOf[task]), 1);
+        records.adjustSize(task, machines.get(tasks.machine(task)), 1);
       }
     }
   }
 
-  /** Keeps account of how full the records are, so that no placement makes one too long. */
-  public void adjustRecordSize(int task, Machine machine, int sign) {
-    if (secondFormat) {
-      int bytes = TaskRecords.bytes(machine);
-      entryBytes = Math.max(entryBytes, bytes);
-      recordBytes[layout.recordOf(task)] += sign * bytes;
-    }
-  }
-
-  private boolean recordHasRoom(int task) {
-    return !secondFormat || recordBytes[layout.recordOf(task)] + entryBytes <= recordRoom;
-  }
-
   /** Whether it still waits for other jobs, and so has no part in anything yet. */
   public boolean awaitsDependencies() {
     return !unmetDependencies.isEmpty();
@@ -203,28 +141,59 @@
 
   /** Whether it has tasks that could be placed now, room and quota aside. */
   public boolean wantsRoom() {
-    return pending > 0 && !isCancelled() && !awaitsDependencies();
+    return tasks.pending() > 0 && !isCancelled() && !awaitsDependencies();
   }
 
+  /** One number for a task of a job, both by their indices. */
   public static long ref(int job, int task) {
     return ((long) job << 32) | task;
   }
 
   /** Changes a task's state, and the count of running tasks with it. */
   public void setState(int task, TaskState next) {
-    running += next == TaskState.RUNNING ? 1 : 0;
-    running -= stateOf(task) == TaskState.RUNNING ? 1 : 0;
-    stateOf[task] = next.code();
+    tasks.setState(task, next);
+  }
+
+  /** A pending task is assigned to a machine, by this leader or an earlier one. */
+  public void assign(int task, Machine machine, long attempt, long epoch, TaskState state) {
+    tasks.assign(task, machine.index, attempt, epoch, state);
+    assignedInZone[machine.zone()]++;
+    adjustOnMachine(machine.index, 1);
+    records.adjustSize(task, machine, 1);
+  }
+
+  /** A task is on no machine any more; {@link #requeue} or {@link #complete} comes next. */
+  public void unassign(int task, Machine machine) {
+    tasks.unassign(task);
+    assignedInZone[machine.zone()]--;
+    adjustOnMachine(machine.index, -1);
+    records.adjustSize(task, machine, -1);
+    stopping.clear(task);
+  }
+
+  /** A task that was unassigned waits again. */
+  public void requeue(int task) {
+    tasks.requeue(task);
   }
 
-  /** Keeps account of a service's tasks by machine. */
-  public void adjustOnMachine(int machineIndex, int sign) {
+  /** A task that waits or was unassigned has its result. */
+  public void complete(int task) {
+    tasks.complete(task);
+  }
+
+  /** The zone of a machine that one of its tasks is assigned to has become known. */
+  public void moveZone(int from, int to) {
+    assignedInZone[from]--;
+    assignedInZone[to]++;
+  }
+
+  private void adjustOnMachine(int machineIndex, int sign) {
     if (spec.service()) {
-      int n = onMachine.get(machineIndex) + sign;
-      if (n == 0) {
+      int count = onMachine.get(machineIndex) + sign;
+      if (count == 0) {
         onMachine.remove(machineIndex);
       } else {
-        onMachine.put(machineIndex, n);
+        onMachine.put(machineIndex, count);
       }
     }
   }
@@ -234,6 +203,7 @@
     return onMachine.get(machine.index);
   }
 
+  /** Whether the task may be on a machine. */
   public boolean isAssigned(int task) {
     return stateOf(task).isAssigned();
   }
@@ -245,18 +215,18 @@
     return spec.service()
         && stateOf(task) == TaskState.RUNNING
         && !stopping.get(task)
-        && pending == 0
-        && now - stateSince[task] > SETTLED_MS;
+        && tasks.pending() == 0
+        && now - tasks.stateSince(task) > SETTLED_MS;
   }
 
   /** A pending task whose record can take its placement, or -1. */
   public int nextPending() {
-    if (pending == 0) {
+    if (tasks.pending() == 0) {
       return -1;
     }
-    for (int i = 0; i < stateOf.length; i++) {
-      int task = cursor + i < stateOf.length ? cursor + i : cursor + i - stateOf.length;
-      if (stateOf(task) == TaskState.PENDING && recordHasRoom(task)) {
+    for (int i = 0; i < tasks.size(); i++) {
+      int task = cursor + i < tasks.size() ? cursor + i : cursor + i - tasks.size();
+      if (stateOf(task) == TaskState.PENDING && records.hasRoom(task)) {
         cursor = task;
         return task;
       }
@@ -264,6 +234,7 @@
     return -1;
   }
 
+  /** The median run time of finished tasks in seconds; NaN before there are any. */
   public double median() {
     return runTimes.median();
   }
@@ -295,86 +266,84 @@
 
   /** Adds how many of its tasks are in each state to a count by state. */
   public void countStates(TaskStateCounts counts) {
-    for (byte code : stateOf) {
-      counts.add(TaskState.ofCode(code));
-    }
+    tasks.countStates(counts);
   }
 
   /** How many tasks it has. */
   public int taskCount() {
-    return stateOf.length;
+    return tasks.size();
   }
 
   /** The stored form of one of its records. */
   public JsonNode taskRecordJson(int chunk, MachineIndex machines) {
-    return secondFormat
+    return records.isSecondFormat()
         ? TaskRecords.second(this, chunk, machines)
         : TaskRecords.first(this, chunk, machines);
   }
 
+  /** Where the task stands. */
   public TaskState stateOf(int task) {
-    return TaskState.ofCode(stateOf[task]);
+    return tasks.state(task);
   }
 
+  /** The index of the machine that the task is assigned to, or -1. */
   public int machineOf(int task) {
-    return machineOf[task];
-  }
-
-  public void setMachineOf(int task, int value) {
-    machineOf[task] = value;
+    return tasks.machine(task);
   }
 
+  /** The number of the task's last attempt. */
   public long attemptOf(int task) {
-    return attemptOf[task];
-  }
-
-  public void setAttemptOf(int task, long value) {
-    attemptOf[task] = value;
+    return tasks.attempt(task);
   }
 
+  /** The epoch of the machine's agent for which the task was assigned. */
   public long epochOf(int task) {
-    return epochOf[task];
-  }
-
-  public void setEpochOf(int task, long value) {
-    epochOf[task] = value;
+    return tasks.epoch(task);
   }
 
+  /** Since when the task runs; {@link MonotonicTime#NEVER} if that is not known. */
   public long stateSince(int task) {
-    return stateSince[task];
+    return tasks.stateSince(task);
   }
 
-  public void setStateSince(int task, long value) {
-    stateSince[task] = value;
+  /** The task runs since then; {@link MonotonicTime#NEVER} if that is not known. */
+  public void setStateSince(int task, long since) {
+    tasks.setStateSince(task, since);
   }
 
-  /** Which tasks share a record, and the records; another format's are kept until the end. */
+  /** Which tasks share a record. */
   public TaskLayout layout() {
-    return layout;
+    return records.layout();
   }
 
+  /** Whether its tasks' records are of the second format. */
   public boolean isSecondFormat() {
-    return secondFormat;
+    return records.isSecondFormat();
   }
 
+  /** One of its tasks' records, or null as long as there is none. */
   public PendingRecord taskRecord(int index) {
-    return taskRecords[index];
+    return records.records()[index];
   }
 
-  public void setTaskRecord(int index, PendingRecord value) {
-    taskRecords[index] = value;
+  /** There is such a record now. */
+  public void setTaskRecord(int index, PendingRecord record) {
+    records.records()[index] = record;
   }
 
+  /** Its tasks' records; null where there is none yet. Not to be changed by callers. */
   public PendingRecord[] taskRecords() {
-    return taskRecords;
+    return records.records();
   }
 
-  public int assignedInZone(int zone) {
-    return assignedInZone[zone];
+  /** Records of the first format that stay until the job is over, after it uses the second. */
+  public List<PendingRecord> firstFormatRecords() {
+    return records.firstFormat();
   }
 
-  public void addAssignedInZone(int zone, int delta) {
-    assignedInZone[zone] += delta;
+  /** How many of its tasks may be in the zone. */
+  public int assignedInZone(int zone) {
+    return assignedInZone[zone];
   }
 
   /** Names the parts of a record that is longer than a value, or null. */
@@ -382,14 +351,17 @@
     return submission;
   }
 
+  /** Names the parts of its record. */
   public void setSubmission(String submission) {
     this.submission = submission;
   }
 
+  /** How many parts its record has; 0 if it is whole. */
   public int chunkCount() {
     return chunkCount;
   }
 
+  /** Its record has so many parts. */
   public void setChunkCount(int chunkCount) {
     this.chunkCount = chunkCount;
   }
@@ -399,6 +371,7 @@
     return priority;
   }
 
+  /** Its own priority, or a higher one of a job that needs it. */
   public void setPriority(Priority priority) {
     this.priority = priority;
   }
@@ -408,14 +381,17 @@
     return dependentsDeadline;
   }
 
+  /** What those that need it leave of their deadlines, as a time of day. */
   public void setDependentsDeadline(double dependentsDeadline) {
     this.dependentsDeadline = dependentsDeadline;
   }
 
+  /** The same with one and a half times the deadlines. */
   public double dependentsLateDeadline() {
     return dependentsLateDeadline;
   }
 
+  /** What those that need it leave of one and a half times their deadlines. */
   public void setDependentsLateDeadline(double dependentsLateDeadline) {
     this.dependentsLateDeadline = dependentsLateDeadline;
   }
@@ -425,14 +401,17 @@
     return releasedWall;
   }
 
+  /** The last job that it needs was done at this time of day. */
   public void setReleasedWall(long releasedWall) {
     this.releasedWall = releasedWall;
   }
 
+  /** The version of its stored record. */
   public long version() {
     return version;
   }
 
+  /** Its stored record has this version. */
   public void setVersion(long version) {
     this.version = version;
   }
@@ -485,98 +464,57 @@
     finishing = false;
   }
 
+  /** How many tasks wait. */
   public int pending() {
-    return pending;
-  }
-
-  public void addPending(int delta) {
-    pending += delta;
+    return tasks.pending();
   }
 
+  /** How many tasks may be on machines. */
   public int assigned() {
-    return assigned;
-  }
-
-  public void addAssigned(int delta) {
-    assigned += delta;
+    return tasks.assigned();
   }
 
+  /** How many tasks run. */
   public int running() {
-    return running;
+    return tasks.running();
   }
 
+  /** How many tasks have their results. */
   public int done() {
-    return done;
-  }
-
-  public void addDone(int delta) {
-    done += delta;
+    return tasks.done();
   }
 
+  /** How many of its tasks were restarted. */
   public int restarts() {
     return restarts;
   }
 
+  /** So many of its tasks were restarted. */
   public void setRestarts(int restarts) {
     this.restarts = restarts;
   }
 
+  /** So many more of its tasks were restarted. */
   public void addRestarts(int delta) {
     restarts += delta;
   }
 
-  public long backOffUntil() {
-    return backOffUntil;
-  }
-
-  public void setBackOffUntil(long backOffUntil) {
-    this.backOffUntil = backOffUntil;
-  }
-
   /** Room is being made for waiting tasks, so none more is made until then. */
   public long preemptingUntil() {
     return preemptingUntil;
   }
 
+  /** Room is being made for its waiting tasks until then. */
   public void setPreemptingUntil(long preemptingUntil) {
     this.preemptingUntil = preemptingUntil;
   }
 
-  public int failures() {
-    return failures;
-  }
-
-  public void addFailures(int delta) {
-    failures += delta;
-  }
-
-  /** Whether its tasks seem to fail wherever they run: it gets a trial now and then. */
-  public boolean isSuspect() {
-    return suspect;
-  }
-
-  public void setSuspect(boolean suspect) {
-    this.suspect = suspect;
-  }
-
-  /** Trials in vain since it became suspect. */
-  public int probeCount() {
-    return probeCount;
-  }
-
-  public void setProbeCount(int probeCount) {
-    this.probeCount = probeCount;
-  }
-
-  public void addProbeCount(int delta) {
-    probeCount += delta;
-  }
-
   /** When a task was last placed. */
   public long placedWall() {
     return placedWall;
   }
 
+  /** A task was placed at this time of day. */
   public void setPlacedWall(long placedWall) {
     this.placedWall = placedWall;
   }
@@ -586,6 +524,7 @@
     return shareGroup;
   }
 
+  /** The dense index of its team's class. */
   public void setShareGroup(int shareGroup) {
     this.shareGroup = shareGroup;
   }
@@ -595,6 +534,7 @@
     return withinGuarantee;
   }
 
+  /** Whether it is within its team's guarantee. */
   public void setWithinGuarantee(boolean withinGuarantee) {
     this.withinGuarantee = withinGuarantee;
   }
@@ -604,6 +544,7 @@
     return byMinimumShare;
   }
 
+  /** Whether it goes before others since its group has too little. */
   public void setByMinimumShare(boolean byMinimumShare) {
     this.byMinimumShare = byMinimumShare;
   }
@@ -613,6 +554,7 @@
     return gangZone;
   }
 
+  /** The zone chosen for the whole of a gang, or -1. */
   public void setGangZone(int gangZone) {
     this.gangZone = gangZone;
   }
--- a/src/main/java/org/snowturn/core/model/Machine.java
+++ b/src/main/java/org/snowturn/core/model/Machine.java
@@ -1,7 +1,5 @@
 package org.snowturn.core.model;
 
-import java.util.LinkedHashMap;
-import java.util.Map;
 import org.agrona.collections.LongHashSet;
 import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.health.Reachability;
@@ -18,31 +16,7 @@
   private String type;
   private int zone;
   private boolean spot;
-  private MachineType machineType;
-
-  private long epoch;
-  private long heartbeatSeq = -1;
-
-  /** The highest session in which everything has certainly ended. */
-  private long endedEpoch = -1;
-
-  private long lastHeartbeatAt = MonotonicTime.NEVER;
-
-  /** From then on, without another report, the machine may have died: nothing new goes there. */
-  private long silentFrom = MonotonicTime.NEVER;
-
-  /**
-   * By then it should have checked in here. What it answers to direct messages renews no lease, so
-   * from then on nothing new goes there.
-   */
-  private long heartbeatDueAt = Long.MAX_VALUE;
-
-  /** When a 200 that may have renewed the lease could last have been sent, by any leader. */
-  private long lastAnswerAt;
-
-  /** Whether a report in the current session carried this leader's token. */
-  private boolean acknowledged;
-
+  private final ResourceUsage resources = new ResourceUsage();
   private Registration registration = Registration.NONE;
   private Presence presence = Presence.PRESENT;
   private Usage usage = Usage.IN_USE;
@@ -53,7 +27,6 @@
   private long preemptionAt = Long.MAX_VALUE;
   private long firstSeenAt;
 
-  /** Whether this leader has hired it. */
   private boolean rentedByThisTerm;
 
   private long listedAt = MonotonicTime.NEVER;
@@ -62,45 +35,32 @@
   private long idleSince;
   private long preemptingUntil;
 
-  private double cpusUsed;
-  private double gpusUsed;
-  private double memoryUsed;
   public final LongHashSet assigned = new LongHashSet();
 
   /** Tasks that run there of jobs that are left alone since a record cannot be read. */
   private int unaccounted;
 
-  /** How many of what is bound there is of each priority. */
-  private final int[] assignedByPriority = new int[Priority.values().length];
+  private final PriorityCounts assignedByPriority = new PriorityCounts();
 
   /** How many of them an earlier leader bound and this one has not seen yet. */
   private int adoptedTasks;
 
-  /** Images that the machine should have, most recently used last, with their sizes. */
-  public final Map<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
+  /** The images that it should have. */
+  public final ImageCache images = new ImageCache();
 
   /** The page of the registry that it is on, or -1. */
   private int registryPage = -1;
 
-  /** Whether the stored list of images is behind. */
-  private boolean imagesChanged;
-
-  /** Failures there since the last success that no suspect job explains. */
-  private int unexplainedFailures;
+  /** The session of its agent. */
+  public final AgentSession session = new AgentSession();
 
-  /** Whether work has succeeded there and no sound job has failed since. */
-  private boolean sound;
-
-  /** Nothing new goes there before, since what failed there last may be the machine's fault. */
-  private long blockedForFailures;
+  /** What failures of tasks tell of it. */
+  public final MachineFailures failures = new MachineFailures();
 
   /** Whether it receives what it is sent. */
   public final Reachability reachability = new Reachability();
 
-  private double workDone;
-  private final double[] ratios = new double[32];
-  private int ratioCount;
-  private double slowness = 1;
+  private final RunTimeRatios runTimes = new RunTimeRatios();
 
   /**
    * Attempts whose direct start got no answer: it may still arrive, so they are never forgotten.
@@ -109,69 +69,77 @@
 
   private CommandChannel commands;
 
+  /** A machine of which nothing else is known yet. */
   public Machine(int index, String id) {
     this.index = index;
     this.id = id;
   }
 
+  /** Whether one more task of the job fits beside what is there. */
   public boolean hasRoom(JobSpec spec) {
-    return machineType != null
-        && cpusUsed + spec.cpus() <= machineType.cpus() + 1e-6
-        && gpusUsed + spec.gpus() <= machineType.gpus() + 1e-6
-        && memoryUsed + spec.memoryGb() <= machineType.memoryGb() + 1e-6;
+    return resources.hasRoom(spec);
   }
 
   /** How many tasks of the job fit beside what is there. */
   public int roomFor(JobSpec spec) {
-    if (machineType == null) {
-      return 0;
-    }
-    double n = 1000;
-    n = spec.cpus() > 0 ? Math.min(n, (machineType.cpus() - cpusUsed + 1e-6) / spec.cpus()) : n;
-    n = spec.gpus() > 0 ? Math.min(n, (machineType.gpus() - gpusUsed + 1e-6) / spec.gpus()) : n;
-    n =
-        spec.memoryGb() > 0
-            ? Math.min(n, (machineType.memoryGb() - memoryUsed + 1e-6) / spec.memoryGb())
-            : n;
-    return (int) Math.max(0, Math.floor(n));
+    return resources.roomFor(spec);
   }
 
+  /** CPUs that no assigned task uses; 0 while its type is unknown. */
   public double cpusFree() {
-    return machineType == null ? 0 : machineType.cpus() - cpusUsed;
+    return resources.cpusFree();
   }
 
-  public void adjustUsage(JobSpec spec, int sign) {
-    cpusUsed += sign * spec.cpus();
-    gpusUsed += sign * spec.gpus();
-    memoryUsed += sign * spec.memoryGb();
+  /** CPUs that assigned tasks use. */
+  public double cpusUsed() {
+    return resources.cpus();
+  }
+
+  /** GPUs that assigned tasks use. */
+  public double gpusUsed() {
+    return resources.gpus();
+  }
+
+  /** Memory in GB that assigned tasks use. */
+  public double memoryUsed() {
+    return resources.memoryGb();
+  }
+
+  /** A task is assigned to it; {@code reference} names the task. */
+  public void assign(long reference, Priority priority, JobSpec spec) {
+    assigned.add(reference);
+    assignedByPriority.add(priority, 1);
+    resources.add(spec, 1);
+  }
+
+  /** The task is not assigned to it any more. */
+  public void unassign(long reference, Priority priority, JobSpec spec) {
+    assigned.remove(reference);
+    assignedByPriority.add(priority, -1);
+    resources.add(spec, -1);
     if (assigned.isEmpty()) {
-      cpusUsed = 0;
-      gpusUsed = 0;
-      memoryUsed = 0;
+      resources.clear();
     }
   }
 
-  /** A task of this priority has come, or gone. */
-  public void adjustCount(Priority priority, int sign) {
-    assignedByPriority[priority.ordinal()] += sign;
+  /** One of its tasks has another priority now. */
+  public void reprioritize(Priority from, Priority to) {
+    assignedByPriority.add(from, -1);
+    assignedByPriority.add(to, 1);
   }
 
   /** How many of the tasks there are of lower priority than this. */
   public int assignedBelow(Priority priority) {
-    int n = 0;
-    for (int i = priority.ordinal() + 1; i < assignedByPriority.length; i++) {
-      n += assignedByPriority[i];
-    }
-    return n;
+    return assignedByPriority.below(priority);
   }
 
-  /** Taken for gone because it was neither heard of nor listed, and yet there: starts anew. */
+  /** It was taken for gone since it was neither heard nor listed, and yet it is there. */
   public void restart() {
     presence = Presence.PRESENT;
-    acknowledged = false;
+    session.clearAcknowledgement();
     registration = Registration.NONE;
-    endedEpoch = Math.max(endedEpoch, epoch);
-    reachability.doubt(lastHeartbeatAt);
+    session.endedUntil(session.epoch());
+    reachability.doubt(session.lastHeartbeatAt());
   }
 
   /** Whether new work may go there. */
@@ -181,7 +149,7 @@
 
   /** Whether it seems to reach no controller, though it may answer direct messages. */
   public boolean missesHeartbeats(long now) {
-    return now >= heartbeatDueAt;
+    return now >= session.heartbeatDueAt();
   }
 
   /** Why no new work may go there, in a word for operators; null if it may. */
@@ -189,7 +157,21 @@
     if (presence != Presence.PRESENT || usage != Usage.IN_USE) {
       return "leaving";
     }
-    if (lastHeartbeatAt == MonotonicTime.NEVER) {
+    String silence = whySilent(now);
+    if (silence != null) {
+      return silence;
+    }
+    if (!session.isAcknowledged()) {
+      return "unacknowledged";
+    }
+    if (!reachability.proven()) {
+      return reachability.inVain() >= Reachability.DEAF_AFTER ? "deaf" : "unproven";
+    }
+    return whyBlocked(now);
+  }
+
+  private String whySilent(long now) {
+    if (session.lastHeartbeatAt() == MonotonicTime.NEVER) {
       return "unheard";
     }
     if (preemptionAt != Long.MAX_VALUE) {
@@ -198,180 +180,103 @@
     if (quarantined) {
       return "sick";
     }
-    if (suspected || now >= silentFrom) {
+    if (suspected || now >= session.silentFrom()) {
       return "silent";
     }
-    if (missesHeartbeats(now)) {
-      return "mute";
-    }
-    if (!acknowledged) {
-      return "unacknowledged";
-    }
-    if (!reachability.proven()) {
-      return reachability.inVain() >= Reachability.DEAF_AFTER ? "deaf" : "unproven";
-    }
+    return missesHeartbeats(now) ? "mute" : null;
+  }
+
+  private String whyBlocked(long now) {
     if (!isRegistered()) {
       return "unrecorded";
     }
     if (unaccounted > 0) {
       return "unaccounted";
     }
-    if (now < blockedForFailures) {
+    if (now < failures.blockedUntil()) {
       return "failing";
     }
-    return machineType == null || now < blockedUntil ? "blocked" : null;
+    return machineType() == null || now < blockedUntil ? "blocked" : null;
   }
 
+  /** An image is used there, of this size in GB. */
   public void touchImage(String image, double gb) {
-    if (images.get(image) != null) {
-      return; // and it is the last used one now
-    }
-    images.put(image, gb);
-    imagesChanged = true;
-    double total = 0;
-    for (double g : images.values()) {
-      total += g;
-    }
-    var oldest = images.entrySet().iterator();
-    double cache = machineType == null ? Double.MAX_VALUE : machineType.cacheGb();
-    while (total > cache && images.size() > 1 && oldest.hasNext()) {
-      total -= oldest.next().getValue();
-      oldest.remove();
-    }
+    images.use(image, gb, machineType() == null ? Double.MAX_VALUE : machineType().cacheGb());
   }
 
+  /** A task has finished; its run time over the median of its array. */
   public void finishedWork(double ratio) {
-    ratios[ratioCount++ % ratios.length] = ratio;
-    slowness = Double.NaN;
-    workDone += 1;
+    runTimes.add(ratio);
   }
 
   /** The median of finished run times over their arrays' medians; 1 before there are any. */
   public double slowness() {
-    if (Double.isNaN(slowness)) {
-      double[] sorted = java.util.Arrays.copyOf(ratios, Math.min(ratioCount, ratios.length));
-      java.util.Arrays.sort(sorted);
-      slowness = sorted[sorted.length / 2];
-    }
-    return slowness;
+    return runTimes.median();
+  }
+
+  /** How many tasks have finished there. */
+  public int workDone() {
+    return runTimes.count();
   }
 
+  /** Where it is reached; null if that is not known. */
   public String addr() {
     return addr;
   }
 
+  /** It is reached there. */
   public void setAddr(String addr) {
     this.addr = addr;
   }
 
+  /** The name of its type; null if that is not known. */
   public String type() {
     return type;
   }
 
+  /** Its type has this name. */
   public void setType(String type) {
     this.type = type;
   }
 
+  /** The dense index of its zone. */
   public int zone() {
     return zone;
   }
 
+  /** It is in this zone. */
   public void setZone(int zone) {
     this.zone = zone;
   }
 
+  /** Whether the cloud may take it back at any time. */
   public boolean isSpot() {
     return spot;
   }
 
+  /** Whether the cloud may take it back at any time. */
   public void setSpot(boolean spot) {
     this.spot = spot;
   }
 
+  /** Its type; null if that is not known. */
   public MachineType machineType() {
-    return machineType;
+    return resources.type();
   }
 
+  /** It is of this type. */
   public void setMachineType(MachineType machineType) {
-    this.machineType = machineType;
+    resources.type(machineType);
   }
 
+  /** The highest epoch heard of its agent; 0 if none. */
   public long epoch() {
-    return epoch;
-  }
-
-  public void setEpoch(long epoch) {
-    this.epoch = epoch;
-  }
-
-  public long heartbeatSeq() {
-    return heartbeatSeq;
-  }
-
-  public void setHeartbeatSeq(long heartbeatSeq) {
-    this.heartbeatSeq = heartbeatSeq;
-  }
-
-  /** The highest session in which everything has certainly ended. */
-  public long endedEpoch() {
-    return endedEpoch;
-  }
-
-  public void setEndedEpoch(long endedEpoch) {
-    this.endedEpoch = endedEpoch;
+    return session.epoch();
   }
 
+  /** When this leader took in its newest heartbeat; {@link MonotonicTime#NEVER} if none. */
   public long lastHeartbeatAt() {
-    return lastHeartbeatAt;
-  }
-
-  public void setLastHeartbeatAt(long lastHeartbeatAt) {
-    this.lastHeartbeatAt = lastHeartbeatAt;
-  }
-
-  /** From then on, without another report, the machine may have died: nothing new goes there. */
-  public long silentFrom() {
-    return silentFrom;
-  }
-
-  public void setSilentFrom(long silentFrom) {
-    this.silentFrom = silentFrom;
-  }
-
-  /**
-   * By then it should have checked in here. What it answers to direct messages renews no lease, so
-   * from then on nothing new goes there.
-   */
-  public long heartbeatDueAt() {
-    return heartbeatDueAt;
-  }
-
-  public void setHeartbeatDueAt(long heartbeatDueAt) {
-    this.heartbeatDueAt = heartbeatDueAt;
-  }
-
-  /** When a 200 that may have renewed the lease could last have been sent, by any leader. */
-  public long lastAnswerAt() {
-    return lastAnswerAt;
-  }
-
-  public void setLastAnswerAt(long lastAnswerAt) {
-    this.lastAnswerAt = lastAnswerAt;
-  }
-
-  /** Whether a heartbeat of the current session carried this leader's token. */
-  public boolean isAcknowledged() {
-    return acknowledged;
-  }
-
-  /** A heartbeat of the current session carried this leader's token. */
-  public void acknowledge() {
-    acknowledged = true;
-  }
-
-  /** Its session is over: a new one has not seen this leader's token yet. */
-  public void clearAcknowledgement() {
-    acknowledged = false;
+    return session.lastHeartbeatAt();
   }
 
   /** Whether its entry in the stored registry is durable. */
@@ -441,10 +346,12 @@
     usage = usage == Usage.SCALING_IN ? Usage.IN_USE : usage;
   }
 
+  /** Before this time no deletion is sent to the cloud. */
   public long terminateRetryAt() {
     return terminateRetryAt;
   }
 
+  /** No deletion is to be sent to the cloud before this time. */
   public void setTerminateRetryAt(long terminateRetryAt) {
     this.terminateRetryAt = terminateRetryAt;
   }
@@ -489,18 +396,22 @@
     quarantined = true;
   }
 
+  /** When the cloud takes it back, by its notice; {@link Long#MAX_VALUE} without one. */
   public long preemptionAt() {
     return preemptionAt;
   }
 
+  /** The cloud takes it back then. */
   public void setPreemptionAt(long preemptionAt) {
     this.preemptionAt = preemptionAt;
   }
 
+  /** Since when it is known to exist; 0 if not known. */
   public long firstSeenAt() {
     return firstSeenAt;
   }
 
+  /** It is known to exist since then. */
   public void setFirstSeenAt(long firstSeenAt) {
     this.firstSeenAt = firstSeenAt;
   }
@@ -515,63 +426,62 @@
     rentedByThisTerm = true;
   }
 
+  /** When the cloud listed it last; {@link MonotonicTime#NEVER} if it did not. */
   public long listedAt() {
     return listedAt;
   }
 
+  /** The cloud has listed it. */
   public void setListedAt(long listedAt) {
     this.listedAt = listedAt;
   }
 
+  /** Its state when the cloud listed it last. */
   public CloudMachine.State cloudState() {
     return cloudState;
   }
 
+  /** The cloud has listed it in this state. */
   public void setCloudState(CloudMachine.State cloudState) {
     this.cloudState = cloudState;
   }
 
+  /** Nothing new goes there before, since it has refused a task or not answered. */
   public long blockedUntil() {
     return blockedUntil;
   }
 
+  /** Nothing new goes there before this time. */
   public void setBlockedUntil(long blockedUntil) {
     this.blockedUntil = blockedUntil;
   }
 
+  /** Since when no task is assigned to it; 0 if it has never been heard. */
   public long idleSince() {
     return idleSince;
   }
 
+  /** No task is assigned to it since then. */
   public void setIdleSince(long idleSince) {
     this.idleSince = idleSince;
   }
 
+  /** Room is being made there, so none more is made until then. */
   public long preemptingUntil() {
     return preemptingUntil;
   }
 
+  /** Room is being made there until then. */
   public void setPreemptingUntil(long preemptingUntil) {
     this.preemptingUntil = preemptingUntil;
   }
 
-  public double cpusUsed() {
-    return cpusUsed;
-  }
-
-  public double gpusUsed() {
-    return gpusUsed;
-  }
-
-  public double memoryUsed() {
-    return memoryUsed;
-  }
-
   /** Tasks that run there of jobs that are left alone since a record cannot be read. */
   public int unaccounted() {
     return unaccounted;
   }
 
+  /** So many tasks run there of jobs that are left alone. */
   public void setUnaccounted(int unaccounted) {
     this.unaccounted = unaccounted;
   }
@@ -581,6 +491,7 @@
     return adoptedTasks;
   }
 
+  /** So many tasks that an earlier leader assigned are to be seen there, or are no more. */
   public void addAdoptedTasks(int delta) {
     adoptedTasks += delta;
   }
@@ -590,54 +501,17 @@
     return registryPage;
   }
 
+  /** It is on this page of the registry; -1 if on none. */
   public void setRegistryPage(int registryPage) {
     this.registryPage = registryPage;
   }
 
-  /** Whether the stored list of images is behind. */
-  public boolean isImagesChanged() {
-    return imagesChanged;
-  }
-
-  public void setImagesChanged(boolean imagesChanged) {
-    this.imagesChanged = imagesChanged;
-  }
-
-  /** Failures there since the last success that no suspect job explains. */
-  public int unexplainedFailures() {
-    return unexplainedFailures;
-  }
-
-  public void setUnexplainedFailures(int unexplainedFailures) {
-    this.unexplainedFailures = unexplainedFailures;
-  }
-
-  /** Whether work has succeeded there and no sound job has failed since. */
-  public boolean isSound() {
-    return sound;
-  }
-
-  public void setSound(boolean sound) {
-    this.sound = sound;
-  }
-
-  /** Nothing new goes there before, since what failed there last may be the machine's fault. */
-  public long blockedForFailures() {
-    return blockedForFailures;
-  }
-
-  public void setBlockedForFailures(long blockedForFailures) {
-    this.blockedForFailures = blockedForFailures;
-  }
-
-  public double workDone() {
-    return workDone;
-  }
-
+  /** The way to give it commands. */
   public CommandChannel commands() {
     return commands;
   }
 
+  /** The way to give it commands. */
   public void setCommands(CommandChannel commands) {
     this.commands = commands;
   }
--- a/src/main/java/org/snowturn/core/model/MachineTypes.java
+++ b/src/main/java/org/snowturn/core/model/MachineTypes.java
@@ -7,12 +7,15 @@
 import org.snowturn.core.Effect;
 import org.snowturn.core.Outcome;
 import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.effects.LogEvent;
+import org.snowturn.core.effects.LogField;
 import org.snowturn.wire.JobSpec;
 import org.snowturn.wire.MachineType;
 import org.snowturn.wire.MalformedException;
 
 /** The machine types, fetched at start and again now and then for the prices. */
 public final class MachineTypes {
+  private static final String CATALOG_PATH = "/catalog";
   private static final long REFRESH_MS = 60_000;
   private static final long RETRY_MS = 1_000;
   private final CoreRuntime runtime;
@@ -62,7 +65,7 @@
       return;
     }
     asking = true;
-    runtime.call(Effect.Target.CLOUD, null, "GET", "/catalog", null, 3000, this::onReply);
+    runtime.call(Effect.Target.CLOUD, null, "GET", CATALOG_PATH, null, 3000, this::onReply);
   }
 
   private void onReply(Outcome outcome, int status, JsonNode body) {
@@ -80,7 +83,12 @@
         nextAt = runtime.now() + REFRESH_MS;
       }
     } catch (MalformedException e) {
-      runtime.note("catalog ignored: " + e.getMessage());
+      runtime
+          .events()
+          .info(LogEvent.REPLY_MALFORMED)
+          .with(LogField.REQUEST, CATALOG_PATH)
+          .with(LogField.ERROR, e.getMessage())
+          .write();
     }
   }
 }
--- /dev/null
+++ b/src/main/java/org/snowturn/core/model/TaskTable.java
@@ -0,0 +1,116 @@
+package org.snowturn.core.model;
+
+import java.util.Arrays;
+import org.snowturn.core.MonotonicTime;
+
+/** Where each task of a job stands, in dense arrays, so that 100,000 tasks fit. */
+final class TaskTable {
+  private static final int NO_MACHINE = -1;
+
+  private final byte[] states;
+  private final int[] machines;
+  private final long[] attempts;
+  private final long[] epochs;
+  private final long[] stateSince;
+  private int pending;
+  private int assigned;
+  private int running;
+  private int done;
+
+  TaskTable(int tasks) {
+    states = new byte[tasks];
+    machines = new int[tasks];
+    attempts = new long[tasks];
+    epochs = new long[tasks];
+    stateSince = new long[tasks];
+    Arrays.fill(machines, NO_MACHINE);
+    pending = tasks;
+  }
+
+  int size() {
+    return states.length;
+  }
+
+  TaskState state(int task) {
+    return TaskState.ofCode(states[task]);
+  }
+
+  /** Changes a task's state, and the count of running tasks with it. */
+  void setState(int task, TaskState next) {
+    running += next == TaskState.RUNNING ? 1 : 0;
+    running -= state(task) == TaskState.RUNNING ? 1 : 0;
+    states[task] = next.code();
+  }
+
+  void countStates(TaskStateCounts counts) {
+    for (byte code : states) {
+      counts.add(TaskState.ofCode(code));
+    }
+  }
+
+  int machine(int task) {
+    return machines[task];
+  }
+
+  long attempt(int task) {
+    return attempts[task];
+  }
+
+  long epoch(int task) {
+    return epochs[task];
+  }
+
+  long stateSince(int task) {
+    return stateSince[task];
+  }
+
+  void setStateSince(int task, long since) {
+    stateSince[task] = since;
+  }
+
+  /** A pending task is assigned to a machine. */
+  void assign(int task, int machine, long attempt, long epoch, TaskState state) {
+    machines[task] = machine;
+    attempts[task] = attempt;
+    epochs[task] = epoch;
+    stateSince[task] = MonotonicTime.NEVER;
+    pending--;
+    assigned++;
+    setState(task, state);
+  }
+
+  /** A task is on no machine any more; its state is to be changed next. */
+  void unassign(int task) {
+    assigned--;
+    machines[task] = NO_MACHINE;
+  }
+
+  /** A task that was unassigned waits again. */
+  void requeue(int task) {
+    setState(task, TaskState.PENDING);
+    pending++;
+  }
+
+  /** A task that waits or was unassigned has its result. */
+  void complete(int task) {
+    pending -= state(task) == TaskState.PENDING ? 1 : 0;
+    setState(task, TaskState.DONE);
+    done++;
+  }
+
+  int pending() {
+    return pending;
+  }
+
+  int assigned() {
+    return assigned;
+  }
+
+  int running() {
+    return running;
+  }
+
+  int done() {
+    return done;
+  }
+}
--- a/src/main/java/org/snowturn/core/scheduling/Autoscaler.java
+++ b/src/main/java/org/snowturn/core/scheduling/Autoscaler.java
@@ -386,7 +386,8 @@
         JobSpec spec = job.spec;
         double each = Math.max(spec.cpus(), ratio > 0 ? spec.memoryGb() / ratio : 0);
         // A job that fails wherever it runs has no use for more than what it has.
-        cpus += each * (job.isSuspect() ? job.assigned() + 1 : job.taskCount() - job.done());
+        cpus +=
+            each * (job.failures.isSuspect() ? job.assigned() + 1 : job.taskCount() - job.done());
       }
     }
     return cpus;
@@ -434,7 +435,7 @@
     }
     double work = 0;
     for (Job job : assignments.jobs()) {
-      if (job.wantsRoom() && job.spec.spot() && !job.isSuspect()) {
+      if (job.wantsRoom() && job.spec.spot() && !job.failures.isSuspect()) {
         work += job.pending() * job.spec.cpus() * Math.max(1, job.spec.estimateS());
       }
     }
@@ -666,7 +667,7 @@
 
   private boolean arraysWait() {
     for (Job job : assignments.jobs()) {
-      if (job.wantsRoom() && !job.spec.service() && !job.isSuspect()) {
+      if (job.wantsRoom() && !job.spec.service() && !job.failures.isSuspect()) {
         return true;
       }
     }
--- a/src/main/java/org/snowturn/core/scheduling/Preemptor.java
+++ b/src/main/java/org/snowturn/core/scheduling/Preemptor.java
@@ -110,7 +110,7 @@
                   + " there");
           machine.setPreemptingUntil(runtime.now() + ROOM_MS);
           job.setPreemptingUntil(machine.preemptingUntil());
-          victim.excludedMachine.put(task, machine.index);
+          victim.failures.exclude(task, machine.index);
           assignments.stop(victim, task);
           return true;
         }
--- a/src/main/java/org/snowturn/core/scheduling/Speculator.java
+++ b/src/main/java/org/snowturn/core/scheduling/Speculator.java
@@ -282,7 +282,7 @@
         () -> {
           if (job.isAssigned(task) && job.attemptOf(task) == attempt) {
             assignments.stop(job, task);
-            job.excludedMachine.put(task, at.index);
+            job.failures.exclude(task, at.index);
           }
         });
   }
--- a/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
+++ b/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
@@ -127,8 +127,8 @@
     for (Job job : assignments.jobs()) {
       largestReplica =
           job.spec.service() ? Math.max(largestReplica, job.spec.cpus()) : largestReplica;
-      if (job.wantsRoom() && job.isSuspect()) {
-        if (now >= job.backOffUntil()
+      if (job.wantsRoom() && job.failures.isSuspect()) {
+        if (now >= job.failures.backOffUntil()
             && (job.assigned() < TRIALS || job.running() == job.assigned())) {
           trials.add(job);
         }
@@ -139,7 +139,7 @@
         }
         minimumShares.waits(
             job.shareGroup(), (runtime.wallMs() - job.releasedWall()) / 1000.0, job.pending());
-        if (now >= job.backOffUntil()) {
+        if (now >= job.failures.backOffUntil()) {
           waiting.add(job);
         }
       }
@@ -148,7 +148,7 @@
     tooLarge.clear();
     rooms.begin(usable);
     trials.stream()
-        .filter(job -> now - job.backOffUntil() >= OVERDUE_MS)
+        .filter(job -> now - job.failures.backOffUntil() >= OVERDUE_MS)
         .forEach(job -> tryOne(job, usable));
     boolean longWaitingWent = false;
     for (Job job : starvingFirst(order.sorted(waiting, runtime.wallMs()))) {
@@ -162,7 +162,7 @@
       }
     }
     trials.stream()
-        .filter(job -> now - job.backOffUntil() < OVERDUE_MS)
+        .filter(job -> now - job.failures.backOffUntil() < OVERDUE_MS)
         .forEach(job -> tryOne(job, usable));
     return room;
   }
@@ -230,11 +230,11 @@
       }
       // Where nearly all machines have become sick, those that seem sound are not: every other
       // trial goes to one of which nothing is known.
-      boolean preferred = machine.isSound() == (job.probeCount() % 2 == 0);
+      boolean preferred = machine.failures.isSound() == (job.failures.probeCount() % 2 == 0);
       double score =
           score(job, machine)
               + (preferred ? 0 : TRIED_ELSEWHERE_S)
-              + (job.failedOn.contains(machine.index) ? 2 * TRIED_ELSEWHERE_S : 0);
+              + (job.failures.hasFailedOn(machine.index) ? 2 * TRIED_ELSEWHERE_S : 0);
       if (score < least) {
         best = machine;
         least = score;
@@ -424,7 +424,7 @@
       double score = score(job, c.machine);
       if (score > c.score) {
         candidates.add(new Candidate(c.machine, score));
-      } else if (job.excludedMachine.get(task) == c.machine.index) {
+      } else if (job.failures.excludedMachine(task) == c.machine.index) {
         avoided = List.of(c);
       } else {
         found = c.machine;
@@ -530,7 +530,7 @@
     double free = machine.cpusFree() / machine.machineType().cpus();
     // Where money is an aim the fullest machine is best, so that others can be returned.
     score += plenty * (1 - free) + (1 - plenty) * 3.0 * free;
-    if (machine.unexplainedFailures() > 0) {
+    if (machine.failures.unexplained() > 0) {
       score += 20;
     }
     return score;
--- a/src/test/java/org/snowturn/core/RecordsTest.java
+++ b/src/test/java/org/snowturn/core/RecordsTest.java
@@ -43,10 +43,13 @@
       job.useFirstFormat(spans.first());
     }
     for (int t = 0; t < 120; t++) {
-      job.setState(t, t % 3 == 0 ? TaskState.DONE : TaskState.RUNNING);
-      job.setMachineOf(t, machines.getOrAdd(machine + t).index);
-      job.setAttemptOf(t, ((t < 60 ? 7L : 9_000L) << TaskLayout.ATTEMPT_BITS) + t);
-      job.setEpochOf(t, t % 5 == 0 ? 12 : 1);
+      Machine on = machines.getOrAdd(machine + t);
+      long attempt = ((t < 60 ? 7L : 9_000L) << TaskLayout.ATTEMPT_BITS) + t;
+      job.assign(t, on, attempt, t % 5 == 0 ? 12 : 1, TaskState.RUNNING);
+      if (t % 3 == 0) {
+        job.unassign(t, on);
+        job.complete(t);
+      }
     }
     return job;
   }
@@ -109,12 +112,8 @@
       int n = 0;
       for (int t = job.nextPending(); t >= 0; t = job.nextPending()) {
         Machine machine = machines.getOrAdd(name + (10 + t));
-        job.setMachineOf(t, machine.index);
-        job.setAttemptOf(t, ((t == 0 ? 1L : 90_000L) << TaskLayout.ATTEMPT_BITS) + t);
-        job.setEpochOf(t, 100);
-        job.setState(t, TaskState.PLACING);
-        job.addPending(-1);
-        job.adjustRecordSize(t, machine, 1);
+        long attempt = ((t == 0 ? 1L : 90_000L) << TaskLayout.ATTEMPT_BITS) + t;
+        job.assign(t, machine, attempt, 100, TaskState.PLACING);
         n++;
       }
       assertTrue(Json.bytes(job.taskRecordJson(0, machines)).length <= VALUE, name);
--- a/src/test/java/org/snowturn/core/assignment/AttemptGuardTest.java
+++ b/src/test/java/org/snowturn/core/assignment/AttemptGuardTest.java
@@ -57,14 +57,11 @@
 
   @BeforeEach
   void aTaskIsStartedOnAMachine() throws Exception {
-    job = new Job(0, JobSpec.parse(Submissions.array("wk-000001", 2)), 0, 1);
+    job = new Job(0, JobSpec.parse(Submissions.array("wk-000001", 2)), 0, machines.zoneCount());
     runtime.setTime(1_000, 1_000);
-    machine.setEpoch(SESSION);
-    machine.setLastAnswerAt(1_000);
-    job.setState(0, TaskState.STARTING);
-    job.setMachineOf(0, machine.index);
-    job.setAttemptOf(0, ATTEMPT);
-    job.setEpochOf(0, SESSION);
+    machine.session.setEpoch(SESSION);
+    machine.session.setLastAnswerAt(1_000);
+    job.assign(0, machine, ATTEMPT, SESSION, TaskState.STARTING);
   }
 
   private static Command start(long attempt) {
@@ -100,9 +97,9 @@
   void noStartLeavesForAnotherAttemptMachineOrSessionOrBeforeItIsDurable() {
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT + 1)));
     assertFalse(guard.mayStart(machines.getOrAdd("i-2"), job, start(ATTEMPT)));
-    machine.setEpoch(SESSION + 1);
+    machine.session.setEpoch(SESSION + 1);
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
-    machine.setEpoch(SESSION);
+    machine.session.setEpoch(SESSION);
     job.setState(0, TaskState.PLACING);
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
     job.setState(0, TaskState.STARTING);
--- a/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
+++ b/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
@@ -108,7 +108,7 @@
     AttemptGuard guard =
         new AttemptGuard(runtime, machines, TOKEN, HeartbeatProcessor.leaseExpiryMs(settings));
     Quota quota = new Quota(settings.teams());
-    assignments = new TaskAssignments(runtime, gate, writer, machines, quota, known, guard, TOKEN);
+    assignments = new TaskAssignments(runtime, gate, writer, machines, quota, known, guard);
     heartbeats =
         new HeartbeatProcessor(
             runtime,
@@ -134,7 +134,7 @@
   }
 
   private void record(JobStatus.Phase phase, long stamp) throws Exception {
-    assignments.addJob(JOB, new JobRecord(phase, 0, spec(JOB)), stamp);
+    assignments.registry().add(JOB, new JobRecord(phase, 0, spec(JOB)), stamp);
   }
 
   private static TaskStatus at(String job, long attempt, State s) {
@@ -176,13 +176,13 @@
   private void hear(Heard how) throws Exception {
     if (how == Heard.FROM_A_PEER || how == Heard.FROM_BOTH) {
       known.jobs.add(JOB);
-      assignments.cancelConfirmed(JOB);
+      assignments.registry().confirmCancellation(JOB);
     }
     if (how == Heard.FROM_ITS_RECORD || how == Heard.FROM_BOTH) {
       record(JobStatus.Phase.ABORTED, 6);
     }
     if (how == Heard.RECORD_GONE) {
-      assignments.removeJob(JOB);
+      assignments.registry().remove(JOB);
     }
   }
 
--- a/src/test/java/org/snowturn/core/scheduling/AgingTest.java
+++ b/src/test/java/org/snowturn/core/scheduling/AgingTest.java
@@ -10,6 +10,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.snowturn.core.model.Job;
+import org.snowturn.core.model.Machine;
+import org.snowturn.core.model.TaskState;
 import org.snowturn.wire.JobSpec;
 import org.snowturn.wire.Submissions;
 
@@ -18,6 +20,8 @@
  * stated cost; the order that it is held against is least work first, always with more to do.
  */
 class AgingTest {
+  private static final Machine MACHINE = new Machine(0, "i-000001");
+
   private static final double PATIENCE_S = 90;
   private static final long STEP_MS = 250;
 
@@ -50,7 +54,7 @@
         }
         for (int i = 0; i < Aging.slice(job) && room > 0 && job.pending() > 0; i++, room--) {
           begun[job.index] = begun[job.index] == 0 ? now : begun[job.index];
-          job.addPending(-1);
+          job.assign(job.nextPending(), MACHINE, 1, 1, TaskState.PLACING);
           job.setPlacedWall(now);
           elders.given(1, true, now);
           given++;
--- a/src/testbench/java/org/snowturn/simulation/Scenario.java
+++ b/src/testbench/java/org/snowturn/simulation/Scenario.java
@@ -501,10 +501,11 @@
 
   /** Where the notes say that the job's first task was started last. */
   private static String lastMachine(SimulatedCluster cluster, String job) {
-    String start = " start " + job + "/0 on ";
+    String start = " task=" + job + "/0 attempt=";
+    String machine = " machine=";
     return cluster.log.stream()
-        .filter(l -> l.contains(start))
-        .map(l -> l.substring(l.indexOf(start) + start.length()))
+        .filter(l -> l.contains(" event=start_sent ") && l.contains(start))
+        .map(l -> l.substring(l.indexOf(machine) + machine.length()))
         .reduce("", (a, b) -> b);
   }
 
