--- a/src/main/java/org/snowturn/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/snowturn/core/autoscaling/CapacityDemand.java
@@ -78,7 +78,7 @@
 
   /** A job that fails wherever it runs has no use for more than what it has. */
   private static int requiredTasks(Job job) {
-    return job.isSuspect() ? job.assigned() + 1 : job.taskCount() - job.done();
+    return job.failures.isSuspect() ? job.assigned() + 1 : job.taskCount() - job.done();
   }
 
   private double largestReplicaCpus() {
@@ -108,7 +108,7 @@
     }
     double backlogCpuS = 0;
     for (Job job : assignments.jobs()) {
-      if (job.wantsRoom() && job.spec.spot() && !job.isSuspect()) {
+      if (job.wantsRoom() && job.spec.spot() && !job.failures.isSuspect()) {
         backlogCpuS += job.pending() * job.spec.cpus() * Math.max(1, job.spec.estimateS());
       }
     }
--- a/src/main/java/org/snowturn/core/autoscaling/ScaleIn.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ScaleIn.java
@@ -137,7 +137,7 @@
 
   private boolean isAnyArrayWaiting() {
     for (Job job : assignments.jobs()) {
-      if (job.wantsRoom() && !job.spec.service() && !job.isSuspect()) {
+      if (job.wantsRoom() && !job.spec.service() && !job.failures.isSuspect()) {
         return true;
       }
     }
--- a/src/main/java/org/snowturn/core/leader/AssignmentServices.java
+++ b/src/main/java/org/snowturn/core/leader/AssignmentServices.java
@@ -7,6 +7,7 @@
 import org.snowturn.core.assignment.FailureHandler;
 import org.snowturn.core.assignment.HeartbeatCommands;
 import org.snowturn.core.assignment.HeartbeatProcessor;
+import org.snowturn.core.assignment.JobListener;
 import org.snowturn.core.assignment.KnownCancellations;
 import org.snowturn.core.assignment.MachineRegistry;
 import org.snowturn.core.assignment.TaskAssignments;
@@ -94,8 +95,7 @@
         machines,
         new Quota(node.settings().teams()),
         cancellations,
-        guard,
-        term.token());
+        guard);
   }
 
   private static void listen(
@@ -103,17 +103,19 @@
       DependencyGraph dependencies,
       FailureHandler failureHandler,
       KnownCancellations cancellations) {
-    assignments.listen(dependencies);
-    assignments.listen(failureHandler);
-    assignments.listen(
-        new TaskAssignments.Listener() {
-          @Override
-          public void joined(Job job) {
-            if (cancellations.known(job.spec.id())) {
-              job.confirmCancellation(MonotonicTime.NEVER);
-            }
-          }
-        });
+    assignments.registry().listen(dependencies);
+    assignments.registry().listen(failureHandler);
+    assignments
+        .registry()
+        .listen(
+            new JobListener() {
+              @Override
+              public void joined(Job job) {
+                if (cancellations.known(job.spec.id())) {
+                  job.confirmCancellation(MonotonicTime.NEVER);
+                }
+              }
+            });
   }
 
   private static KnownCancellations cancellations(CancellationWatermark watermark) {
--- a/src/main/java/org/snowturn/core/leader/HealthSweep.java
+++ b/src/main/java/org/snowturn/core/leader/HealthSweep.java
@@ -183,7 +183,8 @@
   /** A machine that answers messages, but whose own heartbeats do not come. */
   private void replaceMissingHeartbeats(Machine machine) {
     boolean forLong =
-        runtime.now() - HeartbeatProcessor.leaseExpiryMs(settings) > machine.heartbeatDueAt();
+        runtime.now() - HeartbeatProcessor.leaseExpiryMs(settings)
+            > machine.session.heartbeatDueAt();
     if (!machine.isTerminating()
         && forLong
         && missingHeartbeats * 2 < total
--- a/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
+++ b/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
@@ -57,12 +57,12 @@
         && heartbeat.epoch() > machine.epoch()) {
       machines.restore(machine);
     }
-    if (machine.isTerminated() || heartbeat.epoch() <= machine.endedEpoch()) {
+    if (machine.isTerminated() || heartbeat.epoch() <= machine.session.endedEpoch()) {
       // Terminated, or an agent epoch that has certainly ended: nothing may renew its lease.
       refuse(exchange, heartbeat, "session_over");
     } else if (!recovery.loaded()) {
       recovery.keep(machine, heartbeat);
-      machine.setLastAnswerAt(runtime.now());
+      machine.session.setLastAnswerAt(runtime.now());
       answer(exchange, machine, heartbeat, commands.stops(heartbeat));
     } else if (reachability.isStale(machine, heartbeat)) {
       refuse(exchange, heartbeat, "late_copy");
--- a/src/main/java/org/snowturn/core/leader/JobWatch.java
+++ b/src/main/java/org/snowturn/core/leader/JobWatch.java
@@ -110,7 +110,7 @@
     Job known = assignments.job(id);
     if (entry.value() == null) {
       if (known != null && entry.stamp() >= known.version()) {
-        assignments.removeJob(id);
+        assignments.registry().remove(id);
       }
       return;
     }
@@ -121,7 +121,7 @@
       watermark.learn(id);
     }
     try {
-      assignments.addJob(id, JobRecord.parse(entry.value()), entry.stamp());
+      assignments.registry().add(id, JobRecord.parse(entry.value()), entry.stamp());
     } catch (MalformedException e) {
       runtime
           .events()
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -85,7 +85,7 @@
 
   /** A user was told, by whichever node, that the job is cancelled. */
   public void cancelled(String job) {
-    assignments.cancelConfirmed(job);
+    assignments.registry().confirmCancellation(job);
   }
 
   /** Handles a heartbeat that a worker has sent to this node. */
@@ -212,7 +212,7 @@
   @Override
   public void guardFailed(String key) {
     if (key.startsWith(StorageKeys.JOBS)) {
-      assignments.rereadJob(key.substring(StorageKeys.JOBS.length()));
+      assignments.registry().reread(key.substring(StorageKeys.JOBS.length()));
     }
   }
 
--- a/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
+++ b/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
@@ -85,7 +85,7 @@
   private static boolean isOutdated(Machine machine, Heartbeat heartbeat) {
     return heartbeat.epoch() < machine.epoch()
         || (heartbeat.epoch() == machine.epoch()
-            && heartbeat.seq() + MAX_OVERTAKEN < machine.heartbeatSeq());
+            && heartbeat.seq() + MAX_OVERTAKEN < machine.session.heartbeatSeq());
   }
 
   /**
@@ -95,7 +95,7 @@
    */
   void probeIfDue(Machine machine) {
     boolean inTurn =
-        machine.isAcknowledged()
+        machine.session.isAcknowledged()
             || (recovery.mostHeard()
                 && machine.reachability.answeredAgoMs(runtime.now()) > NEXT_HEARTBEAT_MS);
     if (inTurn
--- a/src/main/java/org/snowturn/core/leader/RecoveryProber.java
+++ b/src/main/java/org/snowturn/core/leader/RecoveryProber.java
@@ -79,7 +79,7 @@
       }
     }
     for (Machine machine : machines.present()) {
-      if (machine.isRegistered() && !machine.isAcknowledged()) {
+      if (machine.isRegistered() && !machine.session.isAcknowledged()) {
         boolean sendsHeartbeats = machine.lastHeartbeatAt() != Job.UNKNOWN;
         long notBefore = sendsHeartbeats ? runtime.now() + NEXT_HEARTBEAT_MS : 0;
         probes.add(machine.index, urgency(machine, replicaCpus, batchTaskCpus), notBefore);
@@ -147,7 +147,7 @@
 
   /** This machine has been heard, with or without the present token. */
   void heard(Machine machine) {
-    if (machine.isAcknowledged()) {
+    if (machine.session.isAcknowledged()) {
       probes.heard(machine.index, runtime.now());
       probe();
     } else {
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
@@ -74,7 +74,7 @@
     List<StateMessage.Change> orphans = new ArrayList<>();
     loadTasks(records.tasks(), StorageKeys.TASKS2, orphans);
     loadTasks(records.firstFormatTasks(), StorageKeys.TASKS, orphans);
-    quarantined.forEach(assignments::quarantine);
+    quarantined.forEach(assignments.registry()::quarantine);
     for (StateMessage.Entry entry : records.restarts().entries()) {
       String job = entry.key().substring(StorageKeys.RESTARTS.length());
       load(entry, () -> restarts.accept(job, entry));
@@ -103,8 +103,8 @@
 
   private void initialize(Machine machine) {
     machine.setMachineType(node.machineTypes().get(machine.type()));
-    machine.setImagesChanged(false);
-    machine.setLastAnswerAt(Math.max(machine.lastAnswerAt(), runtime.now()));
+    machine.images.markStored();
+    machine.session.setLastAnswerAt(Math.max(machine.session.lastAnswerAt(), runtime.now()));
     machine.setFirstSeenAt(runtime.now());
     machine.registered();
   }
@@ -144,9 +144,9 @@
     List<String> keys = JobRecord.partKeys(id, stored.submission(), stored.parts());
     used.addAll(keys);
     if (stored.needsParts() && texts.keySet().containsAll(keys)) {
-      assignments.addChunkedJob(id, stored, entry.stamp(), texts);
+      assignments.registry().addChunked(id, stored, entry.stamp(), texts);
     } else {
-      assignments.addJob(id, stored, entry.stamp());
+      assignments.registry().add(id, stored, entry.stamp());
     }
   }
 
@@ -184,7 +184,7 @@
     for (Machine machine : services.machines().present()) {
       for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
         long epoch = assignments.job(ref).epochOf(TaskAssignments.task(ref));
-        machine.setEpoch(Math.max(machine.epoch(), epoch));
+        machine.session.setEpoch(Math.max(machine.epoch(), epoch));
       }
     }
   }
--- a/src/main/java/org/snowturn/core/scheduling/CandidateQueue.java
+++ b/src/main/java/org/snowturn/core/scheduling/CandidateQueue.java
@@ -70,7 +70,7 @@
       double currentScore = score.score(job, candidate.machine);
       if (currentScore > candidate.score) {
         candidates.add(new Candidate(candidate.machine, currentScore));
-      } else if (job.excludedMachine.get(task) == candidate.machine.index) {
+      } else if (job.failures.excludedMachine(task) == candidate.machine.index) {
         excluded = candidate;
       } else {
         best = candidate.machine;
--- a/src/main/java/org/snowturn/core/scheduling/Preemptor.java
+++ b/src/main/java/org/snowturn/core/scheduling/Preemptor.java
@@ -115,7 +115,7 @@
       if (movable && constraints.canStartElsewhere(victim, machine)) {
         log(LogEvent.TASK_EVICTED, victim, task, machine, job);
         recordPreempting(job, machine);
-        victim.excludedMachine.put(task, machine.index);
+        victim.failures.exclude(task, machine.index);
         assignments.stop(victim, task);
         return true;
       }
--- a/src/main/java/org/snowturn/core/scheduling/ProbePlacement.java
+++ b/src/main/java/org/snowturn/core/scheduling/ProbePlacement.java
@@ -42,13 +42,13 @@
 
   /** Whether a task of the suspected job may be tried now. */
   static boolean isDue(Job job, long nowMs) {
-    return nowMs >= job.backOffUntil()
+    return nowMs >= job.failures.backOffUntil()
         && (job.assigned() < MAX_PROBES || job.running() == job.assigned());
   }
 
   /** Whether its probe has waited for long. */
   static boolean isOverdue(Job job, long nowMs) {
-    return nowMs - job.backOffUntil() >= OVERDUE_MS;
+    return nowMs - job.failures.backOffUntil() >= OVERDUE_MS;
   }
 
   /** Places one task of the job if a machine has room. */
@@ -79,9 +79,9 @@
   private double score(Job job, Machine machine) {
     // Where nearly all machines have failed, those that seem sound are not: every other probe goes
     // to one of which nothing is known.
-    boolean informative = machine.isSound() == (job.probeCount() % 2 == 0);
+    boolean informative = machine.failures.isSound() == (job.failures.probeCount() % 2 == 0);
     return score.score(job, machine)
         + (informative ? 0 : UNINFORMATIVE_PENALTY_S)
-        + (job.failedOn.contains(machine.index) ? 2 * UNINFORMATIVE_PENALTY_S : 0);
+        + (job.failures.hasFailedOn(machine.index) ? 2 * UNINFORMATIVE_PENALTY_S : 0);
   }
 }
--- a/src/main/java/org/snowturn/core/scheduling/Speculator.java
+++ b/src/main/java/org/snowturn/core/scheduling/Speculator.java
@@ -305,7 +305,7 @@
         () -> {
           if (job.isAssigned(task) && job.attemptOf(task) == attempt) {
             assignments.stop(job, task);
-            job.excludedMachine.put(task, current.index);
+            job.failures.exclude(task, current.index);
           }
         });
   }
--- a/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
+++ b/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
@@ -107,14 +107,14 @@
       if (!job.wantsRoom()) {
         continue;
       }
-      if (job.isSuspect()) {
+      if (job.failures.isSuspect()) {
         if (ProbePlacement.isDue(job, now)) {
           suspected.add(job);
         }
         continue;
       }
       fairOrdering.countWaiting(job, runtime.wallMs());
-      if (now >= job.backOffUntil()) {
+      if (now >= job.failures.backOffUntil()) {
         waiting.add(job);
       }
     }
--- a/src/test/java/org/snowturn/core/scheduling/AgingTest.java
+++ b/src/test/java/org/snowturn/core/scheduling/AgingTest.java
@@ -10,6 +10,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.snowturn.core.model.Job;
+import org.snowturn.core.model.Machine;
+import org.snowturn.core.model.TaskState;
 import org.snowturn.wire.JobSpec;
 import org.snowturn.wire.Submissions;
 
@@ -18,6 +20,8 @@
  * stated cost; the order that it is held against is least work first, always with more to do.
  */
 class AgingTest {
+  private static final Machine MACHINE = new Machine(0, "i-000001");
+
   private static final double MAX_WAIT_S = 90;
   private static final long STEP_MS = 250;
 
@@ -51,7 +55,7 @@
         }
         for (int i = 0; i < Aging.batchSize(job) && room > 0 && job.pending() > 0; i++, room--) {
           begunAt[job.index] = begunAt[job.index] == 0 ? now : begunAt[job.index];
-          job.addPending(-1);
+          job.assign(job.nextPending(), MACHINE, 1, 1, TaskState.PLACING);
           job.setPlacedWall(now);
           aging.recordPlacement(1, true, now);
           given++;
