--- a/src/main/java/org/snowturn/core/admission/AdmissionController.java
+++ b/src/main/java/org/snowturn/core/admission/AdmissionController.java
@@ -14,64 +14,64 @@
  * lately stand back for those that had less.
  */
 public final class AdmissionController {
-  /** Users try for 60 s, whatever they are told: they must find time for several tries. */
-  private static final int MOST_RETRY_S = 5;
+  /** Users try for 60 s in all: within these there must be time for several tries. */
+  private static final int MAX_RETRY_S = 5;
 
   private static final double MEAN_RETRY_S = 2;
 
-  /** So long after the service has refused a change, this node keeps to its part. */
-  private static final long TIGHT_MS = 3_000;
+  /** For so long after the service has refused a change, this node keeps to its part. */
+  private static final long ENFORCEMENT_MS = 3_000;
 
-  private static final long LATELY_MS = 15_000;
-  private static final int MOST_GROUPS = 500;
+  private static final long AVERAGING_MS = 15_000;
+  private static final int MAX_GROUPS = 500;
 
-  /** Below so much of a second's part, who had more than others stands back. */
-  private static final double LOW = 0.5;
+  /** Below this share of the burst, groups that had more than others are refused. */
+  private static final double LOW_TOKENS_SHARE = 0.5;
 
-  private static final double LEAST_BURST = 3;
+  private static final double MIN_BURST = 3;
 
   private final RandomGenerator random;
   private final RateMeter asked = new RateMeter(3_000);
   private final RateMeter refused = new RateMeter(3_000);
-  private final Map<String, RateMeter> taken = new HashMap<>();
+  private final Map<String, RateMeter> admittedByGroup = new HashMap<>();
   private double rate;
-  private double left;
-  private long filledAt;
-  private long tightUntil = Long.MIN_VALUE;
+  private double tokens;
+  private long refilledAt;
+  private long enforcedUntil = Long.MIN_VALUE;
 
   /** A full part of so many changes a second. */
   public AdmissionController(RandomGenerator random, double rate, long nowMs) {
     this.random = random;
     this.rate = rate;
-    this.left = burst();
-    this.filledAt = nowMs;
+    this.tokens = burst();
+    this.refilledAt = nowMs;
   }
 
   private double burst() {
-    return Math.max(LEAST_BURST, rate);
+    return Math.max(MIN_BURST, rate);
   }
 
   /** What the nodes agree on from now on, in changes a second. */
   public void rate(double perSecond, long nowMs) {
-    fill(nowMs);
+    refill(nowMs);
     rate = Math.max(0.1, perSecond);
   }
 
-  private void fill(long nowMs) {
-    left = Math.min(burst(), left + rate * Math.max(0, nowMs - filledAt) / 1000.0);
-    filledAt = nowMs;
+  private void refill(long nowMs) {
+    tokens = Math.min(burst(), tokens + rate * Math.max(0, nowMs - refilledAt) / 1000.0);
+    refilledAt = nowMs;
   }
 
   /** The service has refused a change for its rate: from now on the parts are kept. */
   public void refusedThere(long nowMs) {
-    tightUntil = nowMs + TIGHT_MS;
+    enforcedUntil = nowMs + ENFORCEMENT_MS;
   }
 
   /** What cannot be refused takes its part all the same: cancellations, later parts of a record. */
   public void spend(double changes, long nowMs) {
-    fill(nowMs);
+    refill(nowMs);
     asked.add(changes, nowMs);
-    left = Math.max(left - changes, -burst());
+    tokens = Math.max(tokens - changes, -burst());
   }
 
   /**
@@ -80,32 +80,32 @@
    * @param group its class and team: among these the part is divided
    */
   public boolean admits(String group, double changes, long nowMs) {
-    fill(nowMs);
+    refill(nowMs);
     asked.add(changes, nowMs);
-    boolean tight = nowMs < tightUntil;
-    boolean enough = left >= Math.min(changes, burst());
-    boolean low = left - changes < burst() * LOW;
-    if (tight && (!enough || (low && hadMoreThanItsPart(group, nowMs)))) {
+    boolean enforced = nowMs < enforcedUntil;
+    boolean enough = tokens >= Math.min(changes, burst());
+    boolean low = tokens - changes < burst() * LOW_TOKENS_SHARE;
+    if (enforced && (!enough || (low && hadMoreThanItsShare(group, nowMs)))) {
       refused.add(changes, nowMs);
       return false;
     }
-    left = Math.max(0, left - changes);
-    if (taken.size() >= MOST_GROUPS) {
-      taken.values().removeIf(m -> m.perSecond(nowMs) < 1e-3);
+    tokens = Math.max(0, tokens - changes);
+    if (admittedByGroup.size() >= MAX_GROUPS) {
+      admittedByGroup.values().removeIf(meter -> meter.perSecond(nowMs) < 1e-3);
     }
-    taken.computeIfAbsent(group, g -> new RateMeter(LATELY_MS)).add(changes, nowMs);
+    admittedByGroup.computeIfAbsent(group, key -> new RateMeter(AVERAGING_MS)).add(changes, nowMs);
     return true;
   }
 
-  private boolean hadMoreThanItsPart(String group, long nowMs) {
-    RateMeter mine = taken.get(group);
+  private boolean hadMoreThanItsShare(String group, long nowMs) {
+    RateMeter mine = admittedByGroup.get(group);
     if (mine == null) {
       return false;
     }
     double all = 0;
     int groups = 0;
-    for (RateMeter m : taken.values()) {
-      double had = m.perSecond(nowMs);
+    for (RateMeter meter : admittedByGroup.values()) {
+      double had = meter.perSecond(nowMs);
       all += had;
       groups += had > 0.01 ? 1 : 0;
     }
@@ -118,8 +118,7 @@
     double wanted = asked.perSecond(nowMs);
     double share = wanted <= 0 ? 0 : Math.min(1, refused.perSecond(nowMs) / wanted);
     double mean = 1 + share * MEAN_RETRY_S;
-    return (int)
-        Math.max(1, Math.min(MOST_RETRY_S, Math.round(mean * random.nextDouble(0.5, 1.5))));
+    return (int) Math.max(1, Math.min(MAX_RETRY_S, Math.round(mean * random.nextDouble(0.5, 1.5))));
   }
 
   /** How many changes a second users wanted lately, those refused included. */
--- a/src/main/java/org/snowturn/core/admission/QuotaGuarantees.java
+++ b/src/main/java/org/snowturn/core/admission/QuotaGuarantees.java
@@ -9,26 +9,30 @@
 import org.snowturn.config.Settings;
 
 /**
- * Which jobs are within their team's guarantee, in the protocol's words: a job is when it fits into
- * the guarantee together with its team's earlier unfinished jobs. Jobs that await others, and those
- * that are cancelled, hold no part of it. A guarantee of 0 is none.
+ * Which jobs are within their team's quota guarantee: a job is when it fits into the guarantee
+ * together with its team's earlier unfinished jobs. Jobs that await others, and those that are
+ * cancelled, hold no part of it. A guarantee of 0 is none.
  *
  * <p>Worked out anew from the jobs that there are, so a new leader has it from the records alone.
  */
 public final class QuotaGuarantees {
-  private static final double SLACK = 1e-6;
+  private static final double TOLERANCE = 1e-6;
 
   /** What a job asks of its team's guarantee, all of its tasks together. */
   public interface Claim {
+    /** The team's name. */
     String team();
 
+    /** CPUs of all tasks together. */
     double cpus();
 
+    /** GPUs of all tasks together. */
     double gpus();
 
     /** When it was submitted; earlier ones come first, by name among equals. */
     long submitted();
 
+    /** The job's id. */
     String id();
 
     /** Told whether it is within the guarantee. */
@@ -36,26 +40,27 @@
   }
 
   private static final class Team {
-    final Settings.Team team;
-    double cpus;
-    double gpus;
+    private final Settings.Team team;
+    private double cpus;
+    private double gpus;
 
     Team(Settings.Team team) {
       this.team = team;
     }
 
-    boolean takes(Claim c) {
+    boolean takes(Claim claim) {
       boolean fits =
-          cpus + c.cpus() <= team.cpus() + SLACK && gpus + c.gpus() <= team.gpus() + SLACK;
+          cpus + claim.cpus() <= team.cpus() + TOLERANCE
+              && gpus + claim.gpus() <= team.gpus() + TOLERANCE;
       // Also what does not fit stands before what comes after it: no small one overtakes.
-      cpus += c.cpus();
-      gpus += c.gpus();
+      cpus += claim.cpus();
+      gpus += claim.gpus();
       return fits;
     }
   }
 
   private final Map<String, Settings.Team> guaranteed = new TreeMap<>();
-  private final Map<String, Double> held = new TreeMap<>();
+  private final Map<String, Double> claimedCpus = new TreeMap<>();
 
   /** Of these teams, those that have a guarantee. */
   public QuotaGuarantees(Iterable<Settings.Team> teams) {
@@ -67,28 +72,28 @@
   }
 
   /** Whether any team has one; if not, nothing needs to be worked out. */
-  public boolean any() {
+  public boolean isAnyConfigured() {
     return !guaranteed.isEmpty();
   }
 
   /** Tells each of the unfinished jobs whether it is within its team's guarantee. */
-  public void judge(Iterable<? extends Claim> unfinished) {
+  public void evaluate(Iterable<? extends Claim> unfinished) {
     List<Claim> claims = new ArrayList<>();
-    for (Claim c : unfinished) {
-      if (guaranteed.containsKey(c.team())) {
-        claims.add(c);
+    for (Claim claim : unfinished) {
+      if (guaranteed.containsKey(claim.team())) {
+        claims.add(claim);
       } else {
-        c.within(false);
+        claim.within(false);
       }
     }
     claims.sort(Comparator.comparingLong(Claim::submitted).thenComparing(Claim::id));
     Map<String, Team> teams = new HashMap<>();
-    held.clear();
-    for (Claim c : claims) {
-      Team t = teams.computeIfAbsent(c.team(), n -> new Team(guaranteed.get(n)));
-      boolean within = t.takes(c);
-      c.within(within);
-      held.merge(c.team(), within ? c.cpus() : 0, Double::sum);
+    claimedCpus.clear();
+    for (Claim claim : claims) {
+      Team team = teams.computeIfAbsent(claim.team(), name -> new Team(guaranteed.get(name)));
+      boolean within = team.takes(claim);
+      claim.within(within);
+      claimedCpus.merge(claim.team(), within ? claim.cpus() : 0, Double::sum);
     }
   }
 
@@ -99,7 +104,8 @@
         (name, team) -> {
           String label = "{team=\"" + name + "\"}";
           gauges.put("snowturn.guarantee.cpus" + label, team.cpus());
-          gauges.put("snowturn.guarantee.claimed.cpus" + label, held.getOrDefault(name, 0.0));
+          gauges.put(
+              "snowturn.guarantee.claimed.cpus" + label, claimedCpus.getOrDefault(name, 0.0));
         });
     return gauges;
   }
--- a/src/main/java/org/snowturn/core/admission/RateAllocator.java
+++ b/src/main/java/org/snowturn/core/admission/RateAllocator.java
@@ -7,19 +7,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What this node may take of the state service's rates, and what it tells its peers of its needs.
- * Pure: time comes in, decisions go out.
+ * What this node may take of the state service's rates, and the demand that it reports to its
+ * peers.
  */
 public final class RateAllocator {
-  private static final long TELL_MS = 300;
+  private static final long REPORT_INTERVAL_MS = 300;
 
   private final double requestRate;
   private final double changeRate;
-  private final RateDemands needs;
+  private final RateDemands demands;
   private final StateRequestBudget budget;
   private final AdmissionController admissionController;
-  private double led;
-  private long tellAt = Long.MIN_VALUE;
+  private double leaderDemand;
+  private long nextReportAt = Long.MIN_VALUE;
 
   /**
    * With equal parts, until the peers are heard.
@@ -35,11 +35,11 @@
       long nowMs) {
     this.requestRate = requestRate;
     this.changeRate = changeRate;
-    needs = new RateDemands(peers);
-    budget = new StateRequestBudget(needs.requests(requestRate, nowMs), nowMs);
+    demands = new RateDemands(peers);
+    budget = new StateRequestBudget(demands.requestRate(requestRate, nowMs), nowMs);
     admissionController =
         new AdmissionController(
-            random, needs.submitted(RateDemands.Demand.NONE, changeRate, nowMs), nowMs);
+            random, demands.submissionRate(RateDemands.Demand.NONE, changeRate, nowMs), nowMs);
   }
 
   /** This node's part of the requests. */
@@ -54,34 +54,35 @@
 
   /** A peer tells what it needs. */
   public void told(String from, RateDemands.Demand demand, long nowMs) {
-    needs.told(from, demand, nowMs);
+    demands.record(from, demand, nowMs);
   }
 
   /** The changes a second that a term of this node has to write; 0 without one. */
   public void led(double perSecond) {
-    led = perSecond;
+    leaderDemand = perSecond;
   }
 
   /** The changes a second that a term of this node may write, of so many for all. */
   public double mayLead(double rate, long nowMs) {
-    return needs.led(mine(nowMs), rate, nowMs);
+    return demands.leaderRate(mine(nowMs), rate, nowMs);
   }
 
   /** Divides anew; tells whether the peers are to be told now. */
   public boolean tick(long nowMs) {
-    if (nowMs < tellAt) {
+    if (nowMs < nextReportAt) {
       return false;
     }
-    tellAt = nowMs + TELL_MS;
+    nextReportAt = nowMs + REPORT_INTERVAL_MS;
     RateDemands.Demand mine = mine(nowMs);
-    budget.rate(needs.requests(requestRate, nowMs), nowMs);
-    admissionController.rate(needs.submitted(mine, changeRate, nowMs), nowMs);
+    budget.rate(demands.requestRate(requestRate, nowMs), nowMs);
+    admissionController.rate(demands.submissionRate(mine, changeRate, nowMs), nowMs);
     return true;
   }
 
   /** What this node needs. */
   public RateDemands.Demand mine(long nowMs) {
-    return new RateDemands.Demand(budget.asked(nowMs), admissionController.asked(nowMs), led);
+    return new RateDemands.Demand(
+        budget.asked(nowMs), admissionController.asked(nowMs), leaderDemand);
   }
 
   /** Figures for operators. */
@@ -92,7 +93,7 @@
     gauges.put("snowturn.admission.requests.refused.there", (double) budget.refusedThere());
     gauges.put("snowturn.admission.submissions.asked", admissionController.asked(nowMs));
     gauges.put("snowturn.admission.submissions.pressure", admissionController.refusedShare(nowMs));
-    gauges.put("snowturn.admission.peers.heard", (double) needs.heard(nowMs));
+    gauges.put("snowturn.admission.peers.heard", (double) demands.freshPeers(nowMs));
     for (RequestClass requestClass : RequestClass.values()) {
       String name = requestClass.name().toLowerCase(Locale.ROOT);
       gauges.put(
--- a/src/main/java/org/snowturn/core/admission/RateDemands.java
+++ b/src/main/java/org/snowturn/core/admission/RateDemands.java
@@ -13,25 +13,30 @@
  *
  * <p>What is told is up to {@link #STALE_MS} old. A node whose need has just grown takes its new
  * part at once, and those whose part shrinks by it learn of it a record later: for so long, all
- * nodes together may take more than there is, by no more than the part that had been lent.
+ * nodes together may take more than there is, by no more than the part that the others had used.
  */
 public final class RateDemands {
   /** Records come every 300 ms; three may be lost. */
   static final long STALE_MS = 1_200;
 
-  /** Of the requests; the rest is what clocks, bursts and calls that nobody counts take. */
-  private static final double USED = 0.95;
+  /** The share of the rates that is divided; the rest allows for bursts and uncounted calls. */
+  private static final double USABLE_SHARE = 0.95;
 
-  /** What users may ask for of the changes, however much a leader has to write. */
-  private static final double USERS = 0.5;
+  /** Of the changes, what users may submit however much a leader has to write. */
+  private static final double USERS_SHARE = 0.5;
 
   /** What a leader may write, however much users ask for; and the most that it takes. */
-  private static final double LED_LEAST = 0.45;
+  private static final double MIN_LEADER_SHARE = 0.45;
 
-  private static final double LED_MOST = 0.75;
+  private static final double MAX_LEADER_SHARE = 0.75;
 
-  /** A node that asks for nothing may ask again: so much of an equal part stays its own. */
-  private static final double KEPT = 0.25;
+  /** Of its equal part, what a node without demand keeps for its next requests. */
+  private static final double RESERVED_SHARE = 0.25;
+
+  /** A peer's demand may grow so much before it is heard again. */
+  private static final double DEMAND_MARGIN = 1.2;
+
+  private static final double MAX_VALID_RATE = 1e6;
 
   /**
    * What a node needs, a second.
@@ -45,9 +50,9 @@
     public static final Demand NONE = new Demand(0, 0, 0);
   }
 
-  private record Told(Demand demand, long at) {}
+  private record Report(Demand demand, long at) {}
 
-  private final Map<String, Told> told = new HashMap<>();
+  private final Map<String, Report> reports = new HashMap<>();
   private final List<String> peers;
 
   /** Among this node and its peers, by their names. */
@@ -55,74 +60,80 @@
     this.peers = List.copyOf(peers);
   }
 
-  /** A peer tells; who is no peer is not heard. */
-  public void told(String from, Demand demand, long nowMs) {
-    boolean sane =
+  /** A peer has reported its demand; reports of others are ignored. */
+  public void record(String from, Demand demand, long nowMs) {
+    boolean valid =
         demand.requests >= 0
-            && demand.requests < 1e6
+            && demand.requests < MAX_VALID_RATE
             && demand.submitted >= 0
-            && demand.submitted < 1e6
+            && demand.submitted < MAX_VALID_RATE
             && demand.led >= 0
-            && demand.led < 1e6;
-    if (sane && peers.contains(from)) {
-      told.put(from, new Told(demand, nowMs));
+            && demand.led < MAX_VALID_RATE;
+    if (valid && peers.contains(from)) {
+      reports.put(from, new Report(demand, nowMs));
     }
   }
 
-  /** How many peers have told what they need lately. */
-  public int heard(long nowMs) {
-    int n = 0;
-    for (String p : peers) {
-      n += fresh(p, nowMs) ? 1 : 0;
+  /** How many peers have reported lately. */
+  public int freshPeers(long nowMs) {
+    int count = 0;
+    for (String peer : peers) {
+      count += isFresh(peer, nowMs) ? 1 : 0;
     }
-    return n;
+    return count;
   }
 
-  private boolean fresh(String peer, long nowMs) {
-    Told t = told.get(peer);
-    return t != null && nowMs - t.at <= STALE_MS;
+  private boolean isFresh(String peer, long nowMs) {
+    Report report = reports.get(peer);
+    return report != null && nowMs - report.at <= STALE_MS;
   }
 
-  private int nodes() {
+  private int nodeCount() {
     return peers.size() + 1;
   }
 
   /** The requests a second that this node may make, of so many for all. */
-  public double requests(double rate, long nowMs) {
-    return part(rate * USED, Demand::requests, nowMs);
+  public double requestRate(double rate, long nowMs) {
+    return share(rate * USABLE_SHARE, Demand::requests, nowMs);
   }
 
   /** The changes a second that this node's users may ask for, of so many for all. */
-  public double submitted(Demand mine, double rate, long nowMs) {
+  public double submissionRate(Demand mine, double rate, long nowMs) {
     double led = mine.led;
     boolean unknown = false;
-    for (String p : peers) {
-      led = fresh(p, nowMs) ? Math.max(led, told.get(p).demand.led) : led;
-      unknown |= !fresh(p, nowMs);
+    for (String peer : peers) {
+      led = isFresh(peer, nowMs) ? Math.max(led, reports.get(peer).demand.led) : led;
+      unknown |= !isFresh(peer, nowMs);
     }
-    double all = Math.max(rate * USERS, unknown ? 0 : rate * USED - led);
-    return part(all, Demand::submitted, nowMs);
+    double all = Math.max(rate * USERS_SHARE, unknown ? 0 : rate * USABLE_SHARE - led);
+    return share(all, Demand::submitted, nowMs);
   }
 
-  /** This node's part of so much: what the peers need is theirs, what nobody else needs is ours. */
-  private double part(double all, ToDoubleFunction<Demand> of, long nowMs) {
-    double equal = all / nodes();
-    double[] needs = new double[nodes()];
+  /**
+   * This node's part of so much: what the peers need is theirs, what no other needs is this node's.
+   */
+  private double share(double all, ToDoubleFunction<Demand> of, long nowMs) {
+    double equal = all / nodeCount();
+    double[] needs = new double[nodeCount()];
     needs[0] = Double.MAX_VALUE;
     for (int i = 0; i < peers.size(); i++) {
-      String p = peers.get(i);
-      double need = fresh(p, nowMs) ? of.applyAsDouble(told.get(p).demand) : equal;
-      needs[i + 1] = Math.max(need * 1.2, equal * KEPT);
+      String peer = peers.get(i);
+      double need = isFresh(peer, nowMs) ? of.applyAsDouble(reports.get(peer).demand) : equal;
+      needs[i + 1] = Math.max(need * DEMAND_MARGIN, equal * RESERVED_SHARE);
     }
     return Math.max(equal, FairShares.of(needs, all)[0]);
   }
 
   /** The changes a second that a term of this node may write, of so many for all. */
-  public double led(Demand mine, double rate, long nowMs) {
+  public double leaderRate(Demand mine, double rate, long nowMs) {
     double users = mine.submitted;
-    for (String p : peers) {
-      users += fresh(p, nowMs) ? told.get(p).demand.submitted : rate * (USED - LED_MOST) / nodes();
+    for (String peer : peers) {
+      users +=
+          isFresh(peer, nowMs)
+              ? reports.get(peer).demand.submitted
+              : rate * (USABLE_SHARE - MAX_LEADER_SHARE) / nodeCount();
     }
-    return Math.max(rate * LED_LEAST, Math.min(rate * LED_MOST, rate * USED - users));
+    return Math.max(
+        rate * MIN_LEADER_SHARE, Math.min(rate * MAX_LEADER_SHARE, rate * USABLE_SHARE - users));
   }
 }
--- a/src/main/java/org/snowturn/core/admission/RateMeter.java
+++ b/src/main/java/org/snowturn/core/admission/RateMeter.java
@@ -1,32 +1,32 @@
 package org.snowturn.core.admission;
 
-/** How often something happens a second, lately: an average that forgets. */
+/** A rate per second, averaged over recent time with exponential decay. */
 public final class RateMeter {
-  private final double lifeMs;
+  private final double averagingMs;
   private double sum;
-  private long at;
+  private long decayedAt;
 
-  /** Forgets two thirds of what was within {@code lifeMs}. */
-  public RateMeter(long lifeMs) {
-    this.lifeMs = lifeMs;
+  /** Weights an event of {@code averagingMs} ago by a factor of 1/e. */
+  public RateMeter(long averagingMs) {
+    this.averagingMs = averagingMs;
   }
 
-  /** So much has happened now. */
+  /** Counts an amount at this time. */
   public void add(double amount, long nowMs) {
-    fade(nowMs);
+    decay(nowMs);
     sum += amount;
   }
 
-  /** How much a second. */
+  /** The average amount per second. */
   public double perSecond(long nowMs) {
-    fade(nowMs);
-    return sum * 1000 / lifeMs;
+    decay(nowMs);
+    return sum * 1000 / averagingMs;
   }
 
-  private void fade(long nowMs) {
-    if (nowMs > at) {
-      sum *= Math.exp((at - nowMs) / lifeMs);
-      at = nowMs;
+  private void decay(long nowMs) {
+    if (nowMs > decayedAt) {
+      sum *= Math.exp((decayedAt - nowMs) / averagingMs);
+      decayedAt = nowMs;
     }
   }
 }
--- a/src/main/java/org/snowturn/core/admission/StateRequestBudget.java
+++ b/src/main/java/org/snowturn/core/admission/StateRequestBudget.java
@@ -13,15 +13,15 @@
  * rate says that somebody takes too much, whoever it is: the part shrinks, and grows back.
  */
 public final class StateRequestBudget {
-  /** A refusal leaves so much of what was allowed; no more than one counts in a while. */
-  private static final double SHRINK = 0.85;
+  /** A refusal reduces the allowed rate by this factor, once in each interval. */
+  private static final double REFUSAL_FACTOR = 0.85;
 
-  private static final long SHRINK_EVERY_MS = 250;
-  private static final double LEAST = 0.4;
-  private static final double GROW_PER_S = 0.15;
+  private static final long MIN_REFUSAL_INTERVAL_MS = 250;
+  private static final double MIN_RATE_FACTOR = 0.4;
+  private static final double RECOVERY_PER_S = 0.15;
 
-  /** Renewals and floors may overdraw, but not so much that nothing is left for long. */
-  private static final double MOST_OVERDRAWN_S = 0.4;
+  /** Authority and floors may overdraw the budget by so many seconds' worth. */
+  private static final double MAX_OVERDRAFT_S = 0.4;
 
   private final RateMeter asked = new RateMeter(2_000);
 
@@ -30,45 +30,46 @@
 
   private final Map<RequestClass, Long> refused = new EnumMap<>(RequestClass.class);
   private double rate;
-  private double left;
-  private double pressure = 1;
-  private long filledAt;
-  private long shrunkAt = Long.MIN_VALUE / 4;
+  private double tokens;
+  private double rateFactor = 1;
+  private long refilledAt;
+  private long reducedAt = Long.MIN_VALUE / 4;
   private long refusals;
 
   /** A full budget of so many requests a second. */
   public StateRequestBudget(double rate, long nowMs) {
     this.rate = rate;
-    this.filledAt = nowMs;
+    this.refilledAt = nowMs;
     for (RequestClass requestClass : RequestClass.values()) {
       floors.put(requestClass, rate * requestClass.floor);
       refused.put(requestClass, 0L);
     }
-    left = rate;
+    tokens = rate;
   }
 
   private double allowed() {
-    return rate * pressure;
+    return rate * rateFactor;
   }
 
   /** What the nodes agree on from now on, a second. */
   public void rate(double perSecond, long nowMs) {
-    fill(nowMs);
+    refill(nowMs);
     rate = perSecond;
   }
 
   /** Takes one call out of the budget, or says that it must not be made. */
   public boolean take(RequestClass requestClass, long nowMs) {
-    fill(nowMs);
+    refill(nowMs);
     asked.add(1, nowMs);
-    boolean floor = floors.get(requestClass) >= 1 && left - 1 > -allowed() * MOST_OVERDRAWN_S;
+    boolean withinFloor =
+        floors.get(requestClass) >= 1 && tokens - 1 > -allowed() * MAX_OVERDRAFT_S;
     if (requestClass != RequestClass.AUTHORITY
-        && !floor
-        && left - 1 < allowed() * requestClass.leaves) {
+        && !withinFloor
+        && tokens - 1 < allowed() * requestClass.leaves) {
       refused.merge(requestClass, 1L, Long::sum);
       return false;
     }
-    left = Math.max(left - 1, -allowed() * MOST_OVERDRAWN_S);
+    tokens = Math.max(tokens - 1, -allowed() * MAX_OVERDRAFT_S);
     floors.merge(requestClass, -1.0, (had, minus) -> Math.max(0, had + minus));
     return true;
   }
@@ -76,24 +77,25 @@
   /** The service refused a call for its rate. */
   public void refusedThere(long nowMs) {
     refusals++;
-    if (nowMs - shrunkAt >= SHRINK_EVERY_MS) {
-      fill(nowMs);
-      shrunkAt = nowMs;
-      pressure = Math.max(LEAST, pressure * SHRINK);
+    if (nowMs - reducedAt >= MIN_REFUSAL_INTERVAL_MS) {
+      refill(nowMs);
+      reducedAt = nowMs;
+      rateFactor = Math.max(MIN_RATE_FACTOR, rateFactor * REFUSAL_FACTOR);
     }
   }
 
-  private void fill(long nowMs) {
-    double s = Math.max(0, nowMs - filledAt) / 1000.0;
-    if (s == 0) {
+  private void refill(long nowMs) {
+    double elapsedS = Math.max(0, nowMs - refilledAt) / 1000.0;
+    if (elapsedS == 0) {
       return;
     }
-    filledAt = nowMs;
-    pressure = Math.min(1, pressure + GROW_PER_S * s);
-    left = Math.min(allowed(), left + allowed() * s);
+    refilledAt = nowMs;
+    rateFactor = Math.min(1, rateFactor + RECOVERY_PER_S * elapsedS);
+    tokens = Math.min(allowed(), tokens + allowed() * elapsedS);
     for (RequestClass requestClass : RequestClass.values()) {
       double floor = allowed() * requestClass.floor;
-      floors.put(requestClass, Math.min(Math.max(1, floor), floors.get(requestClass) + floor * s));
+      floors.put(
+          requestClass, Math.min(Math.max(1, floor), floors.get(requestClass) + floor * elapsedS));
     }
   }
 
--- a/src/main/java/org/snowturn/core/scheduling/FairOrdering.java
+++ b/src/main/java/org/snowturn/core/scheduling/FairOrdering.java
@@ -22,9 +22,9 @@
 
   /** Starts a scheduling round: determines which of the jobs are within a guarantee. */
   void beginRound(Collection<Job> jobs, long nowMs) {
-    minimumShares.begin(nowMs);
-    if (guarantees.any()) {
-      guarantees.judge(
+    minimumShares.beginRound(nowMs);
+    if (guarantees.isAnyConfigured()) {
+      guarantees.evaluate(
           jobs.stream().filter(FairOrdering::mayHoldGuarantee).map(Claim::new).toList());
     }
   }
@@ -33,15 +33,15 @@
   void countWaiting(Job job, long wallMs) {
     if (job.shareGroup() < 0) {
       job.setShareGroup(minimumShares.group(job.spec.jobClass(), job.spec.team()));
-      minimumShares.arrived(job.shareGroup(), job.taskCount());
+      minimumShares.recordArrivals(job.shareGroup(), job.taskCount());
     }
     double waitedS = (wallMs - job.releasedWall()) / 1000.0;
-    minimumShares.waits(job.shareGroup(), waitedS, job.pending());
+    minimumShares.recordWaiting(job.shareGroup(), waitedS, job.pending());
   }
 
   /** Counts a task of the job that was placed. */
   void countPlaced(Job job, long nowMs) {
-    minimumShares.given(job.shareGroup(), job.spec.cpus(), nowMs);
+    minimumShares.recordPlacement(job.shareGroup(), job.spec.cpus(), nowMs);
   }
 
   /**
@@ -51,7 +51,7 @@
    */
   List<Job> sorted(List<Job> ordered) {
     List<Job> sorted = new ArrayList<>(ordered.size());
-    if (guarantees.any()) {
+    if (guarantees.isAnyConfigured()) {
       ordered.stream().filter(job -> job.isWithinGuarantee()).forEach(sorted::add);
     }
     for (boolean production : new boolean[] {true, false}) {
@@ -66,7 +66,7 @@
     for (Job job : ordered) {
       boolean matches =
           (job.priority() == Priority.PRODUCTION) == production && !job.isWithinGuarantee();
-      if (matches && minimumShares.first(job.shareGroup()) == first) {
+      if (matches && minimumShares.isBelowMinimum(job.shareGroup()) == first) {
         job.setByMinimumShare(job.isByMinimumShare() || first);
         sorted.add(job);
       }
--- a/src/test/java/org/snowturn/core/admission/FairSharesTest.java
+++ b/src/test/java/org/snowturn/core/admission/FairSharesTest.java
@@ -45,16 +45,17 @@
     for (int me = 0; me < 3; me++) {
       List<String> peers = new ArrayList<>(names);
       peers.remove(me);
-      RateDemands n = new RateDemands(peers);
+      RateDemands demands = new RateDemands(peers);
       for (int p = 0; p < 3; p++) {
         if (p != me && heard.get(link++ % 6)) {
-          n.told(names.get(p), new RateDemands.Demand(needs.get(p), needs.get(p) / 10, 0), 1000);
+          demands.record(
+              names.get(p), new RateDemands.Demand(needs.get(p), needs.get(p) / 10, 0), 1000);
         }
       }
       RateDemands.Demand mine = new RateDemands.Demand(needs.get(me), needs.get(me) / 10, 0);
       // What a node takes is no more than it needs, nor than its part.
-      sum += Math.min(needs.get(me), n.requests(rate, 1500));
-      users += Math.min(needs.get(me) / 10, n.submitted(mine, 20, 1500));
+      sum += Math.min(needs.get(me), demands.requestRate(rate, 1500));
+      users += Math.min(needs.get(me) / 10, demands.submissionRate(mine, 20, 1500));
     }
     assertTrue(sum <= rate + SLACK, "requests " + sum);
     assertTrue(users <= 20 + SLACK, "changes " + users);
@@ -62,38 +63,38 @@
 
   @Test
   void aNodeWithoutWordOfTheOthersTakesTheEqualPart() {
-    RateDemands n = new RateDemands(List.of("a", "b"));
-    double equal = n.requests(300, 0);
+    RateDemands demands = new RateDemands(List.of("a", "b"));
+    double equal = demands.requestRate(300, 0);
     assertEquals(95, equal, SLACK);
-    n.told("a", RateDemands.Demand.NONE, 0);
-    n.told("b", new RateDemands.Demand(10, 0, 0), 0);
-    n.told("stranger", new RateDemands.Demand(900, 900, 900), 0);
-    double lent = n.requests(300, 1000);
-    assertTrue(lent > 220 && lent < 285, "" + lent);
+    demands.record("a", RateDemands.Demand.NONE, 0);
+    demands.record("b", new RateDemands.Demand(10, 0, 0), 0);
+    demands.record("stranger", new RateDemands.Demand(900, 900, 900), 0);
+    double unused = demands.requestRate(300, 1000);
+    assertTrue(unused > 220 && unused < 285, "" + unused);
     // A peer that is cut off or frozen gets its part back once its word is old.
-    assertEquals(95, n.requests(300, 1000 + RateDemands.STALE_MS), SLACK);
+    assertEquals(95, demands.requestRate(300, 1000 + RateDemands.STALE_MS), SLACK);
   }
 
   @Test
   void aTermLeavesUsersWhatTheyAskForUpToHalf() {
-    RateDemands n = new RateDemands(List.of("a", "b"));
-    n.told("a", new RateDemands.Demand(0, 0, 0), 0);
-    n.told("b", new RateDemands.Demand(0, 1, 0), 0);
-    assertEquals(15, n.led(RateDemands.Demand.NONE, 20, 0), SLACK);
-    n.told("b", new RateDemands.Demand(0, 6, 0), 0);
-    assertEquals(13, n.led(RateDemands.Demand.NONE, 20, 0), SLACK);
-    n.told("b", new RateDemands.Demand(0, 60, 0), 0);
-    assertEquals(9, n.led(RateDemands.Demand.NONE, 20, 0), SLACK);
+    RateDemands demands = new RateDemands(List.of("a", "b"));
+    demands.record("a", new RateDemands.Demand(0, 0, 0), 0);
+    demands.record("b", new RateDemands.Demand(0, 1, 0), 0);
+    assertEquals(15, demands.leaderRate(RateDemands.Demand.NONE, 20, 0), SLACK);
+    demands.record("b", new RateDemands.Demand(0, 6, 0), 0);
+    assertEquals(13, demands.leaderRate(RateDemands.Demand.NONE, 20, 0), SLACK);
+    demands.record("b", new RateDemands.Demand(0, 60, 0), 0);
+    assertEquals(9, demands.leaderRate(RateDemands.Demand.NONE, 20, 0), SLACK);
   }
 
   @Property(seed = "3", tries = 300)
   void aMalformedNeedChangesNothing(@ForAll @IntRange(min = 0, max = 3) int kind) {
     double bad =
         new double[] {Double.NaN, -1, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY}[kind];
-    RateDemands n = new RateDemands(List.of("a"));
-    n.told("a", new RateDemands.Demand(bad, 0, 0), 0);
-    n.told("a", new RateDemands.Demand(0, bad, 0), 0);
-    n.told("a", new RateDemands.Demand(0, 0, bad), 0);
-    assertEquals(0, n.heard(0));
+    RateDemands demands = new RateDemands(List.of("a"));
+    demands.record("a", new RateDemands.Demand(bad, 0, 0), 0);
+    demands.record("a", new RateDemands.Demand(0, bad, 0), 0);
+    demands.record("a", new RateDemands.Demand(0, 0, bad), 0);
+    assertEquals(0, demands.freshPeers(0));
   }
 }
--- a/src/test/java/org/snowturn/core/admission/MinimumSharesTest.java
+++ b/src/test/java/org/snowturn/core/admission/MinimumSharesTest.java
@@ -18,21 +18,21 @@
    * @return what each got of the last 200 s
    */
   private static double[] serve(int groups, double waitS) {
-    MinimumShares f = new MinimumShares();
+    MinimumShares minimumShares = new MinimumShares();
     double[] got = new double[groups];
     for (int g = 0; g < groups; g++) {
-      f.group("class" + g, "team");
+      minimumShares.group("class" + g, "team");
     }
     for (long now = 0; now < 300_000; now += 100) {
-      f.begin(now);
+      minimumShares.beginRound(now);
       for (int g = 0; g < groups; g++) {
-        f.waits(g, waitS, 10);
+        minimumShares.recordWaiting(g, waitS, 10);
       }
       int served = 0;
       for (int g = groups - 1; g > 0; g--) {
-        served = f.first(g) ? g : served;
+        served = minimumShares.isBelowMinimum(g) ? g : served;
       }
-      f.given(served, 10, now);
+      minimumShares.recordPlacement(served, 10, now);
       got[served] += now >= 100_000 ? 10 : 0;
     }
     return got;
@@ -45,13 +45,13 @@
     double[] got = serve(groups, waitS);
     double all = 20_000;
     double floor = Math.min(0.15, 0.03 * waitS / 15);
-    floor = Math.min(floor, MinimumShares.TOGETHER / groups);
+    floor = Math.min(floor, MinimumShares.MAX_TOTAL_SHARE / groups);
     double others = 0;
     for (int g = 1; g < groups; g++) {
       assertTrue(got[g] >= 0.85 * floor * all - 10, "group " + g + " of " + groups + ": " + got[g]);
       others += got[g];
     }
-    assertTrue(others <= (MinimumShares.TOGETHER + 0.05) * all, "floors took " + others);
+    assertTrue(others <= (MinimumShares.MAX_TOTAL_SHARE + 0.05) * all, "floors took " + others);
   }
 
   @Test
@@ -61,21 +61,21 @@
 
   @Test
   void aGroupAloneHasNoFloor() {
-    MinimumShares f = new MinimumShares();
-    f.group("a", "t");
-    f.begin(0);
-    f.waits(0, 100, 1);
-    assertFalse(f.first(0));
+    MinimumShares minimumShares = new MinimumShares();
+    minimumShares.group("a", "t");
+    minimumShares.beginRound(0);
+    minimumShares.recordWaiting(0, 100, 1);
+    assertFalse(minimumShares.isBelowMinimum(0));
   }
 
   @Test
   void operatorsSeeWhoWaits() {
-    MinimumShares f = new MinimumShares();
-    int a = f.group("a", "t");
-    f.arrived(a, 40);
-    f.begin(0);
-    f.waits(a, 12, 10);
-    assertEquals(12.0, f.gauges().get("snowturn.wait.longest.seconds{group=\"a/t\"}"));
-    assertEquals(0.75, f.gauges().get("snowturn.served.share{group=\"a/t\"}"));
+    MinimumShares minimumShares = new MinimumShares();
+    int index = minimumShares.group("a", "t");
+    minimumShares.recordArrivals(index, 40);
+    minimumShares.beginRound(0);
+    minimumShares.recordWaiting(index, 12, 10);
+    assertEquals(12.0, minimumShares.gauges().get("snowturn.wait.longest.seconds{group=\"a/t\"}"));
+    assertEquals(0.75, minimumShares.gauges().get("snowturn.served.share{group=\"a/t\"}"));
   }
 }
--- a/src/test/java/org/snowturn/core/admission/QuotaGuaranteesTest.java
+++ b/src/test/java/org/snowturn/core/admission/QuotaGuaranteesTest.java
@@ -22,7 +22,7 @@
     final double gpus;
     final long submitted;
     final String id;
-    boolean within;
+    private boolean within;
 
     Job(String team, double cpus, double gpus, long submitted, String id) {
       this.team = team;
@@ -72,35 +72,44 @@
   @Property(seed = "6", tries = 300)
   void equalsANaiveRecountInWhateverOrderTheJobsAreGiven(
       @ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
-    SplittableRandom r = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     List<Job> jobs = new ArrayList<>();
-    for (int i = r.nextInt(25); i > 0; i--) {
-      String team = TEAMS.get(r.nextInt(TEAMS.size())).name();
-      jobs.add(new Job(team, r.nextInt(8), r.nextInt(4) / 3, r.nextInt(6), "wk-" + i));
+    for (int i = random.nextInt(25); i > 0; i--) {
+      String team = TEAMS.get(random.nextInt(TEAMS.size())).name();
+      jobs.add(
+          new Job(team, random.nextInt(8), random.nextInt(4) / 3, random.nextInt(6), "wk-" + i));
     }
     Collections.shuffle(jobs, new java.util.Random(seed));
-    QuotaGuarantees g = new QuotaGuarantees(TEAMS);
-    g.judge(jobs);
-    for (Job j : jobs) {
-      double cpus = 0;
-      double gpus = 0;
-      for (Job o : jobs) {
-        boolean notLater =
-            o.submitted < j.submitted || (o.submitted == j.submitted && o.id.compareTo(j.id) <= 0);
-        if (o.team.equals(j.team) && notLater) {
-          cpus += o.cpus;
-          gpus += o.gpus;
-        }
+    QuotaGuarantees guarantees = new QuotaGuarantees(TEAMS);
+    guarantees.evaluate(jobs);
+    for (Job job : jobs) {
+      assertEquals(isWithinByRecount(job, jobs), job.within, job.id);
+    }
+  }
+
+  private static boolean isWithinByRecount(Job job, List<Job> jobs) {
+    double cpus = 0;
+    double gpus = 0;
+    for (Job other : jobs) {
+      if (other.team.equals(job.team) && isNotLater(other, job)) {
+        cpus += other.cpus;
+        gpus += other.gpus;
       }
-      Settings.Team team = TEAMS.stream().filter(x -> x.name().equals(j.team)).findFirst().get();
-      boolean has = team.cpus() > 0 || team.gpus() > 0;
-      assertEquals(has && cpus <= team.cpus() && gpus <= team.gpus(), j.within, j.id);
     }
+    Settings.Team team =
+        TEAMS.stream().filter(candidate -> candidate.name().equals(job.team)).findFirst().get();
+    boolean hasGuarantee = team.cpus() > 0 || team.gpus() > 0;
+    return hasGuarantee && cpus <= team.cpus() && gpus <= team.gpus();
+  }
+
+  private static boolean isNotLater(Job other, Job job) {
+    return other.submitted < job.submitted
+        || (other.submitted == job.submitted && other.id.compareTo(job.id) <= 0);
   }
 
   @Test
   void withoutGuaranteesThereIsNothingToWorkOut() {
-    assertFalse(new QuotaGuarantees(List.of(new Settings.Team("t", 0, 5, 0, 1))).any());
-    assertTrue(new QuotaGuarantees(TEAMS).any());
+    assertFalse(new QuotaGuarantees(List.of(new Settings.Team("t", 0, 5, 0, 1))).isAnyConfigured());
+    assertTrue(new QuotaGuarantees(TEAMS).isAnyConfigured());
   }
 }
--- a/src/test/java/org/snowturn/core/admission/StateRequestBudgetTest.java
+++ b/src/test/java/org/snowturn/core/admission/StateRequestBudgetTest.java
@@ -66,30 +66,30 @@
 
   @Test
   void submissionsAreRefusedOnlyOnceTheServiceRefuses() {
-    AdmissionController g = new AdmissionController(new SplittableRandom(1), 2, 0);
+    AdmissionController controller = new AdmissionController(new SplittableRandom(1), 2, 0);
     for (int i = 0; i < 200; i++) {
-      assertTrue(g.admits("a", 1, 0));
+      assertTrue(controller.admits("a", 1, 0));
     }
-    g.refusedThere(0);
+    controller.refusedThere(0);
     int taken = 0;
     for (long now = 0; now < 2_900; now += 10) {
-      taken += g.admits("a", 1, now) ? 1 : 0;
+      taken += controller.admits("a", 1, now) ? 1 : 0;
     }
     assertTrue(taken >= 5 && taken <= 7, "" + taken);
-    assertTrue(g.admits("a", 1, 3_100));
+    assertTrue(controller.admits("a", 1, 3_100));
   }
 
   @Test
   void aSmallClassIsNotCrowdedOutByALargeOne() {
-    AdmissionController g = new AdmissionController(new SplittableRandom(1), 10, 0);
+    AdmissionController controller = new AdmissionController(new SplittableRandom(1), 10, 0);
     int small = 0;
     int tries = 0;
     for (long now = 0; now < 60_000; now += 5) {
-      g.refusedThere(now);
-      g.admits("large", 1, now);
+      controller.refusedThere(now);
+      controller.admits("large", 1, now);
       if (now % 500 == 0) {
         tries++;
-        small += g.admits("small", 1, now) ? 1 : 0;
+        small += controller.admits("small", 1, now) ? 1 : 0;
       }
     }
     assertTrue(small >= 0.95 * tries, small + " of " + tries);
@@ -97,13 +97,13 @@
 
   @Test
   void refusedUsersComeBackSpreadOut() {
-    AdmissionController g = new AdmissionController(new SplittableRandom(1), 1, 0);
-    assertEquals(1, g.retryAfterS(0));
-    g.refusedThere(0);
+    AdmissionController controller = new AdmissionController(new SplittableRandom(1), 1, 0);
+    assertEquals(1, controller.retryAfterS(0));
+    controller.refusedThere(0);
     int[] at = new int[40];
     for (int i = 0; i < 500; i++) {
-      if (!g.admits("a", 1, 10)) {
-        at[g.retryAfterS(10)]++;
+      if (!controller.admits("a", 1, 10)) {
+        at[controller.retryAfterS(10)]++;
       }
     }
     int most = 0;
--- a/src/test/java/org/snowturn/core/scheduling/AgingTest.java
+++ b/src/test/java/org/snowturn/core/scheduling/AgingTest.java
@@ -69,7 +69,7 @@
     double perSecond = roomEachStep * 1000.0 / STEP_MS * Aging.MAX_SHARE;
     double bound = 20_000 + MAX_WAIT_S * 1000 + 5_000 + 1.5 * 1000 * batches / perSecond;
     for (double at : begunAt) {
-      assertTrue(at > 0 && at <= bound, "begunAt at " + at + ", bound " + bound);
+      assertTrue(at > 0 && at <= bound, "begun at " + at + ", bound " + bound);
     }
     double most = Aging.MAX_SHARE * given * 1.2 + batches;
     assertTrue(toLongWaiting <= most, toLongWaiting + " of " + given);
