--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -6,6 +6,7 @@
 import org.snowturn.config.Settings;
 import org.snowturn.config.Tunables;
 import org.snowturn.core.admission.RateAllocator;
+import org.snowturn.core.api.CancelledJobs;
 import org.snowturn.core.api.JobApi;
 import org.snowturn.core.api.LiveJobCache;
 import org.snowturn.core.connectivity.ConnectivityMonitor;
@@ -74,23 +75,16 @@
     relay =
         new StateRequestRelay(
             settings, runtime, connectivity, () -> connectivity.mine().stateService());
+    JobApi.Services services =
+        new JobApi.Services(machineTypes, formatGate, relay, rateAllocator.gate(), liveJobs);
     jobApi =
-        new JobApi(
-            settings,
-            runtime,
-            machineTypes,
-            formatGate,
-            relay,
-            rateAllocator.gate(),
-            liveJobs,
-            election::stateServiceHealthy,
-            cancelledJobs());
+        new JobApi(settings, runtime, services, election::stateServiceHealthy, cancelledJobs());
   }
 
-  private JobApi.CancelledJobs cancelledJobs() {
-    return new JobApi.CancelledJobs() {
+  private CancelledJobs cancelledJobs() {
+    return new CancelledJobs() {
       @Override
-      public void tell(String job) {
+      public void confirm(String job) {
         watermark.confirm(job);
       }
 
--- a/src/main/java/org/snowturn/core/PeerMessage.java
+++ b/src/main/java/org/snowturn/core/PeerMessage.java
@@ -41,7 +41,7 @@
   /** The state service has ended the lease of this token at the sender's wish. */
   record LeaseEnded(String from, long token) implements PeerMessage {}
 
-  /** What the sender reaches, by its own clock. */
+  /** What the sender reaches. */
   record ConnectivityReport(String from, Connectivity connectivity) implements PeerMessage {}
 
   /** Addresses of some workers that the sender, a leader, hears. */
@@ -62,7 +62,7 @@
       int timeoutMs)
       implements PeerMessage {}
 
-  /** What came of it. */
+  /** What came of the call that a {@link RelayRequest} with this id asked for. */
   record RelayReply(
       String from, String to, long requestId, Outcome outcome, int status, JsonNode body)
       implements PeerMessage {}
@@ -73,23 +73,27 @@
   /** How far a job is, for display. */
   record JobProgress(String from, String job, int done, int running) implements PeerMessage {}
 
-  /** Up to which of its entries the sender has heard a peer's list, in the life that it names. */
+  /** The last entry that the sender has received of the log of this incarnation of a peer. */
   record LogPosition(String incarnation, long lastReceived) {}
 
-  /** A leader asks each peer for the cancellations that it has told users of. */
+  /**
+   * Asks each peer for the cancellations that it has confirmed to users.
+   *
+   * @param logPositions up to where the sender has received the logs of its peers, by their names
+   */
   record CancellationsRequest(String from, long requestId, Map<String, LogPosition> logPositions)
       implements PeerMessage {}
 
   /**
-   * Cancellations that the sender has told users of since its process began, in the order in which
-   * it did, numbered from 1.
+   * Cancellations that the sender has confirmed to users since its process began, in the order in
+   * which it did, numbered from 1.
    *
-   * @param requestId the question that this answers
+   * @param requestId the request that this answers
    * @param incarnation names the sender's process
    * @param after the number of the entry before the first of {@code jobs}
    * @param last the number of its last entry, as it answers
    * @param lastDropped the number of the last entry that it no longer has; 0: it has all
-   * @param lastDroppedAgeMs how long ago it told of that one
+   * @param lastDroppedAgeMs how long ago it confirmed that one
    */
   record CancellationsReply(
       String from,
--- /dev/null
+++ b/src/main/java/org/snowturn/core/api/JobCancellation.java
@@ -0,0 +1,104 @@
+package org.snowturn.core.api;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.List;
+import org.snowturn.core.admission.AdmissionController;
+import org.snowturn.core.admission.RequestClass;
+import org.snowturn.core.connectivity.StateRequestRelay;
+import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.storage.FormatGate;
+import org.snowturn.core.storage.JobRecord;
+import org.snowturn.core.storage.StorageKeys;
+import org.snowturn.wire.JobStatus;
+import org.snowturn.wire.StateMessage;
+import org.snowturn.wire.StateMessage.Change;
+import org.snowturn.wire.StateMessage.Condition;
+
+/** Cancels jobs, each by a compare-and-swap of its live record. */
+final class JobCancellation {
+  /** The record may change between the read and the write. */
+  private static final int MAX_TRIES = 3;
+
+  private final CoreRuntime runtime;
+  private final FormatGate format;
+  private final StateRequestRelay relay;
+  private final AdmissionController admission;
+  private final JobStatusCache statuses;
+  private final JobStatusReader reader;
+  private final UserResponses responses;
+
+  JobCancellation(
+      CoreRuntime runtime,
+      JobApi.Services services,
+      JobStatusCache statuses,
+      JobStatusReader reader,
+      UserResponses responses) {
+    this.runtime = runtime;
+    this.format = services.format();
+    this.relay = services.relay();
+    this.admission = services.admission();
+    this.statuses = statuses;
+    this.reader = reader;
+    this.responses = responses;
+  }
+
+  /** Cancels a job and answers with its status; a final state stays as it is. */
+  void cancel(long exchange, String id) {
+    JobStatus known = statuses.finished(id);
+    if (known != null) {
+      responses.brief(exchange, known);
+    } else if (!responses.refusedForNow(exchange)) {
+      cancel(exchange, id, MAX_TRIES);
+    }
+  }
+
+  private void cancel(long exchange, String id, int triesLeft) {
+    reader.readRecord(
+        RequestClass.USERS,
+        exchange,
+        StorageKeys.job(id),
+        live -> {
+          if (live == null || JobRecord.phaseOf(live.value()).terminal()) {
+            reader.read(exchange, id, status -> answerFinished(exchange, status));
+          } else {
+            write(exchange, id, live, triesLeft);
+          }
+        });
+  }
+
+  private void answerFinished(long exchange, JobStatus status) {
+    if (status == null) {
+      responses.notFound(exchange);
+    } else if (status.phase().terminal()) {
+      responses.brief(exchange, status);
+    } else {
+      responses.refuse(exchange);
+    }
+  }
+
+  private void write(long exchange, String id, StateMessage.Entry live, int triesLeft) {
+    admission.spend(1, runtime.now());
+    JsonNode value = JobRecord.cancelled(live.value(), format.limits().valueBytes());
+    JsonNode txn =
+        StateMessage.txn(
+            List.of(new Condition(StorageKeys.job(id), live.stamp())),
+            List.of(Change.put(StorageKeys.job(id), value)));
+    relay.callState(
+        RequestClass.USERS,
+        "POST",
+        "/txn",
+        txn,
+        JobStatusReader.TIMEOUT_MS,
+        (outcome, status, reply) -> {
+          if (outcome.succeeded(status)) {
+            JobStatus aborted = new JobStatus(id, JobStatus.Phase.ABORTED, 0, 0);
+            statuses.addFinished(aborted);
+            responses.brief(exchange, aborted);
+          } else if (outcome.conflict(status) && triesLeft > 1) {
+            cancel(exchange, id, triesLeft - 1);
+          } else {
+            responses.refuse(exchange);
+          }
+        });
+  }
+}
--- a/src/main/java/org/snowturn/core/api/LiveJobCache.java
+++ b/src/main/java/org/snowturn/core/api/LiveJobCache.java
@@ -5,9 +5,11 @@
 import java.util.List;
 import org.snowturn.config.Settings;
 import org.snowturn.core.Outcome;
+import org.snowturn.core.SteadyTime;
 import org.snowturn.core.admission.RequestClass;
 import org.snowturn.core.effects.CoreRuntime;
-import org.snowturn.core.model.Job;
+import org.snowturn.core.effects.LogEvent;
+import org.snowturn.core.effects.LogField;
 import org.snowturn.core.model.LiveJobs;
 import org.snowturn.core.recovery.Backoff;
 import org.snowturn.core.storage.JobRecord;
@@ -18,9 +20,9 @@
 import org.snowturn.wire.StateMessage;
 
 /**
- * Keeps a cache of the live jobs on every node and proves that it is fresh: one question for the
- * changes since, sent after all who wait for it have asked, answers them all. So polls cost the
- * state service nothing apiece; what it is asked grows with time and with changes.
+ * Keeps a cache of the live jobs on every node and proves that it is fresh: one read of the changes
+ * since, sent after all who wait for it have asked, answers them all. So polls cost the state
+ * service nothing apiece; what it is asked grows with time and with changes.
  */
 public final class LiveJobCache {
   /** Who wants to know what the cache proves. */
@@ -28,58 +30,71 @@
     /** The job's record says that it is cancelled. */
     void cancelled(String job);
 
-    /** The cache holds all that was stored at this moment, and all of it has been told. */
+    /**
+     * The cache holds all that was stored at this moment, in milliseconds of the steady clock, and
+     * all cancellations among it have been told.
+     */
     void complete(long at);
   }
 
-  /** Of the state service's requests, the proofs of all nodes together take no more than this. */
-  private static final double MOST_OF_RATE = 0.15;
+  /** The share of the state service's request rate that the reads of all nodes may take. */
+  private static final double MAX_SHARE_OF_RATE = 0.15;
 
-  private static final long LEAST_EVERY_MS = 100;
+  private static final double MIN_REQUESTS_PER_S = 0.1;
+  private static final long MIN_INTERVAL_MS = 100;
+  private static final long MAX_RETRY_MS = 1_000;
 
   /**
-   * Without anybody who asks, the changes are fetched now and then: their past is kept not long,
-   * and a leader may act only as long as its knowledge of cancellations is young enough.
+   * Without anybody who waits, the changes are read now and then: the state service keeps past
+   * changes only for a while, and a leader may act only as long as its knowledge of cancellations
+   * is young enough.
    */
-  private static final long REFRESH_MOST_MS = 5_000;
+  private static final long MAX_REFRESH_MS = 5_000;
 
-  private static final long REFRESH_LEAST_MS = 500;
+  private static final long MIN_REFRESH_MS = 500;
+
+  /** The part of the time between a worker's lease and a cancellation's due time. */
+  private static final int REFRESHES_PER_SLACK = 4;
 
   /** Users wait two seconds for a poll. */
-  private static final long PATIENCE_MS = 1_500;
+  private static final long MAX_WAIT_MS = 1_500;
 
   private static final int TIMEOUT_MS = 1_000;
-  private static final int MOST_WAITING = 5_000;
+  private static final int MAX_WAITING = 5_000;
+  private static final int CHANGES_GONE = 410;
 
-  private record Asker(long until, Runnable fresh, Runnable unknown) {}
+  /** Somebody who waits until the cache is proven fresh. */
+  private record Waiter(long until, Runnable fresh, Runnable unknown) {}
 
   private final CoreRuntime runtime;
   private final Listener listener;
-  private final long everyMs;
+  private final long minIntervalMs;
   private final long refreshMs;
   private final LiveJobs jobs =
       new LiveJobs(StorageKeys.JOBS, LiveJobCache::isCancelled, JobRecord::awaits);
   private final Backoff backoff;
-  private ArrayDeque<Asker> waiting = new ArrayDeque<>();
-  private boolean busy;
+  private ArrayDeque<Waiter> waiting = new ArrayDeque<>();
+  private boolean requestOpen;
   private long nextAt;
-  private long freshAt = Job.UNKNOWN;
+  private long freshAt = SteadyTime.NEVER;
   private long proofs;
   private long loads;
 
+  /** An empty cache; reads the live jobs at the next tick. */
   public LiveJobCache(Settings settings, CoreRuntime runtime, Listener listener) {
     this.runtime = runtime;
     this.listener = listener;
-    this.backoff = runtime.backoff(LEAST_EVERY_MS, 1_000);
-    Settings.Workers w = settings.workers();
-    long spare = (long) (1000 * (w.cancelS() - w.leaseS()) / 4);
-    this.refreshMs = Math.max(REFRESH_LEAST_MS, Math.min(REFRESH_MOST_MS, spare));
+    this.backoff = runtime.backoff(MIN_INTERVAL_MS, MAX_RETRY_MS);
+    Settings.Workers workers = settings.workers();
+    long slackMs = (long) (1000 * (workers.cancelS() - workers.leaseS()) / REFRESHES_PER_SLACK);
+    this.refreshMs = Math.max(MIN_REFRESH_MS, Math.min(MAX_REFRESH_MS, slackMs));
     int nodes = settings.peers().size() + 1;
-    double each = settings.stateLimits().rps() * MOST_OF_RATE / nodes;
-    everyMs = Math.max(LEAST_EVERY_MS, (long) (1000 / Math.max(0.1, each)));
+    double requestsPerS = settings.stateLimits().rps() * MAX_SHARE_OF_RATE / nodes;
+    this.minIntervalMs =
+        Math.max(MIN_INTERVAL_MS, (long) (1000 / Math.max(MIN_REQUESTS_PER_S, requestsPerS)));
   }
 
-  /** Whether there is a cache that can be proven fresh by one question. */
+  /** Whether there is a cache that can be proven fresh by one read. */
   public boolean known() {
     return jobs.known();
   }
@@ -94,44 +109,45 @@
    * this was called, {@code unknown} if that could not be found out in the time that a user waits.
    */
   public void whenFresh(Runnable fresh, Runnable unknown) {
-    if (waiting.size() >= MOST_WAITING) {
+    if (waiting.size() >= MAX_WAITING) {
       unknown.run();
       return;
     }
-    waiting.add(new Asker(runtime.now() + PATIENCE_MS, fresh, unknown));
-    step();
+    waiting.add(new Waiter(runtime.now() + MAX_WAIT_MS, fresh, unknown));
+    readIfDue();
   }
 
-  /** Proves the cache at the next occasion, whether or not anybody waits for it. */
+  /** Proves the cache as soon as possible, whether or not anybody waits for it. */
   public void refresh() {
-    freshAt = Job.UNKNOWN;
+    freshAt = SteadyTime.NEVER;
   }
 
+  /** Gives up on those who have waited too long, and reads if it is time. */
   public void tick() {
     while (!waiting.isEmpty() && waiting.peek().until <= runtime.now()) {
       waiting.poll().unknown.run();
     }
-    step();
+    readIfDue();
   }
 
-  private void step() {
+  private void readIfDue() {
     long now = runtime.now();
     boolean wanted = !waiting.isEmpty() || now - freshAt >= refreshMs;
-    if (busy || now < nextAt || !wanted) {
+    if (requestOpen || now < nextAt || !wanted) {
       return;
     }
-    busy = true;
-    nextAt = now + everyMs;
+    requestOpen = true;
+    nextAt = now + minIntervalMs;
     if (jobs.known()) {
-      prove();
+      readChanges();
     } else {
       load();
     }
   }
 
-  private void prove() {
-    // Only who had asked before the question is sent is answered by it.
-    ArrayDeque<Asker> covered = waiting;
+  private void readChanges() {
+    // Only who has asked before the request is sent is answered by its reply.
+    ArrayDeque<Waiter> covered = waiting;
     waiting = new ArrayDeque<>();
     proofs++;
     long sentAt = runtime.now();
@@ -140,16 +156,16 @@
         "/watch?prefix=" + StorageKeys.JOBS + "&since=" + jobs.revision() + "&hold_ms=0",
         TIMEOUT_MS,
         (outcome, status, body) -> {
-          busy = false;
-          if (outcome == Outcome.ANSWERED && status == 200 && follow(body)) {
+          requestOpen = false;
+          if (outcome.succeeded(status) && applyChanges(body)) {
             freshAt = runtime.now();
             listener.complete(sentAt);
             backoff.reset();
-            covered.forEach(a -> a.fresh.run());
+            covered.forEach(waiter -> waiter.fresh.run());
             return;
           }
-          if (outcome == Outcome.ANSWERED && status == 410) {
-            jobs.drop(); // the changes since are gone: the whole is read again
+          if (outcome == Outcome.ANSWERED && status == CHANGES_GONE) {
+            jobs.drop();
           }
           covered.addAll(waiting);
           waiting = covered;
@@ -157,18 +173,24 @@
         });
   }
 
-  private boolean follow(JsonNode body) {
+  /** Returns whether the cache has all changes of a reply, and is not younger than it. */
+  private boolean applyChanges(JsonNode body) {
     try {
-      long epoch = StateMessage.epoch(body);
-      if (epoch < jobs.revision()) {
-        return false; // older than what has been told already
+      long revision = StateMessage.epoch(body);
+      if (revision < jobs.revision()) {
+        return false;
       }
       List<StateMessage.Entry> changes = StateMessage.events(body);
-      jobs.follow(changes, epoch);
+      jobs.follow(changes, revision);
       changes.forEach(this::tellIfCancelled);
       return true;
     } catch (MalformedException e) {
-      runtime.note("unusable changes of jobs: " + e.getMessage());
+      runtime
+          .events()
+          .info(LogEvent.REPLY_MALFORMED)
+          .with(LogField.REQUEST, "watch jobs")
+          .with(LogField.ERROR, e.getMessage())
+          .write();
       jobs.drop();
       return false;
     }
@@ -193,22 +215,22 @@
         .read(
             StorageKeys.JOBS,
             range -> {
-              busy = false;
+              requestOpen = false;
               jobs.load(range.entries(), range.epoch());
               range.entries().forEach(this::tellIfCancelled);
               listener.complete(sentAt);
               backoff.reset();
               nextAt = runtime.now();
-              step();
+              readIfDue();
             });
   }
 
-  /** How many questions proved the cache, or tried to. */
+  /** How many reads of changes were sent. */
   public long proofs() {
     return proofs;
   }
 
-  /** How many times the whole was read. */
+  /** How many times all live jobs were read. */
   public long loads() {
     return loads;
   }
@@ -218,7 +240,7 @@
     return jobs.size();
   }
 
-  /** How many wait for a proof. */
+  /** How many wait for the next proof. */
   public int waiting() {
     return waiting.size();
   }
--- a/src/test/java/org/snowturn/core/connectivity/StateRequestRelayTest.java
+++ b/src/test/java/org/snowturn/core/connectivity/StateRequestRelayTest.java
@@ -14,13 +14,13 @@
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.wire.Json;
 
-/** What a peer answers to a former life of a node. */
+/** What a peer answers to a previous process of a node. */
 class StateRequestRelayTest {
   private final List<Integer> answers = new ArrayList<>();
 
-  /** One life of node "a" asks its peer once; returns what it sent. */
-  private PeerMessage.RelayRequest ask(StateRequestRelay relays, CoreRuntime runtime) {
-    relays.callState(
+  /** A process of node "a" asks its peer once; returns what it sent. */
+  private PeerMessage.RelayRequest ask(StateRequestRelay relay, CoreRuntime runtime) {
+    relay.callState(
         RequestClass.USERS,
         "GET",
         "/kv/j/x",
@@ -29,32 +29,33 @@
         (outcome, status, body) -> answers.add(status));
     for (Effect effect : runtime.drainEffects()) {
       if (effect instanceof Effect.Broadcast broadcast
-          && broadcast.message() instanceof PeerMessage.RelayRequest r) {
-        return r;
+          && broadcast.message() instanceof PeerMessage.RelayRequest request) {
+        return request;
       }
     }
     throw new AssertionError("nothing was relayed");
   }
 
-  private static StateRequestRelay life(CoreRuntime runtime) {
+  private static StateRequestRelay newProcess(CoreRuntime runtime) {
     runtime.setTime(1000, 1000);
-    ConnectivityMonitor s = new ConnectivityMonitor(TestSettings.withPeer("b"), runtime, () -> 0);
-    s.onReport(new PeerMessage.ConnectivityReport("b", new Connectivity(0, 0)));
-    return new StateRequestRelay(TestSettings.withPeer("b"), runtime, s, () -> false);
+    ConnectivityMonitor connectivity =
+        new ConnectivityMonitor(TestSettings.withPeer("b"), runtime, () -> 0);
+    connectivity.onReport(new PeerMessage.ConnectivityReport("b", new Connectivity(0, 0)));
+    return new StateRequestRelay(TestSettings.withPeer("b"), runtime, connectivity, () -> false);
   }
 
   @Test
-  void anAnswerToTheFormerLifeIsNotTakenForOneToThisOne() {
+  void aReplyToThePreviousProcessIsNotTakenForOneToThisOne() {
     CoreRuntime first = new CoreRuntime("life-1".hashCode());
-    PeerMessage.RelayRequest former = ask(life(first), first);
+    PeerMessage.RelayRequest former = ask(newProcess(first), first);
     CoreRuntime second = new CoreRuntime("life-2".hashCode());
-    StateRequestRelay relays = life(second);
-    PeerMessage.RelayRequest mine = ask(relays, second);
-    relays.onReply(
+    StateRequestRelay relay = newProcess(second);
+    PeerMessage.RelayRequest mine = ask(relay, second);
+    relay.onReply(
         new PeerMessage.RelayReply(
             "b", "a", former.requestId(), Outcome.ANSWERED, 404, Json.object()));
-    assertTrue(answers.isEmpty(), "the former life's 404 was told: " + answers);
-    relays.onReply(
+    assertTrue(answers.isEmpty(), "the previous process's 404 was taken: " + answers);
+    relay.onReply(
         new PeerMessage.RelayReply(
             "b", "a", mine.requestId(), Outcome.ANSWERED, 200, Json.object()));
     assertEquals(List.of(200), answers);
--- a/src/test/java/org/snowturn/core/election/CancellationWatermarkTest.java
+++ b/src/test/java/org/snowturn/core/election/CancellationWatermarkTest.java
@@ -28,12 +28,12 @@
 class CancellationWatermarkTest {
   private static final String LEADER = "n0";
 
-  /** A node with the life that it is in. */
+  /** A node with its present process. */
   private static final class Node {
-    final String name;
-    int life;
-    CoreRuntime runtime;
-    CancellationWatermark watermark;
+    private final String name;
+    private int incarnation;
+    private CoreRuntime runtime;
+    private CancellationWatermark watermark;
 
     Node(String name, long now) {
       this.name = name;
@@ -41,29 +41,30 @@
     }
 
     void begin(long now) {
-      life++;
-      runtime = new CoreRuntime(31L * life + name.hashCode());
+      incarnation++;
+      runtime = new CoreRuntime(31L * incarnation + name.hashCode());
       runtime.setTime(now, now);
-      watermark = new CancellationWatermark(TestSettings.of(name), runtime, name + "-" + life);
+      watermark =
+          new CancellationWatermark(TestSettings.of(name), runtime, name + "-" + incarnation);
     }
   }
 
   private record Event(long at, long order, Runnable run) implements Comparable<Event> {
     @Override
-    public int compareTo(Event o) {
-      return at != o.at ? Long.compare(at, o.at) : Long.compare(order, o.order);
+    public int compareTo(Event other) {
+      return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
     }
   }
 
   /** What goes on between them. */
   private static final class Nodes {
-    final RandomGenerator random;
-    final List<Node> all;
-    final PriorityQueue<Event> events = new PriorityQueue<>();
-    final Map<String, Long> told = new HashMap<>();
-    long now = 1_000_000;
-    long order;
-    int known;
+    private final RandomGenerator random;
+    private final List<Node> all;
+    private final PriorityQueue<Event> events = new PriorityQueue<>();
+    private final Map<String, Long> confirmedAt = new HashMap<>();
+    private long now = 1_000_000;
+    private long order;
+    private int known;
 
     Nodes(long seed) {
       random = new SplittableRandom(seed);
@@ -78,8 +79,8 @@
       events.add(new Event(now + ms, order++, run));
     }
 
-    void at(Node n) {
-      n.runtime.setTime(now, now);
+    void at(Node node) {
+      node.runtime.setTime(now, now);
     }
 
     /** Delivers what a node has to say: mostly soon, sometimes late, twice or never. */
@@ -102,10 +103,10 @@
 
     void take(Node to, PeerMessage message) {
       at(to);
-      if (message instanceof PeerMessage.CancellationsRequest a) {
-        to.watermark.onRequest(a);
-      } else if (message instanceof PeerMessage.CancellationsReply c) {
-        to.watermark.onReply(c);
+      if (message instanceof PeerMessage.CancellationsRequest request) {
+        to.watermark.onRequest(request);
+      } else if (message instanceof PeerMessage.CancellationsReply reply) {
+        to.watermark.onReply(reply);
       }
       deliver(to);
     }
@@ -113,15 +114,15 @@
     /** The state service has every confirmed cancellation; it is read at once, answered later. */
     void read() {
       long sentAt = now;
-      int life = leader().life;
+      int incarnation = leader().incarnation;
       after(
           random.nextInt(30),
           () -> {
-            List<String> stored = List.copyOf(told.keySet());
+            List<String> stored = List.copyOf(confirmedAt.keySet());
             after(
                 random.nextInt(500),
                 () -> {
-                  if (leader().life != life) {
+                  if (leader().incarnation != incarnation) {
                     return; // a reply ends with the process that asked
                   }
                   at(leader());
@@ -131,19 +132,19 @@
           });
     }
 
-    void confirm(Node n, int jobs) {
-      at(n);
+    void confirm(Node node, int jobs) {
+      at(node);
       for (int i = 0; i < jobs; i++) {
-        String job = "wk-" + String.format("%06d", told.size());
-        told.put(job, now);
-        n.watermark.confirm(job);
+        String job = "wk-" + String.format("%06d", confirmedAt.size());
+        confirmedAt.put(job, now);
+        node.watermark.confirm(job);
       }
     }
 
     void check() {
       at(leader());
       long until = leader().watermark.knownUntil();
-      told.forEach(
+      confirmedAt.forEach(
           (job, at) -> {
             if (at < until) {
               known++;
@@ -157,9 +158,9 @@
       for (int i = 0; i < steps; i++) {
         long next = now + random.nextInt(1, 400);
         while (!events.isEmpty() && events.peek().at() <= next) {
-          Event e = events.poll();
-          now = e.at();
-          e.run().run();
+          Event event = events.poll();
+          now = event.at();
+          event.run().run();
         }
         now = next;
         Node peer = all.get(1 + random.nextInt(2));
@@ -196,64 +197,64 @@
 
   /** So the property above is no empty one: with links that work the watermark follows closely. */
   @Test
-  void listsAloneKeepTheWatermarkCloseOnceTheStateServiceWasRead() {
-    Nodes n = quiet();
-    n.confirm(n.all.get(1), 700); // more than one record holds
+  void logsAloneKeepTheWatermarkCloseOnceTheStateServiceWasRead() {
+    Nodes nodes = quiet();
+    nodes.confirm(nodes.all.get(1), 700); // more than one record holds
     for (int i = 0; i < 40; i++) {
-      step(n, 100);
+      step(nodes, 100);
     }
-    n.check();
-    assertTrue(n.leader().watermark.ageMs() < 500, "age " + n.leader().watermark.ageMs());
-    assertEquals(700, n.known);
-    assertTrue(n.leader().watermark.current());
+    nodes.check();
+    assertTrue(nodes.leader().watermark.ageMs() < 500, "age " + nodes.leader().watermark.ageMs());
+    assertEquals(700, nodes.known);
+    assertTrue(nodes.leader().watermark.current());
   }
 
   @Test
-  void aNewLifeSaysNothingOfItsPredecessor() {
-    Nodes n = quiet();
-    n.all.get(1).begin(n.now);
+  void aRestartedPeerSaysNothingOfItsPredecessor() {
+    Nodes nodes = quiet();
+    nodes.all.get(1).begin(nodes.now);
     long slack = CancellationWatermark.slackMs(TestSettings.of(LEADER));
     for (long t = 0; t <= slack + 1_000; t += 100) {
-      step(n, 100);
+      step(nodes, 100);
     }
-    assertFalse(n.leader().watermark.current());
-    n.leader().watermark.read(n.now); // shows what the predecessor may have confirmed
-    step(n, 300);
-    step(n, 300);
-    assertTrue(n.leader().watermark.current());
+    assertFalse(nodes.leader().watermark.current());
+    nodes.leader().watermark.read(nodes.now); // shows what the predecessor may have confirmed
+    step(nodes, 300);
+    step(nodes, 300);
+    assertTrue(nodes.leader().watermark.current());
   }
 
-  /** Both lives have asked as many times; what the peer confirmed in between is not on its list. */
+  /** Both processes have asked as often; what the peer confirmed in between is not in its reply. */
   @Test
-  void anAnswerToTheFormerLifeMovesNothing() {
-    Nodes n = quiet();
-    Node peer = n.all.get(1);
-    n.now += 400;
-    n.at(n.leader());
-    n.leader().watermark.tick(true);
+  void aReplyToThePreviousProcessMovesNothing() {
+    Nodes nodes = quiet();
+    Node peer = nodes.all.get(1);
+    nodes.now += 400;
+    nodes.at(nodes.leader());
+    nodes.leader().watermark.tick(true);
     PeerMessage.CancellationsRequest asked =
-        (PeerMessage.CancellationsRequest) messages(n.leader()).get(0);
-    n.at(peer);
+        (PeerMessage.CancellationsRequest) messages(nodes.leader()).get(0);
+    nodes.at(peer);
     peer.watermark.onRequest(asked);
     List<PeerMessage> late = messages(peer);
-    n.leader().begin(n.now);
-    step(n, 50);
-    n.leader().watermark.read(n.now);
-    step(n, 400);
-    n.now += 10;
-    n.confirm(peer, 1);
+    nodes.leader().begin(nodes.now);
+    step(nodes, 50);
+    nodes.leader().watermark.read(nodes.now);
+    step(nodes, 400);
+    nodes.now += 10;
+    nodes.confirm(peer, 1);
     for (int lost = 0; lost < 8; lost++) {
-      step(n, 400, n.all.subList(2, 3)); // what this peer is asked is lost
+      step(nodes, 400, nodes.all.subList(2, 3)); // what this peer is asked is lost
     }
-    late.forEach(c -> n.leader().watermark.onReply((PeerMessage.CancellationsReply) c));
-    assertTrue(n.leader().watermark.knownUntil() < n.told.get("wk-000000"));
+    late.forEach(c -> nodes.leader().watermark.onReply((PeerMessage.CancellationsReply) c));
+    assertTrue(nodes.leader().watermark.knownUntil() < nodes.confirmedAt.get("wk-000000"));
   }
 
   @Test
-  void impossibleListsMoveNothingAndAreCounted() {
-    Nodes n = quiet();
-    CancellationWatermark h = n.leader().watermark;
-    long before = h.knownUntil();
+  void inconsistentRepliesMoveNothingAndAreCounted() {
+    Nodes nodes = quiet();
+    CancellationWatermark watermark = nodes.leader().watermark;
+    long before = watermark.knownUntil();
     List<String> job = List.of("wk-1");
     List<PeerMessage.CancellationsReply> wrong = new ArrayList<>();
     wrong.add(new PeerMessage.CancellationsReply("n9", LEADER, 1, "x", 0, 1, 0, 0, job));
@@ -264,42 +265,43 @@
     wrong.add(new PeerMessage.CancellationsReply("n1", LEADER, 1, "x", 0, 1, 0, -1, job));
     wrong.add(
         new PeerMessage.CancellationsReply("n1", LEADER, 1, "x", 0, 1, 0, 0, List.of("../j")));
-    wrong.forEach(h::onReply);
-    assertEquals((double) wrong.size(), h.gauges().get("snowturn.cancellations.unusable"));
-    assertEquals(before, h.knownUntil());
-    assertFalse(h.cancelled("wk-1"));
+    wrong.forEach(watermark::onReply);
+    assertEquals((double) wrong.size(), watermark.gauges().get("snowturn.cancellations.unusable"));
+    assertEquals(before, watermark.knownUntil());
+    assertFalse(watermark.cancelled("wk-1"));
   }
 
   /** Nobody confirms anything, no message is lost, and the state service has been read. */
   private static Nodes quiet() {
-    Nodes n = new Nodes(1);
-    step(n, 50);
-    n.leader().watermark.read(n.now);
-    step(n, 400);
-    step(n, 400);
-    assertTrue(n.leader().watermark.current());
-    return n;
+    Nodes nodes = new Nodes(1);
+    step(nodes, 50);
+    nodes.leader().watermark.read(nodes.now);
+    step(nodes, 400);
+    step(nodes, 400);
+    assertTrue(nodes.leader().watermark.current());
+    return nodes;
   }
 
-  private static void step(Nodes n, long ms) {
-    step(n, ms, n.all.subList(1, 3));
+  private static void step(Nodes nodes, long ms) {
+    step(nodes, ms, nodes.all.subList(1, 3));
   }
 
-  private static void step(Nodes n, long ms, List<Node> reached) {
-    n.now += ms;
-    n.at(n.leader());
-    n.leader().watermark.tick(true);
-    List<PeerMessage> asks = messages(n.leader());
+  private static void step(Nodes nodes, long ms, List<Node> reached) {
+    nodes.now += ms;
+    nodes.at(nodes.leader());
+    nodes.leader().watermark.tick(true);
+    List<PeerMessage> asks = messages(nodes.leader());
     for (Node peer : reached) {
-      n.at(peer);
+      nodes.at(peer);
       asks.forEach(a -> peer.watermark.onRequest((PeerMessage.CancellationsRequest) a));
-      messages(peer).forEach(c -> n.leader().watermark.onReply((PeerMessage.CancellationsReply) c));
+      messages(peer)
+          .forEach(c -> nodes.leader().watermark.onReply((PeerMessage.CancellationsReply) c));
     }
   }
 
-  private static List<PeerMessage> messages(Node n) {
+  private static List<PeerMessage> messages(Node node) {
     List<PeerMessage> out = new ArrayList<>();
-    for (Effect effect : n.runtime.drainEffects()) {
+    for (Effect effect : node.runtime.drainEffects()) {
       if (effect instanceof Effect.Broadcast broadcast) {
         out.add(broadcast.message());
       }
--- a/src/test/java/org/snowturn/simulation/ElectionExplorerTest.java
+++ b/src/test/java/org/snowturn/simulation/ElectionExplorerTest.java
@@ -72,10 +72,10 @@
   private static List<Direction> directions() {
     List<String> all = List.of("n0", "n1", "n2", "state");
     List<Direction> out = new ArrayList<>();
-    for (String a : all) {
-      for (String b : all) {
-        if (!a.equals(b)) {
-          out.add(new Direction(a, b));
+    for (String from : all) {
+      for (String to : all) {
+        if (!from.equals(to)) {
+          out.add(new Direction(from, to));
         }
       }
     }
@@ -86,35 +86,37 @@
   Stream<DynamicTest> elections() {
     return BEGINNINGS.stream()
         .flatMap(
-            b ->
+            beginning ->
                 IntStream.range(0, MOMENTS)
                     .mapToObj(
                         i ->
                             DynamicTest.dynamicTest(
-                                b.name + ", moment " + i,
-                                () -> explore(b, FROM_MS + b.aroundMs + i * STEP_MS))));
+                                beginning.name + ", moment " + i,
+                                () ->
+                                    explore(
+                                        beginning, FROM_MS + beginning.aroundMs + i * STEP_MS))));
   }
 
-  private static void explore(Beginning b, long at) throws Exception {
+  private static void explore(Beginning beginning, long at) throws Exception {
     List<Direction> directions = directions();
     for (int i = 0; i < directions.size(); i++) {
       for (int j = i; j < directions.size(); j++) {
         Set<Direction> some =
             Set.copyOf(List.of(directions.get(i), directions.get(j)).subList(0, i == j ? 1 : 2));
         for (int ends = -1; ends < 3; ends++) {
-          play(b, at, some, SimulatedCluster.Links.LOST, ends);
+          play(beginning, at, some, SimulatedCluster.Links.LOST, ends);
         }
-        play(b, at, some, SLOW_MS, -1);
+        play(beginning, at, some, SLOW_MS, -1);
       }
     }
   }
 
-  private static void play(Beginning b, long at, Set<Direction> some, long late, int ends)
+  private static void play(Beginning beginning, long at, Set<Direction> some, long late, int ends)
       throws Exception {
     SimulatedCluster cluster =
         new SimulatedCluster(1, new Scenario().settings(), Tunables.defaults());
     cluster.nodes.forEach(SimulatedCluster.Node::start);
-    cluster.after(FROM_MS, () -> b.start.in(cluster));
+    cluster.after(FROM_MS, () -> beginning.start.in(cluster));
     cluster.after(
         at, () -> cluster.links((from, to) -> some.contains(new Direction(from, to)) ? late : 0));
     if (ends >= 0) {
--- a/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
+++ b/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
@@ -19,7 +19,7 @@
 
 /**
  * Faults of nodes and their links within seconds of each other, so that they fall into every step
- * of an election: ends with a new life after 50, 200 or 700 ms, freezes, cuts, refusals, outages,
+ * of an election: crashes with a restart after 50, 200 or 700 ms, freezes, cuts, refusals, outages,
  * late transactions. At no moment two nodes have authority, tokens only grow, and once all is over
  * somebody leads.
  */
@@ -27,7 +27,7 @@
   private static final long FROM_MS = 9_000;
   private static final long CALM_MS = 12_000;
 
-  private static final int MOST_FAULTS = 14;
+  private static final int MAX_FAULTS = 14;
 
   /** From this index on, whoever leads just then. */
   private static final int LEADER = 3;
@@ -56,16 +56,16 @@
     play(seed);
   }
 
-  /** And these once a new life of a node does not keep quiet for its predecessor's promises. */
+  /** And these once a restarted node claims during its predecessor's promises. */
   @Property(seed = "37", tries = 250, edgeCases = EdgeCasesMode.NONE)
-  void aNewLifeKeepsThePromisesOfTheOneBefore(@ForAll long seed) {
+  void aRestartedNodeKeepsThePromisesOfItsPredecessor(@ForAll long seed) {
     play(seed);
   }
 
   private static void play(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     List<Fault> faults =
-        Stream.generate(() -> Fault.drawn(random)).limit(random.nextInt(3, MOST_FAULTS)).toList();
+        Stream.generate(() -> Fault.drawn(random)).limit(random.nextInt(3, MAX_FAULTS)).toList();
     SimulatedCluster cluster =
         new SimulatedCluster(seed, new Scenario().settings(), Tunables.defaults());
     for (int i = 0; i < 6; i++) {
@@ -82,10 +82,10 @@
         () -> cluster.users.submit(Scenario.spec("wk-000002", "batch", array), 4_000, Map.of()));
     long at = FROM_MS;
     long calm = FROM_MS;
-    for (Fault f : faults) {
-      at += f.gapMs;
-      cluster.after(at, () -> apply(cluster, f));
-      calm = Math.max(calm, at + f.lastsMs);
+    for (Fault fault : faults) {
+      at += fault.gapMs;
+      cluster.after(at, () -> apply(cluster, fault));
+      calm = Math.max(calm, at + fault.lastsMs);
     }
     cluster.runUntil(calm + CALM_MS);
     assertEquals(List.of(), cluster.rules.details);
@@ -103,27 +103,27 @@
     assertFalse(tokens.isEmpty(), "no term in the log: " + cluster.log);
   }
 
-  private static void apply(SimulatedCluster cluster, Fault f) {
+  private static void apply(SimulatedCluster cluster, Fault fault) {
     SimulatedCluster.Node leader = cluster.leader();
     SimulatedCluster.Node node =
-        f.node >= LEADER && leader != null ? leader : cluster.nodes.get(f.node % LEADER);
-    switch (f.kind) {
+        fault.node >= LEADER && leader != null ? leader : cluster.nodes.get(fault.node % LEADER);
+    switch (fault.kind) {
       case 0 -> node.crash(50);
       case 1 -> node.crash(200);
       case 2 -> node.crash(700);
-      case 3 -> node.pause(f.lastsMs);
-      case 4 -> cut(cluster, node, "state", f.lastsMs);
+      case 3 -> node.pause(fault.lastsMs);
+      case 4 -> cut(cluster, node, "state", fault.lastsMs);
       case 5 ->
           cluster.nodes.stream()
               .filter(p -> p != node)
-              .forEach(p -> cut(cluster, node, p.name, f.lastsMs));
-      case 6 -> cluster.state.refuse(node.name, f.lastsMs);
-      case 7 -> cluster.state.outage(f.lastsMs);
+              .forEach(p -> cut(cluster, node, p.name, fault.lastsMs));
+      case 6 -> cluster.state.refuse(node.name, fault.lastsMs);
+      case 7 -> cluster.state.outage(fault.lastsMs);
       default -> {
         cluster.state.lateTxns = 0.5;
         cluster.state.loseReplies = 0.3;
         cluster.after(
-            f.lastsMs,
+            fault.lastsMs,
             () -> {
               cluster.state.lateTxns = 0;
               cluster.state.loseReplies = 0;
