--- a/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
+++ b/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
@@ -3,6 +3,7 @@
 import org.snowturn.core.health.EndEvidence;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
+import org.snowturn.core.model.TaskState;
 import org.snowturn.core.recovery.Reconciliation;
 import org.snowturn.core.recovery.Reconciliation.Seen;
 import org.snowturn.core.recovery.Reconciliation.Stored;
@@ -22,8 +23,8 @@
   static boolean here(Machine machine, Job job, TaskStatus status) {
     int task = status.task();
     return job.isAssigned(task)
-        && job.machineOf[task] == machine.index
-        && job.attemptOf[task] == status.attempt();
+        && job.machineOf(task) == machine.index
+        && job.attemptOf(task) == status.attempt();
   }
 
   /** Whether a direct start of the attempt got no answer, so that it may still arrive. */
@@ -37,7 +38,7 @@
   }
 
   private static Stored stored(Job job, int task) {
-    return job.stateOf[task] == Job.PLACING
+    return job.stateOf(task) == TaskState.PLACING
         ? Stored.PLACING
         : job.adopted.get(task) ? Stored.INHERITED : Stored.STARTED;
   }
@@ -65,7 +66,7 @@
 
   /** What a report that does not list a task offers as proof of its attempt's end. */
   static EndEvidence notListed(Heartbeat heartbeat, Job job, int task, boolean checkIn) {
-    return heartbeat.epoch() > job.epoch[task]
+    return heartbeat.epoch() > job.epochOf(task)
         ? new EndEvidence.LaterSession(heartbeat.epoch())
         : new EndEvidence.NotListed(heartbeat.token(), heartbeat.epoch(), checkIn);
   }
@@ -81,7 +82,7 @@
       return new Reconciliation.Case(
           stored(job, status.task()),
           seen,
-          session(heartbeat.epoch(), job.epoch[status.task()]),
+          session(heartbeat.epoch(), job.epochOf(status.task())),
           ours,
           job.stopping.get(status.task()),
           false);
@@ -89,9 +90,9 @@
     Stored stored =
         job == null
             ? Stored.NOTHING
-            : job.stateOf[status.task()] == Job.DONE
+            : job.stateOf(status.task()) == TaskState.DONE
                 ? Stored.FINISHED
-                : job.stateOf[status.task()] == Job.PENDING && !job.cancelled
+                : job.stateOf(status.task()) == TaskState.PENDING && !job.isCancellationRecorded()
                     ? Stored.WAITING
                     : Stored.ELSEWHERE;
     boolean settled =
@@ -110,9 +111,9 @@
     return new Reconciliation.Case(
         stored(job, task),
         Seen.ABSENT,
-        session(heartbeat.epoch(), job.epoch[task]),
+        session(heartbeat.epoch(), job.epochOf(task)),
         heartbeat.token() == token,
         job.stopping.get(task),
-        checkIn && !inDoubt(machine, job.attemptOf[task], task));
+        checkIn && !inDoubt(machine, job.attemptOf(task), task));
   }
 }
--- a/src/test/java/org/snowturn/core/assignment/AttemptGuardTest.java
+++ b/src/test/java/org/snowturn/core/assignment/AttemptGuardTest.java
@@ -8,12 +8,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.snowturn.core.Effect;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.health.EndEvidence;
 import org.snowturn.core.model.CommandChannel;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
 import org.snowturn.core.model.MachineIndex;
+import org.snowturn.core.model.TaskState;
 import org.snowturn.wire.Command;
 import org.snowturn.wire.JobSpec;
 import org.snowturn.wire.Submissions;
@@ -57,12 +59,12 @@
   void aTaskIsStartedOnAMachine() throws Exception {
     job = new Job(0, JobSpec.parse(Submissions.array("wk-000001", 2)), 0, 1);
     runtime.setTime(1_000, 1_000);
-    machine.epoch = SESSION;
-    machine.lastAnswerAt = 1_000;
-    job.stateOf[0] = Job.STARTING;
-    job.machineOf[0] = machine.index;
-    job.attemptOf[0] = ATTEMPT;
-    job.epoch[0] = SESSION;
+    machine.setEpoch(SESSION);
+    machine.setLastAnswerAt(1_000);
+    job.setState(0, TaskState.STARTING);
+    job.setMachineOf(0, machine.index);
+    job.setAttemptOf(0, ATTEMPT);
+    job.setEpochOf(0, SESSION);
   }
 
   private static Command start(long attempt) {
@@ -87,7 +89,7 @@
 
   @Test
   void aStartThatOutlivesItsAttemptMayNot() {
-    job.stateOf[0] = Job.PENDING;
+    job.setState(0, TaskState.PENDING);
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
     assertFalse(guard.mayStart(machine, null, start(ATTEMPT)));
     assertEquals(2, violations("start_is_placed"));
@@ -98,13 +100,13 @@
   void noStartLeavesForAnotherAttemptMachineOrSessionOrBeforeItIsDurable() {
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT + 1)));
     assertFalse(guard.mayStart(machines.getOrAdd("i-2"), job, start(ATTEMPT)));
-    machine.epoch = SESSION + 1;
+    machine.setEpoch(SESSION + 1);
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
-    machine.epoch = SESSION;
-    job.stateOf[0] = Job.PLACING;
+    machine.setEpoch(SESSION);
+    job.setState(0, TaskState.PLACING);
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
-    job.stateOf[0] = Job.STARTING;
-    job.cancelConfirmed = true;
+    job.setState(0, TaskState.STARTING);
+    job.confirmCancellation(MonotonicTime.NEVER);
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
   }
 
