--- a/src/main/java/org/snowturn/core/leader/AssignmentServices.java
+++ b/src/main/java/org/snowturn/core/leader/AssignmentServices.java
@@ -1,5 +1,6 @@
 package org.snowturn.core.leader;
 
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.assignment.AttemptGuard;
 import org.snowturn.core.assignment.CommandQueue;
 import org.snowturn.core.assignment.DependencyGraph;
@@ -108,7 +109,9 @@
         new TaskAssignments.Listener() {
           @Override
           public void joined(Job job) {
-            job.setCancellationConfirmed(cancellations.known(job.spec.id()));
+            if (cancellations.known(job.spec.id())) {
+              job.confirmCancellation(MonotonicTime.NEVER);
+            }
           }
         });
   }
--- a/src/main/java/org/snowturn/core/leader/ClusterSummary.java
+++ b/src/main/java/org/snowturn/core/leader/ClusterSummary.java
@@ -9,6 +9,8 @@
 import org.snowturn.core.effects.LogField;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
+import org.snowturn.core.model.TaskState;
+import org.snowturn.core.model.TaskStateCounts;
 
 /** Writes a line to the log now and then that tells how full the cluster is. */
 final class ClusterSummary {
@@ -53,7 +55,7 @@
   private void addJobs(EventLog.Line line) {
     TaskAssignments assignments = services.assignments();
     TaskCounts tasks = TaskCounts.of(assignments.jobs());
-    int[] states = new int[Job.DONE + 1];
+    TaskStateCounts states = new TaskStateCounts();
     for (Job job : assignments.jobs()) {
       job.countStates(states);
     }
@@ -61,10 +63,10 @@
         .with(LogField.JOBS_AWAITING_DEPENDENCIES, services.dependencies().waitingJobs())
         .with(LogField.TASKS_WAITING, tasks.waiting())
         .with(LogField.TASKS_ASSIGNED, tasks.assigned())
-        .with(LogField.TASKS_PLACING, states[Job.PLACING])
-        .with(LogField.TASKS_STARTING, states[Job.STARTING])
-        .with(LogField.TASKS_FETCHING, states[Job.FETCHING])
-        .with(LogField.TASKS_RUNNING, states[Job.RUNNING]);
+        .with(LogField.TASKS_PLACING, states.of(TaskState.PLACING))
+        .with(LogField.TASKS_STARTING, states.of(TaskState.STARTING))
+        .with(LogField.TASKS_FETCHING, states.of(TaskState.FETCHING))
+        .with(LogField.TASKS_RUNNING, states.of(TaskState.RUNNING));
   }
 
   private void addMachines(EventLog.Line line) {
--- a/src/main/java/org/snowturn/core/leader/HealthSweep.java
+++ b/src/main/java/org/snowturn/core/leader/HealthSweep.java
@@ -201,7 +201,7 @@
         scheduling.autoscaler().discard(machine, "taken back");
       }
     } else if (machine.commands().idle()) {
-      machine.setProbing(true);
+      machine.probeSent();
       machine.commands().probe();
     }
   }
--- a/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
+++ b/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
@@ -105,7 +105,7 @@
 
   /** Applies what a machine reports to the term's state. */
   void apply(Machine machine, Heartbeat heartbeat) {
-    if (machine.addr() == null || machine.machineType() == null || !machine.isRecorded()) {
+    if (machine.addr() == null || machine.machineType() == null || !machine.isRegistered()) {
       services.heartbeats().describe(machine, heartbeat);
       if (machine.firstSeenAt() == 0) {
         machine.setFirstSeenAt(runtime.now());
@@ -114,7 +114,7 @@
     if (machine.idleSince() == 0) {
       machine.setIdleSince(runtime.now());
     }
-    if (!machine.isRecorded() && !machine.isRecording() && machine.machineType() != null) {
+    if (machine.needsRegistration() && machine.machineType() != null) {
       register(machine);
     }
     services.heartbeats().apply(machine, heartbeat);
@@ -122,13 +122,13 @@
   }
 
   private void register(Machine machine) {
-    machine.setRecording(true);
+    machine.beginRegistration();
     services
         .registry()
         .register(
             machine,
             () -> {
-              machine.setRecorded(true);
+              machine.registered();
               services.assignments().markChanged();
             });
   }
--- a/src/main/java/org/snowturn/core/leader/MachineSilence.java
+++ b/src/main/java/org/snowturn/core/leader/MachineSilence.java
@@ -31,7 +31,7 @@
 
   /** Heard by this leader, or recorded by an earlier one. */
   static boolean hasBeenUp(Machine machine) {
-    return isHeard(machine) || machine.isRecorded();
+    return isHeard(machine) || machine.isRegistered();
   }
 
   /** Whether this leader has had a heartbeat of the machine. */
--- a/src/main/java/org/snowturn/core/leader/ProgressPublisher.java
+++ b/src/main/java/org/snowturn/core/leader/ProgressPublisher.java
@@ -37,7 +37,7 @@
       PeerMessage.JobProgress progress =
           new PeerMessage.JobProgress(node, job.spec.id(), job.done(), job.running());
       if (!progress.equals(published.put(job.spec.id(), progress))) {
-        jobApi.progress(progress);
+        jobApi.onProgress(progress);
         runtime.broadcast(progress);
       }
     }
--- a/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
+++ b/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
@@ -75,7 +75,7 @@
   void messageAnswered(Machine machine, Heartbeat heartbeat) {
     silence.workerHeard();
     connectivity.workerHeard();
-    machine.setProbing(false);
+    machine.probeSettled();
     if (machine.reachability.replyShowsNewIncarnation(isOutdated(machine, heartbeat))) {
       autoscaler.discard(machine, "has started anew");
     }
@@ -129,11 +129,11 @@
 
   /** A second failed probe of a machine that was heard replaces it. */
   private void suspect(Machine machine) {
-    machine.setProbing(false);
+    machine.probeSettled();
     if (machine.isSuspected() && MachineSilence.isHeard(machine) && silence.mayReplace()) {
       autoscaler.discard(machine, "silent");
     }
-    machine.setSuspected(true);
+    machine.suspect();
   }
 
   /** The gauges of these checks by name. */
--- a/src/main/java/org/snowturn/core/leader/RecoveryProber.java
+++ b/src/main/java/org/snowturn/core/leader/RecoveryProber.java
@@ -79,7 +79,7 @@
       }
     }
     for (Machine machine : machines.present()) {
-      if (machine.isRecorded() && !machine.isAcknowledged()) {
+      if (machine.isRegistered() && !machine.isAcknowledged()) {
         boolean sendsHeartbeats = machine.lastHeartbeatAt() != Job.UNKNOWN;
         long notBefore = sendsHeartbeats ? runtime.now() + NEXT_HEARTBEAT_MS : 0;
         probes.add(machine.index, urgency(machine, replicaCpus, batchTaskCpus), notBefore);
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
@@ -106,7 +106,7 @@
     machine.setImagesChanged(false);
     machine.setLastAnswerAt(Math.max(machine.lastAnswerAt(), runtime.now()));
     machine.setFirstSeenAt(runtime.now());
-    machine.setRecorded(true);
+    machine.registered();
   }
 
   /**
