--- a/src/main/java/org/snowturn/config/Settings.java
+++ b/src/main/java/org/snowturn/config/Settings.java
@@ -42,12 +42,12 @@
   /** The state service's limits. */
   public record StateLimits(double rps, double writeRps, double valueKb, int txnOps) {
     /** Of each limit the smaller one. */
-    public StateLimits least(StateLimits o) {
+    public StateLimits least(StateLimits other) {
       return new StateLimits(
-          Math.min(rps, o.rps),
-          Math.min(writeRps, o.writeRps),
-          Math.min(valueKb, o.valueKb),
-          Math.min(txnOps, o.txnOps));
+          Math.min(rps, other.rps),
+          Math.min(writeRps, other.writeRps),
+          Math.min(valueKb, other.valueKb),
+          Math.min(txnOps, other.txnOps));
     }
 
     /** How long a value may be. */
--- a/src/main/java/org/snowturn/config/TunablesReader.java
+++ b/src/main/java/org/snowturn/config/TunablesReader.java
@@ -30,32 +30,33 @@
           Map.entry("urgentSlackS", new Range(0, 86_400)),
           Map.entry("beginWithinS", new Range(1, 86_400)));
 
-  private TunablesReader() {}
+  private static final String SPECULATION = "speculation";
 
-  /** Reads a file. */
+  /** A setting as it is given, and its line in the file. */
+  private record Given(String text, int line) {}
+
+  private final Path path;
+  private final Map<String, Given> given = new HashMap<>();
+
+  private TunablesReader(Path path) {
+    this.path = path;
+  }
+
+  /** Reads a file; settings that it does not give have their defaults. */
   public static Tunables read(Path path) throws SettingsException {
-    Map<String, String> given = new HashMap<>();
-    Map<String, Integer> lines = new HashMap<>();
-    try (JsonParser p = new XmlMapper().createParser(Files.readAllBytes(path))) {
-      Set<String> seen = new HashSet<>();
-      if (p.nextToken() != JsonToken.START_OBJECT) {
-        throw bad(path, 1, "snowturn", "an element with settings expected");
+    TunablesReader reader = new TunablesReader(path);
+    reader.readFile();
+    return reader.tunables();
+  }
+
+  private void readFile() throws SettingsException {
+    try (JsonParser parser = new XmlMapper().createParser(Files.readAllBytes(path))) {
+      if (parser.nextToken() != JsonToken.START_OBJECT) {
+        throw bad(1, "snowturn", "an element with settings expected");
       }
-      while (p.nextToken() == JsonToken.FIELD_NAME) {
-        String name = p.currentName();
-        int line = p.currentLocation().getLineNr();
-        JsonToken value = p.nextToken();
-        if (value == null || !value.isScalarValue()) {
-          throw bad(path, line, name, "a single value expected");
-        }
-        if (!seen.add(name)) {
-          throw bad(path, line, name, "given twice");
-        }
-        if (!RANGES.containsKey(name) && !name.equals("speculation")) {
-          continue; // unknown settings are ignored
-        }
-        given.put(name, p.getText().trim());
-        lines.put(name, line);
+      Set<String> seen = new HashSet<>();
+      while (parser.nextToken() == JsonToken.FIELD_NAME) {
+        readElement(parser, seen);
       }
     } catch (JacksonException e) {
       var at = e.getLocation();
@@ -64,45 +65,74 @@
     } catch (IOException e) {
       throw new SettingsException(path + ": cannot be read");
     }
+  }
+
+  private void readElement(JsonParser parser, Set<String> seen)
+      throws IOException, SettingsException {
+    String name = parser.currentName();
+    int line = parser.currentLocation().getLineNr();
+    JsonToken value = parser.nextToken();
+    if (value == null || !value.isScalarValue()) {
+      throw bad(line, name, "a single value expected");
+    }
+    if (!seen.add(name)) {
+      throw bad(line, name, "given twice");
+    }
+    if (RANGES.containsKey(name) || name.equals(SPECULATION)) { // unknown settings are ignored
+      given.put(name, new Given(parser.getText().trim(), line));
+    }
+  }
+
+  private Tunables tunables() throws SettingsException {
     Map<String, Double> numbers = new HashMap<>();
-    for (Map.Entry<String, String> e : given.entrySet()) {
-      Range r = RANGES.get(e.getKey());
-      if (r == null) {
-        continue;
-      }
-      double v;
-      try {
-        v = Double.parseDouble(e.getValue());
-      } catch (NumberFormatException x) {
-        throw bad(path, lines.get(e.getKey()), e.getKey(), "number expected");
-      }
-      if (!(v >= r.min && v <= r.max)) {
-        throw bad(
-            path, lines.get(e.getKey()), e.getKey(), "must be from " + r.min + " to " + r.max);
+    for (Map.Entry<String, Given> setting : given.entrySet()) {
+      if (RANGES.containsKey(setting.getKey())) {
+        numbers.put(setting.getKey(), number(setting.getKey(), setting.getValue()));
       }
-      numbers.put(e.getKey(), v);
     }
-    String on = given.getOrDefault("speculation", "true");
-    if (!on.equals("true") && !on.equals("false")) {
-      throw bad(path, lines.get("speculation"), "speculation", "true or false expected");
-    }
-    Tunables d = Tunables.defaults();
+    boolean speculation = speculation();
+    Tunables defaults = Tunables.defaults();
     return new Tunables(
-        numbers.getOrDefault("leaderTtlS", d.leaderTtlS()),
-        on.equals("true"),
-        numbers.getOrDefault("speculativeCap", d.speculativeCap()),
-        numbers.getOrDefault("slowTaskPercentile", d.slowTaskPercentile()),
-        numbers.getOrDefault("slowNodePercentile", d.slowNodePercentile()),
-        numbers.getOrDefault("judgeAfterS", d.judgeAfterS()),
-        numbers.getOrDefault("gainFactor", d.gainFactor()),
-        numbers.getOrDefault("idleReturnS", d.idleReturnS()),
-        numbers.getOrDefault("bootPatience", d.bootPatience()),
-        numbers.getOrDefault("sickErrors", (double) d.sickErrors()).intValue(),
-        numbers.getOrDefault("urgentSlackS", d.urgentSlackS()),
-        numbers.getOrDefault("beginWithinS", d.beginWithinS()));
+        numbers.getOrDefault("leaderTtlS", defaults.leaderTtlS()),
+        speculation,
+        numbers.getOrDefault("speculativeCap", defaults.speculativeCap()),
+        numbers.getOrDefault("slowTaskPercentile", defaults.slowTaskPercentile()),
+        numbers.getOrDefault("slowNodePercentile", defaults.slowNodePercentile()),
+        numbers.getOrDefault("judgeAfterS", defaults.judgeAfterS()),
+        numbers.getOrDefault("gainFactor", defaults.gainFactor()),
+        numbers.getOrDefault("idleReturnS", defaults.idleReturnS()),
+        numbers.getOrDefault("bootPatience", defaults.bootPatience()),
+        numbers.getOrDefault("sickErrors", (double) defaults.sickErrors()).intValue(),
+        numbers.getOrDefault("urgentSlackS", defaults.urgentSlackS()),
+        numbers.getOrDefault("beginWithinS", defaults.beginWithinS()));
+  }
+
+  private double number(String name, Given setting) throws SettingsException {
+    Range range = RANGES.get(name);
+    double value;
+    try {
+      value = Double.parseDouble(setting.text);
+    } catch (NumberFormatException e) {
+      throw bad(setting.line, name, "number expected");
+    }
+    if (!(value >= range.min && value <= range.max)) {
+      throw bad(setting.line, name, "must be from " + range.min + " to " + range.max);
+    }
+    return value;
+  }
+
+  private boolean speculation() throws SettingsException {
+    Given setting = given.get(SPECULATION);
+    if (setting == null || setting.text.equals("true")) {
+      return true;
+    }
+    if (!setting.text.equals("false")) {
+      throw bad(setting.line, SPECULATION, "true or false expected");
+    }
+    return false;
   }
 
-  private static SettingsException bad(Path path, int line, String element, String what) {
+  private SettingsException bad(int line, String element, String what) {
     return new SettingsException(path + ": line " + line + ": " + element + ": " + what);
   }
 }
--- a/src/main/java/org/snowturn/daemon/Daemon.java
+++ b/src/main/java/org/snowturn/daemon/Daemon.java
@@ -8,6 +8,7 @@
 import java.net.BindException;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.UUID;
 import java.util.concurrent.TimeUnit;
@@ -20,6 +21,7 @@
 import org.snowturn.core.Controller;
 import org.snowturn.core.Effect;
 import org.snowturn.core.Input;
+import org.snowturn.core.Outcome;
 import org.snowturn.http.HttpApi;
 import org.snowturn.metrics.Metrics;
 import org.snowturn.net.HttpCaller;
@@ -44,21 +46,30 @@
 
   private static final Logger LOG = LoggerFactory.getLogger("snowturn");
   private static final long TICK_MS = 40;
-  private static final long INTAKE_PAUSE_MS = 1;
+  private static final long INBOUND_PAUSE_MS = 1;
   private static final long TRIM_MS = 100;
 
+  private static final int LISTEN_FAILED = 1;
+  private static final int IDLE_TIMEOUT_MS = 60_000;
+  private static final int REQUEST_PARSE_TIMEOUT_MS = 10_000;
+  private static final int MAX_HEADER_BYTES = 16 * 1024;
+  private static final int BUFFER_BYTES = 16 * 1024;
+  private static final int MAX_POOLED_BUFFERS = 64;
+  private static final int BUFFERS_PER_THREAD = 4;
+  private static final int MIN_OPEN_REQUESTS = 64;
+
   private static final int AUTHORITY_CONNECTIONS = 2;
   private static final int STATE_CONNECTIONS = 12;
   private static final int WATCHES = 4;
   private static final int CLOUD_CONNECTIONS = 4;
 
   /** One in so many of the node's sockets may go out to workers. */
-  private static final int WORKERS_SHARE = 4;
+  private static final int WORKER_SOCKETS_DIVISOR = 4;
 
   /** What may be used of the node's sockets, all in all; the rest is for what comes in a burst. */
-  private static final double SOCKETS_USED = 0.85;
+  private static final double USED_SOCKETS_SHARE = 0.85;
 
-  private static final int LEAST_TO_WORKERS = 64;
+  private static final int MIN_WORKER_CONNECTIONS = 64;
 
   private final Settings settings;
   private final Controller controller;
@@ -68,7 +79,7 @@
   private XnioWorker bulkWorker;
   private XnioIoThread io;
   private XnioIoThread bulk;
-  private final InboundQueue intake = new InboundQueue(this::scheduleIntake);
+  private final InboundQueue inbound = new InboundQueue(this::scheduleInbound);
   private final List<Runnable> forBulk = new ArrayList<>();
   private volatile boolean ready = true;
   private StateClient state;
@@ -95,9 +106,26 @@
     io = worker.getIoThread();
     bulkWorker = oneThread();
     bulk = bulkWorker.getIoThread();
+    createClientsAndServer();
+    if (!listen()) {
+      stop();
+      return LISTEN_FAILED;
+    }
+    io.execute(
+        () -> {
+          settings.peers().forEach(peer -> peers.connect(peer.addr()));
+          tick();
+        });
+    bulk.execute(this::trim);
+    LOG.info("event=started node={} address={}", settings.node(), settings.serveOn());
+    return KEEPS_RUNNING;
+  }
+
+  private void createClientsAndServer() {
     // On the heap: a connection that is closed within its own callback frees its buffers while the
     // client still reads into them, which with direct memory ended the process.
-    ByteBufferPool buffers = new DefaultByteBufferPool(false, 16 * 1024, 64, 4);
+    ByteBufferPool buffers =
+        new DefaultByteBufferPool(false, BUFFER_BYTES, MAX_POOLED_BUFFERS, BUFFERS_PER_THREAD);
     state =
         new StateClient(
             new HttpCaller(settings.state(), io, buffers, STATE_CONNECTIONS),
@@ -108,48 +136,46 @@
     peers = new PeerLinks(io, this::accept);
     front =
         new HttpApi(
-            intake::offer,
+            inbound::offer,
             () -> ready,
             metrics,
             then -> io.execute(() -> gauges(then)),
-            Math.max(64, settings.maxConnections() / 2));
-    server =
-        Undertow.builder()
-            .setWorker(bulkWorker)
-            .setByteBufferPool(buffers)
-            .addHttpListener(
-                settings.serveOn().getPort(), settings.serveOn().getAddress().getHostAddress())
-            .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, 4L * HttpApi.MAX_BODY)
-            .setServerOption(UndertowOptions.ENABLE_STATISTICS, true)
-            .setServerOption(UndertowOptions.IDLE_TIMEOUT, 60_000)
-            .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, 10_000)
-            .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
-            .setServerOption(UndertowOptions.MAX_HEADER_SIZE, 16 * 1024)
-            .setSocketOption(Options.TCP_NODELAY, true)
-            .setSocketOption(Options.REUSE_ADDRESSES, true)
-            .setHandler(front)
-            .build();
+            Math.max(MIN_OPEN_REQUESTS, settings.maxConnections() / 2));
+    server = createServer(buffers);
+  }
+
+  private Undertow createServer(ByteBufferPool buffers) {
+    return Undertow.builder()
+        .setWorker(bulkWorker)
+        .setByteBufferPool(buffers)
+        .addHttpListener(
+            settings.serveOn().getPort(), settings.serveOn().getAddress().getHostAddress())
+        .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, 4L * HttpApi.MAX_BODY)
+        .setServerOption(UndertowOptions.ENABLE_STATISTICS, true)
+        .setServerOption(UndertowOptions.IDLE_TIMEOUT, IDLE_TIMEOUT_MS)
+        .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, REQUEST_PARSE_TIMEOUT_MS)
+        .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
+        .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
+        .setSocketOption(Options.TCP_NODELAY, true)
+        .setSocketOption(Options.REUSE_ADDRESSES, true)
+        .setHandler(front)
+        .build();
+  }
+
+  private boolean listen() {
     try {
       server.start();
       peers.listen(settings.peerBind());
+      return true;
     } catch (RuntimeException | IOException e) {
       boolean inUse = e instanceof BindException || e.getCause() instanceof BindException;
       LOG.error(
-          "cannot listen on {} and {}: {}",
+          "event=listen_failed address={} peer_address={} error=\"{}\"",
           settings.serveOn(),
           settings.peerBind(),
           inUse ? "address in use or not ours" : e.toString());
-      stop();
-      return 1;
+      return false;
     }
-    io.execute(
-        () -> {
-          settings.peers().forEach(p -> peers.connect(p.addr()));
-          tick();
-        });
-    bulk.execute(this::trim);
-    LOG.info("{} serves on {}", settings.node(), settings.serveOn());
-    return KEEPS_RUNNING;
   }
 
   /** Stops serving. */
@@ -186,19 +212,19 @@
   /** Connections to workers give way to those that workers and users open. */
   private int connectionsToWorkers() {
     long in = server.getListenerInfo().get(0).getConnectorStatistics().getActiveConnections();
-    int left = (int) (settings.maxConnections() * SOCKETS_USED - in);
-    int share = settings.maxConnections() / WORKERS_SHARE;
-    return Math.max(LEAST_TO_WORKERS, Math.min(share, left));
+    int left = (int) (settings.maxConnections() * USED_SOCKETS_SHARE - in);
+    int share = settings.maxConnections() / WORKER_SOCKETS_DIVISOR;
+    return Math.max(MIN_WORKER_CONNECTIONS, Math.min(share, left));
   }
 
-  private void scheduleIntake() {
-    io.execute(this::drainIntake);
+  private void scheduleInbound() {
+    io.execute(this::drainInbound);
   }
 
-  private void drainIntake() {
-    if (intake.drain(this::handle)) {
+  private void drainInbound() {
+    if (inbound.drain(this::handle)) {
       // Not at once: the thread runs all that is to be executed before it looks at its sockets.
-      io.executeAfter(this::drainIntake, INTAKE_PAUSE_MS, TimeUnit.MILLISECONDS);
+      io.executeAfter(this::drainInbound, INBOUND_PAUSE_MS, TimeUnit.MILLISECONDS);
     }
     toBulk();
   }
@@ -227,7 +253,7 @@
     try {
       run.run();
     } catch (RuntimeException e) {
-      LOG.error("an answer or a command failed", e);
+      LOG.error("event=answer_or_command_failed", e);
       metrics.count("snowturn.failures", "Bulk");
     }
   }
@@ -240,7 +266,7 @@
       }
     } catch (RuntimeException e) {
       // One input must not end the process; what it was about is settled by time-outs.
-      LOG.error("input failed: {}", input.getClass().getSimpleName(), e);
+      LOG.error("event=input_failed input={}", input.getClass().getSimpleName(), e);
       metrics.count("snowturn.failures", input.getClass().getSimpleName());
     }
   }
@@ -249,7 +275,7 @@
     if (effect instanceof Effect.Answer answer) {
       forBulk.add(() -> front.answer(answer));
     } else if (effect instanceof Effect.Call call) {
-      metrics.count("snowturn.calls", call.target().name().toLowerCase(java.util.Locale.ROOT));
+      metrics.count("snowturn.calls", call.target().name().toLowerCase(Locale.ROOT));
       switch (call.target()) {
         case AUTHORITY, STATE, STATE_WATCH -> state.call(call, this::later);
         case CLOUD -> cloud.call(call, this::later);
@@ -258,8 +284,8 @@
       }
     } else if (effect instanceof Effect.Broadcast broadcast) {
       peers.send(broadcast.message());
-    } else if (effect instanceof Effect.Note n) {
-      LOG.info("{}", n.text());
+    } else if (effect instanceof Effect.Note note) {
+      LOG.info("{}", note.text());
     } else if (effect instanceof Effect.Event event) {
       log(event);
     }
@@ -281,15 +307,17 @@
 
   private void fromWorker(Input input) {
     noteFailure(input);
-    intake.offer(input);
+    inbound.offer(input);
   }
 
   private void noteFailure(Input input) {
-    if (input instanceof Input.Reply reply
-        && reply.outcome() != org.snowturn.core.Outcome.ANSWERED) {
-      metrics.count(
-          "snowturn.calls.failed", reply.outcome().name().toLowerCase(java.util.Locale.ROOT));
-      LOG.debug("call {} {} {}", reply.call(), reply.outcome(), reply.status());
+    if (input instanceof Input.Reply reply && reply.outcome() != Outcome.ANSWERED) {
+      metrics.count("snowturn.calls.failed", reply.outcome().name().toLowerCase(Locale.ROOT));
+      LOG.debug(
+          "event=call_failed call={} outcome={} status={}",
+          reply.call(),
+          reply.outcome(),
+          reply.status());
     }
   }
 }
--- a/src/main/java/org/snowturn/daemon/Main.java
+++ b/src/main/java/org/snowturn/daemon/Main.java
@@ -45,8 +45,8 @@
   static final class Version implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
-      String v = Main.class.getPackage().getImplementationVersion();
-      return new String[] {"snowturn " + (v == null ? "(not packaged)" : v)};
+      String version = Main.class.getPackage().getImplementationVersion();
+      return new String[] {"snowturn " + (version == null ? "(not packaged)" : version)};
     }
   }
 
@@ -66,10 +66,11 @@
   }
 
   private static void setUpLogging(String level) {
-    String l = level == null ? "info" : level.toLowerCase(Locale.ROOT);
-    boolean known = l.equals("error") || l.equals("warn") || l.equals("info") || l.equals("debug");
+    String name = level == null ? "info" : level.toLowerCase(Locale.ROOT);
+    boolean known =
+        name.equals("error") || name.equals("warn") || name.equals("info") || name.equals("debug");
     System.setProperty("org.jboss.logging.provider", "slf4j");
-    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", known ? l : "info");
+    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", known ? name : "info");
     System.setProperty("org.slf4j.simpleLogger.log.io.undertow", "error");
     System.setProperty("org.slf4j.simpleLogger.log.org.xnio", "error");
     System.setProperty("org.slf4j.simpleLogger.log.org.jboss", "error");
--- a/src/main/java/org/snowturn/http/HttpApi.java
+++ b/src/main/java/org/snowturn/http/HttpApi.java
@@ -25,7 +25,10 @@
 import org.snowturn.wire.Json;
 import org.snowturn.wire.MalformedException;
 
-/** The HTTP side that users, workers, the load balancer and operators see. */
+/**
+ * The HTTP side that users, workers, the load balancer and operators see. All of it belongs to the
+ * one I/O thread of the server; requests are handed to the core on that thread.
+ */
 public final class HttpApi implements HttpHandler {
   /** Largest request body. */
   public static final int MAX_BODY = 64 * 1024;
@@ -91,17 +94,21 @@
         finish(exchange, ready.getAsBoolean() ? 200 : 503, null);
       }
     } else if (path.equals("/metrics")) {
-      if (allow(exchange, Methods.GET)) {
-        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain");
-        Consumer<Map<String, Double>> show =
-            gauges -> finish(exchange, 200, metrics.text(gauges).getBytes(StandardCharsets.UTF_8));
-        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> gauges.accept(show));
-      }
+      showMetrics(exchange);
     } else {
       finish(exchange, 404, null);
     }
   }
 
+  private void showMetrics(HttpServerExchange exchange) {
+    if (allow(exchange, Methods.GET)) {
+      exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain");
+      Consumer<Map<String, Double>> show =
+          values -> finish(exchange, 200, metrics.text(values).getBytes(StandardCharsets.UTF_8));
+      exchange.dispatch(SameThreadExecutor.INSTANCE, () -> gauges.accept(show));
+    }
+  }
+
   private void job(HttpServerExchange exchange, String rest) {
     boolean cancel = rest.endsWith("/cancel");
     String id = cancel ? rest.substring(0, rest.length() - "/cancel".length()) : rest;
@@ -177,19 +184,22 @@
 
   /** Sends the core's answer. */
   public void answer(Effect.Answer answer) {
-    Waiting w = waiting.remove(answer.exchange());
-    if (w == null) {
+    Waiting request = waiting.remove(answer.exchange());
+    if (request == null) {
       return;
     }
-    metrics.took("snowturn." + w.kind, System.nanoTime() - w.sinceNanos);
+    metrics.took("snowturn." + request.kind, System.nanoTime() - request.sinceNanos);
     if (answer.status() >= 500) {
-      LOG.debug("{} refused with {}", w.kind, answer.status());
-      metrics.count("snowturn.requests.refused", w.kind);
+      LOG.debug("event=request_refused kind={} status={}", request.kind, answer.status());
+      metrics.count("snowturn.requests.refused", request.kind);
     }
     if (answer.retryAfterS() > 0) {
-      w.exchange.getResponseHeaders().put(RETRY_AFTER, answer.retryAfterS());
+      request.exchange.getResponseHeaders().put(RETRY_AFTER, answer.retryAfterS());
     }
-    finish(w.exchange, answer.status(), answer.body() == null ? null : Json.bytes(answer.body()));
+    finish(
+        request.exchange,
+        answer.status(),
+        answer.body() == null ? null : Json.bytes(answer.body()));
   }
 
   private static void finish(HttpServerExchange exchange, int status, byte[] body) {
--- a/src/main/java/org/snowturn/net/BodyReader.java
+++ b/src/main/java/org/snowturn/net/BodyReader.java
@@ -30,13 +30,13 @@
       int most,
       Consumer<byte[]> done,
       Consumer<IOException> failed) {
-    BodyReader r = new BodyReader(pool, most, done, failed);
-    if (!r.readSome(channel)) {
+    BodyReader reader = new BodyReader(pool, most, done, failed);
+    if (!reader.readSome(channel)) {
       channel
           .getReadSetter()
           .set(
               ch -> {
-                if (r.readSome(ch)) {
+                if (reader.readSome(ch)) {
                   ch.getReadSetter().set(null);
                   ch.suspendReads();
                 }
@@ -48,20 +48,20 @@
   private boolean readSome(StreamSourceChannel channel) {
     boolean end = false;
     try (PooledByteBuffer pooled = pool.allocate()) {
-      ByteBuffer b = pooled.getBuffer();
+      ByteBuffer buffer = pooled.getBuffer();
       while (true) {
-        b.clear();
-        int n = channel.read(b);
-        if (n == 0) {
+        buffer.clear();
+        int count = channel.read(buffer);
+        if (count == 0) {
           return false;
         }
-        if (n < 0) {
+        if (count < 0) {
           end = true;
           break;
         }
-        b.flip();
-        byte[] part = new byte[b.remaining()];
-        b.get(part);
+        buffer.flip();
+        byte[] part = new byte[buffer.remaining()];
+        buffer.get(part);
         out.write(part, 0, part.length);
         if (out.size() > most) {
           throw new IOException("reply too large");
--- a/src/main/java/org/snowturn/net/HttpCaller.java
+++ b/src/main/java/org/snowturn/net/HttpCaller.java
@@ -33,7 +33,7 @@
  * executed; one that was sent and got no reply may have been.
  */
 public final class HttpCaller {
-  private static final int MAX_BODY = 32 << 20;
+  private static final int MAX_BODY_BYTES = 32 << 20;
   private static final long IDLE_CLOSE_MS = 20_000;
 
   /** Takes the result of a call, on the I/O thread. */
@@ -77,31 +77,31 @@
   }
 
   /** Makes one of the core's calls and hands in its reply. */
-  public void call(Effect.Call c, Consumer<Input> reply) {
+  public void call(Effect.Call call, Consumer<Input> reply) {
     call(
-        c.method(),
-        c.path(),
-        c.body() == null ? null : Json.bytes(c.body()),
-        c.timeoutMs(),
+        call.method(),
+        call.path(),
+        call.body() == null ? null : Json.bytes(call.body()),
+        call.timeoutMs(),
         (outcome, status, bytes, retryAfterS) ->
-            reply.accept(HttpReplies.of(c, outcome, status, bytes, retryAfterS)));
+            reply.accept(HttpReplies.of(call, outcome, status, bytes, retryAfterS)));
   }
 
   /** Sends a request; {@code then} is called exactly once. */
   public void call(String method, String path, byte[] body, int timeoutMs, Then then) {
-    Exchange x = new Exchange(method, path, body, then);
-    x.timer = io.executeAfter(x::timedOut, timeoutMs, TimeUnit.MILLISECONDS);
+    Exchange exchange = new Exchange(method, path, body, then);
+    exchange.timer = io.executeAfter(exchange::timedOut, timeoutMs, TimeUnit.MILLISECONDS);
     Idle free;
     while ((free = idle.pollLast()) != null) {
       if (free.connection.isOpen()) {
-        x.send(free.connection);
+        exchange.send(free.connection);
         return;
       }
     }
     if (open < maxConnections) {
-      connect(x);
+      connect(exchange);
     } else {
-      queue.add(x);
+      queue.add(exchange);
     }
   }
 
@@ -111,25 +111,25 @@
     return seconds ? Integer.parseInt(header) : 0;
   }
 
-  private void connect(Exchange x) {
+  private void connect(Exchange exchange) {
     open++;
     UndertowClient.getInstance()
         .connect(
             new ClientCallback<>() {
               @Override
-              public void completed(ClientConnection c) {
-                c.getCloseSetter().set(ch -> open--);
-                if (x.over) {
-                  release(c);
+              public void completed(ClientConnection connection) {
+                connection.getCloseSetter().set(ch -> open--);
+                if (exchange.over) {
+                  release(connection);
                 } else {
-                  x.send(c);
+                  exchange.send(connection);
                 }
               }
 
               @Override
-              public void failed(IOException e) {
+              public void failed(IOException failure) {
                 open--;
-                x.finish(Outcome.REFUSED, 0, null, 0);
+                exchange.finish(Outcome.REFUSED, 0, null, 0);
                 pump();
               }
             },
@@ -148,20 +148,20 @@
     }
   }
 
-  private void release(ClientConnection c) {
-    if (!c.isOpen()) {
+  private void release(ClientConnection connection) {
+    if (!connection.isOpen()) {
       pump();
       return;
     }
     Exchange next;
     while ((next = queue.poll()) != null) {
       if (!next.over) {
-        next.send(c);
+        next.send(connection);
         return;
       }
     }
     long now = System.nanoTime();
-    idle.addLast(new Idle(c, now));
+    idle.addLast(new Idle(connection, now));
     Idle oldest = idle.peekFirst();
     if (oldest != null && now - oldest.sinceNanos > IDLE_CLOSE_MS * 1_000_000 && idle.size() > 1) {
       idle.pollFirst();
@@ -174,9 +174,9 @@
     final String path;
     final byte[] body;
     final Then then;
-    XnioExecutor.Key timer;
-    ClientConnection connection;
-    boolean over;
+    private XnioExecutor.Key timer;
+    private ClientConnection connection;
+    private boolean over;
 
     Exchange(String method, String path, byte[] body, Then then) {
       this.method = method;
@@ -203,14 +203,14 @@
       then.on(outcome, status, reply, retryAfterS);
     }
 
-    void broken(IOException e) {
+    void broken(IOException failure) {
       IoUtils.safeClose(connection);
       finish(Outcome.UNKNOWN, 0, null, 0);
       pump();
     }
 
-    void send(ClientConnection c) {
-      connection = c;
+    void send(ClientConnection target) {
+      connection = target;
       ClientRequest request = new ClientRequest().setMethod(new HttpString(method)).setPath(path);
       request.getRequestHeaders().put(Headers.HOST, host);
       if (body != null) {
@@ -219,23 +219,23 @@
       } else if (method.equals("POST")) {
         request.getRequestHeaders().put(Headers.CONTENT_LENGTH, 0);
       }
-      c.sendRequest(
+      target.sendRequest(
           request,
           new ClientCallback<>() {
             @Override
-            public void completed(ClientExchange x) {
-              sent(x);
+            public void completed(ClientExchange clientExchange) {
+              sent(clientExchange);
             }
 
             @Override
-            public void failed(IOException e) {
-              broken(e);
+            public void failed(IOException failure) {
+              broken(failure);
             }
           });
     }
 
-    private void sent(ClientExchange x) {
-      x.setResponseListener(
+    private void sent(ClientExchange clientExchange) {
+      clientExchange.setResponseListener(
           new ClientCallback<>() {
             @Override
             public void completed(ClientExchange done) {
@@ -246,7 +246,7 @@
               BodyReader.read(
                   done.getResponseChannel(),
                   buffers,
-                  MAX_BODY,
+                  MAX_BODY_BYTES,
                   bytes -> {
                     boolean close =
                         "close"
@@ -259,20 +259,20 @@
                     }
                     // Released only after this stack has unwound: the client's own state for the
                     // exchange is cleared behind this call.
-                    ClientConnection c = connection;
-                    io.execute(() -> release(c));
+                    ClientConnection released = connection;
+                    io.execute(() -> release(released));
                     finish(Outcome.ANSWERED, status, bytes, retryAfterS);
                   },
                   Exchange.this::broken);
             }
 
             @Override
-            public void failed(IOException e) {
-              broken(e);
+            public void failed(IOException failure) {
+              broken(failure);
             }
           });
       if (body != null) {
-        write(x.getRequestChannel());
+        write(clientExchange.getRequestChannel());
       }
     }
 
--- a/src/main/java/org/snowturn/net/HttpReplies.java
+++ b/src/main/java/org/snowturn/net/HttpReplies.java
@@ -13,6 +13,11 @@
 public final class HttpReplies {
   private static final Logger LOG = LoggerFactory.getLogger(HttpReplies.class);
 
+  private static final int TOO_MANY_REQUESTS = 429;
+  private static final int SERVER_ERRORS = 500;
+  private static final int UNAVAILABLE = 503;
+  private static final long MS_PER_S = 1000;
+
   private HttpReplies() {}
 
   /** The input for one reply. */
@@ -26,16 +31,16 @@
       try {
         body = Json.parse(bytes);
       } catch (IOException e) {
-        LOG.warn("{} {}: reply is not JSON", call.method(), call.path());
+        LOG.warn("event=reply_malformed method={} path={}", call.method(), call.path());
         return new Input.Reply(call.id(), Outcome.UNKNOWN, 0, null);
       }
     }
     boolean worker = call.target() == Effect.Target.WORKER;
-    if (status == 429 || status == 503) {
+    if (status == TOO_MANY_REQUESTS || status == UNAVAILABLE) {
       Outcome what = worker ? Outcome.UNKNOWN : Outcome.REFUSED;
-      return new Input.Reply(call.id(), what, status, body, retryAfterS * 1000L);
+      return new Input.Reply(call.id(), what, status, body, retryAfterS * MS_PER_S);
     }
-    if (status >= 500) {
+    if (status >= SERVER_ERRORS) {
       return new Input.Reply(call.id(), Outcome.UNKNOWN, status, body);
     }
     return new Input.Reply(call.id(), Outcome.ANSWERED, status, body);
--- a/src/main/java/org/snowturn/state/StateClient.java
+++ b/src/main/java/org/snowturn/state/StateClient.java
@@ -7,7 +7,8 @@
 
 /**
  * The client of the state service. What this node may ask is decided in the core; here, what its
- * authority rests on has connections of its own, whatever else is under way.
+ * authority rests on has connections of its own, whatever else is under way. Belongs to the I/O
+ * thread of its callers.
  */
 public final class StateClient {
   private final HttpCaller caller;
--- a/src/main/java/org/snowturn/wire/CloudMachine.java
+++ b/src/main/java/org/snowturn/wire/CloudMachine.java
@@ -4,9 +4,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A machine as the cloud lists it. */
+/**
+ * A machine as the cloud lists it.
+ *
+ * @param addr null if the cloud does not tell it yet
+ * @param ageS seconds since it was rented
+ */
 public record CloudMachine(
     String id, String addr, String type, String zone, boolean spot, State state, double ageS) {
+  private static final String MACHINES = "drifts";
+  private static final String TYPE = "hull";
+  private static final String ZONE = "field";
+  private static final String SPOT = "loaners";
+  private static final double MAX_AGE_S = 1e12;
+
   /** The cloud's own view of the machine. */
   public enum State {
     STARTING,
@@ -18,9 +29,9 @@
   public record Page(List<CloudMachine> machines, boolean more) {
     /** Reads a page. */
     public static Page parse(JsonNode node) throws MalformedException {
-      List<CloudMachine> out = new ArrayList<>();
+      List<CloudMachine> machines = new ArrayList<>();
       Fields top = new Fields(node);
-      for (JsonNode machine : top.node("drifts")) {
+      for (JsonNode machine : top.node(MACHINES)) {
         Fields fields = new Fields(machine);
         State state =
             switch (fields.text("phase")) {
@@ -28,41 +39,41 @@
               case "failed" -> State.FAILED;
               default -> State.STARTING;
             };
-        out.add(
+        machines.add(
             new CloudMachine(
                 fields.text("id"),
                 fields.textOrNull("addr"),
-                fields.text("hull"),
-                fields.text("field"),
-                fields.flag("loaners", false),
+                fields.text(TYPE),
+                fields.text(ZONE),
+                fields.flag(SPOT, false),
                 state,
-                fields.number("held_s", 0, 1e12, 0)));
+                fields.number("held_s", 0, MAX_AGE_S, 0)));
       }
-      return new Page(out, top.flag("truncated", false));
+      return new Page(machines, top.flag("truncated", false));
     }
   }
 
-  /** The names a rental returned. */
+  /** The ids of the machines that a rental returned. */
   public static List<String> parseHired(JsonNode node) throws MalformedException {
-    List<String> out = new ArrayList<>();
-    new Fields(node).node("drifts").forEach(name -> out.add(name.asText()));
-    return out;
+    List<String> ids = new ArrayList<>();
+    new Fields(node).node(MACHINES).forEach(id -> ids.add(id.asText()));
+    return ids;
   }
 
   /** The body of a rental request. */
   public static JsonNode hire(String name, String type, String zone, boolean spot, int count) {
     return Json.object()
         .put("hire", name)
-        .put("hull", type)
-        .put("field", zone)
-        .put("loaners", spot)
+        .put(TYPE, type)
+        .put(ZONE, zone)
+        .put(SPOT, spot)
         .put("number", count);
   }
 
   /** The body of a deletion. */
   public static JsonNode delete(List<String> ids) {
     var object = Json.object();
-    ids.forEach(object.putArray("drifts")::add);
+    ids.forEach(object.putArray(MACHINES)::add);
     return object;
   }
 }
--- a/src/main/java/org/snowturn/wire/Fields.java
+++ b/src/main/java/org/snowturn/wire/Fields.java
@@ -6,6 +6,8 @@
  * Checked access to the fields of a JSON object; unknown fields are ignored, null counts as absent.
  */
 final class Fields {
+  private static final int MAX_TEXT_LENGTH = 200;
+
   private final JsonNode node;
 
   Fields(JsonNode node) throws MalformedException {
@@ -24,11 +26,13 @@
   }
 
   String text(String name) throws MalformedException {
-    JsonNode n = node.path(name);
-    if (!n.isTextual() || n.textValue().isEmpty() || n.textValue().length() > 200) {
+    JsonNode value = node.path(name);
+    if (!value.isTextual()
+        || value.textValue().isEmpty()
+        || value.textValue().length() > MAX_TEXT_LENGTH) {
       throw new MalformedException(name + ": text expected");
     }
-    return n.textValue();
+    return value.textValue();
   }
 
   String textOrNull(String name) throws MalformedException {
@@ -36,15 +40,15 @@
   }
 
   double number(String name, double min, double max) throws MalformedException {
-    JsonNode n = node.path(name);
-    if (!n.isNumber()) {
+    JsonNode value = node.path(name);
+    if (!value.isNumber()) {
       throw new MalformedException(name + ": number expected");
     }
-    double v = n.doubleValue();
-    if (!(v >= min && v <= max)) {
+    double number = value.doubleValue();
+    if (!(number >= min && number <= max)) { // also false for NaN
       throw new MalformedException(name + ": out of range");
     }
-    return v;
+    return number;
   }
 
   double number(String name, double min, double max, double absent) throws MalformedException {
@@ -52,15 +56,15 @@
   }
 
   long integer(String name, long min, long max) throws MalformedException {
-    JsonNode n = node.path(name);
-    if (!n.isIntegralNumber() || !n.canConvertToLong()) {
+    JsonNode value = node.path(name);
+    if (!value.isIntegralNumber() || !value.canConvertToLong()) {
       throw new MalformedException(name + ": integer expected");
     }
-    long v = n.longValue();
-    if (v < min || v > max) {
+    long number = value.longValue();
+    if (number < min || number > max) {
       throw new MalformedException(name + ": out of range");
     }
-    return v;
+    return number;
   }
 
   long integer(String name, long min, long max, long absent) throws MalformedException {
@@ -71,11 +75,11 @@
     if (!has(name)) {
       return absent;
     }
-    JsonNode n = node.path(name);
-    if (!n.isBoolean()) {
+    JsonNode value = node.path(name);
+    if (!value.isBoolean()) {
       throw new MalformedException(name + ": true or false expected");
     }
-    return n.booleanValue();
+    return value.booleanValue();
   }
 
   boolean flag(String name) throws MalformedException {
--- a/src/main/java/org/snowturn/wire/JobSpec.java
+++ b/src/main/java/org/snowturn/wire/JobSpec.java
@@ -10,10 +10,18 @@
 import java.util.regex.Pattern;
 
 /**
- * What a user asks to be run.
+ * A job as a user submits it.
  *
+ * @param jobClass the class for which service-level objectives are set
+ * @param cpus what each task needs; so are {@code gpus}, {@code memoryGb} and the image
  * @param types allowed machine types, or null for any
  * @param zone the only allowed zone, or null
+ * @param oneZone whether all tasks have to be in the same zone
+ * @param spread whether a zone may hold at most half of the tasks
+ * @param spot whether the tasks may run on spot machines
+ * @param estimateS expected running time of a task in seconds
+ * @param checkpointS seconds between checkpoints; 0: the tasks save no progress
+ * @param saveS seconds that a task takes to save its progress when it is stopped
  * @param deadlineS seconds from submission, or NaN for none
  * @param awaits the jobs that have to be done before any task of this one starts, each named once
  */
@@ -40,7 +48,7 @@
     double deadlineS,
     List<String> awaits) {
 
-  /** How the tasks of a job hang together. */
+  /** How the tasks of a job depend on each other. */
   public enum Kind {
     /** Independent tasks, each runs to completion. */
     ARRAY("batch"),
@@ -56,21 +64,48 @@
     }
 
     static Kind parse(String text) throws MalformedException {
-      for (Kind k : values()) {
-        if (k.wire.equals(text)) {
-          return k;
+      for (Kind kind : values()) {
+        if (kind.wire.equals(text)) {
+          return kind;
         }
       }
-      throw new MalformedException("shape: unknown kind of job");
+      throw new MalformedException(KIND + ": unknown kind of job");
     }
   }
 
-  private static final Pattern ID = Pattern.compile("wk-[0-9]{1,18}");
+  /** The names of the fields on the wire and in stored jobs. */
+  private static final String ID = "id";
+
+  private static final String JOB_CLASS = "jobclass";
+  private static final String TEAM = "owner";
+  private static final String KIND = "shape";
+  private static final String PRIORITY = "rank";
+  private static final String TASKS = "flakes";
+  private static final String CPUS = "cores";
+  private static final String GPUS = "cards";
+  private static final String MEMORY_GB = "ram_gb";
+  private static final String IMAGE = "bundle";
+  private static final String IMAGE_GB = "size_gb";
+  private static final String MACHINE_TYPES = "hulls";
+  private static final String ZONE = "field";
+  private static final String ONE_ZONE = "same_place";
+  private static final String SPREAD = "spread";
+  private static final String SPOT = "loaners";
+  private static final String ESTIMATE_S = "guess_s";
+  private static final String CHECKPOINT_S = "cairn_s";
+  private static final String SAVE_S = "stash_s";
+  private static final String DEADLINE_S = "due_s";
+  private static final String DEPENDENCIES = "awaits";
+
+  private static final double MAX_AMOUNT = 1e6;
+  private static final double MAX_GB = 1e9;
+  private static final double MAX_S = 1e9;
+  private static final Pattern ID_PATTERN = Pattern.compile("wk-[0-9]{1,18}");
   private static final int MAX_TASKS = 100_000;
 
   /** Whether a text has the form of a job id. */
   public static boolean isId(String id) {
-    return id != null && ID.matcher(id).matches();
+    return id != null && ID_PATTERN.matcher(id).matches();
   }
 
   /**
@@ -80,62 +115,66 @@
    */
   public static JobSpec parse(JsonNode node) throws MalformedException {
     Fields fields = new Fields(node);
-    String id = fields.text("id");
+    String id = fields.text(ID);
     if (!isId(id)) {
-      throw new MalformedException("id: not a job id");
+      throw new MalformedException(ID + ": not a job id");
     }
-    List<String> types = null;
-    if (fields.has("hulls")) {
-      if (!fields.node("hulls").isArray()) {
-        throw new MalformedException("hulls: list expected");
-      }
-      types = new ArrayList<>();
-      for (JsonNode t : fields.node("hulls")) {
-        if (!t.isTextual()) {
-          throw new MalformedException("hulls: list of texts expected");
-        }
-        types.add(t.textValue());
-      }
-      types = List.copyOf(types);
-    }
-    double cpus = fields.number("cores", 0, 1e6);
-    double gpus = fields.number("cards", 0, 1e6);
-    double memory = fields.number("ram_gb", 0, 1e9);
+    List<String> types = machineTypes(fields);
+    double cpus = fields.number(CPUS, 0, MAX_AMOUNT);
+    double gpus = fields.number(GPUS, 0, MAX_AMOUNT);
+    double memoryGb = fields.number(MEMORY_GB, 0, MAX_GB);
     return new JobSpec(
         id,
-        fields.text("jobclass"),
-        fields.text("owner"),
-        Kind.parse(fields.text("shape")),
-        Priority.parse(fields.text("rank")),
-        (int) fields.integer("flakes", 1, MAX_TASKS),
+        fields.text(JOB_CLASS),
+        fields.text(TEAM),
+        Kind.parse(fields.text(KIND)),
+        Priority.parse(fields.text(PRIORITY)),
+        (int) fields.integer(TASKS, 1, MAX_TASKS),
         cpus,
         gpus,
-        memory,
-        fields.text("bundle"),
-        fields.number("size_gb", 0, 1e6),
+        memoryGb,
+        fields.text(IMAGE),
+        fields.number(IMAGE_GB, 0, MAX_AMOUNT),
         types,
-        fields.textOrNull("field"),
-        fields.flag("same_place"),
-        fields.flag("spread"),
-        fields.flag("loaners"),
-        fields.number("guess_s", 0, 1e9),
-        fields.number("cairn_s", 0, 1e9),
-        fields.number("stash_s", 0, 1e9),
-        fields.number("due_s", 0, 1e9, Double.NaN),
+        fields.textOrNull(ZONE),
+        fields.flag(ONE_ZONE),
+        fields.flag(SPREAD),
+        fields.flag(SPOT),
+        fields.number(ESTIMATE_S, 0, MAX_S),
+        fields.number(CHECKPOINT_S, 0, MAX_S),
+        fields.number(SAVE_S, 0, MAX_S),
+        fields.number(DEADLINE_S, 0, MAX_S, Double.NaN),
         awaits(fields));
   }
 
+  private static List<String> machineTypes(Fields fields) throws MalformedException {
+    if (!fields.has(MACHINE_TYPES)) {
+      return null;
+    }
+    if (!fields.node(MACHINE_TYPES).isArray()) {
+      throw new MalformedException(MACHINE_TYPES + ": list expected");
+    }
+    List<String> types = new ArrayList<>();
+    for (JsonNode type : fields.node(MACHINE_TYPES)) {
+      if (!type.isTextual()) {
+        throw new MalformedException(MACHINE_TYPES + ": list of texts expected");
+      }
+      types.add(type.textValue());
+    }
+    return List.copyOf(types);
+  }
+
   private static List<String> awaits(Fields fields) throws MalformedException {
-    if (!fields.has("awaits")) {
+    if (!fields.has(DEPENDENCIES)) {
       return List.of();
     }
-    if (!fields.node("awaits").isArray()) {
-      throw new MalformedException("awaits: list expected");
+    if (!fields.node(DEPENDENCIES).isArray()) {
+      throw new MalformedException(DEPENDENCIES + ": list expected");
     }
     Set<String> ids = new LinkedHashSet<>();
-    for (JsonNode node : fields.node("awaits")) {
+    for (JsonNode node : fields.node(DEPENDENCIES)) {
       if (!node.isTextual() || !isId(node.textValue())) {
-        throw new MalformedException("awaits: list of job ids expected");
+        throw new MalformedException(DEPENDENCIES + ": list of job ids expected");
       }
       ids.add(node.textValue());
     }
@@ -171,24 +210,24 @@
   /** The submission's own form, as it is also stored. */
   public ObjectNode toJson() {
     ObjectNode object = Json.object();
-    object.put("id", id).put("jobclass", jobClass).put("owner", team);
-    object.put("shape", kind.wire).put("rank", priority.wire());
-    object.put("flakes", tasks).put("cores", cpus).put("cards", gpus).put("ram_gb", memoryGb);
-    object.put("bundle", image).put("size_gb", imageGb);
+    object.put(ID, id).put(JOB_CLASS, jobClass).put(TEAM, team);
+    object.put(KIND, kind.wire).put(PRIORITY, priority.wire());
+    object.put(TASKS, tasks).put(CPUS, cpus).put(GPUS, gpus).put(MEMORY_GB, memoryGb);
+    object.put(IMAGE, image).put(IMAGE_GB, imageGb);
     if (types != null) {
-      ArrayNode array = object.putArray("hulls");
+      ArrayNode array = object.putArray(MACHINE_TYPES);
       types.forEach(array::add);
     }
     if (zone != null) {
-      object.put("field", zone);
+      object.put(ZONE, zone);
     }
-    object.put("same_place", oneZone).put("spread", spread).put("loaners", spot);
-    object.put("guess_s", estimateS).put("cairn_s", checkpointS).put("stash_s", saveS);
+    object.put(ONE_ZONE, oneZone).put(SPREAD, spread).put(SPOT, spot);
+    object.put(ESTIMATE_S, estimateS).put(CHECKPOINT_S, checkpointS).put(SAVE_S, saveS);
     if (!Double.isNaN(deadlineS)) {
-      object.put("due_s", deadlineS);
+      object.put(DEADLINE_S, deadlineS);
     }
     if (!awaits.isEmpty()) {
-      ArrayNode array = object.putArray("awaits");
+      ArrayNode array = object.putArray(DEPENDENCIES);
       awaits.forEach(array::add);
     }
     return object;
--- a/src/main/java/org/snowturn/wire/MachineType.java
+++ b/src/main/java/org/snowturn/wire/MachineType.java
@@ -20,10 +20,10 @@
   /** Reads the catalog. */
   public static List<MachineType> parseCatalog(JsonNode node) throws MalformedException {
     List<MachineType> out = new ArrayList<>();
-    for (JsonNode n : new Fields(node).node("hulls")) {
-      Fields fields = new Fields(n);
+    for (JsonNode row : new Fields(node).node("hulls")) {
+      Fields fields = new Fields(row);
       List<String> zones = new ArrayList<>();
-      fields.node("fields").forEach(z -> zones.add(z.asText()));
+      fields.node("fields").forEach(zone -> zones.add(zone.asText()));
       out.add(
           new MachineType(
               fields.text("label"),
--- a/src/main/java/org/snowturn/wire/StateMessage.java
+++ b/src/main/java/org/snowturn/wire/StateMessage.java
@@ -6,13 +6,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The state service's messages in the project's own terms. */
+/** The messages of the state service (a consensus-backed key-value store), in standard terms. */
 public final class StateMessage {
   /** The path of transactions. */
   public static final String TXN_PATH = "/txn";
 
   private static final String KEYS_PATH = "/kv";
 
+  private static final String KEY = "path";
+  private static final String VALUE = "value";
+  private static final String VERSION = "stamp";
+  private static final String LEASE = "hold";
+  private static final String WRITTEN_KEY = "write";
+  private static final String DELETED_KEY = "drop";
+
   private StateMessage() {}
 
   /** The path at which one key is read. */
@@ -70,18 +77,18 @@
   public static JsonNode txn(List<Condition> conditions, List<Change> changes) {
     ObjectNode object = Json.object();
     ArrayNode when = object.putArray("when");
-    for (Condition c : conditions) {
-      when.addObject().put("path", c.key).put("stamp", c.stamp);
+    for (Condition condition : conditions) {
+      when.addObject().put(KEY, condition.key).put(VERSION, condition.stamp);
     }
     ArrayNode apply = object.putArray("apply");
-    for (Change c : changes) {
-      ObjectNode change = apply.addObject();
-      if (c.value == null) {
-        change.put("drop", c.key);
+    for (Change change : changes) {
+      ObjectNode node = apply.addObject();
+      if (change.value == null) {
+        node.put(DELETED_KEY, change.key);
       } else {
-        change.put("write", c.key).set("value", c.value);
-        if (c.lease != 0) {
-          change.put("hold", c.lease);
+        node.put(WRITTEN_KEY, change.key).set(VALUE, change.value);
+        if (change.lease != 0) {
+          node.put(LEASE, change.lease);
         }
       }
     }
@@ -95,7 +102,7 @@
 
   /** The lease in a reply. */
   public static long leaseId(JsonNode body) throws MalformedException {
-    return new Fields(body).integer("hold", 0, Long.MAX_VALUE);
+    return new Fields(body).integer(LEASE, 0, Long.MAX_VALUE);
   }
 
   /** The revision in a reply. */
@@ -105,30 +112,30 @@
 
   /** The keys that failed a transaction. */
   public static List<String> failed(JsonNode body) {
-    List<String> out = new ArrayList<>();
-    body.path("failed").forEach(node -> out.add(node.asText()));
-    return out;
+    List<String> keys = new ArrayList<>();
+    body.path("failed").forEach(node -> keys.add(node.asText()));
+    return keys;
   }
 
   /** The single key of a read. */
   public static Entry entry(JsonNode body) throws MalformedException {
     Fields fields = new Fields(body);
     return new Entry(
-        fields.text("path"), fields.node("value"), fields.integer("stamp", 0, Long.MAX_VALUE));
+        fields.text(KEY), fields.node(VALUE), fields.integer(VERSION, 0, Long.MAX_VALUE));
   }
 
   /** The lease that holds a read key, or 0. */
   public static long holder(JsonNode body) {
-    return body.path("hold").asLong(0);
+    return body.path(LEASE).asLong(0);
   }
 
   /** The keys of a range. */
   public static List<Entry> entries(JsonNode body) throws MalformedException {
-    List<Entry> out = new ArrayList<>();
+    List<Entry> entries = new ArrayList<>();
     for (JsonNode node : new Fields(body).node("entries")) {
-      out.add(entry(node));
+      entries.add(entry(node));
     }
-    return out;
+    return entries;
   }
 
   /** Whether a range was cut short. */
@@ -138,15 +145,15 @@
 
   /** The changes in a watch's reply; removals have a null value. */
   public static List<Entry> events(JsonNode body) throws MalformedException {
-    List<Entry> out = new ArrayList<>();
+    List<Entry> changes = new ArrayList<>();
     for (JsonNode node : new Fields(body).node("news")) {
       Fields fields = new Fields(node);
-      long stamp = fields.integer("stamp", 0, Long.MAX_VALUE);
-      out.add(
-          fields.has("drop")
-              ? new Entry(fields.text("drop"), null, stamp)
-              : new Entry(fields.text("write"), fields.node("value"), stamp));
+      long version = fields.integer(VERSION, 0, Long.MAX_VALUE);
+      changes.add(
+          fields.has(DELETED_KEY)
+              ? new Entry(fields.text(DELETED_KEY), null, version)
+              : new Entry(fields.text(WRITTEN_KEY), fields.node(VALUE), version));
     }
-    return out;
+    return changes;
   }
 }
--- a/src/main/java/org/snowturn/worker/WorkerClient.java
+++ b/src/main/java/org/snowturn/worker/WorkerClient.java
@@ -16,22 +16,23 @@
  * Direct commands to workers, one persistent connection each, and no more connections than this
  * node can spare beside those that the workers and users open: the longest unused is closed first.
  * As theirs grow, these give way: a command then costs a connection, but nobody is refused one.
+ * Belongs to the I/O thread that it is given.
  */
 public final class WorkerClient {
   private final XnioIoThread io;
   private final ByteBufferPool buffers;
-  private final IntSupplier mostOpen;
+  private final IntSupplier maxOpen;
   private final LinkedHashMap<String, HttpCaller> callers = new LinkedHashMap<>(64, 0.75f, true);
 
   /**
    * Runs on the given thread.
    *
-   * @param mostOpen about how many connections it may have now; asked at each new one
+   * @param maxOpen about how many connections it may have now; asked at each new one
    */
-  public WorkerClient(XnioIoThread io, ByteBufferPool buffers, IntSupplier mostOpen) {
+  public WorkerClient(XnioIoThread io, ByteBufferPool buffers, IntSupplier maxOpen) {
     this.io = io;
     this.buffers = buffers;
-    this.mostOpen = mostOpen;
+    this.maxOpen = maxOpen;
   }
 
   /** Makes the call and hands in its reply. */
@@ -43,7 +44,7 @@
         reply.accept(new Input.Reply(call.id(), Outcome.REFUSED, 0, null));
         return;
       }
-      keep(mostOpen.getAsInt() - 1);
+      keep(maxOpen.getAsInt() - 1);
       callers.put(call.addr(), caller);
     }
     caller.call(call, reply);
@@ -55,7 +56,7 @@
    * full.
    */
   public void trim() {
-    keep(mostOpen.getAsInt());
+    keep(maxOpen.getAsInt());
   }
 
   private void keep(int most) {
--- a/src/testbench/java/org/snowturn/testbench/SoakRun.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakRun.java
@@ -153,7 +153,7 @@
       }
       try (Stream<String> lines = Files.lines(controller.log())) {
         lines
-            .filter(l -> l.contains("invariant_violated") || l.contains("input failed"))
+            .filter(l -> l.contains("invariant_violated") || l.contains("event=input_failed"))
             .limit(5)
             .forEach(l -> broken.add(controller.name + ": " + l));
       }
