--- a/src/main/java/org/snowturn/core/assignment/FailureHandler.java
+++ b/src/main/java/org/snowturn/core/assignment/FailureHandler.java
@@ -12,27 +12,28 @@
 
 /**
  * What follows from tasks that fail. Work goes on where it can: a machine is not kept from sound
- * work since a job that was submitted with a mistake failed there (one in 25 jobs of some days,
- * with dozens of tasks each, which had blocked a tenth of the fleet for up to half a minute), and
- * such a job gets a trial now and then, but no more.
+ * work since a job that was submitted with a mistake failed there, and such a job gets a trial now
+ * and then, but no more.
  */
 public final class FailureHandler implements JobListener {
   private static final long FIRST_PAUSE_MS = 1_000;
-  private static final long LONGEST_PAUSE_MS = 30_000;
+  private static final long MAX_PAUSE_MS = 30_000;
+  private static final int MAX_PAUSE_DOUBLINGS = 8;
   private static final long UNEXPLAINED_MS = 2_000;
+  private static final int MAX_UNEXPLAINED_DOUBLINGS = 4;
 
   /** Who has run for so long has not failed at its start. */
   private static final long PROVEN_BY_RUNNING_MS = 20_000;
 
   private final CoreRuntime runtime;
-  private final FailureAttribution blame;
+  private final FailureAttribution attribution;
   private long failed;
-  private long condemned;
+  private long quarantined;
 
   /** Knows of no failure yet; so many of sound jobs in a row take a machine out of use. */
   public FailureHandler(CoreRuntime runtime, int sickErrors) {
     this.runtime = runtime;
-    this.blame = new FailureAttribution(sickErrors);
+    this.attribution = new FailureAttribution(sickErrors);
   }
 
   /** The task has its result. */
@@ -45,7 +46,7 @@
           .with(LogField.MACHINE, machine.id)
           .write();
     }
-    blame.succeeded(job.index, machine.index);
+    attribution.succeeded(job.index, machine.index);
     job.failures.clearSuspicion();
     machine.failures.succeeded();
   }
@@ -60,28 +61,28 @@
         .with(LogField.MACHINE, machine.id)
         .write();
     if (job.done() > 0) {
-      blame.proven(job.index); // also by what earlier leaders have recorded
+      attribution.proven(job.index); // also by what earlier leaders have recorded
     }
-    blame.failed(job.index, machine.index);
+    attribution.failed(job.index, machine.index);
     job.failures.failed(task, machine.index);
-    machine.failures.failed(blame.sound(machine.index));
-    if (blame.suspect(job.index)) {
+    machine.failures.failed(attribution.sound(machine.index));
+    if (attribution.suspect(job.index)) {
       suspect(job);
     }
-    machine.failures.setUnexplained(blame.unexplained(machine.index));
-    condemnIfSick(machine);
+    machine.failures.setUnexplained(attribution.unexplained(machine.index));
+    quarantineIfSick(machine);
     if (!machine.failures.isSound() && machine.failures.unexplained() > 0) {
-      int n = Math.min(4, machine.failures.unexplained() - 1);
-      machine.failures.blockUntil(runtime.now() + (UNEXPLAINED_MS << n));
+      int doublings = Math.min(MAX_UNEXPLAINED_DOUBLINGS, machine.failures.unexplained() - 1);
+      machine.failures.blockUntil(runtime.now() + (UNEXPLAINED_MS << doublings));
     } else {
       machine.failures.blockUntil(0);
     }
   }
 
-  private void condemnIfSick(Machine machine) {
-    if (!machine.isQuarantined() && blame.sick(machine.index)) {
+  private void quarantineIfSick(Machine machine) {
+    if (!machine.isQuarantined() && attribution.sick(machine.index)) {
       machine.quarantine();
-      condemned++;
+      quarantined++;
       runtime
           .events()
           .info(LogEvent.MACHINE_QUARANTINED)
@@ -101,9 +102,9 @@
           .with(LogField.FAILURES, job.failures.count())
           .write();
     }
-    int n = Math.min(8, job.failures.probeCount());
+    int doublings = Math.min(MAX_PAUSE_DOUBLINGS, job.failures.probeCount());
     job.failures.probeFailed();
-    job.failures.backOff(runtime.now() + Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS << n));
+    job.failures.backOff(runtime.now() + Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS << doublings));
   }
 
   /**
@@ -124,22 +125,23 @@
   /** Looks again at a machine: a job that failed there may have turned out suspect, or sound. */
   public void review(Machine machine) {
     if (machine.failures.unexplained() > 0) {
-      machine.failures.setUnexplained(blame.unexplained(machine.index));
+      machine.failures.setUnexplained(attribution.unexplained(machine.index));
       machine.failures.blockUntil(
           machine.failures.unexplained() == 0 ? 0 : machine.failures.blockedUntil());
-      condemnIfSick(machine);
+      quarantineIfSick(machine);
     }
   }
 
   @Override
   public void over(Job job, JobStatus.Phase phase) {
-    blame.forgetJob(job.index);
+    attribution.forgetJob(job.index);
   }
 
+  /** How many tasks failed, jobs are suspect and machines were quarantined. */
   public Map<String, Double> gauges() {
     return Map.of(
         "snowturn.failures.tasks", (double) failed,
-        "snowturn.jobs.suspect", (double) blame.suspects(),
-        "snowturn.machines.condemned", (double) condemned);
+        "snowturn.jobs.suspect", (double) attribution.suspects(),
+        "snowturn.machines.condemned", (double) quarantined);
   }
 }
--- a/src/main/java/org/snowturn/core/assignment/JobCompletion.java
+++ b/src/main/java/org/snowturn/core/assignment/JobCompletion.java
@@ -37,9 +37,7 @@
 
   /** Moves a job that is over to its short record, in one transaction that proves every result. */
   void finishIfOver(Job job) {
-    boolean done = !job.isCancellationRecorded() && job.done() == job.taskCount();
-    boolean aborted = job.isCancellationRecorded() && job.assigned() == 0;
-    if (job.isFinishing() || !(done || aborted) || assignments.job(job.spec.id()) != job) {
+    if (job.isFinishing() || !isOver(job) || assignments.job(job.spec.id()) != job) {
       return;
     }
     for (PendingRecord record : job.taskRecords()) {
@@ -48,17 +46,38 @@
       }
     }
     job.beginFinishing();
+    JobStatus.Phase phase =
+        job.isCancellationRecorded() ? JobStatus.Phase.ABORTED : JobStatus.Phase.DONE;
+    List<Change> apply = moves(job, phase);
+    List<Change> drops = drops(job);
+    // Where many jobs end together, what is only to be cleared away leaves the rate to others.
+    int room = writer.pressed() ? 0 : gate.limits().txnOps() - apply.size();
+    int now = Math.min(drops.size(), Math.max(0, room));
+    apply.addAll(drops.subList(0, now));
+    write(job, phase, apply, drops.subList(now, drops.size()));
+  }
+
+  private static boolean isOver(Job job) {
+    return job.isCancellationRecorded() ? job.assigned() == 0 : job.done() == job.taskCount();
+  }
+
+  /** What makes the job over. */
+  private static List<Change> moves(Job job, JobStatus.Phase phase) {
     String id = job.spec.id();
-    JobStatus.Phase phase = done ? JobStatus.Phase.DONE : JobStatus.Phase.ABORTED;
     List<Change> apply = new ArrayList<>();
     apply.add(Change.put(StorageKeys.over(id), JobRecord.over(phase, job.spec)));
     apply.add(Change.delete(StorageKeys.job(id)));
     if (job.restarts() > 0) {
       apply.add(Change.delete(StorageKeys.restarts(id)));
     }
+    return apply;
+  }
+
+  /** What is only to be cleared away. */
+  private List<Change> drops(Job job) {
     List<Change> drops = new ArrayList<>();
-    JobRecord.partKeys(id, job.submission(), job.chunkCount())
-        .forEach(k -> drops.add(Change.delete(k)));
+    JobRecord.partKeys(job.spec.id(), job.submission(), job.chunkCount())
+        .forEach(key -> drops.add(Change.delete(key)));
     for (PendingRecord record : job.taskRecords()) {
       if (record != null) {
         writer.clear(record);
@@ -66,14 +85,14 @@
       }
     }
     job.firstFormatRecords().forEach(record -> dropIfStored(record, drops));
-    // Where many jobs end together, what is only to be cleared away leaves the rate to others.
-    int most = writer.pressed() ? 0 : gate.limits().txnOps() - apply.size();
-    int now = Math.min(drops.size(), Math.max(0, most));
-    apply.addAll(drops.subList(0, now));
-    List<Change> later = drops.subList(now, drops.size());
+    return drops;
+  }
+
+  private void write(Job job, JobStatus.Phase phase, List<Change> apply, List<Change> later) {
+    String id = job.spec.id();
     // Others may wait for a result; an abortion has been told already.
     writer.whole(
-        done ? RecordWriter.Turn.NEXT : RecordWriter.Turn.SPARE,
+        phase == JobStatus.Phase.DONE ? RecordWriter.Turn.NEXT : RecordWriter.Turn.SPARE,
         List.of(new Condition(StorageKeys.job(id), job.version())),
         apply,
         (outcome, status, body) -> {
@@ -82,21 +101,19 @@
             assignments.registry().remove(id);
             writer.drop(List.of(), later);
           } else {
-            assignments
-                .registry()
-                .reread(
-                    id,
-                    () -> {
-                      job.finishingFailed();
-                      if (assignments.job(id) != job) {
-                        // It was carried out, and only its answer was lost.
-                        writer.drop(List.of(), later);
-                      }
-                    });
+            assignments.registry().reread(id, () -> retryLater(job, later));
           }
         });
   }
 
+  private void retryLater(Job job, List<Change> later) {
+    job.finishingFailed();
+    if (assignments.job(job.spec.id()) != job) {
+      // It was carried out, and only its answer was lost.
+      writer.drop(List.of(), later);
+    }
+  }
+
   private static void dropIfStored(PendingRecord record, List<Change> drops) {
     if (record.stamp != 0) {
       drops.add(Change.delete(record.key));
--- a/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
@@ -32,7 +32,7 @@
   private static final int NAMES_BYTES = 1_200;
 
   /** Second format: what an entry takes beside its machine's name and address. */
-  private static final int EDGES_BYTES = 12;
+  private static final int ENTRY_OVERHEAD_BYTES = 12;
 
   /** Second format: the share of a page for the machines; the rest is for their images. */
   private static final double MACHINES_SHARE = 0.55;
@@ -40,23 +40,23 @@
   private static final int URGENCY = 0;
 
   /** Of a page's machines, so many images each at the most where not all have room. */
-  private static final int MOST_IMAGES = 6;
+  private static final int MAX_IMAGES = 6;
 
   /** Images change with nearly every placement at first, and a new leader can do without some. */
-  private static final long IMAGES_EVERY_MS = 20_000;
+  private static final long IMAGES_INTERVAL_MS = 20_000;
 
-  private static final long STRIKES_EVERY_MS = 2_000;
+  private static final long REMOVALS_INTERVAL_MS = 2_000;
 
   private static final class Page {
-    final PendingRecord record;
-    final List<Machine> machines = new ArrayList<>();
-    boolean splitting;
+    private final PendingRecord record;
+    private final List<Machine> machines = new ArrayList<>();
+    private boolean splitting;
 
     /** Whether the stored page still has machines that were struck out. */
-    boolean struck;
+    private boolean hasRemovals;
 
-    long struckAt = MonotonicTime.NEVER;
-    long imagesAt = MonotonicTime.NEVER;
+    private long removalsWrittenAt = MonotonicTime.NEVER;
+    private long imagesWrittenAt = MonotonicTime.NEVER;
 
     Page(PendingRecord record) {
       this.record = record;
@@ -69,6 +69,7 @@
   private final FormatGate gate;
   private final List<Page> pages = new ArrayList<>();
 
+  /** No page is known yet. */
   public MachineRegistry(
       CoreRuntime runtime, RecordWriter writer, MachineIndex machines, FormatGate gate) {
     this.runtime = runtime;
@@ -77,20 +78,20 @@
     this.gate = gate;
   }
 
-  private int mostBytes() {
+  private int maxBytes() {
     return gate.limits().valueBytes();
   }
 
   /** How many of these machines, from the first on, may share a page. */
   private int fitting(List<Machine> list) {
     if (!gate.open()) {
-      return Math.max(1, (mostBytes() - NAMES_BYTES) / ENTRY_BYTES);
+      return Math.max(1, (maxBytes() - NAMES_BYTES) / ENTRY_BYTES);
     }
-    double left = mostBytes() * MACHINES_SHARE;
+    double left = maxBytes() * MACHINES_SHARE;
     int n = 0;
     for (Machine machine : list) {
       left -=
-          EDGES_BYTES
+          ENTRY_OVERHEAD_BYTES
               + machine.id.length()
               + (machine.addr() == null ? 0 : machine.addr().length());
       if (left < 0) {
@@ -101,8 +102,8 @@
     return Math.max(1, n);
   }
 
-  private boolean hasRoom(Page p, Machine machine) {
-    List<Machine> with = new ArrayList<>(p.machines);
+  private boolean hasRoom(Page page, Machine machine) {
+    List<Machine> with = new ArrayList<>(page.machines);
     with.add(machine);
     return fitting(with) >= with.size();
   }
@@ -117,27 +118,27 @@
     return pages.get(number);
   }
 
-  private JsonNode content(Page p) {
-    if (p.machines.isEmpty()) {
+  private JsonNode content(Page page) {
+    if (page.machines.isEmpty()) {
       return null;
     }
     // Names may be long: a page that a value cannot hold would never be written at all.
-    ObjectNode object = content(p, Integer.MAX_VALUE);
-    for (int most = MOST_IMAGES; Json.bytes(object).length > mostBytes() && most >= 0; most -= 2) {
-      object = content(p, most);
+    ObjectNode object = content(page, Integer.MAX_VALUE);
+    for (int max = MAX_IMAGES; Json.bytes(object).length > maxBytes() && max >= 0; max -= 2) {
+      object = content(page, max);
     }
     return object;
   }
 
-  private ObjectNode content(Page p, int mostImages) {
-    return gate.open() ? second(p, mostImages) : first(p, mostImages);
+  private ObjectNode content(Page page, int maxImages) {
+    return gate.open() ? second(page, maxImages) : first(page, maxImages);
   }
 
-  private ObjectNode first(Page p, int mostImages) {
+  private ObjectNode first(Page page, int maxImages) {
     ObjectNode object = Json.object().put("v", StorageKeys.VERSION);
     ArrayNode all = object.putArray("m");
-    ImageNames names = new ImageNames(object, mostImages);
-    for (Machine machine : p.machines) {
+    ImageNames names = new ImageNames(object, maxImages);
+    for (Machine machine : page.machines) {
       ArrayNode e = all.addArray();
       e.add(machine.id)
           .add(machine.addr())
@@ -150,13 +151,13 @@
   }
 
   /** Types and zones are named once, so that many more machines fit a page. */
-  private ObjectNode second(Page p, int mostImages) {
+  private ObjectNode second(Page page, int maxImages) {
     ObjectNode object = Json.object().put("v", StorageKeys.SECOND);
     ArrayNode kinds = object.putArray("k");
     ArrayNode all = object.putArray("m");
-    ImageNames names = new ImageNames(object, mostImages);
+    ImageNames names = new ImageNames(object, maxImages);
     Map<ArrayNode, Integer> numbers = new HashMap<>();
-    for (Machine machine : p.machines) {
+    for (Machine machine : page.machines) {
       ArrayNode kind =
           Json.array()
               .add(machine.type())
@@ -256,30 +257,30 @@
 
   /** Strikes out the machines that are gone with all that was on them, and notes new images. */
   public void writeChangedPages() {
-    for (Page p : List.copyOf(pages)) {
-      if (p.splitting || split(p)) {
+    for (Page page : List.copyOf(pages)) {
+      if (page.splitting || split(page)) {
         continue; // written once it is short enough
       }
       boolean images = false;
-      for (Iterator<Machine> it = p.machines.iterator(); it.hasNext(); ) {
+      for (Iterator<Machine> it = page.machines.iterator(); it.hasNext(); ) {
         Machine machine = it.next();
         if (machine.isTerminated() && machine.assigned.isEmpty()) {
           it.remove();
           machine.setRegistryPage(-1);
-          p.struck = true;
+          page.hasRemovals = true;
         }
         images |= machine.images.isChanged();
       }
-      if (p.struck && runtime.now() - p.struckAt > STRIKES_EVERY_MS) {
+      if (page.hasRemovals && runtime.now() - page.removalsWrittenAt > REMOVALS_INTERVAL_MS) {
         // The next leader takes what was placed there for ended: no waiting for a lease. Before
         // placements, then, but not for each machine of a wave that dies one after the other.
-        p.struckAt = runtime.now();
-        p.struck = false;
-        writer.mark(p.record, URGENCY, null);
-      } else if (images && runtime.now() - p.imagesAt > IMAGES_EVERY_MS) {
-        p.imagesAt = runtime.now();
-        p.machines.forEach(machine -> machine.images.markStored());
-        writer.mark(p.record, RecordWriter.CAN_WAIT, null);
+        page.removalsWrittenAt = runtime.now();
+        page.hasRemovals = false;
+        writer.mark(page.record, URGENCY, null);
+      } else if (images && runtime.now() - page.imagesWrittenAt > IMAGES_INTERVAL_MS) {
+        page.imagesWrittenAt = runtime.now();
+        page.machines.forEach(machine -> machine.images.markStored());
+        writer.mark(page.record, RecordWriter.CAN_WAIT, null);
       }
     }
   }
@@ -288,13 +289,13 @@
    * Moves to other pages what a page cannot hold under smaller limits: there first, so that no
    * machine is ever on no page. Until then it keeps its old content.
    */
-  private boolean split(Page p) {
-    int fitting = fitting(p.machines);
-    if (!gate.open() || p.machines.size() <= fitting) {
+  private boolean split(Page page) {
+    int fitting = fitting(page.machines);
+    if (!gate.open() || page.machines.size() <= fitting) {
       return false;
     }
-    p.splitting = true;
-    List<Machine> moved = List.copyOf(p.machines.subList(fitting, p.machines.size()));
+    page.splitting = true;
+    List<Machine> moved = List.copyOf(page.machines.subList(fitting, page.machines.size()));
     int[] missing = {moved.size()};
     for (Machine machine : moved) {
       machine.setRegistryPage(-1);
@@ -302,9 +303,9 @@
           machine,
           () -> {
             if (--missing[0] == 0) {
-              p.machines.removeAll(moved);
-              p.splitting = false;
-              writer.mark(p.record, RecordWriter.CAN_WAIT, null);
+              page.machines.removeAll(moved);
+              page.splitting = false;
+              writer.mark(page.record, RecordWriter.CAN_WAIT, null);
             }
           });
     }
--- a/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
+++ b/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
@@ -1,5 +1,6 @@
 package org.snowturn.core.assignment;
 
+import org.snowturn.core.dispatch.CommandQueue;
 import org.snowturn.core.health.EndEvidence;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
--- a/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
@@ -43,7 +43,7 @@
     registryComplete = false;
   }
 
-  /** Takes over a stored record of tasks: results, and tasks that an earlier leader bound. */
+  /** Takes over a stored record of tasks: results, and tasks that an earlier leader assigned. */
   void loadChunk(Job job, int chunk, JsonNode value, long stamp) {
     if (chunk < 0 || chunk >= job.taskRecords().length) {
       return;
@@ -80,13 +80,13 @@
           /**
            * Whether the machine is on no page of the registry. Those who write the second format
            * enter a machine before its first placement, and strike it out only when all on it has
-           * ended for certain: what was placed there waits. Taken for bound, it would be missed for
-           * as long as a lease (zone cut, leader dies). The first version kept no registry, so its
-           * records say nothing of the kind.
+           * ended for certain: what was placed there waits. Taken for assigned, it would be missed
+           * for as long as a lease (zone cut, leader dies). The first version kept no registry, so
+           * its records say nothing of the kind.
            */
           private boolean struckOut(String machine) {
-            Machine m = machines.find(machine);
-            return secondFormat && registryComplete && (m == null || m.registryPage() < 0);
+            Machine known = machines.find(machine);
+            return secondFormat && registryComplete && (known == null || known.registryPage() < 0);
           }
 
           private boolean isNews(int task) {
@@ -106,11 +106,11 @@
           @Override
           public void placed(int task, long attempt, String machine, long session) {
             if (isNews(task) && !struckOut(machine)) {
-              Machine m = machines.getOrAdd(machine);
+              Machine on = machines.getOrAdd(machine);
               // An earlier leader may have answered it until now, whether or not it is on the
               // registry.
-              m.session.setLastAnswerAt(Math.max(m.session.lastAnswerAt(), runtime.now()));
-              assignments.adopt(job, task, m, attempt, session);
+              on.session.setLastAnswerAt(Math.max(on.session.lastAnswerAt(), runtime.now()));
+              assignments.adopt(job, task, on, attempt, session);
             }
           }
         });
--- a/src/main/java/org/snowturn/core/assignment/DependencyGraph.java
+++ b/src/main/java/org/snowturn/core/dependency/DependencyGraph.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.assignment;
+package org.snowturn.core.dependency;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayDeque;
@@ -12,6 +12,8 @@
 import java.util.Set;
 import org.snowturn.core.Outcome;
 import org.snowturn.core.admission.RequestClass;
+import org.snowturn.core.assignment.JobListener;
+import org.snowturn.core.assignment.TaskAssignments;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.effects.LogEvent;
 import org.snowturn.core.effects.LogField;
@@ -34,16 +36,16 @@
  * it waits for. All of it follows from stored records, so every leader comes to the same.
  */
 public final class DependencyGraph implements JobListener {
-  private static final long LOOK_AGAIN_MS = 500;
-  private static final long LOOK_WITHIN_MS = 10_000;
-  private static final long RECOUNT_MS = 250;
-  private static final int REMEMBERED = 5_000;
+  private static final long LOOKUP_RETRY_MS = 500;
+  private static final long LOOKUP_TIMEOUT_MS = 10_000;
+  private static final long RECOMPUTE_MS = 250;
+  private static final int MAX_FINISHED = 5_000;
 
   /**
    * What a stage takes beside its estimate: image, start, result. It is not to be more than usual:
    * a job that seems late whatever is done goes last, and all behind it with it.
    */
-  private static final double STAGE_S = 1;
+  private static final double STAGE_OVERHEAD_S = 1;
 
   private final CoreRuntime runtime;
   private final FormatGate gate;
@@ -54,15 +56,16 @@
   private final Map<String, Set<Job>> waiting = new HashMap<>();
 
   private final Set<String> unknown = new LinkedHashSet<>();
-  private final Map<String, JobStatus.Phase> over = new LruMap<>(REMEMBERED);
+  private final Map<String, JobStatus.Phase> over = new LruMap<>(MAX_FINISHED);
   private final ArrayDeque<Job> joined = new ArrayDeque<>();
   private final Set<Job> toCancel = new LinkedHashSet<>();
   private final Set<Job> cancelling = new HashSet<>();
-  private boolean looking;
-  private long lookAt;
-  private boolean recount;
-  private long recountAt;
+  private boolean lookupInProgress;
+  private long lookupAt;
+  private boolean recompute;
+  private long recomputeAt;
 
+  /** No job is known yet; it is to be told of all jobs as a listener. */
   public DependencyGraph(
       CoreRuntime runtime, FormatGate gate, TaskAssignments assignments, RecordWriter writer) {
     this.runtime = runtime;
@@ -73,11 +76,11 @@
 
   /** How many jobs wait for others. */
   public int waitingJobs() {
-    int n = 0;
+    int count = 0;
     for (Job job : assignments.jobs()) {
-      n += job.awaitsDependencies() ? 1 : 0;
+      count += job.awaitsDependencies() ? 1 : 0;
     }
-    return n;
+    return count;
   }
 
   @Override
@@ -90,7 +93,7 @@
   @Override
   public void cancelled(Job job) {
     leave(job);
-    recount = true;
+    recompute = true;
     aborted(job.spec.id());
   }
 
@@ -120,13 +123,13 @@
     while (!joined.isEmpty()) {
       join(joined.poll());
     }
-    if (!unknown.isEmpty() && !looking && runtime.now() >= lookAt) {
+    if (!unknown.isEmpty() && !lookupInProgress && runtime.now() >= lookupAt) {
       lookUp();
     }
-    if (recount && runtime.now() >= recountAt) {
-      recount = false;
-      recountAt = runtime.now() + RECOUNT_MS;
-      recount();
+    if (recompute && runtime.now() >= recomputeAt) {
+      recompute = false;
+      recomputeAt = runtime.now() + RECOMPUTE_MS;
+      recompute();
     }
     writeCancelled();
   }
@@ -159,7 +162,7 @@
       }
     }
     if (job.awaitsDependencies()) {
-      lend(job);
+      lendPriority(job);
     } else {
       release(job);
     }
@@ -218,17 +221,17 @@
   // --- what is over already ---
 
   private void lookUp() {
-    looking = true;
+    lookupInProgress = true;
     List<String> ids = List.copyOf(unknown);
     JobLookup.find(
         runtime,
         RequestClass.WORK,
         JobLookup.OVER_FIRST,
         ids,
-        LOOK_WITHIN_MS,
+        LOOKUP_TIMEOUT_MS,
         (found, complete) -> {
-          looking = false;
-          lookAt = complete ? runtime.now() : runtime.now() + LOOK_AGAIN_MS;
+          lookupInProgress = false;
+          lookupAt = complete ? runtime.now() : runtime.now() + LOOKUP_RETRY_MS;
           for (String id : ids) {
             if (complete || found.containsKey(id)) {
               found(id, found.get(id));
@@ -243,7 +246,7 @@
     }
     if (fact == null) {
       // Accepted before the job that names it, so it must be there.
-      lookAt = runtime.now() + LOOK_AGAIN_MS;
+      lookupAt = runtime.now() + LOOKUP_RETRY_MS;
       runtime.events().info(LogEvent.DEPENDENCY_MISSING).with(LogField.JOB, id).write();
     } else if (!fact.live()) {
       over(id, fact.phase());
@@ -251,7 +254,7 @@
       unknown.remove(id);
     } else {
       assignments.registry().reread(id);
-      lookAt = runtime.now() + LOOK_AGAIN_MS;
+      lookupAt = runtime.now() + LOOKUP_RETRY_MS;
     }
   }
 
@@ -260,9 +263,9 @@
   private void writeCancelled() {
     while (!toCancel.isEmpty()) {
       List<Job> batch = new ArrayList<>();
-      int most = gate.limits().txnOps();
+      int maxSize = gate.limits().txnOps();
       for (Job job : toCancel) {
-        if (batch.size() < most) {
+        if (batch.size() < maxSize) {
           batch.add(job);
         }
       }
@@ -315,7 +318,7 @@
 
   // --- priorities and deadlines ---
 
-  private void recount() {
+  private void recompute() {
     for (Job job : assignments.jobs()) {
       assignments.reprioritize(job, job.spec.priority());
       job.setDependentsDeadline(Double.MAX_VALUE);
@@ -323,17 +326,17 @@
     }
     for (Job job : List.copyOf(assignments.jobs())) {
       if (job.awaitsDependencies() && live(job)) {
-        lend(job);
+        lendPriority(job);
       }
     }
   }
 
   /** Hands the job's priority and what it leaves of its deadline on to those that it needs. */
-  private void lend(Job from) {
+  private void lendPriority(Job from) {
     ArrayDeque<Job> lenders = new ArrayDeque<>(List.of(from));
     while (!lenders.isEmpty()) {
       Job job = lenders.poll();
-      double takesMs = 1000 * (STAGE_S + job.spec.estimateS());
+      double takesMs = 1000 * (STAGE_OVERHEAD_S + job.spec.estimateS());
       double due = job.deadlineWallMs(1) - takesMs;
       double lateDue = job.deadlineWallMs(1.5) - takesMs;
       for (String id : job.unmetDependencies) {
--- /dev/null
+++ b/src/main/java/org/snowturn/core/dependency/package-info.java
@@ -0,0 +1,2 @@
+/** Which live jobs wait for which others. */
+package org.snowturn.core.dependency;
--- a/src/main/java/org/snowturn/core/assignment/CommandLog.java
+++ b/src/main/java/org/snowturn/core/dispatch/CommandLog.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.assignment;
+package org.snowturn.core.dispatch;
 
 import java.util.List;
 import org.snowturn.core.effects.CoreRuntime;
--- a/src/main/java/org/snowturn/core/assignment/CommandQueue.java
+++ b/src/main/java/org/snowturn/core/dispatch/CommandQueue.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.assignment;
+package org.snowturn.core.dispatch;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
@@ -31,20 +31,24 @@
 
   private static final long FIRST_SESSION = 1;
 
-  /** What the outbox needs of the leader. */
+  /** What the queue needs of the leader. */
   public interface Host {
+    /** Whether this node may act now. */
     boolean hasAuthority();
 
+    /** The fencing token of the term. */
     long token();
 
+    /** The machine has answered with its heartbeat. */
     void reported(Heartbeat heartbeat);
 
     /** Whether a start that was decided earlier may leave for the machine now. */
     boolean mayStart(Machine machine, Command start);
 
-    /** The outbox has something to send and is not in the queue yet. */
+    /** The queue has something to send and waits for {@link CommandQueue#flush}. */
     void readyToSend(CommandQueue queue);
 
+    /** A message to the machine got no usable answer. */
     void unanswered(Machine machine);
   }
 
@@ -56,6 +60,7 @@
   private boolean probe;
   private boolean queued;
 
+  /** An empty queue of commands for the machine. */
   public CommandQueue(CoreRuntime runtime, Host host, Machine machine) {
     this.runtime = runtime;
     this.host = host;
@@ -65,7 +70,7 @@
   @Override
   public void add(Command command) {
     queue.put(key(command), command);
-    want();
+    requestFlush();
   }
 
   @Override
@@ -79,8 +84,8 @@
     return command.op() + command.job() + "/" + command.task() + "#" + command.attempt();
   }
 
-  /** Only outboxes with something to send are looked at: most machines have nothing. */
-  private void want() {
+  /** Only queues with something to send are looked at: most machines have nothing. */
+  private void requestFlush() {
     if (!queued && !busy) {
       queued = true;
       host.readyToSend(this);
@@ -91,7 +96,7 @@
   @Override
   public void probe() {
     probe = true;
-    want();
+    requestFlush();
   }
 
   /** One number for an attempt of a task; attempts of a gang's tasks are the same. */
@@ -103,7 +108,7 @@
   @Override
   public void resume() {
     if (!queue.isEmpty() || probe) {
-      want();
+      requestFlush();
     }
   }
 
@@ -117,13 +122,10 @@
     return !busy && queue.isEmpty();
   }
 
+  /** Sends what waits, if the machine can be reached and this node may act. */
   public void flush() {
     queued = false;
-    if (busy
-        || machine.addr() == null
-        || (queue.isEmpty() && !probe)
-        || machine.isTerminated()
-        || !host.hasAuthority()) {
+    if (!maySend()) {
       return;
     }
     List<Command> commands = new ArrayList<>(queue.values());
@@ -135,7 +137,22 @@
     }
     probe = false;
     busy = true;
-    // From here until an answer the starts may be executed at any later time of the session.
+    send(commands, markInDoubt(commands));
+  }
+
+  private boolean maySend() {
+    return !busy
+        && machine.addr() != null
+        && (!queue.isEmpty() || probe)
+        && !machine.isTerminated()
+        && host.hasAuthority();
+  }
+
+  /**
+   * From here until an answer the starts may be executed at any later time of the session; returns
+   * the attempts that were not in doubt before.
+   */
+  private List<Long> markInDoubt(List<Command> commands) {
     List<Long> doubts = new ArrayList<>();
     for (Command command : commands) {
       if (command.op() == Command.Op.START
@@ -143,6 +160,10 @@
         doubts.add(attemptKey(command.attempt(), command.task()));
       }
     }
+    return doubts;
+  }
+
+  private void send(List<Command> commands, List<Long> doubts) {
     // Not known of a machine on which an earlier leader had nothing: most are in their first, and
     // the others refuse and tell.
     long session = Math.max(FIRST_SESSION, machine.epoch());
@@ -165,23 +186,11 @@
     boolean settled = outcome == Outcome.REFUSED || (outcome == Outcome.ANSWERED && status < 500);
     if (settled) {
       // An earlier copy that got no answer keeps its doubt: only this message's own are settled.
-      doubts.forEach(a -> machine.startsInDoubt.remove(a.longValue()));
+      doubts.forEach(attempt -> machine.startsInDoubt.remove(attempt.longValue()));
     }
-    if (outcome == Outcome.ANSWERED && (status == 200 || status == 409)) {
-      try {
-        host.reported(Heartbeat.parse(body));
-        if (status == 409 && machine.epoch() > session) {
-          probe(); // a new leader did not know the session: now the machine can learn the token
-        }
-        return;
-      } catch (MalformedException e) {
-        runtime
-            .events()
-            .info(LogEvent.REPLY_MALFORMED)
-            .with(LogField.MACHINE, machine.id)
-            .with(LogField.ERROR, e.getMessage())
-            .write();
-      }
+    boolean reports = outcome == Outcome.ANSWERED && (status == 200 || status == 409);
+    if (reports && reported(session, status, body)) {
+      return;
     }
     // What is refused at once says that there was no socket, here or there: not that nothing gets
     // in.
@@ -190,4 +199,23 @@
     }
     host.unanswered(machine);
   }
+
+  /** Takes in the heartbeat that is in the answer; tells whether it could be read. */
+  private boolean reported(long session, int status, JsonNode body) {
+    try {
+      host.reported(Heartbeat.parse(body));
+      if (status == 409 && machine.epoch() > session) {
+        probe(); // a new leader did not know the session: now the machine can learn the token
+      }
+      return true;
+    } catch (MalformedException e) {
+      runtime
+          .events()
+          .info(LogEvent.REPLY_MALFORMED)
+          .with(LogField.MACHINE, machine.id)
+          .with(LogField.ERROR, e.getMessage())
+          .write();
+      return false;
+    }
+  }
 }
--- /dev/null
+++ b/src/main/java/org/snowturn/core/dispatch/package-info.java
@@ -0,0 +1,2 @@
+/** Commands on their way to machines. */
+package org.snowturn.core.dispatch;
--- a/src/main/java/org/snowturn/core/model/DoubleSamples.java
+++ b/src/main/java/org/snowturn/core/model/DoubleSamples.java
@@ -8,26 +8,31 @@
   private int size;
   private double[] sorted;
 
-  public void add(double v) {
+  /** Adds a number. */
+  public void add(double value) {
     if (size == values.length) {
       values = Arrays.copyOf(values, size * 2);
     }
-    values[size++] = v;
+    values[size++] = value;
     sorted = null;
   }
 
+  /** How many numbers there are. */
   public int size() {
     return size;
   }
 
+  /** Whether there are no numbers yet. */
   public boolean isEmpty() {
     return size == 0;
   }
 
-  public double get(int i) {
-    return values[i];
+  /** The number that was added so many numbers after the first. */
+  public double get(int index) {
+    return values[index];
   }
 
+  /** The median; NaN if there are no numbers. */
   public double median() {
     return percentile(50);
   }
--- a/src/main/java/org/snowturn/core/model/MachineIndex.java
+++ b/src/main/java/org/snowturn/core/model/MachineIndex.java
@@ -11,24 +11,32 @@
   private final Map<String, Integer> byId = new HashMap<>();
   private final List<Machine> all = new ArrayList<>();
   private final List<String> zoneNames;
-  private final Function<Machine, CommandChannel> outboxes;
+  private final Function<Machine, CommandChannel> channels;
   private List<Machine> present;
 
-  public MachineIndex(List<String> zones, Function<Machine, CommandChannel> outboxes) {
+  /**
+   * Knows no machine yet.
+   *
+   * @param zones the names of the zones that the settings name
+   * @param channels makes the way to give a machine commands
+   */
+  public MachineIndex(List<String> zones, Function<Machine, CommandChannel> channels) {
     this.zoneNames = List.copyOf(zones);
-    this.outboxes = outboxes;
+    this.channels = channels;
   }
 
   /** The zone's index; all zones that the settings do not name share the last one. */
   public int zone(String name) {
-    int i = zoneNames.indexOf(name);
-    return i >= 0 ? i : zoneNames.size();
+    int index = zoneNames.indexOf(name);
+    return index >= 0 ? index : zoneNames.size();
   }
 
+  /** Whether the settings name the zone with this index. */
   public boolean zoneKnown(int zone) {
     return zone < zoneNames.size();
   }
 
+  /** The zone's name; "?" if the settings do not name it. */
   public String zoneName(int zone) {
     return zoneKnown(zone) ? zoneNames.get(zone) : "?";
   }
@@ -38,21 +46,24 @@
     return zoneNames.size() + 1;
   }
 
+  /** The machine with this name; null if there is none. */
   public Machine find(String id) {
-    Integer i = byId.get(id);
-    return i == null ? null : all.get(i);
+    Integer index = byId.get(id);
+    return index == null ? null : all.get(index);
   }
 
+  /** The machine with this index. */
   public Machine get(int index) {
     return all.get(index);
   }
 
+  /** The machine with this name, which is added if there is none. */
   public Machine getOrAdd(String id) {
     Machine machine = find(id);
     if (machine == null) {
       machine = new Machine(all.size(), id);
       machine.setZone(zoneNames.size());
-      machine.setCommands(outboxes.apply(machine));
+      machine.setCommands(channels.apply(machine));
       all.add(machine);
       present = null;
       byId.put(id, machine.index);
--- a/src/main/java/org/snowturn/core/model/MachineTypes.java
+++ b/src/main/java/org/snowturn/core/model/MachineTypes.java
@@ -17,24 +17,29 @@
 public final class MachineTypes {
   private static final String CATALOG_PATH = "/catalog";
   private static final long REFRESH_MS = 60_000;
+  private static final int TIMEOUT_MS = 3_000;
   private static final long RETRY_MS = 1_000;
   private final CoreRuntime runtime;
   private Map<String, MachineType> types = Map.of();
   private long nextAt;
-  private boolean asking;
+  private boolean requested;
 
+  /** Knows no type yet. */
   public MachineTypes(CoreRuntime runtime) {
     this.runtime = runtime;
   }
 
+  /** Whether the types have been fetched. */
   public boolean known() {
     return !types.isEmpty();
   }
 
+  /** All types, in the order of the catalog. */
   public Iterable<MachineType> all() {
     return types.values();
   }
 
+  /** The type with this name; null if there is none. */
   public MachineType get(String name) {
     return types.get(name);
   }
@@ -50,26 +55,28 @@
 
   /** Whether some allowed type, offered in an allowed zone, can hold one task. */
   public boolean canHold(JobSpec spec) {
-    for (MachineType t : types.values()) {
-      boolean type = spec.types() == null || spec.types().contains(t.name());
-      boolean zone = spec.zone() == null || t.zones().isEmpty() || t.zones().contains(spec.zone());
-      if (type && zone && t.fits(spec)) {
+    for (MachineType type : types.values()) {
+      boolean allowed = spec.types() == null || spec.types().contains(type.name());
+      boolean offered =
+          spec.zone() == null || type.zones().isEmpty() || type.zones().contains(spec.zone());
+      if (allowed && offered && type.fits(spec)) {
         return true;
       }
     }
     return false;
   }
 
+  /** Fetches the types when it is time. */
   public void tick() {
-    if (asking || runtime.now() < nextAt) {
+    if (requested || runtime.now() < nextAt) {
       return;
     }
-    asking = true;
-    runtime.call(Effect.Target.CLOUD, null, "GET", CATALOG_PATH, null, 3000, this::onReply);
+    requested = true;
+    runtime.call(Effect.Target.CLOUD, null, "GET", CATALOG_PATH, null, TIMEOUT_MS, this::onReply);
   }
 
   private void onReply(Outcome outcome, int status, JsonNode body) {
-    asking = false;
+    requested = false;
     nextAt = runtime.now() + RETRY_MS;
     if (outcome != Outcome.ANSWERED || status != 200) {
       return;
--- a/src/main/java/org/snowturn/core/model/Quota.java
+++ b/src/main/java/org/snowturn/core/model/Quota.java
@@ -9,21 +9,22 @@
 public final class Quota {
   private static final double SLACK = 1e-6;
 
-  private static final class Use {
-    final Settings.Team team;
-    double cpus;
-    double gpus;
+  private static final class TeamUsage {
+    private final Settings.Team team;
+    private double cpus;
+    private double gpus;
 
-    Use(Settings.Team team) {
+    TeamUsage(Settings.Team team) {
       this.team = team;
     }
   }
 
-  private final Map<String, Use> teams = new HashMap<>();
+  private final Map<String, TeamUsage> teams = new HashMap<>();
 
+  /** No team uses anything yet; teams that are not listed have no limit. */
   public Quota(Iterable<Settings.Team> teams) {
     for (Settings.Team team : teams) {
-      this.teams.put(team.name(), new Use(team));
+      this.teams.put(team.name(), new TeamUsage(team));
     }
   }
 
@@ -32,24 +33,29 @@
     return limit > 0 && amount > limit + SLACK;
   }
 
+  /** Whether one more task of the job is within its team's limits. */
   public boolean allows(JobSpec spec) {
-    Use u = teams.get(spec.team());
-    return u == null
-        || !(exceeds(u.cpus + spec.cpus(), u.team.cpusMax())
-            || exceeds(u.gpus + spec.gpus(), u.team.gpusMax()));
+    TeamUsage usage = teams.get(spec.team());
+    return usage == null
+        || !(exceeds(usage.cpus + spec.cpus(), usage.team.cpusMax())
+            || exceeds(usage.gpus + spec.gpus(), usage.team.gpusMax()));
   }
 
+  /** A task of the job may be on a machine from now on. */
   public void acquire(JobSpec spec) {
     add(spec, 1);
   }
 
+  /** A task of the job is on no machine any more. */
   public void release(JobSpec spec) {
     add(spec, -1);
   }
 
   private void add(JobSpec spec, int sign) {
-    Use u = teams.computeIfAbsent(spec.team(), n -> new Use(new Settings.Team(n, 0, 0, 0, 0)));
-    u.cpus += sign * spec.cpus();
-    u.gpus += sign * spec.gpus();
+    TeamUsage usage =
+        teams.computeIfAbsent(
+            spec.team(), name -> new TeamUsage(new Settings.Team(name, 0, 0, 0, 0)));
+    usage.cpus += sign * spec.cpus();
+    usage.gpus += sign * spec.gpus();
   }
 }
--- a/src/main/java/org/snowturn/core/model/RestartRecords.java
+++ b/src/main/java/org/snowturn/core/model/RestartRecords.java
@@ -19,6 +19,7 @@
 
   private RestartRecords() {}
 
+  /** The stored form, in the format that the job's records have. */
   public static JsonNode json(Job job) {
     ObjectNode object =
         Json.object().put("v", job.isSecondFormat() ? StorageKeys.SECOND : StorageKeys.VERSION);
@@ -35,7 +36,7 @@
   /** Reads either format. */
   public static void load(Job job, JsonNode value) {
     job.restarted.or(BitSet.valueOf(Base64.getDecoder().decode(value.path("t").asText(""))));
-    value.path("r").forEach(t -> job.restarted.set(Math.max(0, t.asInt())));
+    value.path("r").forEach(task -> job.restarted.set(Math.max(0, task.asInt())));
     job.setRestarts(value.path("n").asInt(0));
   }
 
--- a/src/main/java/org/snowturn/core/model/TaskRecords.java
+++ b/src/main/java/org/snowturn/core/model/TaskRecords.java
@@ -10,7 +10,7 @@
 import org.snowturn.wire.Json;
 
 /**
- * The stored form of some of a job's tasks: results as a bit set, and where each bound task was
+ * The stored form of some of a job's tasks: results as a bit set, and where each assigned task was
  * placed. The second format numbers tasks from the record's first one and attempts from a common
  * base, so that twice as many fit a value.
  */
@@ -24,6 +24,7 @@
     return TaskLayout.entryBytes(Json.bytes(Json.array().add(machine.id)).length - 4);
   }
 
+  /** The stored form of a record in the first format. */
   public static JsonNode first(Job job, int record, MachineIndex machines) {
     int from = job.layout().from(record);
     ObjectNode object = Json.object().put("v", StorageKeys.VERSION);
@@ -41,6 +42,7 @@
     return object.put("d", finished(job, record));
   }
 
+  /** The stored form of a record in the second format. */
   public static JsonNode second(Job job, int record, MachineIndex machines) {
     int from = job.layout().from(record);
     long base = Long.MAX_VALUE;
@@ -54,10 +56,10 @@
     ArrayNode placed = object.put("a", base).putArray("p");
     for (int task = from; task < job.layout().to(record); task++) {
       if (job.isAssigned(task)) {
-        ArrayNode e = placed.addArray().add(task - from).add(job.attemptOf(task) - base);
-        e.add(machines.get(job.machineOf(task)).id);
+        ArrayNode entry = placed.addArray().add(task - from).add(job.attemptOf(task) - base);
+        entry.add(machines.get(job.machineOf(task)).id);
         if (job.epochOf(task) != 1) {
-          e.add(job.epochOf(task));
+          entry.add(job.epochOf(task));
         }
       }
     }
@@ -77,8 +79,10 @@
 
   /** What a record tells of its tasks. */
   public interface Reader {
+    /** The task has its result. */
     void done(int task);
 
+    /** The task was placed on the machine in this session of its agent. */
     void placed(int task, long attempt, String machine, long session);
   }
 
--- a/src/test/java/org/snowturn/LayersTest.java
+++ b/src/test/java/org/snowturn/LayersTest.java
@@ -105,7 +105,9 @@
           Map.entry("election", Set.of("effects", "storage", "admission", "recovery")),
           Map.entry(
               "assignment",
-              Set.of("effects", "storage", "model", "recovery", "admission", "health")),
+              Set.of("effects", "storage", "model", "recovery", "admission", "health", "dispatch")),
+          Map.entry("dispatch", Set.of("effects", "model")),
+          Map.entry("dependency", Set.of("effects", "storage", "model", "assignment", "admission")),
           Map.entry(
               "scheduling",
               Set.of("effects", "storage", "model", "assignment", "admission", "recovery")),
--- a/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
+++ b/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
@@ -15,6 +15,7 @@
 import org.snowturn.config.Settings;
 import org.snowturn.core.TestSettings;
 import org.snowturn.core.TestWriterHost;
+import org.snowturn.core.dispatch.CommandQueue;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
