--- a/src/main/java/org/snowturn/core/leader/AssignmentServices.java
+++ b/src/main/java/org/snowturn/core/leader/AssignmentServices.java
@@ -2,8 +2,6 @@
 
 import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.assignment.AttemptGuard;
-import org.snowturn.core.assignment.CommandQueue;
-import org.snowturn.core.assignment.DependencyGraph;
 import org.snowturn.core.assignment.FailureHandler;
 import org.snowturn.core.assignment.HeartbeatCommands;
 import org.snowturn.core.assignment.HeartbeatProcessor;
@@ -11,6 +9,8 @@
 import org.snowturn.core.assignment.KnownCancellations;
 import org.snowturn.core.assignment.MachineRegistry;
 import org.snowturn.core.assignment.TaskAssignments;
+import org.snowturn.core.dependency.DependencyGraph;
+import org.snowturn.core.dispatch.CommandQueue;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.election.CancellationWatermark;
 import org.snowturn.core.model.Job;
--- a/src/main/java/org/snowturn/core/leader/CommandDispatcher.java
+++ b/src/main/java/org/snowturn/core/leader/CommandDispatcher.java
@@ -1,7 +1,7 @@
 package org.snowturn.core.leader;
 
 import java.util.ArrayDeque;
-import org.snowturn.core.assignment.CommandQueue;
+import org.snowturn.core.dispatch.CommandQueue;
 
 /** Sends what the machines' command queues hold; only queues with something to send are visited. */
 final class CommandDispatcher {
--- a/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
+++ b/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
@@ -1,8 +1,8 @@
 package org.snowturn.core.leader;
 
 import java.util.List;
-import org.snowturn.core.assignment.CommandLog;
 import org.snowturn.core.assignment.HeartbeatCommands;
+import org.snowturn.core.dispatch.CommandLog;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.effects.LogEvent;
 import org.snowturn.core.effects.LogField;
