--- a/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
+++ b/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
@@ -71,11 +71,14 @@
     Map<String, String> replicas = Map.of("tasks", "5", "cpus", "1", "rank", "production");
     cluster.after(
         500,
-        () -> cluster.users.submit(Scenario.spec("wk-000001", "service", replicas), 0, Map.of()));
+        () ->
+            cluster.users.submit(
+                SimulatedJobs.spec("wk-000001", "service", replicas), 0, Map.of()));
     Map<String, String> array = Map.of("tasks", "12", "cpus", "1");
     cluster.after(
         FROM_MS - 500,
-        () -> cluster.users.submit(Scenario.spec("wk-000002", "batch", array), 4_000, Map.of()));
+        () ->
+            cluster.users.submit(SimulatedJobs.spec("wk-000002", "batch", array), 4_000, Map.of()));
     long at = FROM_MS;
     long calm = FROM_MS;
     for (Fault f : faults) {
@@ -88,7 +91,7 @@
     assertNotNull(cluster.leader(), "nobody leads: " + cluster.log);
     Set<Long> tokens = new HashSet<>();
     long last = 0;
-    for (String line : cluster.log) {
+    for (String line : cluster.log.lines()) {
       int i = line.indexOf("leading with token ");
       if (i >= 0) {
         String rest = line.substring(i + "leading with token ".length());
--- a/src/test/java/org/snowturn/simulation/InvariantCheckerTest.java
+++ b/src/test/java/org/snowturn/simulation/InvariantCheckerTest.java
@@ -37,7 +37,7 @@
   }
 
   private JobSpec accepted(Map<String, String> options) {
-    JobSpec spec = Scenario.spec(JOB, "batch", options);
+    JobSpec spec = SimulatedJobs.spec(JOB, "batch", options);
     cluster.users.adopt(spec, "queued");
     return spec;
   }
--- a/src/test/java/org/snowturn/simulation/WorkBoundTest.java
+++ b/src/test/java/org/snowturn/simulation/WorkBoundTest.java
@@ -27,7 +27,7 @@
       o.put("tasks", "" + machines * TASKS_PER_MACHINE / jobs);
       cluster.after(
           10_000 + j * 100,
-          () -> cluster.users.submit(Scenario.spec(id, "batch", o), 10_000, Map.of()));
+          () -> cluster.users.submit(SimulatedJobs.spec(id, "batch", o), 10_000, Map.of()));
     }
     cluster.runUntil(60_000);
     assertTrue(cluster.rules.broken.isEmpty());
--- a/src/testbench/java/org/snowturn/simulation/LoadGenerator.java
+++ b/src/testbench/java/org/snowturn/simulation/LoadGenerator.java
@@ -106,9 +106,9 @@
     o.put("team", team(nextJob % plan.teams()));
     o.put("tasks", "" + tasks);
     o.put("cpus", "1");
-    o.put("guess", "" + Math.min(runMs, 600_000) / 1000);
+    o.put("estimate", "" + Math.min(runMs, 600_000) / 1000);
     JobSpec spec =
-        Scenario.spec(String.format("wk-%d%07d", 1 + plan.number(), nextJob++), "batch", o);
+        SimulatedJobs.spec(String.format("wk-%d%07d", 1 + plan.number(), nextJob++), "batch", o);
     cluster.users.submit(spec, runMs, Map.of());
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/LoopbackFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackFaults.java
@@ -85,7 +85,7 @@
 
   /** Some machines stand still, with all that runs there. */
   public void hangWorkers(int count, long ms) {
-    onWorkers(count, worker -> Scenario.hang(cluster, worker, ms));
+    onWorkers(count, worker -> ClusterFaults.hang(cluster, worker, ms));
   }
 
   /** Some machines stop on their own. */
--- a/src/testbench/java/org/snowturn/simulation/OverlappingFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/OverlappingFaults.java
@@ -26,9 +26,9 @@
     text.add("capacity 8");
     text.add("machines 15");
     at(3, "submit wk-000001..wk-000003 service tasks=4 cpus=1 spread=1 ordinary=1 rank=production");
-    at(3.5, "submit wk-000011..wk-000014 batch tasks=5 cpus=1 run=70 team=u guess=60");
-    at(4, "submit wk-000021..wk-000024 batch tasks=2 cpus=1 run=4 odd=1:45 guess=20");
-    at(5, "submit wk-000031..wk-000034 batch tasks=3 cpus=1 run=9 odd=2:33 one-zone=1");
+    at(3.5, "submit wk-000011..wk-000014 batch tasks=5 cpus=1 run=70 team=u estimate=60");
+    at(4, "submit wk-000021..wk-000024 batch tasks=2 cpus=1 run=4 straggler=1:45 estimate=20");
+    at(5, "submit wk-000031..wk-000034 batch tasks=3 cpus=1 run=9 straggler=2:33 one-zone=1");
     meeting(18 + random.nextDouble(6), 100);
     meeting(75 + random.nextDouble(20), 200);
     text.add("until " + (int) (over + 200));
@@ -58,7 +58,7 @@
     trouble(from + random.nextDouble(8), changeOfLeader());
     String fresh = String.format("wk-%06d..wk-%06d", ids, ids + 3);
     double at = from + random.nextDouble(4);
-    at(at, "submit " + fresh + " batch tasks=2 cpus=1 run=3 odd=0:25 guess=15");
+    at(at, "submit " + fresh + " batch tasks=2 cpus=1 run=3 straggler=0:25 estimate=15");
     for (int id = ids; id < ids + 2; id++) {
       cancelAndAsk(at + 0.5 + random.nextDouble(20), id);
     }
@@ -66,8 +66,8 @@
     cancelAndAsk(from + random.nextDouble(6), service);
     cancelAndAsk(from + random.nextDouble(10), 10 + service);
     cancelAndAsk(from + random.nextDouble(10), 20 + service);
-    at(from + random.nextDouble(30), "repeat wk-000003");
-    at(from + random.nextDouble(30), "repeat wk-000023");
+    at(from + random.nextDouble(30), "resubmit wk-000003");
+    at(from + random.nextDouble(30), "resubmit wk-000023");
   }
 
   /** A user cancels; then asks, submits again and cancels again, on whichever node. */
@@ -75,7 +75,7 @@
     String job = String.format("wk-%06d", id);
     at(at, "cancel " + job);
     at(at + random.nextDouble(3), "poll " + job);
-    at(at + random.nextDouble(40), "repeat " + job);
+    at(at + random.nextDouble(40), "resubmit " + job);
     at(at + random.nextDouble(40), "cancel " + job);
   }
 
@@ -113,26 +113,26 @@
       case 8 -> "cut-zone " + "abc".charAt(random.nextInt(3)) + " " + s(2, 60);
       case 9 -> "slow-state " + (5 + random.nextInt(300)) + " " + s(5, 40);
       case 10 -> "lose-replies 0.3 " + s(3, 30);
-      case 11 -> "late-txns 0.3 " + s(3, 30);
+      case 11 -> "late-transactions 0.3 " + s(3, 30);
       case 12 -> "late-commands " + s(1, 20) + " " + s(3, 30);
-      case 13 -> "late-answers " + s(1, 20) + " " + s(3, 30);
-      case 14 -> "copies " + s(2, 40) + " " + s(10, 60);
+      case 13 -> "late-command-replies " + s(1, 20) + " " + s(3, 30);
+      case 14 -> "duplicate-heartbeats " + s(2, 40) + " " + s(10, 60);
       case 15 -> "hang-many " + (1 + random.nextInt(5)) + " " + s(1, 60);
       case 16 -> "isolate-many " + (1 + random.nextInt(5)) + " " + s(1, 60);
-      case 17 -> "deafen-many " + (1 + random.nextInt(5)) + " " + s(1, 60);
-      case 18 -> "die " + (1 + random.nextInt(4));
+      case 17 -> "drop-inbound-many " + (1 + random.nextInt(5)) + " " + s(1, 60);
+      case 18 -> "fail-many " + (1 + random.nextInt(4));
       case 19 -> "cloud-outage " + s(5, 60);
-      case 20 -> "deafen-zone " + "abc".charAt(random.nextInt(3)) + " " + s(1, 40);
-      case 21 -> "mute-many " + (1 + random.nextInt(5)) + " " + s(1, 60);
-      case 22 -> "slow-reports " + s(0.5, 3) + " " + s(5, 40);
-      case 23 -> "keep-reports " + s(10, 60);
+      case 20 -> "drop-inbound-zone " + "abc".charAt(random.nextInt(3)) + " " + s(1, 40);
+      case 21 -> "drop-outbound-many " + (1 + random.nextInt(5)) + " " + s(1, 60);
+      case 22 -> "slow-heartbeats " + s(0.5, 3) + " " + s(5, 40);
+      case 23 -> "hold-heartbeats " + s(10, 60);
       case 24 -> "cancel-now " + (1 + random.nextInt(3)) + " " + s(4, 50);
-      case 25 -> "close-looks " + s(10, 60);
-      case 26 -> "odd-requests " + s(10, 60);
+      case 25 -> "read-after-write " + s(10, 60);
+      case 26 -> "invalid-requests " + s(10, 60);
       case 27 -> "cancel-at-end 0.4 " + s(10, 60);
       case 28 -> "lose-replies 0.9 " + s(3, 20);
       case 29 -> "slow-links " + s(0.05, 0.3) + " " + s(5, 40);
-      default -> "sick-many " + (1 + random.nextInt(2));
+      default -> "failing-many " + (1 + random.nextInt(2));
     };
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/RandomJobs.java
+++ b/src/testbench/java/org/snowturn/simulation/RandomJobs.java
@@ -56,7 +56,7 @@
 
   private void submit(String id) {
     boolean service = random.nextInt(5) == 0;
-    JobSpec spec = Scenario.spec(id, service ? "service" : "batch", options(service));
+    JobSpec spec = SimulatedJobs.spec(id, service ? "service" : "batch", options(service));
     cluster.users.submit(spec, SHORTEST_RUN_MS + random.nextInt(RUN_SPREAD_MS), Map.of());
     if (service || random.nextInt(5) == 0) {
       cluster.after(500 + random.nextInt(LATEST_CANCEL_MS), () -> cancel(id));
--- /dev/null
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioLine.java
@@ -0,0 +1,133 @@
+package org.snowturn.simulation;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * One line of a scenario: words with blanks between. Its accessors throw {@link
+ * ScenarioFormatException} for a word that is missing or has the wrong form.
+ */
+final class ScenarioLine {
+  private static final String BLANKS = "\\s+";
+  private static final String RANGE = "..";
+
+  private final String file;
+  private final int number;
+  private final String text;
+  private final String[] words;
+
+  ScenarioLine(String file, int number, String text) {
+    this.file = file;
+    this.number = number;
+    this.text = text;
+    this.words = text.split(BLANKS, -1);
+  }
+
+  /** File and number of the line. */
+  String location() {
+    return file + ":" + number;
+  }
+
+  String text() {
+    return text;
+  }
+
+  int size() {
+    return words.length;
+  }
+
+  boolean has(int index) {
+    return index < words.length;
+  }
+
+  String word(int index) {
+    if (!has(index)) {
+      throw new ScenarioFormatException(this, "word " + (index + 1) + " is missing");
+    }
+    return words[index];
+  }
+
+  /** Everything from this word to the end of the line. */
+  String rest(int index) {
+    word(index);
+    return text.split(BLANKS, index + 1)[index];
+  }
+
+  double number(int index) {
+    try {
+      return Double.parseDouble(word(index));
+    } catch (NumberFormatException e) {
+      throw new ScenarioFormatException(this, "not a number: " + word(index), e);
+    }
+  }
+
+  int count(int index) {
+    try {
+      return Integer.parseInt(word(index));
+    } catch (NumberFormatException e) {
+      throw new ScenarioFormatException(this, "not a whole number: " + word(index), e);
+    }
+  }
+
+  /** A time or duration in seconds, as milliseconds. */
+  long millis(int index) {
+    return (long) (number(index) * 1000);
+  }
+
+  /**
+   * Job ids with commas between; {@code wk-000001..wk-000009} stands for all from the first to the
+   * last.
+   */
+  List<String> jobs(int index) {
+    return jobs(word(index));
+  }
+
+  List<String> jobs(String list) {
+    List<String> ids = new ArrayList<>();
+    for (String part : list.split(",", -1)) {
+      int range = part.indexOf(RANGE);
+      if (range < 0) {
+        ids.add(part);
+        continue;
+      }
+      long last = jobNumber(part.substring(range + RANGE.length()));
+      for (long id = jobNumber(part.substring(0, range)); id <= last; id++) {
+        ids.add(SimulatedJobs.id(id));
+      }
+    }
+    return ids;
+  }
+
+  long jobNumber(String id) {
+    try {
+      return SimulatedJobs.number(id);
+    } catch (IllegalArgumentException e) {
+      throw new ScenarioFormatException(this, "not a job's id: " + id, e);
+    }
+  }
+
+  /** The words from this one on that have the form {@code name=value}. */
+  Map<String, String> named(int from) {
+    Map<String, String> named = new LinkedHashMap<>();
+    for (int i = from; i < words.length; i++) {
+      int equals = words[i].indexOf('=');
+      if (equals > 0) {
+        named.put(words[i].substring(0, equals), words[i].substring(equals + 1));
+      }
+    }
+    return named;
+  }
+
+  /** The largest of the words from this one on that are numbers; 0 if there is none. */
+  double largestNumber(int from) {
+    double largest = 0;
+    for (int i = from; i < words.length; i++) {
+      if (words[i].matches("[0-9.]+")) {
+        largest = Math.max(largest, Double.parseDouble(words[i]));
+      }
+    }
+    return largest;
+  }
+}
--- /dev/null
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioSettings.java
@@ -0,0 +1,143 @@
+package org.snowturn.simulation;
+
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.snowturn.config.Settings;
+import org.snowturn.config.Tunables;
+
+/** The settings of a scenario, by their names in its file; what is not named has a default. */
+final class ScenarioSettings {
+  private static final int CONTROLLERS = 3;
+  private static final Settings.StateLimits STATE_LIMITS = new Settings.StateLimits(150, 40, 4, 12);
+
+  private final Map<String, ScenarioLine> lines = new HashMap<>();
+
+  void add(ScenarioLine line) {
+    lines.put(line.word(0), line);
+  }
+
+  boolean has(String name) {
+    return lines.containsKey(name);
+  }
+
+  /** The line of a setting that is there. */
+  ScenarioLine line(String name) {
+    return lines.get(name);
+  }
+
+  /** The words of a setting, or those of the default. */
+  List<String> words(String name, String absent) {
+    ScenarioLine line = lines.get(name);
+    if (line == null || !line.has(1)) {
+      return List.of(absent.split("\\s+", -1));
+    }
+    List<String> words = new ArrayList<>();
+    for (int i = 1; i < line.size(); i++) {
+      words.add(line.word(i));
+    }
+    return words;
+  }
+
+  double number(String name, double absent) {
+    return has(name) ? line(name).number(1) : absent;
+  }
+
+  int count(String name, int absent) {
+    return has(name) ? line(name).count(1) : absent;
+  }
+
+  long[] seeds() {
+    return words("seeds", "1").stream().mapToLong(Long::parseLong).toArray();
+  }
+
+  Tunables tunables() {
+    Tunables defaults = Tunables.defaults();
+    return new Tunables(
+        defaults.leaderTtlS(),
+        !words("speculation", "on").get(0).equals("off"),
+        number("cap", defaults.speculativeCap()),
+        defaults.slowTaskPercentile(),
+        defaults.slowNodePercentile(),
+        defaults.judgeAfterS(),
+        number("gain", defaults.gainFactor()),
+        defaults.idleReturnS(),
+        defaults.bootPatience(),
+        defaults.sickErrors(),
+        defaults.urgentSlackS(),
+        number("begin-within", defaults.beginWithinS()));
+  }
+
+  /** The settings of each controller. */
+  Settings[] controllers() {
+    Settings[] settings = new Settings[CONTROLLERS];
+    for (int i = 0; i < settings.length; i++) {
+      settings[i] = controller(i);
+    }
+    return settings;
+  }
+
+  private Settings controller(int index) {
+    List<Settings.Peer> peers = new ArrayList<>();
+    for (int peer = 0; peer < CONTROLLERS; peer++) {
+      if (peer != index) {
+        peers.add(new Settings.Peer("n" + peer, new InetSocketAddress("127.0.0.1", 1 + peer)));
+      }
+    }
+    InetSocketAddress none = new InetSocketAddress("127.0.0.1", 1);
+    Settings.StateLimits limits = limits("state", STATE_LIMITS);
+    return new Settings(
+        "n" + index,
+        "abc".substring(index, index + 1),
+        none,
+        none,
+        peers,
+        none,
+        none,
+        List.of("a", "b", "c"),
+        teams(),
+        objectives(),
+        workers(),
+        limits,
+        limits("next", limits),
+        new Settings.CloudLimits(4, 3),
+        1000);
+  }
+
+  private List<Settings.Team> teams() {
+    List<Settings.Team> teams = new ArrayList<>();
+    for (String word : words("teams", "t:0")) {
+      String[] parts = word.split(":", -1);
+      double guarantee = parts.length > 2 ? Double.parseDouble(parts[2]) : 0;
+      teams.add(new Settings.Team(parts[0], guarantee, Double.parseDouble(parts[1]), 0, 0));
+    }
+    return teams;
+  }
+
+  private Settings.Workers workers() {
+    if (!has("workers")) {
+      return new Settings.Workers(2, 10, 30);
+    }
+    ScenarioLine line = line("workers");
+    return new Settings.Workers(line.number(1), line.number(2), line.number(3));
+  }
+
+  private List<Settings.Objective> objectives() {
+    List<Settings.Objective> objectives = new ArrayList<>();
+    objectives.add(new Settings.Objective("deadline", "c", number("on-time", 0.99), 1, 0));
+    if (has("start-within")) {
+      objectives.add(new Settings.Objective("wait", "c", 0.9, 0, line("start-within").number(1)));
+    }
+    return objectives;
+  }
+
+  private Settings.StateLimits limits(String name, Settings.StateLimits absent) {
+    if (!has(name)) {
+      return absent;
+    }
+    ScenarioLine line = line(name);
+    return new Settings.StateLimits(line.number(1), line.number(2), line.number(3), line.count(4));
+  }
+}
--- a/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
@@ -236,7 +236,7 @@
     String id = "wk-" + ++oddJobs;
     boolean large = cluster.random.nextBoolean();
     JobSpec spec =
-        Scenario.spec(id, "batch", large ? Map.of("cpus", "99") : Map.of("team", "nobody"));
+        SimulatedJobs.spec(id, "batch", large ? Map.of("cpus", "99") : Map.of("team", "nobody"));
     ask(
         anyNode(),
         x -> new Input.Submit(x, spec),
@@ -274,7 +274,10 @@
               hung.addAll(running.get(submitted));
             });
     if (hangMs > 0) {
-      hung.stream().distinct().limit(8).forEach(worker -> Scenario.hang(cluster, worker, hangMs));
+      hung.stream()
+          .distinct()
+          .limit(8)
+          .forEach(worker -> ClusterFaults.hang(cluster, worker, hangMs));
     }
   }
 
@@ -367,7 +370,9 @@
   }
 
   private JobSpec asTaken(JobSpec spec) {
-    return cluster.sabotage.contains("forget_awaits") ? Scenario.withoutAwaits(spec) : spec;
+    return cluster.sabotage.contains("forget_awaits")
+        ? SimulatedJobs.withoutDependencies(spec)
+        : spec;
   }
 
   /** Repeats a submission, as a user may at any later time. */
--- a/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
@@ -53,7 +53,7 @@
   final Map<String, SimulatedWorker> workers = new LinkedHashMap<>();
   final Tunables tunables;
   final Set<String> sabotage = new HashSet<>();
-  final List<String> log = new ArrayList<>();
+  final ClusterLog log = new ClusterLog();
   long now;
   private long order;
   private final PriorityQueue<Event> events =
@@ -397,7 +397,7 @@
           }
         }
       } else if (effect instanceof Effect.Note n) {
-        log.add(now + " " + name + " " + n.text());
+        log.add(now, name, n.text());
       } else if (effect instanceof Effect.Event event) {
         logEvent(event);
       } else if (effect instanceof Effect.Call c) {
@@ -409,7 +409,7 @@
       if (event.severity() == Effect.Severity.ERROR) {
         rules.broke("invariant_violated", name + " " + event.text());
       } else if (event.severity() == Effect.Severity.INFO) {
-        log.add(now + " " + name + " " + event.text());
+        log.add(now, name, event.text());
       }
     }
 
--- /dev/null
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedJobs.java
@@ -0,0 +1,85 @@
+package org.snowturn.simulation;
+
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.util.List;
+import java.util.Map;
+import org.snowturn.wire.JobSpec;
+import org.snowturn.wire.Json;
+import org.snowturn.wire.MalformedException;
+
+/** Makes job ids and specifications for simulated clients. */
+final class SimulatedJobs {
+  private static final String ID_PREFIX = "wk-";
+
+  private SimulatedJobs() {}
+
+  /** The id with this number. */
+  static String id(long number) {
+    return String.format("wk-%06d", number);
+  }
+
+  /**
+   * The number of an id.
+   *
+   * @throws IllegalArgumentException if it is none
+   */
+  static long number(String id) {
+    if (!id.startsWith(ID_PREFIX)) {
+      throw new IllegalArgumentException("not a job's id: " + id);
+    }
+    return Long.parseLong(id.substring(ID_PREFIX.length()));
+  }
+
+  /**
+   * A specification.
+   *
+   * @param shape {@code batch} or {@code service}
+   * @param options what differs from a job of one small task, by the names that scenarios use
+   * @param dependencies ids of jobs that have to be done first
+   */
+  static JobSpec spec(
+      String id, String shape, Map<String, String> options, List<String> dependencies) {
+    ObjectNode node = Json.object();
+    node.put("id", id)
+        .put("jobclass", options.getOrDefault("class", "c"))
+        .put("owner", options.getOrDefault("team", "t"));
+    node.put("shape", shape).put("rank", options.getOrDefault("rank", "high"));
+    node.put("flakes", Integer.parseInt(options.getOrDefault("tasks", "1")));
+    node.put("cores", Double.parseDouble(options.getOrDefault("cpus", "2"))).put("cards", 0.0);
+    node.put("ram_gb", 4.0).put("bundle", options.getOrDefault("image", "img")).put("size_gb", 0.5);
+    node.put("same_place", options.containsKey("one-zone"));
+    node.put("spread", options.containsKey("spread"));
+    node.put("loaners", !options.containsKey("ordinary")).put("field", options.get("zone"));
+    node.put("guess_s", Double.parseDouble(options.getOrDefault("estimate", "10")));
+    node.put("cairn_s", 0.0).put("stash_s", 0.0);
+    if (!dependencies.isEmpty()) {
+      ArrayNode awaits = node.putArray("awaits");
+      dependencies.forEach(awaits::add);
+    }
+    if (options.containsKey("due")) {
+      node.put("due_s", Double.parseDouble(options.get("due")));
+    }
+    return parse(node);
+  }
+
+  /** A specification without dependencies. */
+  static JobSpec spec(String id, String shape, Map<String, String> options) {
+    return spec(id, shape, options, List.of());
+  }
+
+  /** The same job without its dependencies. */
+  static JobSpec withoutDependencies(JobSpec spec) {
+    ObjectNode node = spec.toJson();
+    node.remove("awaits");
+    return parse(node);
+  }
+
+  private static JobSpec parse(ObjectNode node) {
+    try {
+      return JobSpec.parse(node);
+    } catch (MalformedException e) {
+      throw new IllegalArgumentException(e);
+    }
+  }
+}
--- a/src/testbench/java/org/snowturn/simulation/TargetedFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/TargetedFaults.java
@@ -60,7 +60,8 @@
     }
     for (int i = 0; i < 3; i++) {
       String kind =
-          List.of("isolate-many", "hang-many", "deafen-many", "mute-many").get(random.nextInt(4));
+          List.of("isolate-many", "hang-many", "drop-inbound-many", "drop-outbound-many")
+              .get(random.nextInt(4));
       at(from + between(-3, 8), "%s %d %.2f", kind, 1 + random.nextInt(4), between(3, 25));
     }
     at(from + between(0, 10), "crash leader? %.2f", between(0.1, 4));
@@ -69,7 +70,7 @@
   private void startsBesideLateWrites() {
     text.add("capacity 6");
     text.add("machines 12");
-    at(7, "late-txns %.2f 14", between(0.2, 0.5));
+    at(7, "late-transactions %.2f 14", between(0.2, 0.5));
     for (int i = 0; i < 12; i++) {
       int id = 100 + 10 * i;
       at(8 + i, "submit wk-%06d..wk-%06d batch tasks=3 cpus=1 run=9", id, id + 2);
@@ -99,12 +100,12 @@
     text.add("machines 0");
     double from = between(3, 5);
     at(from, "submit wk-000001..wk-000006 batch tasks=4 cpus=2 run=20");
-    at(from, "late-txns %.2f %.2f", between(0.3, 0.6), between(4, 12));
+    at(from, "late-transactions %.2f %.2f", between(0.3, 0.6), between(4, 12));
     for (int i = 0; i < 4; i++) {
       at(from + 1 + 2.5 * i + between(0, 2.5), "crash leader? %.2f", between(0.05, 0.3));
       at(from + 2 * i, "submit wk-%06d batch tasks=8 cpus=2 run=12", 11 + i);
     }
-    at(between(20, 30), "die %d", 2 + random.nextInt(4));
+    at(between(20, 30), "fail-many %d", 2 + random.nextInt(4));
   }
 
   private void cancellationsThatALeaderDoesNotHear() {
@@ -135,7 +136,7 @@
     text.add("machines 6");
     at(3, "submit wk-000001..wk-000006 batch tasks=7 cpus=1 run=%.2f ordinary=1", between(6, 20));
     double from = between(14, 20);
-    at(from - 5, random.nextBoolean() ? "copies 25 70" : "keep-reports 70");
+    at(from - 5, random.nextBoolean() ? "duplicate-heartbeats 25 70" : "hold-heartbeats 70");
     at(from, "isolate-many %d %.2f", 2 + random.nextInt(4), between(10.2, 15));
     at(from + between(2, 20), "hang-many %d %.2f", 1 + random.nextInt(3), between(8, 14));
     for (int i = 0; i < 3; i++) {
