--- a/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
+++ b/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
@@ -72,13 +72,14 @@
     cluster.after(
         500,
         () ->
-            cluster.users.submit(
+            cluster.clients.submit(
                 SimulatedJobs.spec("wk-000001", "service", replicas), 0, Map.of()));
     Map<String, String> array = Map.of("tasks", "12", "cpus", "1");
     cluster.after(
         FROM_MS - 500,
         () ->
-            cluster.users.submit(SimulatedJobs.spec("wk-000002", "batch", array), 4_000, Map.of()));
+            cluster.clients.submit(
+                SimulatedJobs.spec("wk-000002", "batch", array), 4_000, Map.of()));
     long at = FROM_MS;
     long calm = FROM_MS;
     for (Fault f : faults) {
@@ -87,7 +88,7 @@
       calm = Math.max(calm, at + f.lastsMs);
     }
     cluster.runUntil(calm + CALM_MS);
-    assertEquals(List.of(), cluster.rules.details);
+    assertEquals(List.of(), cluster.invariants.details);
     assertNotNull(cluster.leader(), "nobody leads: " + cluster.log);
     Set<Long> tokens = new HashSet<>();
     long last = 0;
@@ -119,12 +120,12 @@
       case 6 -> cluster.state.refuse(node.name, f.lastsMs);
       case 7 -> cluster.state.outage(f.lastsMs);
       default -> {
-        cluster.state.lateTxns = 0.5;
+        cluster.state.lateTransactions = 0.5;
         cluster.state.loseReplies = 0.3;
         cluster.after(
             f.lastsMs,
             () -> {
-              cluster.state.lateTxns = 0;
+              cluster.state.lateTransactions = 0;
               cluster.state.loseReplies = 0;
             });
       }
--- a/src/test/java/org/snowturn/simulation/InvariantCheckerTest.java
+++ b/src/test/java/org/snowturn/simulation/InvariantCheckerTest.java
@@ -33,12 +33,12 @@
     scenario.run(1);
     cluster = scenario.last;
     workers = new ArrayList<>(cluster.workers.values());
-    assertEquals(Set.of(), cluster.rules.broken);
+    assertEquals(Set.of(), cluster.invariants.violated);
   }
 
   private JobSpec accepted(Map<String, String> options) {
     JobSpec spec = SimulatedJobs.spec(JOB, "batch", options);
-    cluster.users.adopt(spec, "queued");
+    cluster.clients.adopt(spec, "queued");
     return spec;
   }
 
@@ -50,8 +50,8 @@
     task.phase = "running";
     task.present = true;
     on.tasks.put(task.name() + "#" + attempt, task);
-    cluster.rules.started(on, task, spec);
-    cluster.rules.check();
+    cluster.invariants.started(on, task, spec);
+    cluster.invariants.check();
     return task;
   }
 
@@ -66,7 +66,7 @@
               }
 
               @Override
-              void checkIn(String from, JsonNode report, Answer answer) {}
+              void heartbeat(String from, JsonNode report, Answer answer) {}
             });
     cluster.endpoints.get(0).up = true;
   }
@@ -76,7 +76,7 @@
   }
 
   private void broken(String... rules) {
-    assertEquals(new TreeSet<>(List.of(rules)), cluster.rules.broken);
+    assertEquals(new TreeSet<>(List.of(rules)), cluster.invariants.violated);
   }
 
   @Test
@@ -86,7 +86,7 @@
     cluster.now += 500;
     start(workers.get(1), spec, 0, 8);
     broken("ran_twice");
-    String detail = cluster.rules.details.get(0);
+    String detail = cluster.invariants.details.get(0);
     for (String part :
         List.of(
             JOB + "/0",
@@ -126,11 +126,11 @@
     JobSpec spec = accepted(Map.of("cpus", "1", "team", "u"));
     start(workers.get(0), spec, 0, 7);
     answering(200, phase("aborted"));
-    cluster.users.cancel(JOB);
-    cluster.rules.check();
+    cluster.clients.cancel(JOB);
+    cluster.invariants.check();
     broken();
     cluster.now += PAST_CANCEL_MS;
-    cluster.rules.check();
+    cluster.invariants.check();
     broken("ran_cancelled");
   }
 
@@ -138,10 +138,10 @@
   void forgottenByA404() {
     accepted(Map.of("team", "u"));
     answering(200, phase("queued"));
-    cluster.users.pollOnce(JOB);
+    cluster.clients.pollOnce(JOB);
     cluster.now += 10;
     answering(404, null);
-    cluster.users.pollOnce(JOB);
+    cluster.clients.pollOnce(JOB);
     broken("forgotten");
   }
 
@@ -149,14 +149,14 @@
   void forgottenByARefusedRepetition() {
     accepted(Map.of("team", "u"));
     answering(422, null);
-    cluster.users.repeat(JOB);
+    cluster.clients.resubmit(JOB);
     broken("forgotten");
   }
 
   @Test
   void invented() {
     answering(200, Json.object().put("id", "wk-000777").put("phase", "queued"));
-    cluster.users.pollOnce("wk-000777");
+    cluster.clients.pollOnce("wk-000777");
     broken("invented");
   }
 
@@ -164,19 +164,19 @@
   void notDone() {
     accepted(Map.of("team", "u"));
     answering(200, phase("done"));
-    cluster.users.pollOnce(JOB);
+    cluster.clients.pollOnce(JOB);
     broken("not_done");
   }
 
   @Test
   void wentBack() {
     accepted(Map.of("team", "u", "tasks", "1"));
-    cluster.users.completed(JOB + "/0");
+    cluster.clients.completed(JOB + "/0");
     answering(200, phase("done"));
-    cluster.users.pollOnce(JOB);
+    cluster.clients.pollOnce(JOB);
     cluster.now += 10;
     answering(200, phase("running"));
-    cluster.users.pollOnce(JOB);
+    cluster.clients.pollOnce(JOB);
     broken("went_back");
   }
 
@@ -184,14 +184,14 @@
   void cancelledByNobody() {
     accepted(Map.of("team", "u"));
     answering(200, phase("aborted"));
-    cluster.users.pollOnce(JOB);
+    cluster.clients.pollOnce(JOB);
     broken("went_back");
   }
 
   @Test
   void acceptedThoughItCanNeverRun() {
     answering(201, phase("queued"));
-    cluster.users.oddRequests(2_000);
+    cluster.clients.sendInvalidRequests(2_000);
     cluster.runUntil(cluster.now + 2_000);
     broken("accepted_bad");
   }
@@ -208,11 +208,11 @@
   @Test
   void whatIsOpenAtTheEndIsNamed() {
     JobSpec spec = accepted(Map.of("cpus", "1", "team", "u"));
-    assertTrue(cluster.rules.unsettled(cluster.now).get(0).contains("last answered about"));
+    assertTrue(cluster.invariants.unsettled(cluster.now).get(0).contains("last answered about"));
     answering(200, phase("queued"));
-    cluster.users.pollOnce(JOB);
-    assertEquals(List.of(JOB + " runs nowhere"), cluster.rules.unsettled(cluster.now));
+    cluster.clients.pollOnce(JOB);
+    assertEquals(List.of(JOB + " runs nowhere"), cluster.invariants.unsettled(cluster.now));
     start(workers.get(0), spec, 0, 7);
-    assertEquals(List.of(), cluster.rules.unsettled(cluster.now));
+    assertEquals(List.of(), cluster.invariants.unsettled(cluster.now));
   }
 }
--- a/src/test/java/org/snowturn/simulation/WorkBoundTest.java
+++ b/src/test/java/org/snowturn/simulation/WorkBoundTest.java
@@ -27,10 +27,10 @@
       o.put("tasks", "" + machines * TASKS_PER_MACHINE / jobs);
       cluster.after(
           10_000 + j * 100,
-          () -> cluster.users.submit(SimulatedJobs.spec(id, "batch", o), 10_000, Map.of()));
+          () -> cluster.clients.submit(SimulatedJobs.spec(id, "batch", o), 10_000, Map.of()));
     }
     cluster.runUntil(60_000);
-    assertTrue(cluster.rules.broken.isEmpty());
+    assertTrue(cluster.invariants.violated.isEmpty());
     return cluster.leader().core.gauges();
   }
 
--- a/src/testbench/java/org/snowturn/simulation/ClusterFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/ClusterFaults.java
@@ -15,8 +15,8 @@
 
   /** For a while the machine reaches no controller, while direct commands reach it. */
   static void dropOutbound(SimulatedCluster cluster, SimulatedWorker worker, long ms) {
-    worker.mute = true;
-    cluster.after(ms, () -> worker.mute = false);
+    worker.outboundDropped = true;
+    cluster.after(ms, () -> worker.outboundDropped = false);
   }
 
   /** For a while all messages between the machine and the controllers are held back. */
--- a/src/testbench/java/org/snowturn/simulation/DirectedLinks.java
+++ b/src/testbench/java/org/snowturn/simulation/DirectedLinks.java
@@ -27,7 +27,7 @@
   }
 
   @Override
-  public long lateMs(String from, String to) {
+  public long delayMs(String from, String to) {
     if (cuts.isEmpty()) {
       return 0;
     }
--- a/src/testbench/java/org/snowturn/simulation/Endpoint.java
+++ b/src/testbench/java/org/snowturn/simulation/Endpoint.java
@@ -17,7 +17,7 @@
   abstract void request(String from, LongFunction<Input> input, Answer answer);
 
   /** Takes a worker's report. */
-  abstract void checkIn(String from, JsonNode report, Answer answer);
+  abstract void heartbeat(String from, JsonNode report, Answer answer);
 
   /** Takes the answer to a request; status 0 stands for a connection that was refused. */
   interface Answer {
--- a/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
+++ b/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
@@ -47,15 +47,15 @@
   private long ledAt;
   private boolean asking;
   private final Map<String, Long> waitsSince = new HashMap<>();
-  final TreeSet<String> broken = new TreeSet<>();
+  final TreeSet<String> violated = new TreeSet<>();
   final List<String> details = new ArrayList<>();
 
   InvariantChecker(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
-  void broke(String rule, String detail) {
-    broken.add(rule);
+  void report(String rule, String detail) {
+    violated.add(rule);
     if (details.size() < 5) {
       details.add(cluster.now + " " + rule + ": " + detail);
     }
@@ -65,7 +65,7 @@
   void started(SimulatedWorker worker, SimulatedWorker.Task task, JobSpec spec) {
     checkAwaited(task, spec);
     checkWanted(task);
-    cluster.users.started(task.job);
+    cluster.clients.started(task.job);
     starts++;
     int[] sameZone = {0};
     int[] otherZone = {0};
@@ -74,7 +74,7 @@
     Started now = new Started(worker, task, cluster.now);
     for (Started s : ofJob) {
       if (s.task.index == task.index) {
-        broke("ran_twice", task.name() + ": " + s + ", and " + now);
+        report("ran_twice", task.name() + ": " + s + ", and " + now);
       }
       (s.on.rented.zone.equals(worker.rented.zone) ? sameZone : otherZone)[0]++;
     }
@@ -83,7 +83,7 @@
         || (spec.zone() != null && !spec.zone().equals(worker.rented.zone))
         || (spec.spread() && sameZone[0] + 1 > spec.perZoneLimit())
         || (spec.oneZone() && otherZone[0] > 0)) {
-      broke("wrong_place", task.name() + " on " + worker.rented.id);
+      report("wrong_place", task.name() + " on " + worker.rented.id);
     }
   }
 
@@ -92,9 +92,9 @@
    * it may leave. A leader hears what its peers have told in a moment, not at once.
    */
   private void checkWanted(SimulatedWorker.Task task) {
-    Long told = cluster.users.cancelConfirmed(task.job);
+    Long told = cluster.clients.cancelConfirmed(task.job);
     if (told != null && task.startLeftAt > told + HEARD_OF_MS) {
-      broke(
+      report(
           "started_cancelled", task.name() + ", told at " + told + ", sent at " + task.startLeftAt);
     }
   }
@@ -104,7 +104,7 @@
     for (String id : spec.awaits()) {
       JsonNode over = cluster.state.peek("d/" + id);
       if (over == null || !over.path("p").asText().equals("done")) {
-        broke("too_early", task.name() + " before " + id);
+        report("too_early", task.name() + " before " + id);
       }
     }
   }
@@ -117,14 +117,14 @@
     SimulatedCluster.Node other = leader;
     boolean both = other != null && other != node && cluster.now - ledAt < JUST_NOW_MS;
     if (other != node) {
-      cluster.deliverKept();
+      cluster.deliverHeldHeartbeats();
     }
     leader = node;
     ledAt = cluster.now;
     if (both && !asking) {
       asking = true;
       if (other.leadsNow() && node.leadsNow()) {
-        broke("two_leaders", other.name + " and " + node.name);
+        report("two_leaders", other.name + " and " + node.name);
       }
       asking = false;
     }
@@ -136,15 +136,16 @@
       return;
     }
     nextLookAt = cluster.now + 1_000;
-    if (cluster.now > cluster.calmFrom) {
+    if (cluster.now > cluster.faultsEndMs) {
       checkWaiting();
     }
-    for (SimulatedClients.Mine submitted : cluster.users.all()) {
-      long from = Math.max(submitted.acceptedAt, Math.max(submitted.answeredAt, cluster.calmFrom));
+    for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
+      long from =
+          Math.max(submitted.acceptedAt, Math.max(submitted.answeredAt, cluster.faultsEndMs));
       if (submitted.accepted
-          && cluster.calmFrom < cluster.now
+          && cluster.faultsEndMs < cluster.now
           && cluster.now - from > UNANSWERED_MS) {
-        broke(
+        report(
             "forgotten",
             submitted.spec.id() + " has not been answered about since " + submitted.answeredAt);
       }
@@ -156,7 +157,7 @@
    * team is under its limit. Waiting is a job of which no task is on any machine.
    */
   private void checkWaiting() {
-    if (!cluster.sabotage.contains("unseen_sick")
+    if (!cluster.seededBugs.contains("unseen_sick")
         && cluster.workers.values().stream().anyMatch(InvariantChecker::fails)) {
       waitsSince.clear(); // machines that fail whatever starts there are a trouble that goes on
       return;
@@ -167,7 +168,7 @@
     for (SimulatedWorker worker : cluster.workers.values()) {
       for (SimulatedWorker.Task task : worker.tasks.values()) {
         if (task.alive()) {
-          JobSpec spec = cluster.users.spec(task.job);
+          JobSpec spec = cluster.clients.spec(task.job);
           placed.add(task.job);
           use.merge(spec.team(), spec.cpus(), Double::sum);
           taken.merge(
@@ -175,14 +176,14 @@
         }
       }
     }
-    for (SimulatedClients.Mine submitted : cluster.users.all()) {
+    for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
       boolean could =
           submitted.accepted
-              && !submitted.wantsCancel
+              && !submitted.cancelRequested
               && !submitted.broken
               && submitted.terminal == null
               && !placed.contains(submitted.spec.id())
-              && !cluster.users.allDone(submitted)
+              && !cluster.clients.allDone(submitted)
               && released(submitted.spec)
               && underLimit(submitted.spec, use)
               && cluster.workers.values().stream()
@@ -191,14 +192,14 @@
         waitsSince.remove(submitted.spec.id());
       } else if (cluster.now - waitsSince.computeIfAbsent(submitted.spec.id(), k -> cluster.now)
           > WAIT_MS) {
-        broke(
+        report(
             "left_waiting", submitted.spec.id() + " since " + waitsSince.get(submitted.spec.id()));
       }
     }
   }
 
   private static boolean fails(SimulatedWorker worker) {
-    return worker.sick && !worker.dead;
+    return worker.failing && !worker.dead;
   }
 
   private boolean released(JobSpec spec) {
@@ -224,14 +225,14 @@
       SimulatedWorker worker, JobSpec spec, Map<SimulatedWorker, Integer> taken) {
     return !worker.dead
         && !worker.hung
-        && !worker.mute
+        && !worker.outboundDropped
         && Double.isNaN(worker.noticeS)
         && worker.rented.goneAt == Long.MAX_VALUE
         && (spec.spot() || !worker.rented.spot)
         && (spec.zone() == null || spec.zone().equals(worker.rented.zone))
-        && taken.getOrDefault(worker, 0) + spec.cpus() <= worker.cluster.sizes.cpus()
+        && taken.getOrDefault(worker, 0) + spec.cpus() <= worker.cluster.parameters.cpus()
         && taken.getOrDefault(worker, 0) + spec.memoryGb() / 4
-            <= worker.cluster.sizes.memoryGb() / 4;
+            <= worker.cluster.parameters.memoryGb() / 4;
   }
 
   /**
@@ -246,15 +247,15 @@
           .forEach(task -> placed.add(task.job));
     }
     List<String> open = new ArrayList<>();
-    for (SimulatedClients.Mine submitted : cluster.users.all()) {
+    for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
       String id = submitted.spec.id();
       if (!submitted.accepted || submitted.terminal != null) {
         continue;
       }
       if (submitted.answeredAt < answeredSince) {
         open.add(id + " was last answered about at " + submitted.answeredAt);
-      } else if (submitted.wantsCancel || !placed.contains(id)) {
-        open.add(id + (submitted.wantsCancel ? " is not called cancelled" : " runs nowhere"));
+      } else if (submitted.cancelRequested || !placed.contains(id)) {
+        open.add(id + (submitted.cancelRequested ? " is not called cancelled" : " runs nowhere"));
       }
     }
     return open;
@@ -266,9 +267,9 @@
    * tasks, at least one; cancelled jobs do not count.
    */
   void checkServed(double least, long beginMs) {
-    Map<String, List<SimulatedClients.Mine>> groups = new TreeMap<>();
-    for (SimulatedClients.Mine submitted : cluster.users.all()) {
-      if (submitted.accepted && !submitted.wantsCancel && !submitted.broken) {
+    Map<String, List<SimulatedClients.SubmittedJob>> groups = new TreeMap<>();
+    for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
+      if (submitted.accepted && !submitted.cancelRequested && !submitted.broken) {
         groups
             .computeIfAbsent("class " + submitted.spec.jobClass(), g -> new ArrayList<>())
             .add(submitted);
@@ -282,14 +283,15 @@
           served(name, jobs, least);
           if (name.startsWith("class ")) {
             jobs.sort(Comparator.comparingInt(submitted -> -submitted.spec.tasks()));
-            List<SimulatedClients.Mine> largest = jobs.subList(0, Math.max(1, jobs.size() / 10));
+            List<SimulatedClients.SubmittedJob> largest =
+                jobs.subList(0, Math.max(1, jobs.size() / 10));
             served("largest of " + name, largest, least);
             largest.forEach(submitted -> begun(submitted, beginMs));
           }
         });
   }
 
-  private void served(String name, List<SimulatedClients.Mine> jobs, double least) {
+  private void served(String name, List<SimulatedClients.SubmittedJob> jobs, double least) {
     long n =
         jobs.stream()
             .filter(
@@ -299,24 +301,24 @@
                         : "done".equals(submitted.terminal))
             .count();
     if (n < least * jobs.size()) {
-      broke("unserved", name + ": " + n + " of " + jobs.size());
+      report("unserved", name + ": " + n + " of " + jobs.size());
     }
   }
 
-  private void begun(SimulatedClients.Mine submitted, long beginMs) {
+  private void begun(SimulatedClients.SubmittedJob submitted, long beginMs) {
     long waited =
         (submitted.firstStartAt < 0 ? cluster.now : submitted.firstStartAt) - submitted.submittedAt;
     if (waited > beginMs) {
-      broke("late_start", submitted.spec.id() + " began after " + waited + " ms");
+      report("late_start", submitted.spec.id() + " began after " + waited + " ms");
     }
   }
 
   /** A job is called queued or running, though one that it needs was cancelled long ago. */
-  void calledLive(SimulatedClients.Mine submitted) {
-    Long told = cluster.users.neededCancelConfirmed(submitted.spec.id());
+  void calledLive(SimulatedClients.SubmittedJob submitted) {
+    Long told = cluster.clients.dependencyCancelConfirmed(submitted.spec.id());
     double cancelMs = cluster.settings[0].workers().cancelS() * 1000;
     if (told != null && cluster.now > Math.max(told, submitted.acceptedAt) + cancelMs) {
-      broke("orphaned", submitted.spec.id());
+      report("orphaned", submitted.spec.id());
     }
   }
 
@@ -324,7 +326,7 @@
   void check() {
     checkKnown();
     boolean limits = cluster.settings[0].teams().stream().anyMatch(team -> team.cpusMax() > 0);
-    if (!limits && !cluster.users.anyCancelConfirmed()) {
+    if (!limits && !cluster.clients.anyCancelConfirmed()) {
       return; // nothing that time alone can break; a start is checked when it happens
     }
     Map<String, Double> use = new HashMap<>();
@@ -333,18 +335,18 @@
         if (!task.present) {
           continue;
         }
-        JobSpec spec = cluster.users.spec(task.job);
+        JobSpec spec = cluster.clients.spec(task.job);
         use.merge(spec.team(), spec.cpus(), Double::sum);
-        Long told = cluster.users.cancelConfirmed(task.job);
+        Long told = cluster.clients.cancelConfirmed(task.job);
         double cancelMs = cluster.settings[0].workers().cancelS() * 1000;
         if (told != null && cluster.now > told + cancelMs) {
-          broke("ran_cancelled", task.name());
+          report("ran_cancelled", task.name());
         }
       }
     }
     for (Settings.Team team : cluster.settings[0].teams()) {
       if (team.cpusMax() > 0 && use.getOrDefault(team.name(), 0.0) > team.cpusMax() + 1e-6) {
-        broke("quota", team.name() + " uses " + use.get(team.name()));
+        report("quota", team.name() + " uses " + use.get(team.name()));
       }
     }
   }
--- a/src/testbench/java/org/snowturn/simulation/LoadGenerator.java
+++ b/src/testbench/java/org/snowturn/simulation/LoadGenerator.java
@@ -31,13 +31,13 @@
   LoadGenerator(SimulatedCluster cluster, LoopbackPlan plan) {
     this.cluster = cluster;
     this.plan = plan;
-    cluster.users.startListener =
+    cluster.clients.startListener =
         (spec, delayMs) -> {
           if (spec.jobClass().equals(URGENT)) {
             urgent.recordValue(Math.min(delayMs, LONGEST_DELAY_MS));
           }
         };
-    cluster.users.acceptedListener =
+    cluster.clients.acceptedListener =
         delayMs -> accepted.recordValue(Math.min(delayMs, LONGEST_DELAY_MS));
   }
 
@@ -55,7 +55,7 @@
 
   long over() {
     long n = 0;
-    for (SimulatedClients.Mine submitted : cluster.users.all()) {
+    for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
       n += submitted.terminal != null ? 1 : 0;
     }
     return n;
@@ -109,6 +109,6 @@
     o.put("estimate", "" + Math.min(runMs, 600_000) / 1000);
     JobSpec spec =
         SimulatedJobs.spec(String.format("wk-%d%07d", 1 + plan.number(), nextJob++), "batch", o);
-    cluster.users.submit(spec, runMs, Map.of());
+    cluster.clients.submit(spec, runMs, Map.of());
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/LoopbackCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackCluster.java
@@ -190,8 +190,8 @@
   }
 
   private void sample() {
-    if (cluster.rules.starts != lastStarts) {
-      lastStarts = cluster.rules.starts;
+    if (cluster.invariants.starts != lastStarts) {
+      lastStarts = cluster.invariants.starts;
       lastStartAt = cluster.now;
     } else if (watchingPauses) {
       longestPause = Math.max(longestPause, cluster.now - lastStartAt);
@@ -263,8 +263,8 @@
   public void insistentUsers(long forMs) {
     loop.post(
         () -> {
-          cluster.users.closeLooks(forMs);
-          cluster.users.oddRequests(forMs);
+          cluster.clients.readAfterWrite(forMs);
+          cluster.clients.sendInvalidRequests(forMs);
         });
   }
 
@@ -275,7 +275,7 @@
 
   /** Jobs that are open though nothing is in trouble any more; see {@code Rules.unsettled}. */
   public List<String> unsettled(long answeredSince) throws TimeoutException {
-    return ask(() -> cluster.rules.unsettled(answeredSince));
+    return ask(() -> cluster.invariants.unsettled(answeredSince));
   }
 
   /** Which controller leads by the leader key, or null. */
@@ -302,11 +302,11 @@
         running += task.present ? 1 : 0;
       }
     }
-    List<String> broken = new ArrayList<>(cluster.rules.broken);
-    broken.addAll(cluster.rules.details);
+    List<String> broken = new ArrayList<>(cluster.invariants.violated);
+    broken.addAll(cluster.invariants.details);
     return new LoopbackStatus(
         cluster.now,
-        cluster.rules.starts,
+        cluster.invariants.starts,
         running,
         up,
         load.over(),
@@ -316,7 +316,7 @@
         cluster.state.writes,
         cluster.state.requests,
         cluster.state.refusals.getOrDefault("429", 0),
-        cluster.reports,
+        cluster.heartbeats,
         cluster.commands,
         broken);
   }
--- a/src/testbench/java/org/snowturn/simulation/LoopbackFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackFaults.java
@@ -45,7 +45,7 @@
 
   /** The state service answers so many times slower. */
   public void slowState(int times, long ms) {
-    forAWhile(ms, () -> cluster.state.slow = times, () -> cluster.state.slow = 1);
+    forAWhile(ms, () -> cluster.state.slowdown = times, () -> cluster.state.slowdown = 1);
   }
 
   /** That share of the transactions is carried out, and only the answer is lost. */
@@ -55,7 +55,8 @@
 
   /** That share of the transactions gets no answer and is carried out seconds later. */
   public void lateTransactions(double share, long ms) {
-    forAWhile(ms, () -> cluster.state.lateTxns = share, () -> cluster.state.lateTxns = 0);
+    forAWhile(
+        ms, () -> cluster.state.lateTransactions = share, () -> cluster.state.lateTransactions = 0);
   }
 
   /** Direct commands are held up for so long, or up to twice that. */
@@ -65,12 +66,12 @@
 
   /** A copy of each report comes once more, up to so much later. */
   public void copyReports(long mostMs, long ms) {
-    forAWhile(ms, () -> cluster.copyReports(mostMs), () -> cluster.copyReports(0));
+    forAWhile(ms, () -> cluster.duplicateHeartbeats(mostMs), () -> cluster.duplicateHeartbeats(0));
   }
 
   /** Check-ins wait so long on their way; direct answers do not. */
   public void slowReports(long lateMs, long ms) {
-    forAWhile(ms, () -> cluster.slowReportsMs = lateMs, () -> cluster.slowReportsMs = 0);
+    forAWhile(ms, () -> cluster.heartbeatDelayMs = lateMs, () -> cluster.heartbeatDelayMs = 0);
   }
 
   private void onWorkers(int count, Consumer<SimulatedWorker> then) {
@@ -103,13 +104,13 @@
     onWorkers(
         count,
         worker -> {
-          worker.sick = true;
-          cluster.after(ms, () -> worker.sick = false);
+          worker.failing = true;
+          cluster.after(ms, () -> worker.failing = false);
         });
   }
 
   /** Users call off so many jobs that run, within a fifth of a second. */
   public void cancelJobs(int count) {
-    loop.post(() -> cluster.users.cancelNow(count, 0));
+    loop.post(() -> cluster.clients.cancelNow(count, 0));
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/RandomFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/RandomFaults.java
@@ -63,12 +63,12 @@
       case 7 -> cluster.state.refuse(n.name, ms);
       case 8 -> {
         cluster.state.loseReplies = 0.3;
-        cluster.state.lateTxns = 0.2;
+        cluster.state.lateTransactions = 0.2;
         cluster.after(
             ms,
             () -> {
               cluster.state.loseReplies = 0;
-              cluster.state.lateTxns = 0;
+              cluster.state.lateTransactions = 0;
             });
       }
       case 9 -> {
--- a/src/testbench/java/org/snowturn/simulation/RandomJobs.java
+++ b/src/testbench/java/org/snowturn/simulation/RandomJobs.java
@@ -57,12 +57,12 @@
   private void submit(String id) {
     boolean service = random.nextInt(5) == 0;
     JobSpec spec = SimulatedJobs.spec(id, service ? "service" : "batch", options(service));
-    cluster.users.submit(spec, SHORTEST_RUN_MS + random.nextInt(RUN_SPREAD_MS), Map.of());
+    cluster.clients.submit(spec, SHORTEST_RUN_MS + random.nextInt(RUN_SPREAD_MS), Map.of());
     if (service || random.nextInt(5) == 0) {
       cluster.after(500 + random.nextInt(LATEST_CANCEL_MS), () -> cancel(id));
     }
     if (random.nextInt(4) == 0) {
-      cluster.after(random.nextInt(LATEST_REPEAT_MS), () -> cluster.users.repeat(id));
+      cluster.after(random.nextInt(LATEST_REPEAT_MS), () -> cluster.clients.resubmit(id));
     }
   }
 
@@ -88,8 +88,8 @@
   }
 
   private void cancel(String id) {
-    if (cluster.users.job(id).refused == null) {
-      cluster.users.cancel(id);
+    if (cluster.clients.job(id).refused == null) {
+      cluster.clients.cancel(id);
     }
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/RealTimeDriver.java
+++ b/src/testbench/java/org/snowturn/simulation/RealTimeDriver.java
@@ -72,7 +72,7 @@
   private void checkRules() {
     if (cluster.now >= rulesAt) {
       rulesAt = cluster.now + RULES_EVERY_MS;
-      cluster.rules.check();
+      cluster.invariants.check();
     }
   }
 
@@ -87,6 +87,6 @@
   /** A fault of the world itself: it counts as a broken rule, so that no run passes over it. */
   private void failed(RuntimeException e) {
     LOG.error("the world failed", e);
-    cluster.rules.broke("world_failed", e.toString());
+    cluster.invariants.report("world_failed", e.toString());
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/RemoteEndpoint.java
+++ b/src/testbench/java/org/snowturn/simulation/RemoteEndpoint.java
@@ -49,7 +49,7 @@
   }
 
   @Override
-  void checkIn(String from, JsonNode report, Answer answer) {
+  void heartbeat(String from, JsonNode report, Answer answer) {
     cluster.messages.message(cluster.now, from, name, "/checkin", report);
     links.on(
         from,
--- a/src/testbench/java/org/snowturn/simulation/Scenario.java
+++ b/src/testbench/java/org/snowturn/simulation/Scenario.java
@@ -69,7 +69,7 @@
     cluster.runUntil(settings.count("until", 120) * 1000L);
     if (settings.has("serve")) {
       ScenarioLine serve = settings.line("serve");
-      cluster.rules.checkServed(serve.number(1), serve.millis(2));
+      cluster.invariants.checkServed(serve.number(1), serve.millis(2));
     }
     return ScenarioExpectations.check(cluster, expectations);
   }
@@ -82,7 +82,7 @@
       cluster.cloud.bootMs = settings.line("boot").millis(1);
     }
     cluster.cloud.perZone = settings.count("capacity", 2);
-    cluster.sabotage.addAll(settings.words("seeded-bugs", ""));
+    cluster.seededBugs.addAll(settings.words("seeded-bugs", ""));
     List<String> zones = cluster.settings[0].zones();
     int machines = settings.count("machines", 3);
     for (int i = 0; i < machines; i++) {
@@ -99,7 +99,7 @@
     if (settings.has("random-faults")) {
       new RandomFaults(cluster).start(settings.line("random-faults").count(1) * 1000L);
     }
-    cluster.calmFrom = faultsEndMs();
+    cluster.faultsEndMs = faultsEndMs();
     return cluster;
   }
 
--- a/src/testbench/java/org/snowturn/simulation/ScenarioEvents.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioEvents.java
@@ -54,22 +54,24 @@
   private static void clients() {
     ACTIONS.put(
         "submit", (cluster, line) -> line.jobs(FIRST).forEach(job -> submit(cluster, job, line)));
-    ACTIONS.put("cancel", (cluster, line) -> line.jobs(FIRST).forEach(cluster.users::cancel));
-    ACTIONS.put("resubmit", (cluster, line) -> line.jobs(FIRST).forEach(cluster.users::repeat));
-    ACTIONS.put("poll", (cluster, line) -> cluster.users.pollOnce(line.word(FIRST)));
+    ACTIONS.put("cancel", (cluster, line) -> line.jobs(FIRST).forEach(cluster.clients::cancel));
+    ACTIONS.put("resubmit", (cluster, line) -> line.jobs(FIRST).forEach(cluster.clients::resubmit));
+    ACTIONS.put("poll", (cluster, line) -> cluster.clients.pollOnce(line.word(FIRST)));
     ACTIONS.put(
-        "read-after-write", (cluster, line) -> cluster.users.closeLooks(line.millis(FIRST)));
+        "read-after-write", (cluster, line) -> cluster.clients.readAfterWrite(line.millis(FIRST)));
     ACTIONS.put(
-        "invalid-requests", (cluster, line) -> cluster.users.oddRequests(line.millis(FIRST)));
+        "invalid-requests",
+        (cluster, line) -> cluster.clients.sendInvalidRequests(line.millis(FIRST)));
     ACTIONS.put(
         "cancel-now",
         (cluster, line) ->
-            cluster.users.cancelNow(line.count(FIRST), line.has(SECOND) ? line.millis(SECOND) : 0));
+            cluster.clients.cancelNow(
+                line.count(FIRST), line.has(SECOND) ? line.millis(SECOND) : 0));
     ACTIONS.put(
         "cancel-at-end",
         (cluster, line) -> {
-          cluster.users.cancelAtEnd(line.number(FIRST));
-          cluster.after(line.millis(SECOND), () -> cluster.users.cancelAtEnd(0));
+          cluster.clients.cancelAtEnd(line.number(FIRST));
+          cluster.after(line.millis(SECOND), () -> cluster.clients.cancelAtEnd(0));
         });
   }
 
@@ -94,7 +96,7 @@
         (cluster, line) -> {
           boolean expected = line.word(SECOND).equals("yes");
           if (cluster.node(line.word(FIRST)).core.ready() != expected) {
-            cluster.rules.broke("ready", line.text());
+            cluster.invariants.report("ready", line.text());
           }
         });
   }
@@ -118,16 +120,16 @@
     ACTIONS.put(
         "slow-state",
         (cluster, line) -> {
-          cluster.state.slow = line.count(FIRST);
-          cluster.after(line.millis(SECOND), () -> cluster.state.slow = 1);
+          cluster.state.slowdown = line.count(FIRST);
+          cluster.after(line.millis(SECOND), () -> cluster.state.slowdown = 1);
         });
-    ACTIONS.put("corrupt", (cluster, line) -> cluster.state.spoil(line.word(FIRST)));
+    ACTIONS.put("corrupt", (cluster, line) -> cluster.state.corrupt(line.word(FIRST)));
     ACTIONS.put("slow-watch", (cluster, line) -> cluster.state.watchDelayMs = line.millis(FIRST));
     ACTIONS.put(
         "late-transactions",
         (cluster, line) -> {
-          cluster.state.lateTxns = line.number(FIRST);
-          cluster.after(line.millis(SECOND), () -> cluster.state.lateTxns = 0);
+          cluster.state.lateTransactions = line.number(FIRST);
+          cluster.after(line.millis(SECOND), () -> cluster.state.lateTransactions = 0);
         });
   }
 
@@ -143,32 +145,32 @@
     ACTIONS.put(
         "late-command-replies",
         (cluster, line) -> {
-          cluster.delayAnswers(line.millis(FIRST));
-          cluster.after(line.millis(SECOND), () -> cluster.delayAnswers(0));
+          cluster.delayCommandReplies(line.millis(FIRST));
+          cluster.after(line.millis(SECOND), () -> cluster.delayCommandReplies(0));
         });
     ACTIONS.put(
         "slow-links",
         (cluster, line) -> {
-          cluster.linkMs = line.millis(FIRST);
-          cluster.after(line.millis(SECOND), () -> cluster.linkMs = 0);
+          cluster.linkDelayMs = line.millis(FIRST);
+          cluster.after(line.millis(SECOND), () -> cluster.linkDelayMs = 0);
         });
     ACTIONS.put(
         "slow-heartbeats",
         (cluster, line) -> {
-          cluster.slowReportsMs = line.millis(FIRST);
-          cluster.after(line.millis(SECOND), () -> cluster.slowReportsMs = 0);
+          cluster.heartbeatDelayMs = line.millis(FIRST);
+          cluster.after(line.millis(SECOND), () -> cluster.heartbeatDelayMs = 0);
         });
     ACTIONS.put(
         "hold-heartbeats",
         (cluster, line) -> {
-          cluster.keepReports(true);
-          cluster.after(line.millis(FIRST), () -> cluster.keepReports(false));
+          cluster.holdHeartbeats(true);
+          cluster.after(line.millis(FIRST), () -> cluster.holdHeartbeats(false));
         });
     ACTIONS.put(
         "duplicate-heartbeats",
         (cluster, line) -> {
-          cluster.copyReports(line.millis(FIRST));
-          cluster.after(line.millis(SECOND), () -> cluster.copyReports(0));
+          cluster.duplicateHeartbeats(line.millis(FIRST));
+          cluster.after(line.millis(SECOND), () -> cluster.duplicateHeartbeats(0));
         });
   }
 
@@ -179,7 +181,7 @@
           cluster.cloud.outage = true;
           cluster.after(line.millis(FIRST), () -> cluster.cloud.outage = false);
         });
-    ACTIONS.put("lose-rental-reply", (cluster, line) -> cluster.cloud.loseNextHire = true);
+    ACTIONS.put("lose-rental-reply", (cluster, line) -> cluster.cloud.loseNextRentalReply = true);
     ACTIONS.put("list-lag", (cluster, line) -> cluster.cloud.listLagMs = line.millis(FIRST));
     ACTIONS.put(
         "fail-many",
@@ -201,15 +203,15 @@
     lasting("hang", ClusterFaults::hang);
     lasting("isolate", ClusterFaults::isolate);
     ACTIONS.put("reboot", (cluster, line) -> workerOfTask(cluster, line).reboot());
-    ACTIONS.put("failing", (cluster, line) -> workerOfTask(cluster, line).sick = true);
-    ACTIONS.put("failing-machine", (cluster, line) -> worker(cluster, line).sick = true);
+    ACTIONS.put("failing", (cluster, line) -> workerOfTask(cluster, line).failing = true);
+    ACTIONS.put("failing-machine", (cluster, line) -> worker(cluster, line).failing = true);
     ACTIONS.put(
         "failing-many",
-        (cluster, line) -> manyWorkers(cluster, line).forEach(worker -> worker.sick = true));
+        (cluster, line) -> manyWorkers(cluster, line).forEach(worker -> worker.failing = true));
     ACTIONS.put("slow", (cluster, line) -> workerOfTask(cluster, line).slow = line.number(SECOND));
     ACTIONS.put(
         "slow-machine", (cluster, line) -> worker(cluster, line).slow = line.number(SECOND));
-    dropping("drop-inbound", SimulatedCluster::deafen);
+    dropping("drop-inbound", SimulatedCluster::dropInbound);
     dropping("drop-outbound", ClusterFaults::dropOutbound);
   }
 
@@ -264,11 +266,11 @@
     if (options.containsKey("chain") && number > line.jobNumber(line.jobs(FIRST).get(0))) {
       dependencies = List.of(SimulatedJobs.id(number - 1));
     }
-    cluster.users.submit(
+    cluster.clients.submit(
         SimulatedJobs.spec(job, line.word(SECOND), options, dependencies),
         millis(options.getOrDefault("run", "10")),
         stragglers);
-    cluster.users.job(job).broken = options.containsKey("broken");
+    cluster.clients.job(job).broken = options.containsKey("broken");
   }
 
   private static long millis(String seconds) {
--- a/src/testbench/java/org/snowturn/simulation/ScenarioExpectations.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioExpectations.java
@@ -77,10 +77,10 @@
     }
     List<String> wrong = failures.found;
     if (violationsExpected.isEmpty()) {
-      wrong.addAll(cluster.rules.details);
+      wrong.addAll(cluster.invariants.details);
     }
     for (String invariant : violationsExpected) {
-      if (!cluster.rules.broken.contains(invariant)) {
+      if (!cluster.invariants.violated.contains(invariant)) {
         wrong.add("the checker did not see " + invariant + " violated");
       }
     }
@@ -96,7 +96,7 @@
     CHECKS.put(
         "all-over",
         (cluster, line, failures) -> {
-          for (SimulatedClients.Mine job : cluster.users.all()) {
+          for (SimulatedClients.SubmittedJob job : cluster.clients.all()) {
             if (job.terminal == null && !job.spec.service()) {
               failures.found.add(job.spec.id() + " is not over");
             }
@@ -105,7 +105,7 @@
     CHECKS.put(
         "refused",
         (cluster, line, failures) -> {
-          String status = cluster.users.job(line.word(FIRST)).refused;
+          String status = cluster.clients.job(line.word(FIRST)).refused;
           if (!line.word(SECOND).equals(status)) {
             failures.add(line, status);
           }
@@ -113,8 +113,8 @@
     CHECKS.put(
         "before",
         (cluster, line, failures) -> {
-          long first = cluster.users.job(line.word(FIRST)).doneAt;
-          long second = cluster.users.job(line.word(SECOND)).doneAt;
+          long first = cluster.clients.job(line.word(FIRST)).doneAt;
+          long second = cluster.clients.job(line.word(SECOND)).doneAt;
           if (first >= second) {
             failures.add(line, first + " and " + second);
           }
@@ -123,7 +123,7 @@
 
   private static void terminal(SimulatedCluster cluster, ScenarioLine line, Failures failures) {
     for (String id : line.jobs(FIRST)) {
-      SimulatedClients.Mine job = cluster.users.job(id);
+      SimulatedClients.SubmittedJob job = cluster.clients.job(id);
       boolean late = line.has(THIRD) && job.doneAt > line.millis(THIRD);
       if (!line.word(1).equals(job.terminal) || late) {
         failures.add(line, id + " " + job.terminal + " at " + job.doneAt);
@@ -230,10 +230,10 @@
         (cluster, line, failures) -> failures.expectAtMost(line, FIRST, cluster.startsLost));
     CHECKS.put(
         "max-starts-unleased",
-        (cluster, line, failures) -> failures.expectAtMost(line, FIRST, cluster.startsMute));
+        (cluster, line, failures) -> failures.expectAtMost(line, FIRST, cluster.startsUnleased));
     CHECKS.put(
         "max-probes",
-        (cluster, line, failures) -> failures.expectAtMost(line, FIRST, cluster.questions));
+        (cluster, line, failures) -> failures.expectAtMost(line, FIRST, cluster.probes));
     CHECKS.put(
         "max-rented",
         (cluster, line, failures) -> {
--- a/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
@@ -18,13 +18,13 @@
 /** Users who submit, poll, cancel and repeat, and remember all that they were told. */
 final class SimulatedClients {
   /** One user's job. */
-  static final class Mine {
+  static final class SubmittedJob {
     JobSpec spec;
     long runMs;
-    Map<Integer, Long> oddRunMs = new HashMap<>();
+    Map<Integer, Long> stragglerRunMs = new HashMap<>();
     boolean accepted;
     long acceptedAt;
-    boolean wantsCancel;
+    boolean cancelRequested;
     Long cancelConfirmed;
 
     /** Fails wherever it runs. */
@@ -40,9 +40,9 @@
   }
 
   /** Questions that a user asks about one change, within milliseconds and at all nodes. */
-  private static final int CLOSE_LOOKS = 9;
+  private static final int READS_AFTER_WRITE = 9;
 
-  private static final long WITHIN_MS = 30;
+  private static final long READS_WITHIN_MS = 30;
 
   /** Is told of each start how long after the job's submission it came. */
   interface StartListener {
@@ -55,12 +55,12 @@
   java.util.function.LongConsumer acceptedListener = delayMs -> {};
 
   private final SimulatedCluster cluster;
-  private long closeUntil;
-  private long oddUntil;
-  private int oddJobs = 900_000;
+  private long readAfterWriteUntil;
+  private long invalidRequestsUntil;
+  private int nextInvalidJob = 900_000;
   private double cancelAtEnd;
   private boolean anyCancelConfirmed;
-  private final Map<String, Mine> jobs = new LinkedHashMap<>();
+  private final Map<String, SubmittedJob> jobs = new LinkedHashMap<>();
   private final Set<String> results = new HashSet<>();
 
   SimulatedClients(SimulatedCluster cluster) {
@@ -68,18 +68,18 @@
   }
 
   JobSpec spec(String id) {
-    Mine submitted = jobs.get(id);
+    SubmittedJob submitted = jobs.get(id);
     return submitted == null ? null : submitted.spec;
   }
 
   /** Users know of the jobs that another version accepted. */
   void adopt(JobSpec spec, String phase) {
-    Mine submitted = new Mine();
+    SubmittedJob submitted = new SubmittedJob();
     submitted.spec = spec;
     submitted.runMs = 10_000;
     submitted.accepted = true;
     if (phase.equals("aborted")) {
-      submitted.wantsCancel = true;
+      submitted.cancelRequested = true;
       submitted.cancelConfirmed = cluster.now;
       submitted.terminal = phase;
       submitted.doneAt = cluster.now;
@@ -89,27 +89,27 @@
     poll(submitted);
   }
 
-  Mine job(String id) {
+  SubmittedJob job(String id) {
     return jobs.get(id);
   }
 
-  Iterable<Mine> all() {
+  Iterable<SubmittedJob> all() {
     return jobs.values();
   }
 
   long runMs(String id, int task) {
-    Mine submitted = jobs.get(id);
-    return submitted.oddRunMs.getOrDefault(task, submitted.runMs);
+    SubmittedJob submitted = jobs.get(id);
+    return submitted.stragglerRunMs.getOrDefault(task, submitted.runMs);
   }
 
   boolean broken(String id) {
-    Mine submitted = jobs.get(id);
+    SubmittedJob submitted = jobs.get(id);
     return submitted != null && submitted.broken;
   }
 
   /** A task of the job starts. */
   void started(String id) {
-    Mine submitted = jobs.get(id);
+    SubmittedJob submitted = jobs.get(id);
     submitted.firstStartAt = submitted.firstStartAt < 0 ? cluster.now : submitted.firstStartAt;
     startListener.on(submitted.spec, cluster.now - submitted.submittedAt);
   }
@@ -123,20 +123,20 @@
   }
 
   /** When a user was first told that one of the jobs that this one needs is cancelled, or null. */
-  Long neededCancelConfirmed(String id) {
+  Long dependencyCancelConfirmed(String id) {
     Long first = null;
-    for (String needed : allNeeded(id)) {
+    for (String needed : allDependencies(id)) {
       Long told = jobs.get(needed).cancelConfirmed;
       first = first == null || (told != null && told < first) ? told : first;
     }
     return first;
   }
 
-  private Set<String> allNeeded(String id) {
+  private Set<String> allDependencies(String id) {
     Set<String> out = new LinkedHashSet<>();
     ArrayDeque<String> next = new ArrayDeque<>(List.of(id));
     while (!next.isEmpty()) {
-      Mine submitted = jobs.get(next.poll());
+      SubmittedJob submitted = jobs.get(next.poll());
       for (String needed : submitted == null ? List.<String>of() : submitted.spec.awaits()) {
         if (jobs.containsKey(needed) && out.add(needed)) {
           next.add(needed);
@@ -152,7 +152,7 @@
 
   void completed(String task) {
     results.add(task);
-    Mine submitted = jobs.get(task.substring(0, task.lastIndexOf('/')));
+    SubmittedJob submitted = jobs.get(task.substring(0, task.lastIndexOf('/')));
     if (submitted != null
         && cancelAtEnd > 0
         && allDone(submitted)
@@ -161,7 +161,7 @@
     }
   }
 
-  boolean allDone(Mine submitted) {
+  boolean allDone(SubmittedJob submitted) {
     return IntStream.range(0, submitted.spec.tasks())
         .allMatch(t -> results.contains(submitted.spec.id() + "/" + t));
   }
@@ -169,8 +169,8 @@
   // --- users at their worst ---
 
   /** Users ask at all nodes within milliseconds after a job was accepted, or is over. */
-  void closeLooks(long ms) {
-    closeUntil = cluster.now + ms;
+  void readAfterWrite(long ms) {
+    readAfterWriteUntil = cluster.now + ms;
   }
 
   /** So many of the jobs that end are called off at the moment of the end. */
@@ -178,18 +178,18 @@
     cancelAtEnd = share;
   }
 
-  private void lookClosely(Mine submitted) {
-    if (cluster.now > closeUntil) {
+  private void readAtAllNodes(SubmittedJob submitted) {
+    if (cluster.now > readAfterWriteUntil) {
       return;
     }
     String id = submitted.spec.id();
     boolean calledOff =
         submitted.terminal == null && !submitted.spec.service() && cluster.random.nextInt(8) == 0;
-    for (int i = 0; i < CLOSE_LOOKS; i++) {
+    for (int i = 0; i < READS_AFTER_WRITE; i++) {
       Endpoint n = cluster.endpoints.get(i % cluster.endpoints.size());
       int kind = i == 4 && calledOff ? 2 : cluster.random.nextInt(3) / 2;
       cluster.after(
-          cluster.random.nextInt((int) WITHIN_MS),
+          cluster.random.nextInt((int) READS_WITHIN_MS),
           () -> {
             switch (kind) {
               case 0 -> poll(n, id);
@@ -204,17 +204,17 @@
    * Users repeat submissions of jobs that are not over, cancel jobs that are, and submit what can
    * never run.
    */
-  void oddRequests(long ms) {
-    oddUntil = cluster.now + ms;
-    oddRequest();
+  void sendInvalidRequests(long ms) {
+    invalidRequestsUntil = cluster.now + ms;
+    sendInvalidRequest();
   }
 
-  private void oddRequest() {
-    if (cluster.now > oddUntil) {
+  private void sendInvalidRequest() {
+    if (cluster.now > invalidRequestsUntil) {
       return;
     }
-    List<Mine> all = List.copyOf(jobs.values());
-    Mine submitted = all.isEmpty() ? null : all.get(cluster.random.nextInt(all.size()));
+    List<SubmittedJob> all = List.copyOf(jobs.values());
+    SubmittedJob submitted = all.isEmpty() ? null : all.get(cluster.random.nextInt(all.size()));
     switch (cluster.random.nextInt(4)) {
       case 0 -> {
         if (submitted != null && submitted.accepted && submitted.terminal == null) {
@@ -226,14 +226,14 @@
           cancel(submitted.spec.id());
         }
       }
-      default -> neverRuns();
+      default -> submitImpossibleJob();
     }
-    cluster.after(cluster.jitter(150), this::oddRequest);
+    cluster.after(cluster.jitter(150), this::sendInvalidRequest);
   }
 
   /** No node accepts what fits no machine, or is of no team; it says so, or that it cannot tell. */
-  private void neverRuns() {
-    String id = "wk-" + ++oddJobs;
+  private void submitImpossibleJob() {
+    String id = "wk-" + ++nextInvalidJob;
     boolean large = cluster.random.nextBoolean();
     JobSpec spec =
         SimulatedJobs.spec(id, "batch", large ? Map.of("cpus", "99") : Map.of("team", "nobody"));
@@ -242,7 +242,7 @@
         x -> new Input.Submit(x, spec),
         (status, body) -> {
           if (status < 500 && status != 422 && status != 0) {
-            cluster.rules.broke("accepted_bad", id + " got " + status);
+            cluster.invariants.report("accepted_bad", id + " got " + status);
           }
         },
         () -> {});
@@ -250,13 +250,13 @@
 
   /** Users call off so many jobs that run and have long to go, within a fifth of a second. */
   void cancelNow(int count, long hangMs) {
-    Map<Mine, List<SimulatedWorker>> running = new LinkedHashMap<>();
+    Map<SubmittedJob, List<SimulatedWorker>> running = new LinkedHashMap<>();
     for (SimulatedWorker worker : cluster.workers.values()) {
       for (SimulatedWorker.Task task : worker.tasks.values()) {
-        Mine submitted = jobs.get(task.job);
+        SubmittedJob submitted = jobs.get(task.job);
         if (task.present
             && submitted.accepted
-            && !submitted.wantsCancel
+            && !submitted.cancelRequested
             && submitted.terminal == null) {
           running.computeIfAbsent(submitted, k -> new ArrayList<>()).add(worker);
         }
@@ -282,19 +282,19 @@
   }
 
   void submit(JobSpec spec, long runMs, Map<Integer, Long> odd) {
-    Mine submitted = new Mine();
+    SubmittedJob submitted = new SubmittedJob();
     submitted.spec = spec;
     submitted.submittedAt = cluster.now;
     submitted.runMs = runMs;
-    submitted.oddRunMs.putAll(odd);
+    submitted.stragglerRunMs.putAll(odd);
     jobs.put(spec.id(), submitted);
     submitInTurn(submitted);
   }
 
   /** The jobs of a pipeline are submitted one after another, each when those it names are taken. */
-  private void submitInTurn(Mine submitted) {
+  private void submitInTurn(SubmittedJob submitted) {
     for (String id : submitted.spec.awaits()) {
-      Mine needed = jobs.get(id);
+      SubmittedJob needed = jobs.get(id);
       if (needed != null && needed != submitted && !needed.accepted && needed.refused == null) {
         cluster.after(100, () -> submitInTurn(submitted));
         return;
@@ -335,15 +335,15 @@
         });
   }
 
-  private void trySubmit(Mine submitted) {
+  private void trySubmit(SubmittedJob submitted) {
     trySubmit(anyNode(), submitted, () -> cluster.after(1000, () -> trySubmit(submitted)));
   }
 
-  private void trySubmit(Endpoint node, Mine submitted, Runnable again) {
+  private void trySubmit(Endpoint node, SubmittedJob submitted, Runnable again) {
     long askedAt = cluster.now;
     ask(
         node,
-        x -> new Input.Submit(x, asTaken(submitted.spec)),
+        x -> new Input.Submit(x, asAccepted(submitted.spec)),
         (status, body) -> {
           if (status == 200 || status == 201) {
             boolean first = !submitted.accepted;
@@ -352,15 +352,15 @@
             if (first) {
               acceptedListener.accept(cluster.now - submitted.submittedAt);
             }
-            told(submitted, askedAt, body);
+            recordAnswer(submitted, askedAt, body);
             if (first) {
               poll(submitted);
-              lookClosely(submitted);
+              readAtAllNodes(submitted);
             }
           } else if (status == 422 || status == 400) {
             submitted.refused = "" + status;
             if (submitted.accepted) {
-              cluster.rules.broke("forgotten", submitted.spec.id() + " got " + status);
+              cluster.invariants.report("forgotten", submitted.spec.id() + " got " + status);
             }
           } else {
             again.run();
@@ -369,23 +369,23 @@
         again);
   }
 
-  private JobSpec asTaken(JobSpec spec) {
-    return cluster.sabotage.contains("forget_awaits")
+  private JobSpec asAccepted(JobSpec spec) {
+    return cluster.seededBugs.contains("forget_awaits")
         ? SimulatedJobs.withoutDependencies(spec)
         : spec;
   }
 
   /** Repeats a submission, as a user may at any later time. */
-  void repeat(String id) {
+  void resubmit(String id) {
     trySubmit(jobs.get(id));
   }
 
-  private void poll(Mine submitted) {
-    if (submitted.terminal != null && !cluster.sizes.pollsWhenOver()) {
+  private void poll(SubmittedJob submitted) {
+    if (submitted.terminal != null && !cluster.parameters.pollsWhenOver()) {
       return;
     }
     cluster.after(
-        cluster.jitter(cluster.sizes.pollMs()),
+        cluster.jitter(cluster.parameters.pollMs()),
         () -> {
           pollOnce(submitted.spec.id());
           poll(submitted);
@@ -402,26 +402,28 @@
         node,
         x -> new Input.Poll(x, id),
         (status, body) -> {
-          Mine submitted = jobs.get(id);
-          if (submitted != null && status < 500 && !cluster.sabotage.contains("unanswered:" + id)) {
+          SubmittedJob submitted = jobs.get(id);
+          if (submitted != null
+              && status < 500
+              && !cluster.seededBugs.contains("unanswered:" + id)) {
             submitted.answeredAt = cluster.now;
           }
           if (submitted == null) {
             if (status == 200) {
-              cluster.rules.broke("invented", id);
+              cluster.invariants.report("invented", id);
             }
           } else if (status == 404) {
-            judge(submitted, askedAt, null);
+            checkAnswer(submitted, askedAt, null);
           } else if (status == 200) {
-            told(submitted, askedAt, body);
+            recordAnswer(submitted, askedAt, body);
           }
         },
         () -> {});
   }
 
   void cancel(String id) {
-    Mine submitted = jobs.get(id);
-    submitted.wantsCancel = true;
+    SubmittedJob submitted = jobs.get(id);
+    submitted.cancelRequested = true;
     Runnable again = () -> cluster.after(1000, () -> cancel(id));
     long askedAt = cluster.now;
     ask(
@@ -429,7 +431,7 @@
         x -> new Input.Cancel(x, id),
         (status, body) -> {
           if (status == 200) {
-            told(submitted, askedAt, body);
+            recordAnswer(submitted, askedAt, body);
           } else {
             again.run();
           }
@@ -437,27 +439,28 @@
         again);
   }
 
-  private void judge(Mine submitted, long askedAt, String phase) {
+  private void checkAnswer(SubmittedJob submitted, long askedAt, String phase) {
     String rule = submitted.history.answered(askedAt, cluster.now, phase);
     if (rule != null) {
-      cluster.rules.broke(rule, submitted.spec.id() + ": " + submitted.terminal + " then " + phase);
+      cluster.invariants.report(
+          rule, submitted.spec.id() + ": " + submitted.terminal + " then " + phase);
     }
   }
 
-  private void told(Mine submitted, long askedAt, JsonNode body) {
+  private void recordAnswer(SubmittedJob submitted, long askedAt, JsonNode body) {
     String phase = body.path("phase").asText();
     String id = submitted.spec.id();
-    if (submitted.terminal != null && cluster.sabotage.contains("stale_answers")) {
+    if (submitted.terminal != null && cluster.seededBugs.contains("stale_answers")) {
       phase = "queued";
     }
-    judge(submitted, askedAt, phase);
+    checkAnswer(submitted, askedAt, phase);
     if (submitted.terminal != null && !phase.equals(submitted.terminal)) {
       return;
     }
     if (phase.equals("aborted")) {
-      if (!submitted.wantsCancel
-          && allNeeded(id).stream().noneMatch(n -> jobs.get(n).wantsCancel)) {
-        cluster.rules.broke("went_back", id + " cancelled by nobody");
+      if (!submitted.cancelRequested
+          && allDependencies(id).stream().noneMatch(n -> jobs.get(n).cancelRequested)) {
+        cluster.invariants.report("went_back", id + " cancelled by nobody");
       }
       if (submitted.cancelConfirmed == null) {
         submitted.cancelConfirmed = cluster.now;
@@ -465,19 +468,19 @@
       }
     }
     if (phase.equals("queued") || phase.equals("running")) {
-      cluster.rules.calledLive(submitted);
+      cluster.invariants.calledLive(submitted);
     }
     if (phase.equals("done")) {
       for (int t = 0; t < submitted.spec.tasks(); t++) {
         if (!results.contains(id + "/" + t)) {
-          cluster.rules.broke("not_done", id + "/" + t);
+          cluster.invariants.report("not_done", id + "/" + t);
         }
       }
     }
     if (submitted.terminal == null && (phase.equals("done") || phase.equals("aborted"))) {
       submitted.terminal = phase;
       submitted.doneAt = cluster.now;
-      lookClosely(submitted);
+      readAtAllNodes(submitted);
     }
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/SimulatedCloud.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedCloud.java
@@ -15,7 +15,7 @@
 
 /** The cloud: a catalog of one type, capacity per zone, a list that lags, lost replies. */
 final class SimulatedCloud {
-  private static final int MOST_LISTED = 500;
+  private static final int MAX_LISTED = 500;
 
   /** What the cloud knows of a machine. */
   static final class Rented {
@@ -30,13 +30,13 @@
 
   private final SimulatedCluster cluster;
   final TreeMap<String, Rented> machines = new TreeMap<>();
-  private final Map<String, List<String>> answered = new LinkedHashMap<>();
+  private final Map<String, List<String>> answeredRequests = new LinkedHashMap<>();
   private final Map<String, Integer> capacity = new HashMap<>();
   final Map<String, Integer> calls = new HashMap<>();
   int perZone = 2;
   long bootMs = 4000;
   boolean outage;
-  boolean loseNextHire;
+  boolean loseNextRentalReply;
   long listLagMs = 3000;
   private int next = 1;
 
@@ -44,17 +44,17 @@
     this.cluster = cluster;
   }
 
-  void take(Effect.Call call, SimulatedCluster.Reply back) {
+  void accept(Effect.Call call, SimulatedCluster.Reply back) {
     calls.merge(call.path(), 1, Integer::sum);
     if (outage) {
       back.on(Outcome.REFUSED, 503, Json.object().put("error", "trouble"));
     } else if (call.path().equals("/catalog")) {
       back.on(Outcome.ANSWERED, 200, catalog());
     } else if (call.path().equals("/machines")) {
-      hire(call.body(), back);
+      handleRental(call.body(), back);
     } else if (call.path().equals("/machines/delete")) {
       for (JsonNode node : call.body().path("drifts")) {
-        if (!cluster.sabotage.contains("keep_deleted")) {
+        if (!cluster.seededBugs.contains("keep_deleted")) {
           end(node.asText());
         }
       }
@@ -68,9 +68,9 @@
     ObjectNode object = Json.object();
     ObjectNode t = object.putArray("hulls").addObject();
     t.put("label", "t8")
-        .put("cores", cluster.sizes.cpus())
+        .put("cores", cluster.parameters.cpus())
         .put("cards", 0)
-        .put("ram_gb", cluster.sizes.memoryGb());
+        .put("ram_gb", cluster.parameters.memoryGb());
     t.put("local_gb", 20).put("pull_gb_per_s", 1.0).put("hourly", 1.0).put("market_price", 0.3);
     t.put("ready_s", bootMs / 1000.0);
     ArrayNode zones = t.putArray("fields");
@@ -78,9 +78,9 @@
     return object;
   }
 
-  private void hire(JsonNode body, SimulatedCluster.Reply back) {
+  private void handleRental(JsonNode body, SimulatedCluster.Reply back) {
     String name = body.path("hire").asText();
-    List<String> ids = answered.get(name);
+    List<String> ids = answeredRequests.get(name);
     if (ids == null) {
       ids = new ArrayList<>();
       String kind = body.path("field").asText() + body.path("loaners").asBoolean();
@@ -94,12 +94,12 @@
       for (int i = 0; i < count; i++) {
         ids.add(rent(body.path("field").asText(), body.path("loaners").asBoolean()));
       }
-      answered.put(name, ids);
+      answeredRequests.put(name, ids);
     }
     ObjectNode object = Json.object();
     ids.forEach(object.putArray("drifts")::add);
-    if (loseNextHire) {
-      loseNextHire = false;
+    if (loseNextRentalReply) {
+      loseNextRentalReply = false;
     } else {
       back.on(Outcome.ANSWERED, 200, object);
     }
@@ -148,7 +148,7 @@
 
   private JsonNode list(String path) {
     Map<String, String> q = SimulatedStateService.query(path);
-    int most = Integer.parseInt(q.getOrDefault("most", "" + MOST_LISTED));
+    int most = Integer.parseInt(q.getOrDefault("most", "" + MAX_LISTED));
     long asOf = cluster.now - listLagMs;
     ObjectNode object = Json.object().put("truncated", false);
     ArrayNode array = object.putArray("drifts");
@@ -162,7 +162,7 @@
       }
       ObjectNode n = array.addObject();
       n.put("id", r.id)
-          .put("addr", cluster.sizes.addresses().apply(r.id))
+          .put("addr", cluster.parameters.addresses().apply(r.id))
           .put("hull", "t8")
           .put("field", r.zone);
       n.put("loaners", r.spot).put("held_s", (asOf - r.at) / 1000.0);
--- a/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
@@ -41,10 +41,10 @@
 
   final Random random;
   final Settings[] settings;
-  final InvariantChecker rules = new InvariantChecker(this);
+  final InvariantChecker invariants = new InvariantChecker(this);
   final SimulatedStateService state;
   final SimulatedCloud cloud = new SimulatedCloud(this);
-  final SimulatedClients users = new SimulatedClients(this);
+  final SimulatedClients clients = new SimulatedClients(this);
   final List<Node> nodes = new ArrayList<>();
 
   /** The controllers that users and workers turn to: the nodes, or processes of their own. */
@@ -52,27 +52,27 @@
 
   final Map<String, SimulatedWorker> workers = new LinkedHashMap<>();
   final Tunables tunables;
-  final Set<String> sabotage = new HashSet<>();
+  final Set<String> seededBugs = new HashSet<>();
   final ClusterLog log = new ClusterLog();
   long now;
   private long order;
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
   private final Map<String, Cut> cuts = new LinkedHashMap<>();
-  private final Map<String, List<Runnable>> held = new LinkedHashMap<>();
-  private final Set<String> deaf = new HashSet<>();
+  private final Map<String, List<Runnable>> heldMessages = new LinkedHashMap<>();
+  private final Set<String> inboundDropped = new HashSet<>();
   private final Set<String> cutZones = new HashSet<>();
   private long lateCommandsMs;
-  private long lateAnswersMs;
-  private long copiesMs;
-  private boolean keeping;
-  private final List<Runnable> kept = new ArrayList<>();
+  private long lateCommandRepliesMs;
+  private long maxDuplicateDelayMs;
+  private boolean holdingHeartbeats;
+  private final List<Runnable> heldHeartbeats = new ArrayList<>();
 
   /** Every message takes so much longer, and up to twice that. */
-  long linkMs;
+  long linkDelayMs;
 
   /** Check-ins wait so long on their way, as in a node that is behind; direct answers do not. */
-  long slowReportsMs;
+  long heartbeatDelayMs;
 
   private Links links = (from, to) -> 0;
 
@@ -88,19 +88,19 @@
   /** Direct messages to workers so far, and those of them without any command. */
   int directMessages;
 
-  int questions;
+  int probes;
 
   /** Tasks started on machines that reached no controller, and so could renew no lease. */
-  int startsMute;
+  int startsUnleased;
 
   /** Starts sent to machines that received nothing. */
   int startsLost;
 
   /** From then on nothing is in trouble any more. */
-  long calmFrom = Long.MAX_VALUE;
+  long faultsEndMs = Long.MAX_VALUE;
 
   /** Check-ins that workers have sent, and direct messages that they have received. */
-  long reports;
+  long heartbeats;
 
   long commands;
 
@@ -108,7 +108,7 @@
   int relayed;
 
   /** Figures of the machines and of the users' habits. */
-  SimulationParameters sizes = SimulationParameters.SMALL;
+  SimulationParameters parameters = SimulationParameters.SMALL;
 
   SimulatedCluster(long seed, Settings[] settings, Tunables tunables) {
     this.random = new Random(seed);
@@ -128,7 +128,7 @@
     SimulatedCluster cluster = new SimulatedCluster(seed, settings, Tunables.defaults());
     cluster.nodes.clear();
     cluster.endpoints.clear();
-    cluster.sizes = sizes;
+    cluster.parameters = sizes;
     return cluster;
   }
 
@@ -141,7 +141,7 @@
       Event e = events.poll();
       now = e.at;
       e.run.run();
-      rules.check();
+      invariants.check();
     }
     now = end;
   }
@@ -175,7 +175,7 @@
 
   void heal(String a, String b) {
     cuts.remove(pair(a, b));
-    List<Runnable> late = held.remove(pair(a, b));
+    List<Runnable> late = heldMessages.remove(pair(a, b));
     if (late != null) {
       late.forEach(r -> after(jitter(2), r));
     }
@@ -198,8 +198,8 @@
   }
 
   /** Direct commands arrive at once, but what the machine says to them only so much later. */
-  void delayAnswers(long ms) {
-    lateAnswersMs = ms;
+  void delayCommandReplies(long ms) {
+    lateCommandRepliesMs = ms;
   }
 
   /** Cuts a zone off from everything outside of it, machines that come up later included. */
@@ -208,7 +208,7 @@
     after(ms, () -> cutZones.remove(zone));
   }
 
-  private boolean zonesApart(String a, String b) {
+  private boolean isZoneCutBetween(String a, String b) {
     String za = zoneOf(a);
     String zb = zoneOf(b);
     return !za.equals(zb) && (cutZones.contains(za) || cutZones.contains(zb));
@@ -225,38 +225,39 @@
   }
 
   /** For a while a worker's reports get out, but nothing that is sent to it now arrives. */
-  void deafen(SimulatedWorker worker, long ms) {
-    deaf.add(worker.addr);
-    after(ms, () -> deaf.remove(worker.addr));
+  void dropInbound(SimulatedWorker worker, long ms) {
+    inboundDropped.add(worker.addr);
+    after(ms, () -> inboundDropped.remove(worker.addr));
   }
 
   /** From now on a copy of each report comes once more, to any node, up to so much later. */
-  void copyReports(long mostMs) {
-    copiesMs = mostMs;
+  void duplicateHeartbeats(long mostMs) {
+    maxDuplicateDelayMs = mostMs;
   }
 
   /** From now on a copy of each report is kept until somebody else leads, then all nodes get it. */
-  void keepReports(boolean keep) {
-    keeping = keep;
+  void holdHeartbeats(boolean keep) {
+    holdingHeartbeats = keep;
   }
 
   /** Somebody else leads than before: what was kept arrives at once, or once it has acted. */
-  void deliverKept() {
-    List<Runnable> all = List.copyOf(kept);
-    kept.clear();
+  void deliverHeldHeartbeats() {
+    List<Runnable> all = List.copyOf(heldHeartbeats);
+    heldHeartbeats.clear();
     all.forEach(r -> after(random.nextBoolean() ? 0 : 500 + random.nextInt(4_000), r));
   }
 
   /** The copy's answer reaches nobody. */
-  void copyLater(String addr, JsonNode report) {
-    if (keeping) {
-      kept.add(() -> endpoints.forEach(n -> n.checkIn(addr, report, (status, body) -> {})));
+  void redeliver(String addr, JsonNode report) {
+    if (holdingHeartbeats) {
+      heldHeartbeats.add(
+          () -> endpoints.forEach(n -> n.heartbeat(addr, report, (status, body) -> {})));
     }
-    if (copiesMs > 0) {
+    if (maxDuplicateDelayMs > 0) {
       Endpoint any = endpoints.get(random.nextInt(endpoints.size()));
       after(
-          500 + random.nextInt((int) copiesMs),
-          () -> any.checkIn(addr, report, (status, body) -> {}));
+          500 + random.nextInt((int) maxDuplicateDelayMs),
+          () -> any.heartbeat(addr, report, (status, body) -> {}));
     }
   }
 
@@ -265,7 +266,7 @@
     /** What says that a message never arrives. */
     long LOST = -1;
 
-    long lateMs(String from, String to);
+    long delayMs(String from, String to);
   }
 
   void links(Links l) {
@@ -274,14 +275,14 @@
 
   /** Delivers a message after a delay, unless the way is cut. */
   void send(String from, String to, Runnable deliver) {
-    long late = links.lateMs(from, to);
+    long late = links.delayMs(from, to);
     if (late != 0) {
       if (late != Links.LOST) {
         after(late, deliver);
       }
       return;
     }
-    if (deaf.contains(to) || (!cutZones.isEmpty() && zonesApart(from, to))) {
+    if (inboundDropped.contains(to) || (!cutZones.isEmpty() && isZoneCutBetween(from, to))) {
       return;
     }
     String key = pair(from, to);
@@ -290,9 +291,9 @@
     }
     Cut how = cuts.get(key);
     if (how == Cut.HOLD) {
-      held.computeIfAbsent(key, k -> new ArrayList<>()).add(deliver);
+      heldMessages.computeIfAbsent(key, k -> new ArrayList<>()).add(deliver);
     } else if (how == null) {
-      after(jitter(1) + (linkMs > 0 ? jitter(linkMs) : 0), deliver);
+      after(jitter(1) + (linkDelayMs > 0 ? jitter(linkDelayMs) : 0), deliver);
     }
   }
 
@@ -301,7 +302,7 @@
     final Settings settings;
     Controller core;
     boolean paused;
-    private int life;
+    private int incarnation;
     private final List<Input> backlog = new ArrayList<>();
     private final Map<Long, Exchange> exchanges = new LinkedHashMap<>();
     private long nextExchange = 1;
@@ -315,12 +316,12 @@
       if (up) {
         return;
       }
-      life++;
+      incarnation++;
       up = true;
       paused = false;
       backlog.clear();
-      core = new Controller(settings, tunables, name + "-" + life, now);
-      tick(life);
+      core = new Controller(settings, tunables, name + "-" + incarnation, now);
+      tick(incarnation);
     }
 
     void crash(long backMs) {
@@ -331,33 +332,33 @@
 
     void pause(long ms) {
       paused = true;
-      int mine = life;
+      int mine = incarnation;
       after(
           ms,
           () -> {
-            if (mine == life && paused) {
+            if (mine == incarnation && paused) {
               paused = false;
               List<Input> late = List.copyOf(backlog);
               backlog.clear();
-              late.forEach(this::take);
+              late.forEach(this::accept);
             }
           });
     }
 
     /** Whether the node, at this very moment, takes itself for the leader. */
     boolean leadsNow() {
-      take(new Input.Tick());
+      accept(new Input.Tick());
       return up && !paused && core.hasAuthority();
     }
 
     private void tick(int mine) {
-      if (up && mine == life) {
-        take(new Input.Tick());
+      if (up && mine == incarnation) {
+        accept(new Input.Tick());
         after(TICK_MS, () -> tick(mine));
       }
     }
 
-    private void take(Input input) {
+    private void accept(Input input) {
       if (!up) {
         return;
       }
@@ -371,7 +372,7 @@
         perform(effect);
       }
       if (core.hasAuthority()) {
-        rules.leads(this);
+        invariants.leads(this);
       }
     }
 
@@ -393,7 +394,7 @@
         relayed += broadcast.message() instanceof PeerMessage.RelayReply ? 1 : 0;
         for (Node peer : nodes) {
           if (peer != this) {
-            send(name, peer.name, () -> peer.take(new Input.FromPeer(broadcast.message())));
+            send(name, peer.name, () -> peer.accept(new Input.FromPeer(broadcast.message())));
           }
         }
       } else if (effect instanceof Effect.Note n) {
@@ -407,20 +408,20 @@
 
     private void logEvent(Effect.Event event) {
       if (event.severity() == Effect.Severity.ERROR) {
-        rules.broke("invariant_violated", name + " " + event.text());
+        invariants.report("invariant_violated", name + " " + event.text());
       } else if (event.severity() == Effect.Severity.INFO) {
         log.add(now, name, event.text());
       }
     }
 
     private void call(Effect.Call call) {
-      int mine = life;
+      int mine = incarnation;
       boolean[] over = {false};
       Reply reply =
           (outcome, status, body) -> {
-            if (!over[0] && life == mine) {
+            if (!over[0] && incarnation == mine) {
               over[0] = true;
-              take(new Input.Reply(call.id(), outcome, status, body));
+              accept(new Input.Reply(call.id(), outcome, status, body));
             }
           };
       after(call.timeoutMs(), () -> reply.on(Outcome.UNKNOWN, 0, null));
@@ -430,16 +431,16 @@
             case CLOUD -> "cloud";
             default -> call.addr();
           };
-      long late = call.target() == Effect.Target.WORKER ? lateAnswersMs : 0;
+      long late = call.target() == Effect.Target.WORKER ? lateCommandRepliesMs : 0;
       Reply back = (o, s, b) -> after(late, () -> send(to, name, () -> reply.on(o, s, b)));
       Runnable deliver =
           switch (call.target()) {
-            case AUTHORITY, STATE, STATE_WATCH -> () -> state.take(name, call, back);
-            case CLOUD -> () -> cloud.take(call, back);
-            default -> direct(call, back);
+            case AUTHORITY, STATE, STATE_WATCH -> () -> state.accept(name, call, back);
+            case CLOUD -> () -> cloud.accept(call, back);
+            default -> deliverToWorker(call, back);
           };
-      if (call.target() == Effect.Target.WORKER && deaf.contains(to)) {
-        startsLost += starts(call.body());
+      if (call.target() == Effect.Target.WORKER && inboundDropped.contains(to)) {
+        startsLost += countStarts(call.body());
       }
       if (call.target() == Effect.Target.WORKER && lateCommandsMs > 0) {
         after(lateCommandsMs, deliver);
@@ -448,7 +449,7 @@
       }
     }
 
-    private int starts(JsonNode body) {
+    private int countStarts(JsonNode body) {
       int n = 0;
       for (JsonNode o : body == null ? List.<JsonNode>of() : body.path("orders")) {
         n += o.path("verb").asText().equals("start") ? 1 : 0;
@@ -456,7 +457,7 @@
       return n;
     }
 
-    private Runnable direct(Effect.Call call, Reply back) {
+    private Runnable deliverToWorker(Effect.Call call, Reply back) {
       long leftAt = now;
       return () -> {
         SimulatedWorker worker = workers.get(call.addr());
@@ -467,7 +468,7 @@
           return;
         }
         directMessages++;
-        questions += call.body().path("orders").isEmpty() ? 1 : 0;
+        probes += call.body().path("orders").isEmpty() ? 1 : 0;
         if (worker != null) {
           worker.command(call.body(), leftAt, back);
         }
@@ -475,7 +476,7 @@
     }
 
     @Override
-    void checkIn(String from, JsonNode report, Answer answer) {
+    void heartbeat(String from, JsonNode report, Answer answer) {
       Heartbeat heartbeat;
       try {
         heartbeat = Heartbeat.parse(report);
@@ -490,7 +491,7 @@
       if (up) {
         long id = nextExchange++;
         exchanges.put(id, new Exchange(from, answer));
-        take(input.apply(id));
+        accept(input.apply(id));
       } else {
         // The machine is there, the process is not: the connection is refused at once.
         send(name, from, () -> answer.on(0, null));
--- a/src/testbench/java/org/snowturn/simulation/SimulatedServer.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedServer.java
@@ -112,8 +112,8 @@
                 log(client, service, call.method() + " " + call.path(), body);
                 Runnable take =
                     toState
-                        ? () -> cluster.state.take(client, call, back)
-                        : () -> cluster.cloud.take(call, back);
+                        ? () -> cluster.state.accept(client, call, back)
+                        : () -> cluster.cloud.accept(call, back);
                 cluster.send(client, service, take);
               });
         });
--- a/src/testbench/java/org/snowturn/simulation/SimulatedStateService.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedStateService.java
@@ -34,10 +34,10 @@
   private static final String LEADER = "l/leader";
 
   /** A watch from before so many changes has to begin anew. */
-  private static final int CHANGES_KEPT = 10_000;
+  private static final int MAX_HISTORY = 10_000;
 
   private final SimulatedCluster cluster;
-  private long forgottenUpTo;
+  private long compactedUpTo;
   private final TreeMap<String, Value> kv = new TreeMap<>();
   private final Map<Long, Lease> leases = new HashMap<>();
   private final List<Change> history = new ArrayList<>();
@@ -47,10 +47,10 @@
   long watchDelayMs;
 
   /** How many times slower than usual replies are. */
-  int slow = 1;
+  int slowdown = 1;
 
   double loseReplies;
-  double lateTxns;
+  double lateTransactions;
   Settings.StateLimits limits;
 
   /** How many requests were refused, by status. */
@@ -61,11 +61,11 @@
 
   long writes;
 
-  private final Map<String, List<String[]>> running = new HashMap<>();
+  private final Map<String, List<String[]>> runningByMachine = new HashMap<>();
   private double writesLeft;
   private double requestsLeft;
   private long filledAt;
-  private long epoch;
+  private long revision;
   private long nextLease = 1;
 
   /** Who has led under which token. */
@@ -83,28 +83,28 @@
     for (String line : Files.readAllLines(file)) {
       String[] words = line.split(" ", 3);
       if (words[0].equals("#on")) {
-        running.computeIfAbsent(words[1], k -> new ArrayList<>()).add(words[2].split(" "));
+        runningByMachine.computeIfAbsent(words[1], k -> new ArrayList<>()).add(words[2].split(" "));
       } else if (words[0].equals("#result")) {
-        cluster.users.completed(words[1]);
+        cluster.clients.completed(words[1]);
       } else if (!line.startsWith("#")) {
         String key = words[0];
         JsonNode value = Json.parse(line.substring(key.length() + 1));
-        epoch++;
+        revision++;
         change(key, value, 0);
         if (key.startsWith("j/")) {
-          cluster.users.adopt(JobSpec.parse(value.path("s")), value.path("p").asText());
+          cluster.clients.adopt(JobSpec.parse(value.path("s")), value.path("p").asText());
         }
       }
     }
   }
 
   List<String[]> runningOn(String machine) {
-    return running.getOrDefault(machine, List.of());
+    return runningByMachine.getOrDefault(machine, List.of());
   }
 
   /** A job that ran long ago, as its short record tells. */
   void recordDone(String id) {
-    epoch++;
+    revision++;
     change("d/" + id, Json.object().put("v", 1).put("p", "done").put("n", 1), 0);
   }
 
@@ -116,7 +116,7 @@
   }
 
   /** Refuses what is beyond the rates, and for good what is beyond the sizes; 0: nothing is. */
-  private int beyondLimits(Effect.Call call) {
+  private int refusalFor(Effect.Call call) {
     refill();
     if (requestsLeft < 1) {
       return 429;
@@ -150,7 +150,7 @@
         () -> {
           outage = false;
           leases.values().forEach(l -> l.until = cluster.now + l.ttl);
-          wake();
+          notifyWatches();
         });
   }
 
@@ -161,7 +161,7 @@
         ms,
         () -> {
           refusing.remove(node);
-          wake();
+          notifyWatches();
         });
   }
 
@@ -169,7 +169,7 @@
   void heal() {
     outage = false;
     refusing.clear();
-    wake();
+    notifyWatches();
   }
 
   private void expire() {
@@ -193,9 +193,9 @@
           }
         });
     if (!gone.isEmpty()) {
-      epoch++;
+      revision++;
       gone.forEach(k -> change(k, null, 0));
-      wake();
+      notifyWatches();
     }
   }
 
@@ -211,17 +211,17 @@
 
   private void change(String key, JsonNode json, long lease) {
     if (key.equals(LEADER) && json != null) {
-      leaders.put(epoch, json.path("node").asText());
+      leaders.put(revision, json.path("node").asText());
     }
     if (json == null) {
       kv.remove(key);
     } else {
-      kv.put(key, new Value(json, epoch, lease));
+      kv.put(key, new Value(json, revision, lease));
     }
-    history.add(new Change(epoch, key, json));
-    if (history.size() > 2 * CHANGES_KEPT) {
-      forgottenUpTo = history.get(CHANGES_KEPT - 1).stamp;
-      history.subList(0, CHANGES_KEPT).clear();
+    history.add(new Change(revision, key, json));
+    if (history.size() > 2 * MAX_HISTORY) {
+      compactedUpTo = history.get(MAX_HISTORY - 1).stamp;
+      history.subList(0, MAX_HISTORY).clear();
     }
   }
 
@@ -240,16 +240,16 @@
     return low;
   }
 
-  private void wake() {
+  private void notifyWatches() {
     List<Runnable> all = List.copyOf(watches);
     watches.clear();
     all.forEach(Runnable::run);
   }
 
-  void take(String from, Effect.Call call, SimulatedCluster.Reply back) {
-    if (slow > 1) {
+  void accept(String from, Effect.Call call, SimulatedCluster.Reply back) {
+    if (slowdown > 1) {
       SimulatedCluster.Reply prompt = back;
-      back = (o, s, b) -> cluster.after(cluster.jitter(2) * slow, () -> prompt.on(o, s, b));
+      back = (o, s, b) -> cluster.after(cluster.jitter(2) * slowdown, () -> prompt.on(o, s, b));
     }
     expire();
     requests++;
@@ -258,14 +258,14 @@
       back.on(Outcome.REFUSED, 503, null);
       return;
     }
-    int status = beyondLimits(call);
+    int status = refusalFor(call);
     if (status != 0) {
       refusals.merge("" + status, 1, Integer::sum);
       back.on(status == 400 ? Outcome.ANSWERED : Outcome.REFUSED, status, null);
       return;
     }
     boolean txn = call.path().equals("/txn");
-    if (txn && cluster.random.nextDouble() < lateTxns) {
+    if (txn && cluster.random.nextDouble() < lateTransactions) {
       // No reply now, executed a good while later.
       cluster.after(
           4000 + cluster.random.nextInt(15_000), () -> execute(from, call, (o, s, b) -> {}));
@@ -315,7 +315,7 @@
       String key = path.substring("/kv/".length());
       Value v = kv.get(key);
       if (v == null) {
-        back.on(Outcome.ANSWERED, 404, Json.object().put("epoch", epoch));
+        back.on(Outcome.ANSWERED, 404, Json.object().put("epoch", revision));
       } else {
         ok(back, entry(key, v));
       }
@@ -346,7 +346,7 @@
 
   private void range(Map<String, String> q, SimulatedCluster.Reply back) {
     int most = Integer.parseInt(q.getOrDefault("most", "1000"));
-    ObjectNode object = Json.object().put("epoch", epoch);
+    ObjectNode object = Json.object().put("epoch", revision);
     ArrayNode entries = object.putArray("entries");
     boolean more = false;
     String since = q.getOrDefault("since", "");
@@ -370,11 +370,11 @@
       watches.add(() -> watch(from, q, until, back)); // stays open until that is over
       return;
     }
-    ObjectNode object = Json.object().put("epoch", epoch);
+    ObjectNode object = Json.object().put("epoch", revision);
     ArrayNode news = object.putArray("news");
     long since = Long.parseLong(q.get("since"));
-    if (since < forgottenUpTo) {
-      back.on(Outcome.ANSWERED, 410, Json.object().put("epoch", epoch));
+    if (since < compactedUpTo) {
+      back.on(Outcome.ANSWERED, 410, Json.object().put("epoch", revision));
       return;
     }
     for (Change h : history.subList(firstAfter(since), history.size())) {
@@ -415,10 +415,10 @@
       boolean leaders = tasks || key.startsWith("r/") || key.startsWith("s/");
       boolean placement = tasks && c.has("write");
       if (leaders && !guards.contains("l/leader")) {
-        cluster.rules.broke("unguarded_write", key);
+        cluster.invariants.report("unguarded_write", key);
       }
       if (placement && !(guards.contains(key) && guards.contains("j/" + key.split("/")[1]))) {
-        cluster.rules.broke("unguarded_write", key);
+        cluster.invariants.report("unguarded_write", key);
       }
     }
   }
@@ -432,8 +432,8 @@
         failed.add(c.path("path").asText());
       }
     }
-    if (!failed.isEmpty() && !cluster.sabotage.contains("ignore_conditions")) {
-      ObjectNode object = Json.object().put("epoch", epoch);
+    if (!failed.isEmpty() && !cluster.seededBugs.contains("ignore_conditions")) {
+      ObjectNode object = Json.object().put("epoch", revision);
       failed.forEach(object.putArray("failed")::add);
       back.on(Outcome.ANSWERED, 409, object);
       return;
@@ -444,7 +444,7 @@
         return;
       }
     }
-    epoch++;
+    revision++;
     for (JsonNode c : body.path("apply")) {
       if (c.has("drop")) {
         if (kv.containsKey(c.path("drop").asText())) {
@@ -454,12 +454,12 @@
         change(c.path("write").asText(), c.path("value").deepCopy(), c.path("hold").asLong(0));
       }
     }
-    ok(back, Json.object().put("epoch", epoch));
-    wake();
+    ok(back, Json.object().put("epoch", revision));
+    notifyWatches();
   }
 
   /** Spoils the first value below a prefix, as a fault of the store or of another program would. */
-  void spoil(String prefix) {
+  void corrupt(String prefix) {
     String key = kv.ceilingKey(prefix);
     if (key == null || !key.startsWith(prefix)) {
       throw new IllegalStateException("at " + cluster.now + ": nothing below " + prefix);
--- a/src/testbench/java/org/snowturn/simulation/SimulatedWorker.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedWorker.java
@@ -42,8 +42,8 @@
   private final Set<String> images = new HashSet<>();
   boolean dead;
   boolean hung;
-  boolean sick;
-  boolean mute;
+  boolean failing;
+  boolean outboundDropped;
   double slow = 1;
   double noticeS = Double.NaN;
   private long session = 1;
@@ -60,7 +60,7 @@
   SimulatedWorker(SimulatedCluster cluster, SimulatedCloud.Rented rented) {
     this.cluster = cluster;
     this.rented = rented;
-    this.addr = cluster.sizes.addresses().apply(rented.id);
+    this.addr = cluster.parameters.addresses().apply(rented.id);
   }
 
   private Settings.Workers figures() {
@@ -80,7 +80,7 @@
     Task t = task(words[0], Long.parseLong(words[1]));
     tasks.put(words[0] + "#" + t.attempt, t);
     if (words[2].equals("running")) {
-      run(t, cluster.users.spec(t.job), session);
+      run(t, cluster.clients.spec(t.job), session);
     } else {
       exit(t, words[3]);
     }
@@ -122,7 +122,7 @@
   /** Ends the session if its lease has run out. */
   private void endLapsed() {
     long lease = (long) (figures().leaseS() * 1000);
-    if (cluster.now - leaseFrom > lease && !cluster.sabotage.contains("immortal_sessions")) {
+    if (cluster.now - leaseFrom > lease && !cluster.seededBugs.contains("immortal_sessions")) {
       tasks.clear();
       session++;
       leaseFrom = cluster.now;
@@ -134,7 +134,7 @@
       return;
     }
     endLapsed();
-    cluster.after(cluster.sizes.leaseCheckMs(), this::watchLease);
+    cluster.after(cluster.parameters.leaseCheckMs(), this::watchLease);
   }
 
   private ObjectNode body() {
@@ -159,7 +159,7 @@
     if (dead) {
       return;
     }
-    if (hung || mute) {
+    if (hung || outboundDropped) {
       reportAfter(200);
       return;
     }
@@ -170,10 +170,10 @@
     long inSession = session;
     long mine = ++generation;
     ObjectNode report = body();
-    cluster.reports++;
+    cluster.heartbeats++;
     Runnable arrive =
         () ->
-            node.checkIn(
+            node.heartbeat(
                 addr,
                 report,
                 (status, reply) -> {
@@ -183,8 +183,8 @@
                     answered(status, reply, sentAt, inSession);
                   }
                 });
-    cluster.after(cluster.slowReportsMs, () -> cluster.send(addr, node.name, arrive));
-    cluster.copyLater(addr, report);
+    cluster.after(cluster.heartbeatDelayMs, () -> cluster.send(addr, node.name, arrive));
+    cluster.redeliver(addr, report);
     cluster.after(
         4000,
         () -> {
@@ -267,7 +267,8 @@
       cluster.after(300, () -> command(body, leftAt, back));
       return;
     }
-    boolean stale = body.path("baton").asLong() < token && !cluster.sabotage.contains("any_token");
+    boolean stale =
+        body.path("baton").asLong() < token && !cluster.seededBugs.contains("any_token");
     if (stale || body.path("thaw").asLong() != session) {
       back.on(Outcome.ANSWERED, 409, body());
       return;
@@ -307,14 +308,14 @@
   private void start(String name, long attempt, String key, long leftAt) {
     Task t = task(name, attempt);
     t.startLeftAt = leftAt;
-    cluster.startsMute += mute ? 1 : 0;
-    JobSpec spec = cluster.users.spec(t.job);
+    cluster.startsUnleased += outboundDropped ? 1 : 0;
+    JobSpec spec = cluster.clients.spec(t.job);
     boolean twice = false;
     double cpus = 0;
     for (Task other : tasks.values()) {
       if (other.alive()) {
         twice |= other.name().equals(name);
-        cpus += cluster.users.spec(other.job).cpus();
+        cpus += cluster.clients.spec(other.job).cpus();
       }
     }
     tasks.put(key, t);
@@ -322,7 +323,7 @@
       exit(t, "no_such");
     } else if (twice) {
       exit(t, "busy");
-    } else if (cpus + spec.cpus() > cluster.sizes.cpus()) {
+    } else if (cpus + spec.cpus() > cluster.parameters.cpus()) {
       exit(t, "full");
     } else {
       long inSession = session;
@@ -345,13 +346,13 @@
     }
     task.phase = "running";
     task.present = true;
-    cluster.rules.started(this, task, spec);
-    if (sick || cluster.users.broken(task.job)) {
+    cluster.invariants.started(this, task, spec);
+    if (failing || cluster.clients.broken(task.job)) {
       exit(task, "error");
-    } else if (cluster.users.result(task.name())) {
+    } else if (cluster.clients.result(task.name())) {
       exit(task, "done");
     } else if (!spec.service()) {
-      long ms = (long) (cluster.users.runMs(task.job, task.index) * slow);
+      long ms = (long) (cluster.clients.runMs(task.job, task.index) * slow);
       cluster.after(ms, () -> complete(task, inSession));
     }
   }
@@ -361,7 +362,7 @@
     if (hung) {
       cluster.after(300, () -> complete(task, inSession));
     } else if (!dead && inSession == session && task.alive()) {
-      cluster.users.completed(task.name());
+      cluster.clients.completed(task.name());
       exit(task, "done");
     }
   }
