--- /dev/null
+++ b/src/test/java/org/snowturn/DocumentedNamesTest.java
@@ -0,0 +1,51 @@
+package org.snowturn;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.HashSet;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Stream;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** The types that the architecture page and its companions name are there. */
+class DocumentedNamesTest {
+  /** A type in back ticks, with packages before and a member behind it, if any. */
+  private static final Pattern TYPE =
+      Pattern.compile("`(?:[a-z]+\\.)*([A-Z][a-z0-9]+(?:[A-Z][a-z0-9]*)+)(?:[.#(][^`]*)?`");
+
+  @ParameterizedTest
+  @ValueSource(strings = {"architecture.md", "glossary.md", "safety.md", "recovery.md"})
+  void everyTypeThatAPageNamesExists(String page) throws IOException {
+    Set<String> types = types();
+    Set<String> unknown = new TreeSet<>();
+    Matcher matcher = TYPE.matcher(Files.readString(Path.of("docs", page)));
+    while (matcher.find()) {
+      if (!types.contains(matcher.group(1))) {
+        unknown.add(matcher.group(1));
+      }
+    }
+    assertEquals(Set.of(), unknown);
+  }
+
+  private static Set<String> types() throws IOException {
+    Set<String> types = new HashSet<>();
+    for (String folder : new String[] {"src/main/java", "src/testbench/java", "src/test/java"}) {
+      try (Stream<Path> files = Files.walk(Path.of(folder))) {
+        files
+            .map(file -> file.getFileName().toString())
+            .filter(name -> name.endsWith(".java"))
+            .forEach(name -> types.add(name.substring(0, name.length() - ".java".length())));
+      }
+    }
+    assertFalse(types.isEmpty());
+    return types;
+  }
+}
