--- a/src/test/java/org/snowturn/CheckstyleSuppressionsTest.java
+++ b/src/test/java/org/snowturn/CheckstyleSuppressionsTest.java
@@ -49,7 +49,7 @@
     Set<String> entries = new TreeSet<>();
     Matcher matcher = ENTRY.matcher(Files.readString(SUPPRESSIONS));
     while (matcher.find()) {
-      for (String check : matcher.group(2).split("\\|")) {
+      for (String check : matcher.group(2).split("\\|", -1)) {
         entries.add(matcher.group(1) + " " + check);
       }
     }
--- a/src/test/java/org/snowturn/core/TestSettings.java
+++ b/src/test/java/org/snowturn/core/TestSettings.java
@@ -1,5 +1,6 @@
 package org.snowturn.core;
 
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.stream.Stream;
@@ -16,7 +17,10 @@
 
   /** The same, with one peer. */
   public static Settings withPeer(String name) {
-    return of("a", List.of(new Settings.Peer(name, new InetSocketAddress("127.0.0.1", 1))));
+    return of(
+        "a",
+        List.of(
+            new Settings.Peer(name, new InetSocketAddress(InetAddress.getLoopbackAddress(), 1))));
   }
 
   /** One of three nodes, n0 to n2. */
@@ -24,7 +28,10 @@
     List<Settings.Peer> peers =
         Stream.of("n0", "n1", "n2")
             .filter(n -> !n.equals(node))
-            .map(n -> new Settings.Peer(n, new InetSocketAddress("127.0.0.1", 1)))
+            .map(
+                n ->
+                    new Settings.Peer(
+                        n, new InetSocketAddress(InetAddress.getLoopbackAddress(), 1)))
             .toList();
     return of(node, peers);
   }
--- a/src/test/java/org/snowturn/core/admission/QuotaGuaranteesTest.java
+++ b/src/test/java/org/snowturn/core/admission/QuotaGuaranteesTest.java
@@ -76,7 +76,7 @@
     List<Job> jobs = new ArrayList<>();
     for (int i = r.nextInt(25); i > 0; i--) {
       String team = TEAMS.get(r.nextInt(TEAMS.size())).name();
-      jobs.add(new Job(team, r.nextInt(8), r.nextInt(4) / 3, r.nextInt(6), "wk-" + i));
+      jobs.add(new Job(team, r.nextInt(8), r.nextInt(4) == 3 ? 1 : 0, r.nextInt(6), "wk-" + i));
     }
     Collections.shuffle(jobs, new java.util.Random(seed));
     QuotaGuarantees g = new QuotaGuarantees(TEAMS);
--- a/src/test/java/org/snowturn/core/recovery/ReconciliationExplorer.java
+++ b/src/test/java/org/snowturn/core/recovery/ReconciliationExplorer.java
@@ -20,6 +20,7 @@
  *
  * <p>A state is a row of small numbers, so that a set can hold very many.
  */
+@SuppressWarnings("EnumOrdinal") // a state is packed into small numbers
 final class ReconciliationExplorer {
   private static final int MACHINES = 2;
   private static final int ATTEMPTS = 3;
--- a/src/test/java/org/snowturn/core/recovery/ReconciliationTest.java
+++ b/src/test/java/org/snowturn/core/recovery/ReconciliationTest.java
@@ -5,6 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.EnumMap;
+import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -29,8 +31,8 @@
   })
   void sameSession(Stored stored, String ours, String others) {
     for (Seen seen : Seen.values()) {
-      Verdict mine = Verdict.valueOf(ours.trim().split("\\s+")[seen.ordinal()]);
-      Verdict other = Verdict.valueOf(others.trim().split("\\s+")[seen.ordinal()]);
+      Verdict mine = verdicts(ours).get(seen);
+      Verdict other = verdicts(others).get(seen);
       assertEquals(mine, of(stored, seen, Session.SAME, true, false, true), stored + " " + seen);
       assertEquals(other, of(stored, seen, Session.SAME, false, false, true), stored + " " + seen);
     }
@@ -120,4 +122,15 @@
                 });
     assertTrue(explorer.explore() != null, "no order breaks the rule without: " + guard);
   }
+
+  /** The verdicts of a row, in the order in which {@link Seen} stands. */
+  private static Map<Seen, Verdict> verdicts(String row) {
+    Map<Seen, Verdict> verdicts = new EnumMap<>(Seen.class);
+    String[] words = row.trim().split("\\s+", -1);
+    int column = 0;
+    for (Seen seen : Seen.values()) {
+      verdicts.put(seen, Verdict.valueOf(words[column++]));
+    }
+    return verdicts;
+  }
 }
--- a/src/test/java/org/snowturn/core/scheduling/AgingTest.java
+++ b/src/test/java/org/snowturn/core/scheduling/AgingTest.java
@@ -44,7 +44,7 @@
     long toElders = 0;
     for (long now = 20_000; now < 600_000; now += STEP_MS) {
       int room = random.nextInt(2 * roomEachStep);
-      for (Job job : elders.begin(waiting, now)) {
+      for (Job job : elders.begin(waiting, (double) now)) {
         if (!elders.mayGo(now)) {
           break;
         }
--- a/src/test/java/org/snowturn/daemon/DaemonTest.java
+++ b/src/test/java/org/snowturn/daemon/DaemonTest.java
@@ -29,7 +29,7 @@
 
   private static InetSocketAddress free() throws Exception {
     try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      return new InetSocketAddress("127.0.0.1", s.getLocalPort());
+      return new InetSocketAddress(InetAddress.getLoopbackAddress(), s.getLocalPort());
     }
   }
 
--- a/src/test/java/org/snowturn/simulation/DrawnSeeds.java
+++ b/src/test/java/org/snowturn/simulation/DrawnSeeds.java
@@ -18,7 +18,7 @@
    * @param property names the system property that gives other seeds than the build's, FROM-TO
    */
   static Stream<DynamicTest> play(String property, String seeds, IntFunction<List<String>> draw) {
-    String[] ends = System.getProperty(property, seeds).split("-");
+    String[] ends = System.getProperty(property, seeds).split("-", -1);
     return IntStream.rangeClosed(Integer.parseInt(ends[0]), Integer.parseInt(ends[1]))
         .mapToObj(
             seed -> DynamicTest.dynamicTest("seed " + seed, () -> play(seed, draw.apply(seed))));
--- a/src/test/java/org/snowturn/simulation/JobHistoryTest.java
+++ b/src/test/java/org/snowturn/simulation/JobHistoryTest.java
@@ -17,6 +17,7 @@
   private record Answer(long askedAt, long at, int phase) {}
 
   /** Some order of the answers, in which each that ended before another began comes first. */
+  @SuppressWarnings("ReferenceEquality") // two equal answers are two
   private static boolean explained(List<Answer> left, int reached) {
     if (left.isEmpty()) {
       return true;
--- a/src/testbench/java/org/snowturn/simulation/OverlappingFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/OverlappingFaults.java
@@ -46,7 +46,7 @@
 
   private void trouble(double at, String event) {
     at(at, event);
-    for (String w : event.split(" ")) {
+    for (String w : event.split(" ", -1)) {
       over = w.matches("[0-9.]+") ? Math.max(over, at + Double.parseDouble(w)) : over;
     }
   }
--- a/src/testbench/java/org/snowturn/simulation/ScenarioSettings.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioSettings.java
@@ -1,5 +1,6 @@
 package org.snowturn.simulation;
 
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -83,10 +84,12 @@
     List<Settings.Peer> peers = new ArrayList<>();
     for (int peer = 0; peer < CONTROLLERS; peer++) {
       if (peer != index) {
-        peers.add(new Settings.Peer("n" + peer, new InetSocketAddress("127.0.0.1", 1 + peer)));
+        peers.add(
+            new Settings.Peer(
+                "n" + peer, new InetSocketAddress(InetAddress.getLoopbackAddress(), 1 + peer)));
       }
     }
-    InetSocketAddress none = new InetSocketAddress("127.0.0.1", 1);
+    InetSocketAddress none = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     Settings.StateLimits limits = limits("state", STATE_LIMITS);
     return new Settings(
         "n" + index,
--- a/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
@@ -183,7 +183,7 @@
 
   void healAll() {
     for (String p : List.copyOf(cuts.keySet())) {
-      String[] ends = p.split("\\|");
+      String[] ends = p.split("\\|", -1);
       heal(ends[0], ends[1]);
     }
   }
--- a/src/testbench/java/org/snowturn/simulation/SimulatedStateService.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedStateService.java
@@ -295,7 +295,7 @@
       leases.put(nextLease, l);
       ok(back, Json.object().put("hold", nextLease++));
     } else if (path.startsWith("/leases/")) {
-      long id = Long.parseLong(path.split("/")[2]);
+      long id = Long.parseLong(path.split("/", -1)[2]);
       Lease l = leases.get(id);
       if (l == null) {
         back.on(Outcome.ANSWERED, 404, null);
@@ -337,7 +337,7 @@
     if (path.indexOf('?') < 0) {
       return q;
     }
-    for (String part : path.substring(path.indexOf('?') + 1).split("&")) {
+    for (String part : path.substring(path.indexOf('?') + 1).split("&", -1)) {
       int eq = part.indexOf('=');
       q.put(part.substring(0, eq), part.substring(eq + 1));
     }
@@ -417,7 +417,7 @@
       if (leaders && !guards.contains("l/leader")) {
         cluster.invariants.report("unguarded_write", key);
       }
-      if (placement && !(guards.contains(key) && guards.contains("j/" + key.split("/")[1]))) {
+      if (placement && !(guards.contains(key) && guards.contains("j/" + key.split("/", -1)[1]))) {
         cluster.invariants.report("unguarded_write", key);
       }
     }
--- a/src/testbench/java/org/snowturn/testbench/ControllerProcess.java
+++ b/src/testbench/java/org/snowturn/testbench/ControllerProcess.java
@@ -58,7 +58,7 @@
       try (ServerSocket s = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), s.getLocalPort());
       } catch (BindException e) {
-        continue; // somebody has it
+        // In use: the next one is tried.
       }
     }
     throw new BindException("no free port from " + FIRST_PORT + " to " + END_PORT);
--- a/src/testbench/java/org/snowturn/testbench/Measurements.java
+++ b/src/testbench/java/org/snowturn/testbench/Measurements.java
@@ -89,7 +89,7 @@
 
   /** "leader r0-n1" and "region 2" are the leader and the region of any run. */
   private static String role(String scope) {
-    String first = scope.split(" ")[0];
+    String first = scope.split(" ", -1)[0];
     return List.of("leader", "standby", "region").contains(first) ? first : scope;
   }
 
--- a/src/testbench/java/org/snowturn/testbench/ProcessUsage.java
+++ b/src/testbench/java/org/snowturn/testbench/ProcessUsage.java
@@ -63,7 +63,7 @@
     try (DirectoryStream<Path> threads = Files.newDirectoryStream(Path.of("/proc/self/task"))) {
       for (Path t : threads) {
         try {
-          String role = Files.readString(t.resolve("comm")).trim().split("-")[0];
+          String role = Files.readString(t.resolve("comm")).trim().split("-", -1)[0];
           Map<String, Long> io = fields(t.resolve("io"));
           ProcessUsage u =
               new ProcessUsage(
@@ -85,7 +85,7 @@
 
   private static double processorS(Path at) throws IOException {
     String stat = Files.readString(at.resolve("stat"));
-    String[] words = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+    String[] words = stat.substring(stat.lastIndexOf(')') + 2).split(" ", -1);
     return (Long.parseLong(words[USER_TIME]) + Long.parseLong(words[SYSTEM_TIME])) / TICKS_PER_S;
   }
 
@@ -106,7 +106,7 @@
   private static Map<String, Long> fields(Path file) throws IOException {
     Map<String, Long> out = new TreeMap<>();
     for (String line : Files.readAllLines(file)) {
-      String[] words = line.split(":?\\s+");
+      String[] words = line.split(":?\\s+", -1);
       if (words.length > 1 && words[1].matches("[0-9]+")) {
         out.put(words[0], Long.parseLong(words[1]));
       }
--- a/src/testbench/java/org/snowturn/testbench/SoakCommand.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakCommand.java
@@ -4,7 +4,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.EnumMap;
 import java.util.List;
+import java.util.Map;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -74,7 +76,7 @@
     if (!seeds.matches(RANGE)) {
       throw new InvalidPlanException("--seeds: A or A-B expected, not " + seeds);
     }
-    String[] ends = seeds.split("-");
+    String[] ends = seeds.split("-", -1);
     long first = Long.parseLong(ends[0]);
     long last = Long.parseLong(ends[ends.length - 1]);
     if (last < first || last - first >= MOST_SEEDS) {
@@ -95,7 +97,7 @@
 
   private int play(List<SoakPlan> plans, List<String> command, Path root)
       throws IOException, InterruptedException, InvalidPlanException {
-    int[] results = new int[SoakVerdict.Result.values().length];
+    Map<SoakVerdict.Result, Integer> results = new EnumMap<>(SoakVerdict.Result.class);
     for (SoakPlan plan : plans) {
       Path dir = out.resolve("seed-" + plan.seed());
       Files.createDirectories(dir);
@@ -103,17 +105,18 @@
       SoakVerdict verdict =
           new SoakRun(plan, command, root, dir, keep, line -> System.err.println("  " + line))
               .play();
-      results[verdict.result().ordinal()]++;
+      results.merge(verdict.result(), 1, Integer::sum);
       System.out.println(verdict.line());
       verdict.details().forEach(d -> System.out.println("  " + d));
     }
+    int passed = results.getOrDefault(SoakVerdict.Result.PASSED, 0);
     System.out.println(
-        results[SoakVerdict.Result.PASSED.ordinal()]
+        passed
             + " passed, "
-            + results[SoakVerdict.Result.FAILED.ordinal()]
+            + results.getOrDefault(SoakVerdict.Result.FAILED, 0)
             + " failed, "
-            + results[SoakVerdict.Result.NOT_FINISHED.ordinal()]
+            + results.getOrDefault(SoakVerdict.Result.NOT_FINISHED, 0)
             + " not finished");
-    return results[SoakVerdict.Result.PASSED.ordinal()] == plans.size() ? 0 : BROKEN;
+    return passed == plans.size() ? 0 : BROKEN;
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/SoakPlan.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakPlan.java
@@ -112,7 +112,7 @@
     return new SoakFault(at, kind, target, lasts, amount);
   }
 
-  /** Reads a plan that {@link #write} has written; says which line is damaged. */
+  /** Reads a plan that {@link #lines} has written; says which line is damaged. */
   static SoakPlan read(Path file) throws InvalidPlanException {
     List<String> lines;
     try {
