--- a/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
+++ b/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
@@ -75,11 +75,15 @@
     Map<String, String> replicas = Map.of("tasks", "5", "cpus", "1", "rank", "production");
     cluster.after(
         500,
-        () -> cluster.users.submit(Scenario.spec("wk-000001", "service", replicas), 0, Map.of()));
+        () ->
+            cluster.clients.submit(
+                SimulatedJobs.spec("wk-000001", "service", replicas), 0, Map.of()));
     Map<String, String> array = Map.of("tasks", "12", "cpus", "1");
     cluster.after(
         FROM_MS - 500,
-        () -> cluster.users.submit(Scenario.spec("wk-000002", "batch", array), 4_000, Map.of()));
+        () ->
+            cluster.clients.submit(
+                SimulatedJobs.spec("wk-000002", "batch", array), 4_000, Map.of()));
     long at = FROM_MS;
     long calm = FROM_MS;
     for (Fault fault : faults) {
@@ -88,11 +92,11 @@
       calm = Math.max(calm, at + fault.lastsMs);
     }
     cluster.runUntil(calm + CALM_MS);
-    assertEquals(List.of(), cluster.rules.details);
+    assertEquals(List.of(), cluster.invariants.details);
     assertNotNull(cluster.leader(), "nobody leads: " + cluster.log);
     Set<Long> tokens = new HashSet<>();
     long last = 0;
-    for (String line : cluster.log) {
+    for (String line : cluster.log.lines()) {
       if (line.contains(ACQUIRED)) {
         String rest = line.substring(line.indexOf(TOKEN_FIELD) + TOKEN_FIELD.length());
         long token = Long.parseLong(rest.substring(0, rest.indexOf(' ')));
@@ -120,12 +124,12 @@
       case 6 -> cluster.state.refuse(node.name, fault.lastsMs);
       case 7 -> cluster.state.outage(fault.lastsMs);
       default -> {
-        cluster.state.lateTxns = 0.5;
+        cluster.state.lateTransactions = 0.5;
         cluster.state.loseReplies = 0.3;
         cluster.after(
             fault.lastsMs,
             () -> {
-              cluster.state.lateTxns = 0;
+              cluster.state.lateTransactions = 0;
               cluster.state.loseReplies = 0;
             });
       }
--- a/src/testbench/java/org/snowturn/simulation/LoadGenerator.java
+++ b/src/testbench/java/org/snowturn/simulation/LoadGenerator.java
@@ -31,13 +31,13 @@
   LoadGenerator(SimulatedCluster cluster, LoopbackPlan plan) {
     this.cluster = cluster;
     this.plan = plan;
-    cluster.users.startListener =
+    cluster.clients.startListener =
         (spec, delayMs) -> {
           if (spec.jobClass().equals(URGENT)) {
             urgent.recordValue(Math.min(delayMs, LONGEST_DELAY_MS));
           }
         };
-    cluster.users.acceptedListener =
+    cluster.clients.acceptedListener =
         delayMs -> accepted.recordValue(Math.min(delayMs, LONGEST_DELAY_MS));
   }
 
@@ -55,7 +55,7 @@
 
   long over() {
     long n = 0;
-    for (SimulatedClients.Mine submitted : cluster.users.all()) {
+    for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
       n += submitted.terminal != null ? 1 : 0;
     }
     return n;
@@ -106,9 +106,9 @@
     o.put("team", team(nextJob % plan.teams()));
     o.put("tasks", "" + tasks);
     o.put("cpus", "1");
-    o.put("guess", "" + Math.min(runMs, 600_000) / 1000);
+    o.put("estimate", "" + Math.min(runMs, 600_000) / 1000);
     JobSpec spec =
-        Scenario.spec(String.format("wk-%d%07d", 1 + plan.number(), nextJob++), "batch", o);
-    cluster.users.submit(spec, runMs, Map.of());
+        SimulatedJobs.spec(String.format("wk-%d%07d", 1 + plan.number(), nextJob++), "batch", o);
+    cluster.clients.submit(spec, runMs, Map.of());
   }
 }
