--- a/src/main/java/org/snowturn/config/Settings.java
+++ b/src/main/java/org/snowturn/config/Settings.java
@@ -34,7 +34,7 @@
 
   /** An aim at start or finish. */
   public record Objective(
-      String kind, String jobClass, double share, double times, double withinS) {}
+      String kind, String jobClass, double share, double durationFactor, double withinS) {}
 
   /** How workers behave. */
   public record Workers(double reportS, double leaseS, double cancelS) {}
--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -77,7 +77,8 @@
         new StateRequestRelay(
             settings, runtime, connectivity, () -> connectivity.mine().stateService());
     JobApi.Services services =
-        new JobApi.Services(machineTypes, formatGate, relay, rateAllocator.gate(), liveJobs);
+        new JobApi.Services(
+            machineTypes, formatGate, relay, rateAllocator.admissionController(), liveJobs);
     jobApi =
         new JobApi(settings, runtime, services, election::stateServiceHealthy, cancelledJobs());
   }
@@ -118,7 +119,7 @@
 
   private void onCancellation(String job) {
     if (leader != null) {
-      leader.cancelled(job);
+      leader.cancellationConfirmed(job);
     }
   }
 
@@ -183,14 +184,14 @@
   public Map<String, Double> gauges() {
     Map<String, Double> gauges = new HashMap<>();
     gauges.put("snowturn.format.gate", formatGate.open() ? 1.0 : 0.0);
-    gauges.put("snowturn.relayed", (double) relay.relayed());
+    gauges.put("snowturn.state.requests.relayed", (double) relay.relayed());
     gauges.putAll(connectivity.gauges());
     gauges.putAll(watermark.gauges());
     gauges.putAll(rateAllocator.gauges(runtime.now()));
-    gauges.put("snowturn.picture.jobs", (double) liveJobs.size());
-    gauges.put("snowturn.picture.proofs", (double) liveJobs.proofs());
-    gauges.put("snowturn.picture.loads", (double) liveJobs.loads());
-    gauges.put("snowturn.picture.waiting", (double) liveJobs.waiting());
+    gauges.put("snowturn.cache.jobs", (double) liveJobs.size());
+    gauges.put("snowturn.cache.validations", (double) liveJobs.proofs());
+    gauges.put("snowturn.cache.reloads", (double) liveJobs.loads());
+    gauges.put("snowturn.cache.waiting", (double) liveJobs.waiting());
     if (leader != null) {
       gauges.putAll(leader.gauges());
     }
@@ -212,14 +213,14 @@
     boolean sampleDue = leader != null && connectivity.wantsSample();
     connectivity.tick(
         leader != null,
-        sampleDue ? leader.someWorkers(ConnectivityMonitor.SAMPLE_SIZE) : List.of());
+        sampleDue ? leader.sampleWorkerAddresses(ConnectivityMonitor.SAMPLE_SIZE) : List.of());
   }
 
   private void tickRateAllocation() {
-    rateAllocator.led(leader == null ? 0 : leader.changesMade());
+    rateAllocator.setLeaderDemand(leader == null ? 0 : leader.writesPerSecond());
     if (rateAllocator.tick(runtime.now())) {
       runtime.broadcast(
-          new PeerMessage.RateDemandReport(settings.node(), rateAllocator.mine(runtime.now())));
+          new PeerMessage.RateDemandReport(settings.node(), rateAllocator.demand(runtime.now())));
     }
   }
 
@@ -243,14 +244,14 @@
                   formatGate,
                   jobApi,
                   connectivity,
-                  rate -> rateAllocator.mayLead(rate, runtime.now())));
+                  rate -> rateAllocator.leaderRate(rate, runtime.now())));
     }
   }
 
   private void onHeartbeat(Input.HeartbeatReceived received) {
     connectivity.workerHeard();
     if (leader != null && election.hasAuthority()) {
-      leader.checkIn(received.exchange(), received.heartbeat());
+      leader.handleHeartbeat(received.exchange(), received.heartbeat());
       return;
     }
     runtime.answer(
@@ -277,7 +278,7 @@
     if (message instanceof PeerMessage.JobProgress progress) {
       jobApi.onProgress(progress);
     } else if (message instanceof PeerMessage.RateDemandReport report) {
-      rateAllocator.told(report.from(), report.demand(), runtime.now());
+      rateAllocator.recordPeerDemand(report.from(), report.demand(), runtime.now());
     } else if (message instanceof PeerMessage.ConnectivityReport report) {
       connectivity.onReport(report);
     } else if (message instanceof PeerMessage.WorkerSample sample) {
--- a/src/main/java/org/snowturn/core/Effect.java
+++ b/src/main/java/org/snowturn/core/Effect.java
@@ -30,9 +30,6 @@
   /** A record for every peer. */
   record Broadcast(PeerMessage message) implements Effect {}
 
-  /** A decision worth a line at info. */
-  record Note(String text) implements Effect {}
-
   /** How much an event matters to operators. */
   enum Severity {
     /** A violated invariant: a fault of this program. */
--- a/src/main/java/org/snowturn/core/admission/AdmissionController.java
+++ b/src/main/java/org/snowturn/core/admission/AdmissionController.java
@@ -63,12 +63,12 @@
   }
 
   /** The service has refused a change for its rate: from now on the parts are kept. */
-  public void refusedThere(long nowMs) {
+  public void onServiceRefusal(long nowMs) {
     enforcedUntil = nowMs + ENFORCEMENT_MS;
   }
 
   /** What cannot be refused takes its part all the same: cancellations, later parts of a record. */
-  public void spend(double changes, long nowMs) {
+  public void charge(double changes, long nowMs) {
     refill(nowMs);
     asked.add(changes, nowMs);
     tokens = Math.max(tokens - changes, -burst());
--- a/src/main/java/org/snowturn/core/admission/MinimumShares.java
+++ b/src/main/java/org/snowturn/core/admission/MinimumShares.java
@@ -113,7 +113,7 @@
       gauges.put(
           "snowturn.served.share" + label,
           1 - Math.min(1.0, (double) shareGroup.waiting / Math.max(1, shareGroup.arrived)));
-      gauges.put("snowturn.room.given.cpus" + label, shareGroup.placements.perSecond(roundAt));
+      gauges.put("snowturn.share.assigned.cpus" + label, shareGroup.placements.perSecond(roundAt));
     }
     return gauges;
   }
--- a/src/main/java/org/snowturn/core/admission/RateAllocator.java
+++ b/src/main/java/org/snowturn/core/admission/RateAllocator.java
@@ -48,23 +48,23 @@
   }
 
   /** This node's part of the changes that users ask for. */
-  public AdmissionController gate() {
+  public AdmissionController admissionController() {
     return admissionController;
   }
 
   /** A peer tells what it needs. */
-  public void told(String from, RateDemands.Demand demand, long nowMs) {
+  public void recordPeerDemand(String from, RateDemands.Demand demand, long nowMs) {
     demands.record(from, demand, nowMs);
   }
 
   /** The changes a second that a term of this node has to write; 0 without one. */
-  public void led(double perSecond) {
+  public void setLeaderDemand(double perSecond) {
     leaderDemand = perSecond;
   }
 
   /** The changes a second that a term of this node may write, of so many for all. */
-  public double mayLead(double rate, long nowMs) {
-    return demands.leaderRate(mine(nowMs), rate, nowMs);
+  public double leaderRate(double rate, long nowMs) {
+    return demands.leaderRate(demand(nowMs), rate, nowMs);
   }
 
   /** Divides anew; tells whether the peers are to be told now. */
@@ -73,14 +73,14 @@
       return false;
     }
     nextReportAt = nowMs + REPORT_INTERVAL_MS;
-    RateDemands.Demand mine = mine(nowMs);
+    RateDemands.Demand mine = demand(nowMs);
     budget.rate(demands.requestRate(requestRate, nowMs), nowMs);
     admissionController.rate(demands.submissionRate(mine, changeRate, nowMs), nowMs);
     return true;
   }
 
   /** What this node needs. */
-  public RateDemands.Demand mine(long nowMs) {
+  public RateDemands.Demand demand(long nowMs) {
     return new RateDemands.Demand(
         budget.asked(nowMs), admissionController.asked(nowMs), leaderDemand);
   }
@@ -89,11 +89,11 @@
   public Map<String, Double> gauges(long nowMs) {
     Map<String, Double> gauges = new HashMap<>();
     gauges.put("snowturn.admission.requests.share", budget.perSecond());
-    gauges.put("snowturn.admission.requests.asked", budget.asked(nowMs));
-    gauges.put("snowturn.admission.requests.refused.there", (double) budget.refusedThere());
-    gauges.put("snowturn.admission.submissions.asked", admissionController.asked(nowMs));
+    gauges.put("snowturn.admission.requests.demand", budget.asked(nowMs));
+    gauges.put("snowturn.admission.requests.throttled", (double) budget.refusedThere());
+    gauges.put("snowturn.admission.submissions.demand", admissionController.asked(nowMs));
     gauges.put("snowturn.admission.submissions.pressure", admissionController.refusedShare(nowMs));
-    gauges.put("snowturn.admission.peers.heard", (double) demands.freshPeers(nowMs));
+    gauges.put("snowturn.admission.peers.reporting", (double) demands.freshPeers(nowMs));
     for (RequestClass requestClass : RequestClass.values()) {
       String name = requestClass.name().toLowerCase(Locale.ROOT);
       gauges.put(
--- a/src/main/java/org/snowturn/core/admission/RateDemands.java
+++ b/src/main/java/org/snowturn/core/admission/RateDemands.java
@@ -42,10 +42,10 @@
    * What a node needs, a second.
    *
    * @param requests calls to the state service
-   * @param submitted changes that its users ask for
-   * @param led changes that its term has to write; 0 for a node that does not lead
+   * @param submissions changes that its users ask for
+   * @param leaderWrites changes that its term has to write; 0 for a node that does not lead
    */
-  public record Demand(double requests, double submitted, double led) {
+  public record Demand(double requests, double submissions, double leaderWrites) {
     /** A need of nothing. */
     public static final Demand NONE = new Demand(0, 0, 0);
   }
@@ -65,10 +65,10 @@
     boolean valid =
         demand.requests >= 0
             && demand.requests < MAX_VALID_RATE
-            && demand.submitted >= 0
-            && demand.submitted < MAX_VALID_RATE
-            && demand.led >= 0
-            && demand.led < MAX_VALID_RATE;
+            && demand.submissions >= 0
+            && demand.submissions < MAX_VALID_RATE
+            && demand.leaderWrites >= 0
+            && demand.leaderWrites < MAX_VALID_RATE;
     if (valid && peers.contains(from)) {
       reports.put(from, new Report(demand, nowMs));
     }
@@ -99,14 +99,14 @@
 
   /** The changes a second that this node's users may ask for, of so many for all. */
   public double submissionRate(Demand mine, double rate, long nowMs) {
-    double led = mine.led;
+    double led = mine.leaderWrites;
     boolean unknown = false;
     for (String peer : peers) {
-      led = isFresh(peer, nowMs) ? Math.max(led, reports.get(peer).demand.led) : led;
+      led = isFresh(peer, nowMs) ? Math.max(led, reports.get(peer).demand.leaderWrites) : led;
       unknown |= !isFresh(peer, nowMs);
     }
     double all = Math.max(rate * USERS_SHARE, unknown ? 0 : rate * USABLE_SHARE - led);
-    return share(all, Demand::submitted, nowMs);
+    return share(all, Demand::submissions, nowMs);
   }
 
   /**
@@ -126,11 +126,11 @@
 
   /** The changes a second that a term of this node may write, of so many for all. */
   public double leaderRate(Demand mine, double rate, long nowMs) {
-    double users = mine.submitted;
+    double users = mine.submissions;
     for (String peer : peers) {
       users +=
           isFresh(peer, nowMs)
-              ? reports.get(peer).demand.submitted
+              ? reports.get(peer).demand.submissions
               : rate * (USABLE_SHARE - MAX_LEADER_SHARE) / nodeCount();
     }
     return Math.max(
--- a/src/main/java/org/snowturn/core/admission/StateRequestBudget.java
+++ b/src/main/java/org/snowturn/core/admission/StateRequestBudget.java
@@ -58,7 +58,7 @@
   }
 
   /** Takes one call out of the budget, or says that it must not be made. */
-  public boolean take(RequestClass requestClass, long nowMs) {
+  public boolean tryAcquire(RequestClass requestClass, long nowMs) {
     refill(nowMs);
     asked.add(1, nowMs);
     boolean withinFloor =
--- a/src/main/java/org/snowturn/core/api/ChunkedSubmission.java
+++ b/src/main/java/org/snowturn/core/api/ChunkedSubmission.java
@@ -58,7 +58,7 @@
     this.job = job;
     this.chunks = chunks;
     this.listener = listener;
-    this.prefix = StorageKeys.parts(spec.id(), job.submission());
+    this.prefix = StorageKeys.submissionParts(spec.id(), job.submission());
   }
 
   /** Reads which chunks an earlier try has stored, and writes the others. */
@@ -92,14 +92,14 @@
     int index = Integer.parseInt(entry.key().substring(prefix.length()));
     stored.set(index);
     if (index == 0) {
-      firstVersion = entry.stamp();
+      firstVersion = entry.version();
     }
   }
 
   private void writeNext() {
     Condition firstUnchanged = new Condition(prefix + 0, firstVersion);
     BitSet written = nextToWrite();
-    services.admission().spend(written.cardinality(), runtime.now());
+    services.admission().charge(written.cardinality(), runtime.now());
     if (written.isEmpty()) {
       listener.stored(job.live(), firstUnchanged);
       return;
@@ -114,12 +114,12 @@
             RequestClass.USERS,
             "POST",
             "/txn",
-            StateMessage.txn(conditions, changes),
+            StateMessage.transaction(conditions, changes),
             JobStatusReader.TIMEOUT_MS,
             (outcome, status, reply) -> {
               try {
                 if (outcome.succeeded(status)) {
-                  firstVersion = written.get(0) ? StateMessage.epoch(reply) : firstVersion;
+                  firstVersion = written.get(0) ? StateMessage.revision(reply) : firstVersion;
                   stored.or(written);
                   writeNext();
                   return;
--- a/src/main/java/org/snowturn/core/api/JobCancellation.java
+++ b/src/main/java/org/snowturn/core/api/JobCancellation.java
@@ -77,11 +77,11 @@
   }
 
   private void write(long exchange, String id, StateMessage.Entry live, int triesLeft) {
-    admission.spend(1, runtime.now());
+    admission.charge(1, runtime.now());
     JsonNode value = JobRecord.cancelled(live.value(), format.limits().valueBytes());
     JsonNode txn =
-        StateMessage.txn(
-            List.of(new Condition(StorageKeys.job(id), live.stamp())),
+        StateMessage.transaction(
+            List.of(new Condition(StorageKeys.job(id), live.version())),
             List.of(Change.put(StorageKeys.job(id), value)));
     relay.callState(
         RequestClass.USERS,
--- a/src/main/java/org/snowturn/core/api/JobStatusReader.java
+++ b/src/main/java/org/snowturn/core/api/JobStatusReader.java
@@ -100,7 +100,7 @@
     readRecord(
         RequestClass.USERS,
         exchange,
-        StorageKeys.over(id),
+        StorageKeys.finishedJob(id),
         record -> {
           if (record == null) {
             absent.run();
--- a/src/main/java/org/snowturn/core/api/JobSubmission.java
+++ b/src/main/java/org/snowturn/core/api/JobSubmission.java
@@ -61,7 +61,7 @@
     String rejection = validator.rejection(spec);
     if (rejection != null) {
       reject(exchange, spec, rejection);
-    } else if (spec.awaits().isEmpty()) {
+    } else if (spec.dependencies().isEmpty()) {
       write(exchange, spec);
     } else if (!services.format().open()) {
       // A node of the previous version would not make the job wait for its dependencies.
@@ -98,7 +98,7 @@
   private void checkDependencies(long exchange, JobSpec spec) {
     Map<String, Boolean> serviceByJob = new HashMap<>();
     List<String> unknown = new ArrayList<>();
-    for (String id : spec.awaits()) {
+    for (String id : spec.dependencies()) {
       Boolean service = statuses.acceptedService(id);
       if (service == null) {
         unknown.add(id);
@@ -117,7 +117,7 @@
           statuses.addAccepted(serviceByJob);
           if (complete) {
             writeOrReject(
-                exchange, spec, SubmissionValidator.rejection(spec.awaits(), serviceByJob));
+                exchange, spec, SubmissionValidator.rejection(spec.dependencies(), serviceByJob));
           } else {
             responses.refuse(exchange);
           }
@@ -183,7 +183,8 @@
 
   /** Conditions that hold as long as no job of this name has been accepted. */
   static List<Condition> isNew(String id) {
-    return List.of(new Condition(StorageKeys.job(id), 0), new Condition(StorageKeys.over(id), 0));
+    return List.of(
+        new Condition(StorageKeys.job(id), 0), new Condition(StorageKeys.finishedJob(id), 0));
   }
 
   private void commit(
@@ -196,7 +197,8 @@
             RequestClass.USERS,
             "POST",
             "/txn",
-            StateMessage.txn(conditions, List.of(Change.put(StorageKeys.job(spec.id()), record))),
+            StateMessage.transaction(
+                conditions, List.of(Change.put(StorageKeys.job(spec.id()), record))),
             JobStatusReader.TIMEOUT_MS,
             (outcome, status, reply) -> {
               if (outcome.succeeded(status)) {
@@ -206,7 +208,7 @@
                 answerIfKnown(exchange, spec);
               } else {
                 if (status == TOO_MANY_REQUESTS) {
-                  services.admission().refusedThere(runtime.now());
+                  services.admission().onServiceRefusal(runtime.now());
                 }
                 responses.refuse(exchange);
               }
--- a/src/main/java/org/snowturn/core/api/LiveJobCache.java
+++ b/src/main/java/org/snowturn/core/api/LiveJobCache.java
@@ -4,8 +4,8 @@
 import java.util.ArrayDeque;
 import java.util.List;
 import org.snowturn.config.Settings;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.Outcome;
-import org.snowturn.core.SteadyTime;
 import org.snowturn.core.admission.RequestClass;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.effects.LogEvent;
@@ -76,7 +76,7 @@
   private ArrayDeque<Waiter> waiting = new ArrayDeque<>();
   private boolean requestOpen;
   private long nextAt;
-  private long freshAt = SteadyTime.NEVER;
+  private long freshAt = MonotonicTime.NEVER;
   private long proofs;
   private long loads;
 
@@ -119,7 +119,7 @@
 
   /** Proves the cache as soon as possible, whether or not anybody waits for it. */
   public void refresh() {
-    freshAt = SteadyTime.NEVER;
+    freshAt = MonotonicTime.NEVER;
   }
 
   /** Gives up on those who have waited too long, and reads if it is time. */
@@ -176,11 +176,11 @@
   /** Returns whether the cache has all changes of a reply, and is not younger than it. */
   private boolean applyChanges(JsonNode body) {
     try {
-      long revision = StateMessage.epoch(body);
+      long revision = StateMessage.revision(body);
       if (revision < jobs.revision()) {
         return false;
       }
-      List<StateMessage.Entry> changes = StateMessage.events(body);
+      List<StateMessage.Entry> changes = StateMessage.changes(body);
       jobs.follow(changes, revision);
       changes.forEach(this::tellIfCancelled);
       return true;
--- a/src/main/java/org/snowturn/core/api/SubmissionValidator.java
+++ b/src/main/java/org/snowturn/core/api/SubmissionValidator.java
@@ -39,7 +39,7 @@
     if (spec.zone() != null && !settings.zones().contains(spec.zone())) {
       return "unknown zone";
     }
-    int together = spec.together();
+    int together = spec.minConcurrentTasks();
     if (Quota.exceeds(spec.cpus() * together, team.cpusMax())
         || Quota.exceeds(spec.gpus() * together, team.gpusMax())) {
       return "more than the team's limit";
--- a/src/main/java/org/snowturn/core/api/UserResponses.java
+++ b/src/main/java/org/snowturn/core/api/UserResponses.java
@@ -65,12 +65,12 @@
   /** Answers that a job was accepted. */
   void accepted(long exchange, String job) {
     JobStatus queued = new JobStatus(job, JobStatus.Phase.QUEUED, 0, 0);
-    runtime.answer(exchange, CREATED, queued.brief());
+    runtime.answer(exchange, CREATED, queued.summary());
   }
 
   /** Answers with the short form of a job's status. */
   void brief(long exchange, JobStatus status) {
-    answer(exchange, status, status.brief());
+    answer(exchange, status, status.summary());
   }
 
   /** Answers with all of a job's status. */
--- a/src/main/java/org/snowturn/core/assignment/FailureHandler.java
+++ b/src/main/java/org/snowturn/core/assignment/FailureHandler.java
@@ -65,11 +65,11 @@
     }
     attribution.failed(job.index, machine.index);
     job.failures.failed(task, machine.index);
-    machine.failures.failed(attribution.sound(machine.index));
-    if (attribution.suspect(job.index)) {
+    machine.failures.failed(attribution.isHealthy(machine.index));
+    if (attribution.isSuspected(job.index)) {
       suspect(job);
     }
-    machine.failures.setUnexplained(attribution.unexplained(machine.index));
+    machine.failures.setUnexplained(attribution.unexplainedFailures(machine.index));
     quarantineIfSick(machine);
     if (!machine.failures.isSound() && machine.failures.unexplained() > 0) {
       int doublings = Math.min(MAX_UNEXPLAINED_DOUBLINGS, machine.failures.unexplained() - 1);
@@ -80,7 +80,7 @@
   }
 
   private void quarantineIfSick(Machine machine) {
-    if (!machine.isQuarantined() && attribution.sick(machine.index)) {
+    if (!machine.isQuarantined() && attribution.isFaulty(machine.index)) {
       machine.quarantine();
       quarantined++;
       runtime
@@ -125,7 +125,7 @@
   /** Looks again at a machine: a job that failed there may have turned out suspect, or sound. */
   public void review(Machine machine) {
     if (machine.failures.unexplained() > 0) {
-      machine.failures.setUnexplained(attribution.unexplained(machine.index));
+      machine.failures.setUnexplained(attribution.unexplainedFailures(machine.index));
       machine.failures.blockUntil(
           machine.failures.unexplained() == 0 ? 0 : machine.failures.blockedUntil());
       quarantineIfSick(machine);
@@ -141,7 +141,7 @@
   public Map<String, Double> gauges() {
     return Map.of(
         "snowturn.failures.tasks", (double) failed,
-        "snowturn.jobs.suspect", (double) attribution.suspects(),
-        "snowturn.machines.condemned", (double) quarantined);
+        "snowturn.jobs.suspected", (double) attribution.suspectedJobs(),
+        "snowturn.machines.quarantined", (double) quarantined);
   }
 }
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
@@ -46,7 +46,8 @@
   public Answer respond(Machine machine, Heartbeat heartbeat) {
     List<Command> out = new ArrayList<>();
     boolean newest =
-        heartbeat.epoch() == machine.epoch() && heartbeat.seq() == machine.session.heartbeatSeq();
+        heartbeat.agentEpoch() == machine.epoch()
+            && heartbeat.sequence() == machine.session.heartbeatSeq();
     LongHashSet listed = new LongHashSet();
     for (TaskStatus status : heartbeat.tasks()) {
       Job named = assignments.job(status.job());
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
@@ -95,7 +95,7 @@
   /** A heartbeat is answered with what may renew the machine's lease. */
   public void leaseRenewed(Machine machine) {
     machine.session.setLastAnswerAt(runtime.now());
-    machine.reachability.answeredCheckIn(runtime.now());
+    machine.reachability.heartbeatAnswered(runtime.now());
     machine.session.setHeartbeatDueAt(
         runtime.now() + silenceLimitMs(settings) + UNANSWERED_HEARTBEAT_MS);
   }
@@ -105,16 +105,16 @@
     if (!isNewest(machine, heartbeat)) {
       return false;
     }
-    if (heartbeat.epoch() > machine.epoch()) {
-      beginSession(machine, heartbeat.epoch());
+    if (heartbeat.agentEpoch() > machine.epoch()) {
+      beginSession(machine, heartbeat.agentEpoch());
     }
     if (machine.lastHeartbeatAt() == MonotonicTime.NEVER) {
       machine.session.setHeartbeatDueAt(runtime.now() + reassignmentMs(settings));
     }
-    machine.session.heartbeat(heartbeat.seq(), runtime.now(), silenceLimitMs(settings));
+    machine.session.heartbeat(heartbeat.sequence(), runtime.now(), silenceLimitMs(settings));
     machine.clearSuspicion();
     boolean carriesToken = heartbeat.token() == token;
-    machine.reachability.believed(carriesToken);
+    machine.reachability.heartbeatAccepted(carriesToken);
     if (carriesToken && !machine.session.isAcknowledged()) {
       machine.session.acknowledge();
       assignments.markChanged();
@@ -132,11 +132,11 @@
 
   private static boolean isNewest(Machine machine, Heartbeat heartbeat) {
     boolean overtaken =
-        heartbeat.epoch() < machine.epoch()
-            || (heartbeat.epoch() == machine.epoch()
-                && heartbeat.seq() <= machine.session.heartbeatSeq());
+        heartbeat.agentEpoch() < machine.epoch()
+            || (heartbeat.agentEpoch() == machine.epoch()
+                && heartbeat.sequence() <= machine.session.heartbeatSeq());
     // Or it is a late one of a session whose lease has expired.
-    return !overtaken && heartbeat.epoch() > machine.session.endedEpoch();
+    return !overtaken && heartbeat.agentEpoch() > machine.session.endedEpoch();
   }
 
   private void beginSession(Machine machine, long epoch) {
@@ -147,7 +147,7 @@
     machine.session.clearAcknowledgement();
     machine.startsInDoubt.clear();
     machine.commands().drop();
-    machine.reachability.newSession(runtime.now());
+    machine.reachability.newAgentEpoch(runtime.now());
     endSessionsBefore(machine, epoch);
   }
 
@@ -198,7 +198,7 @@
       Job job = assignments.job(ref);
       int task = TaskAssignments.task(ref);
       if (job.epochOf(task) < session) {
-        assignments.release(job, task, new EndEvidence.LaterSession(session));
+        assignments.release(job, task, new EndEvidence.LaterAgentEpoch(session));
       }
     }
   }
@@ -242,7 +242,7 @@
       machine.session.endedUntil(assignments.job(ref).epochOf(TaskAssignments.task(ref)));
     }
     machine.session.clearAcknowledgement();
-    releaseAll(machine, new EndEvidence.LeaseLapsed());
+    releaseAll(machine, new EndEvidence.LeaseExpired());
   }
 
   /** Releases everything on a machine whose deletion the cloud has confirmed. */
@@ -264,7 +264,7 @@
 
   /** Takes a machine's description from its report. */
   public void describe(Machine machine, Heartbeat heartbeat) {
-    machine.setAddr(heartbeat.addr());
+    machine.setAddr(heartbeat.address());
     machine.commands().resume();
     machine.setType(heartbeat.type());
     machine.setSpot(heartbeat.spot());
--- a/src/main/java/org/snowturn/core/assignment/JobCompletion.java
+++ b/src/main/java/org/snowturn/core/assignment/JobCompletion.java
@@ -51,7 +51,7 @@
     List<Change> apply = moves(job, phase);
     List<Change> drops = drops(job);
     // Where many jobs end together, what is only to be cleared away leaves the rate to others.
-    int room = writer.pressed() ? 0 : gate.limits().txnOps() - apply.size();
+    int room = writer.backlogged() ? 0 : gate.limits().txnOps() - apply.size();
     int now = Math.min(drops.size(), Math.max(0, room));
     apply.addAll(drops.subList(0, now));
     write(job, phase, apply, drops.subList(now, drops.size()));
@@ -65,7 +65,7 @@
   private static List<Change> moves(Job job, JobStatus.Phase phase) {
     String id = job.spec.id();
     List<Change> apply = new ArrayList<>();
-    apply.add(Change.put(StorageKeys.over(id), JobRecord.over(phase, job.spec)));
+    apply.add(Change.put(StorageKeys.finishedJob(id), JobRecord.over(phase, job.spec)));
     apply.add(Change.delete(StorageKeys.job(id)));
     if (job.restarts() > 0) {
       apply.add(Change.delete(StorageKeys.restarts(id)));
@@ -80,7 +80,7 @@
         .forEach(key -> drops.add(Change.delete(key)));
     for (PendingRecord record : job.taskRecords()) {
       if (record != null) {
-        writer.clear(record);
+        writer.cancel(record);
         dropIfStored(record, drops);
       }
     }
@@ -91,15 +91,17 @@
   private void write(Job job, JobStatus.Phase phase, List<Change> apply, List<Change> later) {
     String id = job.spec.id();
     // Others may wait for a result; an abortion has been told already.
-    writer.whole(
-        phase == JobStatus.Phase.DONE ? RecordWriter.Turn.NEXT : RecordWriter.Turn.SPARE,
+    writer.submit(
+        phase == JobStatus.Phase.DONE
+            ? RecordWriter.TransactionPriority.NORMAL
+            : RecordWriter.TransactionPriority.BACKGROUND,
         List.of(new Condition(StorageKeys.job(id), job.version())),
         apply,
         (outcome, status, body) -> {
           if (outcome == Outcome.ANSWERED && status == 200) {
             logFinished(job, phase);
             assignments.registry().remove(id);
-            writer.drop(List.of(), later);
+            writer.deleteLater(List.of(), later);
           } else {
             assignments.registry().reread(id, () -> retryLater(job, later));
           }
@@ -110,7 +112,7 @@
     job.finishingFailed();
     if (assignments.job(job.spec.id()) != job) {
       // It was carried out, and only its answer was lost.
-      writer.drop(List.of(), later);
+      writer.deleteLater(List.of(), later);
     }
   }
 
--- a/src/main/java/org/snowturn/core/assignment/JobRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/JobRegistry.java
@@ -117,9 +117,9 @@
     job.setSubmission(stored.submission());
     job.setChunkCount(stored.parts());
     if (gate.open()) {
-      job.useSecondFormat(gate.spans(), gate.limits().valueBytes(), machines);
+      job.useSecondFormat(gate.recordSizes(), gate.limits().valueBytes(), machines);
     } else {
-      job.useFirstFormat(gate.spans().first());
+      job.useFirstFormat(gate.recordSizes().first());
     }
     byIndex.add(job);
     jobs.put(id, job);
@@ -240,7 +240,7 @@
           } else if (outcome == Outcome.ANSWERED && status == 200) {
             try {
               StateMessage.Entry entry = StateMessage.entry(body);
-              add(id, JobRecord.parse(entry.value()), entry.stamp());
+              add(id, JobRecord.parse(entry.value()), entry.version());
             } catch (MalformedException e) {
               runtime
                   .events()
--- a/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
@@ -113,7 +113,8 @@
       int n = pages.size();
       pages.add(
           new Page(
-              writer.slot(StorageKeys.REGISTRY + n, 0, () -> content(pages.get(n)), () -> null)));
+              writer.pendingRecord(
+                  StorageKeys.REGISTRY + n, 0, () -> content(pages.get(n)), () -> null)));
     }
     return pages.get(number);
   }
@@ -135,7 +136,7 @@
   }
 
   private ObjectNode first(Page page, int maxImages) {
-    ObjectNode object = Json.object().put("v", StorageKeys.VERSION);
+    ObjectNode object = Json.object().put("v", StorageKeys.FIRST_FORMAT);
     ArrayNode all = object.putArray("m");
     ImageNames names = new ImageNames(object, maxImages);
     for (Machine machine : page.machines) {
@@ -152,7 +153,7 @@
 
   /** Types and zones are named once, so that many more machines fit a page. */
   private ObjectNode second(Page page, int maxImages) {
-    ObjectNode object = Json.object().put("v", StorageKeys.SECOND);
+    ObjectNode object = Json.object().put("v", StorageKeys.SECOND_FORMAT);
     ArrayNode kinds = object.putArray("k");
     ArrayNode all = object.putArray("m");
     ImageNames names = new ImageNames(object, maxImages);
@@ -210,7 +211,7 @@
     if (machine.registryPage() < 0) {
       put(machine, pageWithRoom(machine));
     }
-    writer.mark(page(machine.registryPage()).record, URGENCY, onDurable);
+    writer.enqueue(page(machine.registryPage()).record, URGENCY, onDurable);
   }
 
   private int pageWithRoom(Machine machine) {
@@ -233,11 +234,12 @@
    */
   public void load(StateMessage.Entry entry, Consumer<Machine> each) {
     int number = Integer.parseInt(entry.key().substring(StorageKeys.REGISTRY.length()));
-    page(number).record.setVersion(entry.stamp());
+    page(number).record.setVersion(entry.version());
     if (!entry.value().path("m").isArray()) {
       throw new IllegalArgumentException("no list of machines");
     }
-    boolean second = entry.value().path("v").asInt(StorageKeys.VERSION) >= StorageKeys.SECOND;
+    boolean second =
+        entry.value().path("v").asInt(StorageKeys.FIRST_FORMAT) >= StorageKeys.SECOND_FORMAT;
     for (JsonNode value : entry.value().path("m")) {
       Machine machine = machines.getOrAdd(value.path(0).asText());
       // The first format has type, zone and kind on each entry, the second has their number.
@@ -276,11 +278,11 @@
         // placements, then, but not for each machine of a wave that dies one after the other.
         page.removalsWrittenAt = runtime.now();
         page.hasRemovals = false;
-        writer.mark(page.record, URGENCY, null);
+        writer.enqueue(page.record, URGENCY, null);
       } else if (images && runtime.now() - page.imagesWrittenAt > IMAGES_INTERVAL_MS) {
         page.imagesWrittenAt = runtime.now();
         page.machines.forEach(machine -> machine.images.markStored());
-        writer.mark(page.record, RecordWriter.CAN_WAIT, null);
+        writer.enqueue(page.record, RecordWriter.DEFERRABLE_URGENCY, null);
       }
     }
   }
@@ -305,7 +307,7 @@
             if (--missing[0] == 0) {
               page.machines.removeAll(moved);
               page.splitting = false;
-              writer.mark(page.record, RecordWriter.CAN_WAIT, null);
+              writer.enqueue(page.record, RecordWriter.DEFERRABLE_URGENCY, null);
             }
           });
     }
--- a/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
+++ b/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
@@ -45,10 +45,10 @@
         : job.adopted.get(task) ? Stored.INHERITED : Stored.STARTED;
   }
 
-  private static Reconciliation.Session session(long reported, long placed) {
+  private static Reconciliation.AgentEpoch session(long reported, long placed) {
     return reported == placed
-        ? Reconciliation.Session.SAME
-        : reported > placed ? Reconciliation.Session.LATER : Reconciliation.Session.EARLIER;
+        ? Reconciliation.AgentEpoch.SAME
+        : reported > placed ? Reconciliation.AgentEpoch.LATER : Reconciliation.AgentEpoch.EARLIER;
   }
 
   /**
@@ -68,9 +68,9 @@
 
   /** What a report that does not list a task offers as proof of its attempt's end. */
   static EndEvidence notListed(Heartbeat heartbeat, Job job, int task, boolean checkIn) {
-    return heartbeat.epoch() > job.epochOf(task)
-        ? new EndEvidence.LaterSession(heartbeat.epoch())
-        : new EndEvidence.NotListed(heartbeat.token(), heartbeat.epoch(), checkIn);
+    return heartbeat.agentEpoch() > job.epochOf(task)
+        ? new EndEvidence.LaterAgentEpoch(heartbeat.agentEpoch())
+        : new EndEvidence.NotListed(heartbeat.token(), heartbeat.agentEpoch(), checkIn);
   }
 
   /** What the table is asked of a task that is on the report; {@code job} is null if unknown. */
@@ -84,7 +84,7 @@
       return new Reconciliation.Case(
           stored(job, status.task()),
           seen,
-          session(heartbeat.epoch(), job.epochOf(status.task())),
+          session(heartbeat.agentEpoch(), job.epochOf(status.task())),
           ours,
           job.stopping.get(status.task()),
           false);
@@ -100,7 +100,8 @@
     boolean settled =
         !inDoubt(machine, status.attempt(), status.task())
             && assignments.forgettable(status.job(), status.task(), status.attempt());
-    return new Reconciliation.Case(stored, seen, Reconciliation.Session.SAME, ours, false, settled);
+    return new Reconciliation.Case(
+        stored, seen, Reconciliation.AgentEpoch.SAME, ours, false, settled);
   }
 
   /**
@@ -113,7 +114,7 @@
     return new Reconciliation.Case(
         stored(job, task),
         Seen.ABSENT,
-        session(heartbeat.epoch(), job.epochOf(task)),
+        session(heartbeat.agentEpoch(), job.epochOf(task)),
         heartbeat.token() == token,
         job.stopping.get(task),
         checkIn && !inDoubt(machine, job.attemptOf(task), task));
--- a/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
+++ b/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
@@ -97,7 +97,7 @@
           .with(LogField.MACHINE, machine.id)
           .write();
     } else if (verdict == Verdict.COMPLETE || verdict == Verdict.RELEASE) {
-      ReportedEnded evidence = new ReportedEnded(heartbeat.token(), heartbeat.epoch());
+      ReportedEnded evidence = new ReportedEnded(heartbeat.token(), heartbeat.agentEpoch());
       if (status.exitReason() == ExitReason.DONE) {
         succeeded(machine, job, task, evidence);
       } else {
--- a/src/main/java/org/snowturn/core/assignment/SubmissionChunks.java
+++ b/src/main/java/org/snowturn/core/assignment/SubmissionChunks.java
@@ -38,7 +38,7 @@
     wanted.put(id, stamp);
     new RangeReader(runtime, () -> false)
         .read(
-            StorageKeys.parts(id, stored.submission()),
+            StorageKeys.submissionParts(id, stored.submission()),
             range -> {
               // Not if it has been cancelled or has ended meanwhile.
               if (wanted.remove(id, stamp)) {
@@ -70,19 +70,21 @@
 
   private void dropSubmission(String name, List<StateMessage.Entry> entries) {
     String id =
-        name.substring(StorageKeys.PARTS.length(), name.indexOf('/', StorageKeys.PARTS.length()));
+        name.substring(
+            StorageKeys.SUBMISSION_PARTS.length(),
+            name.indexOf('/', StorageKeys.SUBMISSION_PARTS.length()));
     String first = name + "0";
     long version = 0;
     for (StateMessage.Entry entry : entries) {
-      version = entry.key().equals(first) ? entry.stamp() : version;
+      version = entry.key().equals(first) ? entry.version() : version;
     }
-    writer.whole(
-        RecordWriter.Turn.SPARE,
+    writer.submit(
+        RecordWriter.TransactionPriority.BACKGROUND,
         List.of(new Condition(StorageKeys.job(id), 0), new Condition(first, version)),
         List.of(Change.delete(first)),
         (outcome, status, body) -> {
           if (outcome == Outcome.ANSWERED && status == 200) {
-            writer.drop(
+            writer.deleteLater(
                 List.of(new Condition(first, 0)),
                 entries.stream().map(entry -> Change.delete(entry.key())).toList());
           }
--- a/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
@@ -114,8 +114,10 @@
       String id = job.spec.id();
       job.setTaskRecord(
           chunk,
-          writer.slot(
-              job.isSecondFormat() ? StorageKeys.tasks2(id, chunk) : StorageKeys.tasks(id, chunk),
+          writer.pendingRecord(
+              job.isSecondFormat()
+                  ? StorageKeys.secondFormatTasks(id, chunk)
+                  : StorageKeys.tasks(id, chunk),
               0,
               () -> job.taskRecordJson(chunk, machines),
               () -> new Condition(StorageKeys.job(id), job.version())));
@@ -224,7 +226,7 @@
     job.setPlacedWall(runtime.wallMs());
     placements++;
     machine.touchImage(job.spec.image(), job.spec.imageGb());
-    writer.mark(
+    writer.enqueue(
         taskRecord(job, job.layout().recordOf(task)),
         job.priority().ordinal(),
         () -> sendStart(job, task, attempt));
@@ -262,13 +264,14 @@
 
   /** The command to stop a task's attempt, with the time to save a checkpoint if it has one. */
   public Command stopCommand(Job job, int task) {
-    boolean saves = !job.isCancelled() && job.spec.checkpointS() > 0 && job.spec.saveS() > 0;
+    boolean saves =
+        !job.isCancelled() && job.spec.checkpointIntervalS() > 0 && job.spec.checkpointWriteS() > 0;
     return new Command(
         Command.Op.STOP,
         job.spec.id(),
         task,
         job.attemptOf(task),
-        saves ? job.spec.saveS() + 1 : 0);
+        saves ? job.spec.checkpointWriteS() + 1 : 0);
   }
 
   /** Tells an assigned task to stop; it stays assigned until it is seen to have ended. */
@@ -387,9 +390,9 @@
     changed = true;
     if (!job.isCancellationRecorded()) {
       job.resultPending.set(task);
-      writer.mark(
+      writer.enqueue(
           taskRecord(job, job.layout().recordOf(task)),
-          RecordWriter.CAN_WAIT,
+          RecordWriter.DEFERRABLE_URGENCY,
           () -> {
             job.resultPending.clear(task);
             completion.finishIfOver(job); // others may wait for it: not only at the next sweep
--- a/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
@@ -59,12 +59,13 @@
    */
   void loadOlderChunk(Job job, int chunk, JsonNode value, long stamp) {
     PendingRecord record =
-        writer.slot(StorageKeys.tasks(job.spec.id(), chunk), stamp, () -> null, () -> null);
+        writer.pendingRecord(
+            StorageKeys.tasks(job.spec.id(), chunk), stamp, () -> null, () -> null);
     job.firstFormatRecords().add(record);
     load(
         job,
         value,
-        chunk * gate.spans().first(),
+        chunk * gate.recordSizes().first(),
         false,
         task -> {
           PendingRecord newer = job.taskRecord(job.layout().recordOf(task));
@@ -140,7 +141,7 @@
 
   private void useSecondFormat(Job job) {
     PendingRecord[] older = job.taskRecords();
-    job.useSecondFormat(gate.spans(), gate.limits().valueBytes(), machines);
+    job.useSecondFormat(gate.recordSizes(), gate.limits().valueBytes(), machines);
     for (int c = 0; c < older.length; c++) {
       if (older[c] == null || !older[c].queued()) {
         continue;
@@ -148,12 +149,12 @@
       // What waited for the old record waits for every piece of it now.
       int urgency = older[c].urgency();
       List<Runnable> actions = older[c].durableActions();
-      writer.clear(older[c]);
+      writer.cancel(older[c]);
       int first = c * job.layout().pieces();
       int end = Math.min(first + job.layout().pieces(), job.taskRecords().length);
       int[] missing = {end - first};
       for (int p = first; p < end; p++) {
-        writer.mark(
+        writer.enqueue(
             assignments.taskRecord(job, p),
             urgency,
             () -> {
--- a/src/main/java/org/snowturn/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/snowturn/core/autoscaling/Autoscaler.java
@@ -72,7 +72,7 @@
    *
    * @param reason for the log
    */
-  public void discard(Machine machine, String reason) {
+  public void terminate(Machine machine, String reason) {
     termination.terminate(machine, reason);
   }
 }
--- a/src/main/java/org/snowturn/core/autoscaling/ExternallyManagedMachines.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ExternallyManagedMachines.java
@@ -49,7 +49,8 @@
 
   /** Reads what an earlier leader stored, and tries again until there is an answer. */
   public void load() {
-    runtime.callState("GET", "/kv/" + StorageKeys.STANDING, null, TIMEOUT_MS, this::onReply);
+    runtime.callState(
+        "GET", "/kv/" + StorageKeys.EXTERNALLY_MANAGED_MACHINES, null, TIMEOUT_MS, this::onReply);
   }
 
   private void onReply(Outcome outcome, int status, JsonNode body) {
@@ -71,7 +72,7 @@
       runtime
           .events()
           .info(LogEvent.RECORD_UNREADABLE)
-          .with(LogField.KEY, StorageKeys.STANDING)
+          .with(LogField.KEY, StorageKeys.EXTERNALLY_MANAGED_MACHINES)
           .with(LogField.ERROR, e.getMessage())
           .write();
     }
@@ -94,13 +95,13 @@
   }
 
   private void store() {
-    writer.whole(
-        RecordWriter.Turn.SPARE,
-        List.of(new Condition(StorageKeys.STANDING, 0)),
+    writer.submit(
+        RecordWriter.TransactionPriority.BACKGROUND,
+        List.of(new Condition(StorageKeys.EXTERNALLY_MANAGED_MACHINES, 0)),
         List.of(
             Change.put(
-                StorageKeys.STANDING,
-                Json.object().put("v", StorageKeys.VERSION).put(COUNT_FIELD, machineCount))),
+                StorageKeys.EXTERNALLY_MANAGED_MACHINES,
+                Json.object().put("v", StorageKeys.FIRST_FORMAT).put(COUNT_FIELD, machineCount))),
         (outcome, status, body) ->
             runtime
                 .events()
--- a/src/main/java/org/snowturn/core/autoscaling/MachineInventory.java
+++ b/src/main/java/org/snowturn/core/autoscaling/MachineInventory.java
@@ -6,13 +6,13 @@
 import org.snowturn.config.Settings;
 import org.snowturn.config.Tunables;
 import org.snowturn.core.Effect;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.Outcome;
 import org.snowturn.core.assignment.HeartbeatProcessor;
 import org.snowturn.core.assignment.TaskAssignments;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.effects.LogEvent;
 import org.snowturn.core.effects.LogField;
-import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
 import org.snowturn.core.model.MachineIndex;
 import org.snowturn.core.model.MachineTypes;
@@ -167,14 +167,14 @@
     assignments.setZone(machine, machines.zone(cloudMachine.zone()));
     machine.setSpot(cloudMachine.spot());
     machine.setMachineType(machineTypes.get(cloudMachine.type()));
-    if (cloudMachine.addr() != null) {
-      machine.setAddr(cloudMachine.addr());
+    if (cloudMachine.address() != null) {
+      machine.setAddr(cloudMachine.address());
     }
   }
 
   /** Whether the machine should have booted and reported by now. */
   private boolean isOverdue(Machine machine, CloudMachine cloudMachine) {
-    return machine.lastHeartbeatAt() == Job.UNKNOWN
+    return machine.lastHeartbeatAt() == MonotonicTime.NEVER
         && machine.assigned.isEmpty()
         && cloudMachine.state() == CloudMachine.State.STARTING
         && machine.machineType() != null
@@ -200,7 +200,7 @@
   }
 
   private boolean isSilent(Machine machine, long now) {
-    return machine.lastHeartbeatAt() == Job.UNKNOWN
+    return machine.lastHeartbeatAt() == MonotonicTime.NEVER
         || now - machine.lastHeartbeatAt() > HeartbeatProcessor.leaseExpiryMs(settings);
   }
 }
--- a/src/main/java/org/snowturn/core/autoscaling/PoolSelector.java
+++ b/src/main/java/org/snowturn/core/autoscaling/PoolSelector.java
@@ -60,7 +60,7 @@
   private boolean isEligible(CapacityPool pool) {
     int zone = pool.zone();
     // One machine in a zone with an outage tells when it is over; more would be idle.
-    boolean idle = zoneOutages.dark(zone) && capacity.hasMachineIn(zone);
+    boolean idle = zoneOutages.hasOutage(zone) && capacity.hasMachineIn(zone);
     return machines.zoneKnown(zone)
         && !refusals.isRefused(pool)
         && !idle
@@ -78,7 +78,7 @@
 
   /** How many machines to request at once: the shortage, shared among the type's zones. */
   int machineCount(CapacityPool pool, double missingCpus) {
-    if (zoneOutages.dark(pool.zone())) {
+    if (zoneOutages.hasOutage(pool.zone())) {
       return 1;
     }
     MachineType type = machineTypes.get(pool.type());
--- a/src/main/java/org/snowturn/core/autoscaling/ProvisionedCapacity.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ProvisionedCapacity.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.effects.CoreRuntime;
-import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
 import org.snowturn.core.model.MachineIndex;
 import org.snowturn.core.model.PreemptionRate;
@@ -52,7 +52,7 @@
     int notRentedByThisTerm = 0;
     for (Machine machine : machines.present()) {
       machinesInZone[machine.zone()]++;
-      boolean up = machine.lastHeartbeatAt() != Job.UNKNOWN;
+      boolean up = machine.lastHeartbeatAt() != MonotonicTime.NEVER;
       if (up && !machine.isSpot() && !machine.isRentedByThisTerm()) {
         notRentedByThisTerm++;
       }
@@ -72,7 +72,8 @@
         && !machine.isQuarantined()
         && !machine.isSuspected()
         && machine.machineType() != null
-        && !(machine.lastHeartbeatAt() == Job.UNKNOWN && zoneOutages.dark(machine.zone()));
+        && !(machine.lastHeartbeatAt() == MonotonicTime.NEVER
+            && zoneOutages.hasOutage(machine.zone()));
   }
 
   private static boolean isLeaving(Machine machine) {
--- a/src/main/java/org/snowturn/core/autoscaling/ReplicaRelocation.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ReplicaRelocation.java
@@ -31,7 +31,7 @@
   boolean isPossibleForAll(Machine machine) {
     for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
       Job job = assignments.job(ref);
-      if (job.spec.service() && !scheduler.couldStartElsewhere(job, machine)) {
+      if (job.spec.service() && !scheduler.canStartElsewhere(job, machine)) {
         return false;
       }
     }
@@ -54,7 +54,7 @@
     for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
       Job job = assignments.job(ref);
       int task = TaskAssignments.task(ref);
-      if (job.isMovable(task, runtime.now()) && scheduler.couldStartElsewhere(job, machine)) {
+      if (job.isMovable(task, runtime.now()) && scheduler.canStartElsewhere(job, machine)) {
         runtime
             .events()
             .info(LogEvent.TASK_EVICTED)
--- a/src/main/java/org/snowturn/core/autoscaling/ScaleIn.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ScaleIn.java
@@ -4,6 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 import org.snowturn.config.Tunables;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.assignment.TaskAssignments;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.model.Job;
@@ -122,7 +123,7 @@
     for (Machine machine : machines.present()) {
       if (machine.isSpot() == spot
           && capacity.counts(machine)
-          && machine.lastHeartbeatAt() != Job.UNKNOWN
+          && machine.lastHeartbeatAt() != MonotonicTime.NEVER
           && runtime.now() - machine.firstSeenAt() > MIN_BILLED_MS / 2
           && isSurplus(machine, targetCpus)) {
         candidates.add(machine);
--- a/src/main/java/org/snowturn/core/autoscaling/ZoneOutages.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ZoneOutages.java
@@ -32,7 +32,7 @@
   }
 
   /** Starts a new count. */
-  public void begin() {
+  public void reset() {
     Arrays.fill(heard, 0);
     Arrays.fill(silent, 0);
     Arrays.fill(silentRemaining, 0);
@@ -45,7 +45,7 @@
   }
 
   /** Evaluates the count; an outage lasts until one of the zone's machines is heard. */
-  public void end() {
+  public void evaluate() {
     boolean anyHeard = Arrays.stream(heard).anyMatch(count -> count > 0);
     for (int zone = 0; zone < out.length; zone++) {
       out[zone] = anyHeard && heard[zone] == 0 && (out[zone] || silent[zone] >= MIN_MACHINES);
@@ -62,12 +62,12 @@
    * Whether silence is not this node's own: it hears most machines, or most of some zone. A zone
    * with an outage may hold more machines than all others together.
    */
-  public boolean inReach() {
+  public boolean isConnected() {
     return connected;
   }
 
   /** Whether the zone has an outage. */
-  public boolean dark(int zone) {
+  public boolean hasOutage(int zone) {
     return out[zone];
   }
 }
--- a/src/main/java/org/snowturn/core/connectivity/ConnectivityMonitor.java
+++ b/src/main/java/org/snowturn/core/connectivity/ConnectivityMonitor.java
@@ -6,9 +6,9 @@
 import java.util.function.LongSupplier;
 import org.snowturn.config.Settings;
 import org.snowturn.core.Effect;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.Outcome;
 import org.snowturn.core.PeerMessage;
-import org.snowturn.core.SteadyTime;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.effects.LogEvent;
 import org.snowturn.core.effects.LogField;
@@ -33,7 +33,7 @@
   private final ConnectivityMatrix matrix = new ConnectivityMatrix();
   private List<String> sample = List.of();
   private int probes;
-  private long workerHeardAt = SteadyTime.NEVER;
+  private long workerHeardAt = MonotonicTime.NEVER;
   private long nextProbeAt;
   private long nextReportAt;
   private long nextSampleAt;
@@ -43,7 +43,7 @@
    * Knows nothing yet.
    *
    * @param stateServiceAnsweredAt when the last request that the state service answered was sent,
-   *     in milliseconds of the steady clock; {@link SteadyTime#NEVER} if none was
+   *     in milliseconds of the steady clock; {@link MonotonicTime#NEVER} if none was
    */
   public ConnectivityMonitor(
       Settings settings, CoreRuntime runtime, LongSupplier stateServiceAnsweredAt) {
@@ -63,7 +63,7 @@
   }
 
   private int ageMs(long at) {
-    return at == SteadyTime.NEVER
+    return at == MonotonicTime.NEVER
         ? Connectivity.NEVER
         : (int) Math.min(Integer.MAX_VALUE, runtime.now() - at);
   }
@@ -191,7 +191,9 @@
   private static void addGauges(
       Map<String, Double> gauges, String node, Connectivity connectivity) {
     gauges.put(
-        "snowturn.reach.state{node=\"" + node + "\"}", connectivity.stateService() ? 1.0 : 0.0);
-    gauges.put("snowturn.reach.workers{node=\"" + node + "\"}", connectivity.workers() ? 1.0 : 0.0);
+        "snowturn.connectivity.state{node=\"" + node + "\"}",
+        connectivity.stateService() ? 1.0 : 0.0);
+    gauges.put(
+        "snowturn.connectivity.workers{node=\"" + node + "\"}", connectivity.workers() ? 1.0 : 0.0);
   }
 }
--- a/src/main/java/org/snowturn/core/connectivity/WorkerSilence.java
+++ b/src/main/java/org/snowturn/core/connectivity/WorkerSilence.java
@@ -76,12 +76,12 @@
    * @param workersHadTime whether workers have had the time to find this leader. Before, they may
    *     still wait for an answer from the previous one, and only unanswered probes tell
    */
-  public boolean deaf(boolean workersHadTime) {
+  public boolean isolated(boolean workersHadTime) {
     return silent && (workersHadTime || unansweredProbes >= MIN_MISSED_MESSAGES);
   }
 
   /** How many machines to probe now, so that it becomes clear whether any is reached; mostly 0. */
-  public int wantsAsked() {
+  public int probesWanted() {
     return silent && unansweredProbes < MIN_MISSED_MESSAGES && silentSweeps % MIN_SILENT_SWEEPS == 0
         ? PROBES_PER_MISSED_MESSAGE * MIN_MISSED_MESSAGES
         : 0;
@@ -92,12 +92,12 @@
    * no peer is better placed, must not judge single machines meanwhile: the first to fall silent
    * would be taken for dead while the others are not yet late.
    */
-  public boolean hears(long nowMs) {
+  public boolean mayJudgeMachines(long nowMs) {
     return !everSilent || nowMs - silentAt > RECOVERY_MS;
   }
 
   /** Counts a sweep; returns whether to leave leadership to a node that can serve. */
-  public boolean handOver(boolean cannotServe, boolean betterElsewhere) {
+  public boolean shouldHandOver(boolean cannotServe, boolean betterElsewhere) {
     handoverSweeps = cannotServe && betterElsewhere ? handoverSweeps + 1 : 0;
     return handoverSweeps >= MIN_HANDOVER_SWEEPS;
   }
--- a/src/main/java/org/snowturn/core/dependency/DependencyGraph.java
+++ b/src/main/java/org/snowturn/core/dependency/DependencyGraph.java
@@ -286,8 +286,8 @@
       when.add(new Condition(key, job.version()));
       apply.add(Change.put(key, job.cancelledRecord().live()));
     }
-    writer.whole(
-        RecordWriter.Turn.FIRST,
+    writer.submit(
+        RecordWriter.TransactionPriority.IMMEDIATE,
         when,
         apply,
         (outcome, status, body) -> {
@@ -303,7 +303,7 @@
 
   private void cancelled(Job job, JsonNode body) {
     try {
-      assignments.registry().add(job.spec.id(), job.cancelledRecord(), StateMessage.epoch(body));
+      assignments.registry().add(job.spec.id(), job.cancelledRecord(), StateMessage.revision(body));
     } catch (MalformedException e) {
       assignments.registry().reread(job.spec.id());
     }
--- a/src/main/java/org/snowturn/core/effects/CoreRuntime.java
+++ b/src/main/java/org/snowturn/core/effects/CoreRuntime.java
@@ -177,7 +177,7 @@
       List<Change> changes,
       int timeoutMs,
       Consumer<StateReply> then) {
-    JsonNode body = StateMessage.txn(conditions, changes);
+    JsonNode body = StateMessage.transaction(conditions, changes);
     callState(purpose, "POST", StateMessage.TXN_PATH, body, timeoutMs, typed(then));
   }
 
@@ -193,7 +193,7 @@
   }
 
   private boolean withinBudget(RequestClass purpose, ReplyHandler then) {
-    if (budget == null || budget.take(purpose, now)) {
+    if (budget == null || budget.tryAcquire(purpose, now)) {
       return true;
     }
     rejected.add(then);
@@ -258,11 +258,6 @@
     return events;
   }
 
-  /** A line of prose for the log; new lines use {@link #events()}. */
-  public void note(String text) {
-    effects.add(new Effect.Note(text));
-  }
-
   /** Hands a reply to whoever made the call. */
   public void handleReply(Input.Reply reply) {
     OpenCall open = openCalls.remove(reply.call());
--- a/src/main/java/org/snowturn/core/effects/StateReply.java
+++ b/src/main/java/org/snowturn/core/effects/StateReply.java
@@ -44,7 +44,7 @@
    * its conditions.
    */
   public List<String> failedKeys() {
-    return answered(CONFLICT) ? StateMessage.failed(body) : List.of();
+    return answered(CONFLICT) ? StateMessage.failedKeys(body) : List.of();
   }
 
   private boolean answered(int expected) {
--- a/src/main/java/org/snowturn/core/election/Campaign.java
+++ b/src/main/java/org/snowturn/core/election/Campaign.java
@@ -140,7 +140,7 @@
     requests.readLeaderKey(
         orRetry(
             body -> {
-              watchRevision = StateMessage.epoch(body);
+              watchRevision = StateMessage.revision(body);
               backoff.reset();
               List<StateMessage.Entry> found = StateMessage.entries(body);
               if (found.isEmpty()) {
@@ -165,8 +165,8 @@
             return;
           }
           try {
-            watchRevision = Math.max(watchRevision, StateMessage.epoch(body));
-            List<StateMessage.Entry> changes = StateMessage.events(body);
+            watchRevision = Math.max(watchRevision, StateMessage.revision(body));
+            List<StateMessage.Entry> changes = StateMessage.changes(body);
             if (!changes.isEmpty()) {
               changed(changes.get(changes.size() - 1));
             }
@@ -193,10 +193,10 @@
   private void owned(StateMessage.Entry leaderKey) {
     JsonNode value = leaderKey.value();
     String owner = ElectionRequests.owner(value);
-    state.observeToken(leaderKey.stamp());
+    state.observeToken(leaderKey.version());
     state.setLeader(owner);
     if (node.equals(owner) && !requests.isOwn(value)) {
-      endPredecessor(ElectionRequests.leaseOf(value), leaderKey.stamp());
+      endPredecessor(ElectionRequests.leaseOf(value), leaderKey.version());
       return;
     }
     state.follow();
@@ -274,7 +274,7 @@
 
   private boolean elected(JsonNode reply) {
     try {
-      listener.elected(StateMessage.epoch(reply));
+      listener.elected(StateMessage.revision(reply));
       return true;
     } catch (MalformedException e) {
       runtime
--- a/src/main/java/org/snowturn/core/election/CancellationWatermark.java
+++ b/src/main/java/org/snowturn/core/election/CancellationWatermark.java
@@ -6,8 +6,8 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import org.snowturn.config.Settings;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.PeerMessage;
-import org.snowturn.core.SteadyTime;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.storage.LruMap;
 import org.snowturn.wire.JobSpec;
@@ -47,9 +47,9 @@
   private final Map<Long, Long> requestsSentAt = new LinkedHashMap<>();
   private final Map<String, Boolean> cancelled = new LruMap<>(MAX_KNOWN_CANCELLATIONS);
   private Consumer<String> listener = job -> {};
-  private long readUntil = SteadyTime.NEVER;
+  private long readUntil = MonotonicTime.NEVER;
   private long lastRequest;
-  private long lastRequestAt = SteadyTime.NEVER;
+  private long lastRequestAt = MonotonicTime.NEVER;
   private long malformedMessages;
 
   /**
@@ -112,8 +112,8 @@
   }
 
   /**
-   * Every cancellation that was confirmed before this moment is known; {@link SteadyTime#NEVER} if
-   * there is no such moment.
+   * Every cancellation that was confirmed before this moment is known; {@link MonotonicTime#NEVER}
+   * if there is no such moment.
    */
   public long knownUntil() {
     long until = runtime.now(); // what this node itself confirms, it knows
@@ -125,7 +125,7 @@
 
   /** Whether there was a moment up to which all were known. */
   boolean everKnown() {
-    return knownUntil() != SteadyTime.NEVER;
+    return knownUntil() != MonotonicTime.NEVER;
   }
 
   /**
@@ -205,7 +205,7 @@
         everKnown() ? ageMs() / 1000.0 : Double.NaN,
         "snowturn.cancellations.listed",
         (double) log.size(),
-        "snowturn.cancellations.unusable",
+        "snowturn.cancellations.malformed",
         (double) malformedMessages);
   }
 }
--- a/src/main/java/org/snowturn/core/election/Election.java
+++ b/src/main/java/org/snowturn/core/election/Election.java
@@ -3,8 +3,8 @@
 import java.util.function.BooleanSupplier;
 import org.snowturn.config.Settings;
 import org.snowturn.config.Tunables;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.PeerMessage;
-import org.snowturn.core.SteadyTime;
 import org.snowturn.core.effects.CoreRuntime;
 
 /**
@@ -83,8 +83,8 @@
   }
 
   /**
-   * When the last request that the state service answered was sent; {@link SteadyTime#NEVER} if it
-   * has answered none.
+   * When the last request that the state service answered was sent; {@link MonotonicTime#NEVER} if
+   * it has answered none.
    */
   public long stateServiceAnsweredAt() {
     return service.answeredAt();
--- a/src/main/java/org/snowturn/core/election/ElectionRequests.java
+++ b/src/main/java/org/snowturn/core/election/ElectionRequests.java
@@ -60,12 +60,12 @@
   void claimLeaderKey(long lease, ReplyHandler then) {
     JsonNode value =
         Json.object()
-            .put("v", StorageKeys.VERSION)
+            .put("v", StorageKeys.FIRST_FORMAT)
             .put("node", node)
             .put("inc", incarnation)
             .put("lease", lease);
     JsonNode txn =
-        StateMessage.txn(
+        StateMessage.transaction(
             List.of(new Condition(StorageKeys.LEADER, 0)),
             List.of(new Change(StorageKeys.LEADER, value, lease)));
     runtime.callForAuthority("POST", "/txn", txn, TIMEOUT_MS, then);
--- a/src/main/java/org/snowturn/core/election/GivenPromises.java
+++ b/src/main/java/org/snowturn/core/election/GivenPromises.java
@@ -3,8 +3,8 @@
 import java.util.HashSet;
 import java.util.Set;
 import org.snowturn.config.Settings;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.PeerMessage;
-import org.snowturn.core.SteadyTime;
 import org.snowturn.core.effects.CoreRuntime;
 
 /**
@@ -23,7 +23,7 @@
   private final long predecessorBoundUntil;
   private final Set<String> standbyPeers = new HashSet<>();
   private boolean boundByPredecessor = true;
-  private long promisedUntil = SteadyTime.NEVER;
+  private long promisedUntil = MonotonicTime.NEVER;
 
   /**
    * Has promised nothing yet.
@@ -77,6 +77,6 @@
 
   /** The leader that this node made its promises to has released it. */
   void release() {
-    promisedUntil = SteadyTime.NEVER;
+    promisedUntil = MonotonicTime.NEVER;
   }
 }
--- a/src/main/java/org/snowturn/core/election/LeaderLease.java
+++ b/src/main/java/org/snowturn/core/election/LeaderLease.java
@@ -2,7 +2,7 @@
 
 import org.snowturn.config.Settings;
 import org.snowturn.config.Tunables;
-import org.snowturn.core.SteadyTime;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.effects.CoreRuntime;
 
 /**
@@ -28,7 +28,7 @@
   private long id;
   private long requestedAt;
   private long validUntil = Long.MIN_VALUE;
-  private long renewalFailingSince = SteadyTime.NEVER;
+  private long renewalFailingSince = MonotonicTime.NEVER;
   private boolean offered;
 
   LeaderLease(CoreRuntime runtime, long ttlMs) {
@@ -75,7 +75,7 @@
 
   /**
    * When the first of the renewals was sent that have failed since the last success; {@link
-   * SteadyTime#NEVER} if the last one succeeded.
+   * MonotonicTime#NEVER} if the last one succeeded.
    */
   long renewalFailingSince() {
     return renewalFailingSince;
@@ -83,7 +83,7 @@
 
   /** Whether the last renewal failed. */
   boolean renewalFailing() {
-    return renewalFailingSince != SteadyTime.NEVER;
+    return renewalFailingSince != MonotonicTime.NEVER;
   }
 
   /** A lease is asked for now. */
@@ -105,7 +105,7 @@
   /** A renewal that was sent at this moment has succeeded. */
   void renewed(long sentAt) {
     validUntil = sentAt + ClockDrift.minElapsedMs(ttlMs) - MARGIN_MS;
-    renewalFailingSince = SteadyTime.NEVER;
+    renewalFailingSince = MonotonicTime.NEVER;
   }
 
   /** A renewal that was sent at this moment has failed. */
--- a/src/main/java/org/snowturn/core/election/LeaseHandover.java
+++ b/src/main/java/org/snowturn/core/election/LeaseHandover.java
@@ -1,7 +1,7 @@
 package org.snowturn.core.election;
 
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.PeerMessage;
-import org.snowturn.core.SteadyTime;
 import org.snowturn.core.effects.CoreRuntime;
 
 /**
@@ -25,9 +25,9 @@
   private final LeaderLease lease;
   private final GivenPromises givenPromises;
   private final StepDown stepDown;
-  private long tickedAt = SteadyTime.NEVER;
-  private long tickedLateAt = SteadyTime.NEVER;
-  private long offeredAt = SteadyTime.NEVER;
+  private long tickedAt = MonotonicTime.NEVER;
+  private long tickedLateAt = MonotonicTime.NEVER;
+  private long offeredAt = MonotonicTime.NEVER;
 
   LeaseHandover(
       CoreRuntime runtime,
@@ -49,7 +49,7 @@
   /** Notes whether this process keeps up with its work. */
   void tick() {
     long now = runtime.now();
-    if (tickedAt != SteadyTime.NEVER && now - tickedAt > LATE_TICK_MS) {
+    if (tickedAt != MonotonicTime.NEVER && now - tickedAt > LATE_TICK_MS) {
       tickedLateAt = now;
     }
     tickedAt = now;
--- a/src/main/java/org/snowturn/core/election/PeerCancellations.java
+++ b/src/main/java/org/snowturn/core/election/PeerCancellations.java
@@ -1,14 +1,14 @@
 package org.snowturn.core.election;
 
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.PeerMessage;
-import org.snowturn.core.SteadyTime;
 
 /** How far the cancellations that one peer has confirmed to users are known here. */
 final class PeerCancellations {
   private String incarnation;
   private long received;
   private long firstHeardAt = Long.MAX_VALUE;
-  private long knownUntil = SteadyTime.NEVER;
+  private long knownUntil = MonotonicTime.NEVER;
 
   /** Whether the peer has ever replied. */
   boolean heard() {
@@ -22,7 +22,7 @@
 
   /**
    * Every cancellation that the peer confirmed before this moment is known; {@link
-   * SteadyTime#NEVER} if there is no such moment.
+   * MonotonicTime#NEVER} if there is no such moment.
    */
   long knownUntil() {
     return knownUntil;
--- a/src/main/java/org/snowturn/core/election/StateServiceHealth.java
+++ b/src/main/java/org/snowturn/core/election/StateServiceHealth.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.snowturn.core.SteadyTime;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.storage.StorageKeys;
 
@@ -29,16 +29,16 @@
 
   private final CoreRuntime runtime;
   private final Map<String, Long> peersAnsweredAt = new HashMap<>();
-  private long leaderTroubledSince = SteadyTime.NEVER;
+  private long leaderTroubledSince = MonotonicTime.NEVER;
   private long nextProbeAt;
   private boolean probing;
-  private long answeredAt = SteadyTime.NEVER;
+  private long answeredAt = MonotonicTime.NEVER;
 
   StateServiceHealth(CoreRuntime runtime) {
     this.runtime = runtime;
   }
 
-  /** When the last request that it answered was sent; {@link SteadyTime#NEVER} if none was. */
+  /** When the last request that it answered was sent; {@link MonotonicTime#NEVER} if none was. */
   long answeredAt() {
     return answeredAt;
   }
@@ -75,8 +75,8 @@
   /** The leader says whether it has trouble with the state service. */
   void onLeaderReport(boolean troubled) {
     if (!troubled) {
-      leaderTroubledSince = SteadyTime.NEVER;
-    } else if (leaderTroubledSince == SteadyTime.NEVER) {
+      leaderTroubledSince = MonotonicTime.NEVER;
+    } else if (leaderTroubledSince == MonotonicTime.NEVER) {
       leaderTroubledSince = runtime.now();
       nextProbeAt = Math.min(nextProbeAt, runtime.now());
     }
@@ -116,7 +116,7 @@
 
   /** Whether the leader has begun to say that the state service does not answer it. */
   private boolean leaderTroubled() {
-    return leaderTroubledSince != SteadyTime.NEVER
+    return leaderTroubledSince != MonotonicTime.NEVER
         && runtime.now() - leaderTroubledSince < MAX_TROUBLE_MS;
   }
 }
--- a/src/main/java/org/snowturn/core/health/EndEvidence.java
+++ b/src/main/java/org/snowturn/core/health/EndEvidence.java
@@ -92,11 +92,11 @@
   }
 
   /** The attempt's machine has sent a heartbeat of a later agent epoch. */
-  public static final class LaterSession extends EndEvidence {
+  public static final class LaterAgentEpoch extends EndEvidence {
     private final long agentEpoch;
 
     /** Evidence from a heartbeat of this agent epoch. */
-    public LaterSession(long agentEpoch) {
+    public LaterAgentEpoch(long agentEpoch) {
       super("later_session");
       this.agentEpoch = agentEpoch;
     }
@@ -108,9 +108,9 @@
   }
 
   /** The lease of the attempt's machine has expired. */
-  public static final class LeaseLapsed extends EndEvidence {
+  public static final class LeaseExpired extends EndEvidence {
     /** Evidence from the clock. */
-    public LeaseLapsed() {
+    public LeaseExpired() {
       super("lease_lapsed");
     }
 
--- a/src/main/java/org/snowturn/core/health/FailureAttribution.java
+++ b/src/main/java/org/snowturn/core/health/FailureAttribution.java
@@ -104,19 +104,19 @@
   }
 
   /** Whether the job seems to fail wherever it runs. */
-  public boolean suspect(int job) {
+  public boolean isSuspected(int job) {
     JobHistory history = jobs.get(job);
     return history != null && history.suspected;
   }
 
   /** Whether work has succeeded on the machine, and no healthy job has failed there since. */
-  public boolean sound(int machine) {
+  public boolean isHealthy(int machine) {
     MachineHistory history = machines.get(machine);
     return history != null && history.healthy;
   }
 
   /** Failures there since the last success that no suspected job explains. */
-  public int unexplained(int machine) {
+  public int unexplainedFailures(int machine) {
     return countFailures(machine, false);
   }
 
@@ -138,7 +138,7 @@
   }
 
   /** Whether whatever starts on the machine seems to fail. */
-  public boolean sick(int machine) {
+  public boolean isFaulty(int machine) {
     return countFailures(machine, true) >= faultyAfter;
   }
 
@@ -159,7 +159,7 @@
   }
 
   /** How many jobs are suspected. */
-  public int suspects() {
+  public int suspectedJobs() {
     int count = 0;
     for (JobHistory history : jobs.values()) {
       count += history.suspected ? 1 : 0;
--- a/src/main/java/org/snowturn/core/health/Reachability.java
+++ b/src/main/java/org/snowturn/core/health/Reachability.java
@@ -18,7 +18,7 @@
  */
 public final class Reachability {
   /** So many unanswered messages in a row, while its heartbeats come, are no accident. */
-  public static final int DEAF_AFTER = 3;
+  public static final int UNREACHABLE_AFTER = 3;
 
   /**
    * A machine that is not proven is probed at once, then after delays that double up to a bound.
@@ -55,7 +55,7 @@
   }
 
   /** How many messages in a row got no answer. */
-  public int inVain() {
+  public int unansweredMessages() {
     return unansweredMessages;
   }
 
@@ -63,25 +63,25 @@
    * Whether it sends heartbeats and yet has received nothing for so long, despite several probes.
    */
   public boolean isUnreachable(long nowMs, long limitMs) {
-    return !proven && unansweredMessages >= DEAF_AFTER && nowMs - unprovenSince >= limitMs;
+    return !proven && unansweredMessages >= UNREACHABLE_AFTER && nowMs - unprovenSince >= limitMs;
   }
 
   /** A message got no answer: what came before proves nothing any more. */
-  public void unanswered(long nowMs) {
+  public void messageUnanswered(long nowMs) {
     unansweredMessages++;
-    doubt(nowMs);
+    revokeProof(nowMs);
   }
 
   /** What it has shown so far counts no more. */
-  public void doubt(long nowMs) {
+  public void revokeProof(long nowMs) {
     unprovenSince = unprovenSince == NEVER ? nowMs : unprovenSince;
     proven = false;
     heartbeatAnsweredAt = NEVER;
   }
 
   /** A later agent epoch of it was seen. It has received nothing for as long as a lease. */
-  public void newSession(long nowMs) {
-    doubt(nowMs);
+  public void newAgentEpoch(long nowMs) {
+    revokeProof(nowMs);
     withoutToken = false;
     highestSequence = -1;
   }
@@ -119,7 +119,7 @@
    *
    * @param token whether it bears the present token
    */
-  public void believed(boolean token) {
+  public void heartbeatAccepted(boolean token) {
     if (token && withoutToken) {
       withoutToken = false;
       prove();
@@ -158,7 +158,7 @@
   }
 
   /** That heartbeat is answered with what may renew its lease. */
-  public void answeredCheckIn(long nowMs) {
+  public void heartbeatAnswered(long nowMs) {
     heartbeatAnsweredAt = nowMs;
   }
 }
--- a/src/main/java/org/snowturn/core/leader/HealthSweep.java
+++ b/src/main/java/org/snowturn/core/leader/HealthSweep.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import java.util.Map;
 import org.snowturn.config.Settings;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.assignment.HeartbeatProcessor;
 import org.snowturn.core.connectivity.WorkerSilence;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.health.Reachability;
-import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
 import org.snowturn.core.model.MachineIndex;
 
@@ -82,7 +82,7 @@
       return "no worker reaches this node any more";
     }
     resetCounts();
-    scheduling.zoneOutages().begin();
+    scheduling.zoneOutages().reset();
     for (Machine machine : machines.present()) {
       if (machine.machineType() == null && machine.type() != null) {
         machine.setMachineType(node.machineTypes().get(machine.type()));
@@ -92,7 +92,7 @@
         check(machine);
       }
     }
-    scheduling.zoneOutages().end();
+    scheduling.zoneOutages().evaluate();
     total = countTotal;
     unreachable = countUnreachable;
     missingHeartbeats = countMissingHeartbeats;
@@ -137,10 +137,10 @@
   private void replaceUnheard(Machine machine) {
     if (machine.assigned.isEmpty()
         && silence.termOlderThan(2 * HeartbeatProcessor.leaseExpiryMs(settings))
-        && machine.listedAt() == Job.UNKNOWN) {
+        && machine.listedAt() == MonotonicTime.NEVER) {
       machines.remove(machine);
     } else if (silence.mayReplaceUnheard(machine)) {
-      scheduling.autoscaler().discard(machine, "not heard of since the change of leader");
+      scheduling.autoscaler().terminate(machine, "not heard of since the change of leader");
     }
   }
 
@@ -165,11 +165,12 @@
       return;
     }
     reachability.probeIfDue(machine);
-    countUnreachable += machine.reachability.inVain() >= Reachability.DEAF_AFTER ? 1 : 0;
+    countUnreachable +=
+        machine.reachability.unansweredMessages() >= Reachability.UNREACHABLE_AFTER ? 1 : 0;
     if (machine.reachability.isUnreachable(runtime.now(), unreachableLimitMs())
         && unreachable * 2 < total
         && silence.mayReplace()) {
-      scheduling.autoscaler().discard(machine, "reports, but receives nothing");
+      scheduling.autoscaler().terminate(machine, "reports, but receives nothing");
     }
   }
 
@@ -189,7 +190,7 @@
         && forLong
         && missingHeartbeats * 2 < total
         && silence.mayReplace()) {
-      scheduling.autoscaler().discard(machine, "reaches no controller");
+      scheduling.autoscaler().terminate(machine, "reaches no controller");
     }
   }
 
@@ -199,7 +200,7 @@
     }
     if (runtime.now() > machine.preemptionAt()) {
       if (silence.mayReplace()) {
-        scheduling.autoscaler().discard(machine, "taken back");
+        scheduling.autoscaler().terminate(machine, "taken back");
       }
     } else if (machine.commands().idle()) {
       machine.probeSent();
@@ -212,9 +213,9 @@
     WorkerSilence workers = silence.workers();
     workers.sweep(total, runtime.now());
     boolean reassigned = silence.workersReassigned();
-    probeSample(reassigned ? 0 : workers.wantsAsked());
-    boolean unheard = workers.deaf(reassigned) && !settings.peers().isEmpty();
-    return workers.handOver(unheard, node.connectivity().otherMayServe());
+    probeSample(reassigned ? 0 : workers.probesWanted());
+    boolean unheard = workers.isolated(reassigned) && !settings.peers().isEmpty();
+    return workers.shouldHandOver(unheard, node.connectivity().otherMayServe());
   }
 
   /** Probes about so many machines from all over the cluster. */
@@ -231,7 +232,7 @@
   /** The gauges of the last sweep by name. */
   Map<String, Double> gauges() {
     return Map.of(
-        "snowturn.machines.deaf", (double) unreachable,
-        "snowturn.machines.mute", (double) missingHeartbeats);
+        "snowturn.machines.unreachable", (double) unreachable,
+        "snowturn.machines.missing.heartbeats", (double) missingHeartbeats);
   }
 }
--- a/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
+++ b/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
@@ -54,10 +54,10 @@
     Machine machine = machines.getOrAdd(heartbeat.machine());
     if (machine.isTerminated()
         && !machine.isTerminationConfirmed()
-        && heartbeat.epoch() > machine.epoch()) {
+        && heartbeat.agentEpoch() > machine.epoch()) {
       machines.restore(machine);
     }
-    if (machine.isTerminated() || heartbeat.epoch() <= machine.session.endedEpoch()) {
+    if (machine.isTerminated() || heartbeat.agentEpoch() <= machine.session.endedEpoch()) {
       // Terminated, or an agent epoch that has certainly ended: nothing may renew its lease.
       refuse(exchange, heartbeat, "session_over");
     } else if (!recovery.loaded()) {
@@ -135,7 +135,7 @@
 
   private void answer(long exchange, Machine machine, Heartbeat heartbeat, List<Command> sent) {
     log(heartbeat, "renewed");
-    CommandLog.write(runtime, "answer", machine, heartbeat.epoch(), term.token(), sent);
+    CommandLog.write(runtime, "answer", machine, heartbeat.agentEpoch(), term.token(), sent);
     runtime.answer(exchange, OK, Command.answer(term.token(), sent));
   }
 
@@ -150,8 +150,8 @@
           .events()
           .debug(LogEvent.HEARTBEAT)
           .with(LogField.MACHINE, heartbeat.machine())
-          .with(LogField.AGENT_EPOCH, heartbeat.epoch())
-          .with(LogField.HEARTBEAT, heartbeat.seq())
+          .with(LogField.AGENT_EPOCH, heartbeat.agentEpoch())
+          .with(LogField.HEARTBEAT, heartbeat.sequence())
           .with(LogField.SEEN_TOKEN, heartbeat.token())
           .with(LogField.TOKEN, term.token())
           .with(LogField.RESULT, result)
--- a/src/main/java/org/snowturn/core/leader/JobWatch.java
+++ b/src/main/java/org/snowturn/core/leader/JobWatch.java
@@ -80,8 +80,8 @@
 
   private void apply(JsonNode body, long sentAt) {
     try {
-      StateMessage.events(body).forEach(this::apply);
-      nextRevision = Math.max(nextRevision, StateMessage.epoch(body));
+      StateMessage.changes(body).forEach(this::apply);
+      nextRevision = Math.max(nextRevision, StateMessage.revision(body));
       watermark.read(sentAt);
       assignments.retryFinishing();
     } catch (MalformedException e) {
@@ -109,19 +109,19 @@
     String id = entry.key().substring(StorageKeys.JOBS.length());
     Job known = assignments.job(id);
     if (entry.value() == null) {
-      if (known != null && entry.stamp() >= known.version()) {
+      if (known != null && entry.version() >= known.version()) {
         assignments.registry().remove(id);
       }
       return;
     }
-    if (known != null && known.version() >= entry.stamp()) {
+    if (known != null && known.version() >= entry.version()) {
       return;
     }
     if (JobRecord.phaseOf(entry.value()) == JobStatus.Phase.ABORTED) {
       watermark.learn(id);
     }
     try {
-      assignments.registry().add(id, JobRecord.parse(entry.value()), entry.stamp());
+      assignments.registry().add(id, JobRecord.parse(entry.value()), entry.version());
     } catch (MalformedException e) {
       runtime
           .events()
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -79,17 +79,17 @@
     Job job = assignments.job(id);
     if (job != null) {
       RestartRecords.load(job, entry.value());
-      scheduling.speculator().loaded(job, entry.stamp());
+      scheduling.speculator().loaded(job, entry.version());
     }
   }
 
   /** A user was told, by whichever node, that the job is cancelled. */
-  public void cancelled(String job) {
+  public void cancellationConfirmed(String job) {
     assignments.registry().confirmCancellation(job);
   }
 
   /** Handles a heartbeat that a worker has sent to this node. */
-  public void checkIn(long exchange, Heartbeat heartbeat) {
+  public void handleHeartbeat(long exchange, Heartbeat heartbeat) {
     heartbeatHandler.handle(exchange, heartbeat);
   }
 
@@ -141,7 +141,7 @@
   }
 
   private void schedule(long now) {
-    boolean room = scheduling.scheduler().plan();
+    boolean room = scheduling.scheduler().schedule();
     if (room && now >= speculateAt) {
       speculateAt = now + SPECULATION_INTERVAL_MS;
       scheduling.speculator().consider();
@@ -165,7 +165,7 @@
    *
    * @param most how many at the most
    */
-  public List<String> someWorkers(int most) {
+  public List<String> sampleWorkerAddresses(int most) {
     List<String> addresses = new ArrayList<>();
     List<Machine> all = services.machines().present();
     int step = Math.max(1, all.size() / (2 * most));
@@ -180,7 +180,7 @@
   }
 
   /** How many changes a second this term has written lately. */
-  public double changesMade() {
+  public double writesPerSecond() {
     return services.writer().writeRate();
   }
 
--- a/src/main/java/org/snowturn/core/leader/LeaderGauges.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderGauges.java
@@ -33,20 +33,22 @@
     TaskAssignments assignments = services.assignments();
     TaskCounts tasks = TaskCounts.of(assignments.jobs());
     Map<String, Double> gauges = new HashMap<>();
-    gauges.put("snowturn.jobs.awaiting", (double) services.dependencies().waitingJobs());
+    gauges.put(
+        "snowturn.jobs.awaiting.dependencies", (double) services.dependencies().waitingJobs());
     gauges.put("snowturn.jobs.live", (double) assignments.jobs().size());
     gauges.put("snowturn.tasks.waiting", (double) tasks.waiting());
-    gauges.put("snowturn.tasks.bound", (double) tasks.assigned());
+    gauges.put("snowturn.tasks.assigned", (double) tasks.assigned());
     gauges.put("snowturn.machines", (double) services.machines().present().size());
     gauges.putAll(healthSweep.gauges());
     gauges.putAll(reachability.gauges());
     gauges.putAll(services.failureHandler().gauges());
     gauges.putAll(services.guard().gauges());
-    gauges.put("snowturn.restarts", (double) scheduling.speculator().restarts());
+    gauges.put("snowturn.speculative.restarts", (double) scheduling.speculator().restarts());
     gauges.put("snowturn.writes.waiting", (double) services.writer().queuedRecords());
     gauges.put("snowturn.placements", (double) assignments.placements());
-    gauges.put("snowturn.placements.looks", (double) scheduling.scheduler().looks());
-    gauges.put("snowturn.outboxes.looks", (double) dispatcher.flushes());
+    gauges.put(
+        "snowturn.placements.evaluations", (double) scheduling.scheduler().machineEvaluations());
+    gauges.put("snowturn.command.queues.flushed", (double) dispatcher.flushes());
     gauges.put("snowturn.starts.repeated", (double) services.heartbeatCommands().repeatedStarts());
     gauges.putAll(recovery.gauges());
     gauges.putAll(scheduling.scheduler().gauges());
--- a/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
@@ -77,8 +77,9 @@
     Heartbeat before = early.get(machine);
     boolean older =
         before != null
-            && (heartbeat.epoch() < before.epoch()
-                || (heartbeat.epoch() == before.epoch() && heartbeat.seq() <= before.seq()));
+            && (heartbeat.agentEpoch() < before.agentEpoch()
+                || (heartbeat.agentEpoch() == before.agentEpoch()
+                    && heartbeat.sequence() <= before.sequence()));
     if (!older) {
       early.put(machine, heartbeat);
     }
@@ -170,10 +171,10 @@
   Map<String, Double> gauges() {
     return Map.of(
         "snowturn.term.phase", (double) phases.now().ordinal(),
-        "snowturn.term.unheard", (double) prober.unheard(),
-        "snowturn.term.questions", (double) prober.sent(),
-        "snowturn.term.questions.window", (double) prober.window(),
-        "snowturn.term.tasks.unproven", (double) assignments.unconfirmedAdopted(),
+        "snowturn.term.machines.unconfirmed", (double) prober.unheard(),
+        "snowturn.term.probes", (double) prober.sent(),
+        "snowturn.term.probes.window", (double) prober.window(),
+        "snowturn.term.tasks.unconfirmed", (double) assignments.unconfirmedAdopted(),
         "snowturn.records.unreadable", (double) loader.unreadable());
   }
 }
--- a/src/main/java/org/snowturn/core/leader/MachineSilence.java
+++ b/src/main/java/org/snowturn/core/leader/MachineSilence.java
@@ -1,11 +1,11 @@
 package org.snowturn.core.leader;
 
 import org.snowturn.config.Settings;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.assignment.HeartbeatProcessor;
 import org.snowturn.core.autoscaling.ZoneOutages;
 import org.snowturn.core.connectivity.WorkerSilence;
 import org.snowturn.core.effects.CoreRuntime;
-import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
 
 /**
@@ -36,7 +36,7 @@
 
   /** Whether this leader has had a heartbeat of the machine. */
   static boolean isHeard(Machine machine) {
-    return machine.lastHeartbeatAt() != Job.UNKNOWN;
+    return machine.lastHeartbeatAt() != MonotonicTime.NEVER;
   }
 
   /** A worker has sent a message to this node. */
@@ -85,6 +85,6 @@
   }
 
   private boolean silenceIsTheirs() {
-    return workerSilence.hears(runtime.now()) && zoneOutages.inReach();
+    return workerSilence.mayJudgeMachines(runtime.now()) && zoneOutages.isConnected();
   }
 }
--- a/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
+++ b/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
@@ -50,9 +50,9 @@
    */
   boolean isStale(Machine machine, Heartbeat heartbeat) {
     boolean stale =
-        heartbeat.epoch() < machine.epoch()
-            || (heartbeat.epoch() == machine.epoch()
-                && machine.reachability.isStale(heartbeat.seq()));
+        heartbeat.agentEpoch() < machine.epoch()
+            || (heartbeat.agentEpoch() == machine.epoch()
+                && machine.reachability.isStale(heartbeat.sequence()));
     staleHeartbeats += stale ? 1 : 0;
     return stale;
   }
@@ -64,9 +64,9 @@
 
   /** That heartbeat was applied. */
   void heartbeatApplied(Machine machine, Heartbeat heartbeat) {
-    if (heartbeat.epoch() == machine.epoch()) {
+    if (heartbeat.agentEpoch() == machine.epoch()) {
       machine.reachability.heartbeatReceived(
-          heartbeat.seq(), runtime.now(), HeartbeatProcessor.heartbeatDueMs(settings));
+          heartbeat.sequence(), runtime.now(), HeartbeatProcessor.heartbeatDueMs(settings));
     }
     probeIfDue(machine);
   }
@@ -77,15 +77,15 @@
     connectivity.workerHeard();
     machine.probeSettled();
     if (machine.reachability.replyShowsNewIncarnation(isOutdated(machine, heartbeat))) {
-      autoscaler.discard(machine, "has started anew");
+      autoscaler.terminate(machine, "has started anew");
     }
   }
 
   /** Whether a reply is older than what is known by more than what overtakes it on the way. */
   private static boolean isOutdated(Machine machine, Heartbeat heartbeat) {
-    return heartbeat.epoch() < machine.epoch()
-        || (heartbeat.epoch() == machine.epoch()
-            && heartbeat.seq() + MAX_OVERTAKEN < machine.session.heartbeatSeq());
+    return heartbeat.agentEpoch() < machine.epoch()
+        || (heartbeat.agentEpoch() == machine.epoch()
+            && heartbeat.sequence() + MAX_OVERTAKEN < machine.session.heartbeatSeq());
   }
 
   /**
@@ -113,12 +113,12 @@
     machine.setBlockedUntil(Math.max(machine.blockedUntil(), runtime.now() + BLOCKED_MS));
     recovery.unanswered(machine);
     silence.workerUnanswered();
-    if (machine.reachability.inVain() == Reachability.DEAF_AFTER) {
+    if (machine.reachability.unansweredMessages() == Reachability.UNREACHABLE_AFTER) {
       runtime
           .events()
           .info(LogEvent.MACHINE_UNREACHABLE)
           .with(LogField.MACHINE, machine.id)
-          .with(LogField.UNANSWERED, machine.reachability.inVain())
+          .with(LogField.UNANSWERED, machine.reachability.unansweredMessages())
           .write();
     }
     boolean silent = MachineSilence.hasBeenUp(machine) && silence.isSilent(machine);
@@ -131,13 +131,13 @@
   private void suspect(Machine machine) {
     machine.probeSettled();
     if (machine.isSuspected() && MachineSilence.isHeard(machine) && silence.mayReplace()) {
-      autoscaler.discard(machine, "silent");
+      autoscaler.terminate(machine, "silent");
     }
     machine.suspect();
   }
 
   /** The gauges of these checks by name. */
   Map<String, Double> gauges() {
-    return Map.of("snowturn.reports.late", (double) staleHeartbeats);
+    return Map.of("snowturn.heartbeats.late", (double) staleHeartbeats);
   }
 }
--- a/src/main/java/org/snowturn/core/leader/RecoveryProber.java
+++ b/src/main/java/org/snowturn/core/leader/RecoveryProber.java
@@ -1,5 +1,6 @@
 package org.snowturn.core.leader;
 
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.assignment.HeartbeatProcessor;
 import org.snowturn.core.assignment.TaskAssignments;
 import org.snowturn.core.effects.CoreRuntime;
@@ -52,7 +53,7 @@
   private final PacedProbes probes = new PacedProbes(RETRY_MS);
   private int initiallyUnheard;
   private long startedAt;
-  private long lastHeardAt = Job.UNKNOWN;
+  private long lastHeardAt = MonotonicTime.NEVER;
   private long lastTickAt;
   private long lastLateTickAt;
 
@@ -80,7 +81,7 @@
     }
     for (Machine machine : machines.present()) {
       if (machine.isRegistered() && !machine.session.isAcknowledged()) {
-        boolean sendsHeartbeats = machine.lastHeartbeatAt() != Job.UNKNOWN;
+        boolean sendsHeartbeats = machine.lastHeartbeatAt() != MonotonicTime.NEVER;
         long notBefore = sendsHeartbeats ? runtime.now() + NEXT_HEARTBEAT_MS : 0;
         probes.add(machine.index, urgency(machine, replicaCpus, batchTaskCpus), notBefore);
       }
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
@@ -72,14 +72,14 @@
     }
     loadJobs(records);
     List<StateMessage.Change> orphans = new ArrayList<>();
-    loadTasks(records.tasks(), StorageKeys.TASKS2, orphans);
+    loadTasks(records.tasks(), StorageKeys.SECOND_FORMAT_TASKS, orphans);
     loadTasks(records.firstFormatTasks(), StorageKeys.TASKS, orphans);
     quarantined.forEach(assignments.registry()::quarantine);
     for (StateMessage.Entry entry : records.restarts().entries()) {
       String job = entry.key().substring(StorageKeys.RESTARTS.length());
       load(entry, () -> restarts.accept(job, entry));
     }
-    services.writer().drop(List.of(), orphans);
+    services.writer().deleteLater(List.of(), orphans);
     raiseAgentEpochs();
     stopCancelled();
     watermark.read(records.jobsReadAt());
@@ -127,7 +127,7 @@
       boolean loaded = load(entry, () -> loadJob(id, entry, texts, used));
       if (!loaded && !aborted) {
         quarantined.add(id);
-        String prefix = StorageKeys.PARTS + id + "/";
+        String prefix = StorageKeys.SUBMISSION_PARTS + id + "/";
         chunks.stream()
             .map(StateMessage.Entry::key)
             .filter(key -> key.startsWith(prefix))
@@ -144,9 +144,9 @@
     List<String> keys = JobRecord.partKeys(id, stored.submission(), stored.parts());
     used.addAll(keys);
     if (stored.needsParts() && texts.keySet().containsAll(keys)) {
-      assignments.registry().addChunked(id, stored, entry.stamp(), texts);
+      assignments.registry().addChunked(id, stored, entry.version(), texts);
     } else {
-      assignments.registry().add(id, stored, entry.stamp());
+      assignments.registry().add(id, stored, entry.version());
     }
   }
 
@@ -168,9 +168,9 @@
                 if (job == null) {
                   orphans.add(StateMessage.Change.delete(entry.key()));
                 } else if (firstFormat) {
-                  assignments.loadFirstFormatRecord(job, chunk, entry.value(), entry.stamp());
+                  assignments.loadFirstFormatRecord(job, chunk, entry.value(), entry.version());
                 } else {
-                  assignments.loadTaskRecord(job, chunk, entry.value(), entry.stamp());
+                  assignments.loadTaskRecord(job, chunk, entry.value(), entry.version());
                 }
               });
       if (!loaded && job != null && !job.isCancellationRecorded()) {
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsReader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsReader.java
@@ -53,11 +53,11 @@
 
   private void readRanges() {
     read(StorageKeys.REGISTRY, () -> {});
-    read(StorageKeys.TASKS2, () -> {});
+    read(StorageKeys.SECOND_FORMAT_TASKS, () -> {});
     read(StorageKeys.TASKS, () -> {});
     read(StorageKeys.RESTARTS, () -> {});
     read(
-        StorageKeys.PARTS,
+        StorageKeys.SUBMISSION_PARTS,
         () -> {
           jobsReadAt = runtime.now();
           read(StorageKeys.JOBS, () -> {});
@@ -98,10 +98,10 @@
     StoredRecords records =
         new StoredRecords(
             ranges.get(StorageKeys.REGISTRY),
-            ranges.get(StorageKeys.TASKS2),
+            ranges.get(StorageKeys.SECOND_FORMAT_TASKS),
             ranges.get(StorageKeys.TASKS),
             ranges.get(StorageKeys.RESTARTS),
-            ranges.get(StorageKeys.PARTS),
+            ranges.get(StorageKeys.SUBMISSION_PARTS),
             ranges.get(StorageKeys.JOBS),
             jobsReadAt);
     ranges.clear();
--- a/src/main/java/org/snowturn/core/model/Job.java
+++ b/src/main/java/org/snowturn/core/model/Job.java
@@ -22,9 +22,6 @@
  * is proof that it has ended.
  */
 public final class Job {
-  /** The same as {@link MonotonicTime#NEVER}. */
-  public static final long UNKNOWN = MonotonicTime.NEVER;
-
   /** A replica that has only just started is left alone. */
   private static final long SETTLED_MS = 40_000;
 
@@ -113,7 +110,7 @@
     this.releasedWall = submittedWall;
     this.priority = spec.priority();
     this.unmetDependencies =
-        spec.awaits().isEmpty() ? Set.of() : new LinkedHashSet<>(spec.awaits());
+        spec.dependencies().isEmpty() ? Set.of() : new LinkedHashSet<>(spec.dependencies());
     tasks = new TaskTable(spec.tasks());
     records = new JobTaskRecords(spec.tasks());
     assignedInZone = new int[zones];
--- a/src/main/java/org/snowturn/core/model/LiveJobs.java
+++ b/src/main/java/org/snowturn/core/model/LiveJobs.java
@@ -83,14 +83,15 @@
     String id = entry.key().substring(prefix.length());
     Seen known = live.get(id);
     // A page may be younger than the changes that are told after it.
-    if (known != null && known.stamp >= entry.stamp()) {
+    if (known != null && known.stamp >= entry.version()) {
       return;
     }
     if (entry.value() == null) {
       live.remove(id);
     } else {
       live.put(
-          id, new Seen(entry.stamp(), cancelled.test(entry.value()), awaits.apply(entry.value())));
+          id,
+          new Seen(entry.version(), cancelled.test(entry.value()), awaits.apply(entry.value())));
     }
   }
 
--- a/src/main/java/org/snowturn/core/model/Machine.java
+++ b/src/main/java/org/snowturn/core/model/Machine.java
@@ -139,7 +139,7 @@
     session.clearAcknowledgement();
     registration = Registration.NONE;
     session.endedUntil(session.epoch());
-    reachability.doubt(session.lastHeartbeatAt());
+    reachability.revokeProof(session.lastHeartbeatAt());
   }
 
   /** Whether new work may go there. */
@@ -165,7 +165,9 @@
       return "unacknowledged";
     }
     if (!reachability.proven()) {
-      return reachability.inVain() >= Reachability.DEAF_AFTER ? "deaf" : "unproven";
+      return reachability.unansweredMessages() >= Reachability.UNREACHABLE_AFTER
+          ? "deaf"
+          : "unproven";
     }
     return whyBlocked(now);
   }
--- a/src/main/java/org/snowturn/core/model/RestartRecords.java
+++ b/src/main/java/org/snowturn/core/model/RestartRecords.java
@@ -22,7 +22,8 @@
   /** The stored form, in the format that the job's records have. */
   public static JsonNode json(Job job) {
     ObjectNode object =
-        Json.object().put("v", job.isSecondFormat() ? StorageKeys.SECOND : StorageKeys.VERSION);
+        Json.object()
+            .put("v", job.isSecondFormat() ? StorageKeys.SECOND_FORMAT : StorageKeys.FIRST_FORMAT);
     object.put("n", job.restarts());
     if (job.isSecondFormat()) {
       ArrayNode listed = object.putArray("r");
--- a/src/main/java/org/snowturn/core/model/TaskRecords.java
+++ b/src/main/java/org/snowturn/core/model/TaskRecords.java
@@ -27,7 +27,7 @@
   /** The stored form of a record in the first format. */
   public static JsonNode first(Job job, int record, MachineIndex machines) {
     int from = job.layout().from(record);
-    ObjectNode object = Json.object().put("v", StorageKeys.VERSION);
+    ObjectNode object = Json.object().put("v", StorageKeys.FIRST_FORMAT);
     ArrayNode placed = object.putArray("p");
     for (int task = from; task < job.layout().to(record); task++) {
       if (job.isAssigned(task)) {
@@ -49,7 +49,8 @@
     for (int task = from; task < job.layout().to(record); task++) {
       base = job.isAssigned(task) ? Math.min(base, job.attemptOf(task) >> SHIFT << SHIFT) : base;
     }
-    ObjectNode object = Json.object().put("v", StorageKeys.SECOND).put("d", finished(job, record));
+    ObjectNode object =
+        Json.object().put("v", StorageKeys.SECOND_FORMAT).put("d", finished(job, record));
     if (base == Long.MAX_VALUE) {
       return object;
     }
@@ -95,7 +96,7 @@
     if (!value.isObject()) {
       throw new IllegalArgumentException("not an object");
     }
-    boolean second = value.path("v").asInt(StorageKeys.VERSION) >= StorageKeys.SECOND;
+    boolean second = value.path("v").asInt(StorageKeys.FIRST_FORMAT) >= StorageKeys.SECOND_FORMAT;
     BitSet finished = BitSet.valueOf(Base64.getDecoder().decode(value.path("d").asText("")));
     finished.stream().forEach(i -> to.done(from + i));
     long base = second ? value.path("a").asLong(0) : 0;
--- a/src/main/java/org/snowturn/core/recovery/Reconciliation.java
+++ b/src/main/java/org/snowturn/core/recovery/Reconciliation.java
@@ -46,7 +46,7 @@
   }
 
   /** The report's session as against the one in which the attempt was placed. */
-  public enum Session {
+  public enum AgentEpoch {
     EARLIER,
     SAME,
     LATER
@@ -81,7 +81,7 @@
   public record Case(
       Stored stored,
       Seen seen,
-      Session session,
+      AgentEpoch session,
       boolean presentToken,
       boolean stopping,
       boolean settled) {}
--- a/src/main/java/org/snowturn/core/scheduling/Aging.java
+++ b/src/main/java/org/snowturn/core/scheduling/Aging.java
@@ -130,7 +130,7 @@
     longestWaitS.forEach(
         (jobClass, waitS) ->
             gauges.put("snowturn.wait.next.task.seconds{class=\"" + jobClass + "\"}", waitS));
-    gauges.put("snowturn.jobs.elders", (double) longWaiting.size());
+    gauges.put("snowturn.jobs.long.waiting", (double) longWaiting.size());
     return gauges;
   }
 }
--- a/src/main/java/org/snowturn/core/scheduling/GangScheduling.java
+++ b/src/main/java/org/snowturn/core/scheduling/GangScheduling.java
@@ -30,7 +30,7 @@
         totalRoom += room;
       }
     }
-    if (!job.spec.oneZone()) {
+    if (!job.spec.singleZone()) {
       return totalRoom >= job.pending();
     }
     for (int zone = 0; zone < roomByZone.length; zone++) {
--- a/src/main/java/org/snowturn/core/scheduling/PlacementConstraints.java
+++ b/src/main/java/org/snowturn/core/scheduling/PlacementConstraints.java
@@ -42,12 +42,13 @@
   }
 
   private static boolean isWithinZoneLimit(Job job, Machine machine) {
-    return !job.spec.spread() || job.assignedInZone(machine.zone()) < job.spec.perZoneLimit();
+    return !job.spec.spreadAcrossZones()
+        || job.assignedInZone(machine.zone()) < job.spec.perZoneLimit();
   }
 
   /** Whether the machine is in the zone of the job's other tasks, where all must share one. */
   private static boolean isInSharedZone(Job job, Machine machine) {
-    if (!job.spec.oneZone()) {
+    if (!job.spec.singleZone()) {
       return true;
     }
     if (job.assigned() == 0 && job.gangZone() >= 0 && job.gangZone() != machine.zone()) {
@@ -73,7 +74,10 @@
 
   /** Whether any machine with room for a task of the job may take it, spot machines aside. */
   static boolean isUnconstrained(JobSpec spec) {
-    return spec.types() == null && spec.zone() == null && !spec.spread() && !spec.oneZone();
+    return spec.types() == null
+        && spec.zone() == null
+        && !spec.spreadAcrossZones()
+        && !spec.singleZone();
   }
 
   /** Whether a machine with no room for a task of {@code other} has none for one of the job. */
--- a/src/main/java/org/snowturn/core/scheduling/Speculator.java
+++ b/src/main/java/org/snowturn/core/scheduling/Speculator.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import org.snowturn.config.Tunables;
+import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.assignment.HeartbeatProcessor;
 import org.snowturn.core.assignment.TaskAssignments;
 import org.snowturn.core.effects.CoreRuntime;
@@ -77,7 +78,7 @@
     return restartRecords.computeIfAbsent(
         job.spec.id(),
         id ->
-            writer.slot(
+            writer.pendingRecord(
                 StorageKeys.restarts(id),
                 0,
                 () -> RestartRecords.json(job),
@@ -174,7 +175,9 @@
     for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
       Job job = assignments.job(ref);
       int task = TaskAssignments.task(ref);
-      if (!job.spec.service() && job.stateSince(task) != Job.UNKNOWN && !job.runTimes.isEmpty()) {
+      if (!job.spec.service()
+          && job.stateSince(task) != MonotonicTime.NEVER
+          && !job.runTimes.isEmpty()) {
         work += Math.min(1, relativeRunTime(runS(job, task), expectedS(job, machine)));
       }
     }
@@ -248,7 +251,7 @@
   }
 
   private static boolean isRunning(Job job, int task) {
-    return job.stateOf(task) == TaskState.RUNNING && job.stateSince(task) != Job.UNKNOWN;
+    return job.stateOf(task) == TaskState.RUNNING && job.stateSince(task) != MonotonicTime.NEVER;
   }
 
   /** Whether a restart on the best fast machine would end sufficiently sooner. */
@@ -299,7 +302,7 @@
         .with(LogField.SLOWNESS, current.slowness())
         .write();
     // The record is durable before the stop, so no later leader restarts the task again.
-    writer.mark(
+    writer.enqueue(
         restartRecord(job),
         RECORD_SLOT,
         () -> {
--- a/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
+++ b/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
@@ -71,7 +71,7 @@
   }
 
   /** Places what fits; tells whether every waiting task was placed or cannot be placed now. */
-  public boolean plan() {
+  public boolean schedule() {
     long now = runtime.now();
     List<Machine> usable = usableMachines(now);
     List<Job> waiting = new ArrayList<>();
@@ -145,12 +145,12 @@
   }
 
   /** How many times a machine was evaluated for a job so far. */
-  public long looks() {
+  public long machineEvaluations() {
     return evaluations.count();
   }
 
   /** Whether a replica on {@code from} could start on another machine without an image fetch. */
-  public boolean couldStartElsewhere(Job job, Machine from) {
+  public boolean canStartElsewhere(Job job, Machine from) {
     return constraints.canStartElsewhere(job, from);
   }
 
--- a/src/main/java/org/snowturn/core/storage/BatchSettlement.java
+++ b/src/main/java/org/snowturn/core/storage/BatchSettlement.java
@@ -53,7 +53,7 @@
   private boolean succeeded(RecordBatch batch, StateReply reply) {
     long revision;
     try {
-      revision = StateMessage.epoch(reply.body());
+      revision = StateMessage.revision(reply.body());
     } catch (MalformedException e) {
       runtime
           .events()
@@ -152,7 +152,7 @@
       return false;
     }
     try {
-      record.endWrite(StateMessage.entry(reply.body()).stamp());
+      record.endWrite(StateMessage.entry(reply.body()).version());
       return true;
     } catch (MalformedException e) {
       runtime
--- a/src/main/java/org/snowturn/core/storage/FormatGate.java
+++ b/src/main/java/org/snowturn/core/storage/FormatGate.java
@@ -54,7 +54,7 @@
     int first =
         Math.max(
             MIN_FIRST_FORMAT_TASKS, settings.stateLimits().valueBytes() / FIRST_FORMAT_ENTRY_BYTES);
-    sizes = new RecordSizes(first, TaskLayout.span(smallerLimits().valueBytes()));
+    sizes = new RecordSizes(first, TaskLayout.tasksPerRecord(smallerLimits().valueBytes()));
   }
 
   /** Whether all nodes read the second format, as far as is known here. */
@@ -63,7 +63,7 @@
   }
 
   /** How many tasks share a record; final once the gate is open. */
-  public RecordSizes spans() {
+  public RecordSizes recordSizes() {
     return sizes;
   }
 
@@ -138,12 +138,12 @@
   private void evaluate(List<StateMessage.Entry> entries) {
     Set<String> readers = new HashSet<>();
     for (StateMessage.Entry entry : entries) {
-      if (entry.key().equals(StorageKeys.GATE)) {
+      if (entry.key().equals(StorageKeys.FORMAT_GATE)) {
         setOpen(entry.value());
         return;
       }
-      if (entry.value().path("reads").asInt(0) >= StorageKeys.SECOND) {
-        readers.add(entry.key().substring(StorageKeys.READERS.length()));
+      if (entry.value().path("reads").asInt(0) >= StorageKeys.SECOND_FORMAT) {
+        readers.add(entry.key().substring(StorageKeys.FORMAT_READERS.length()));
       }
     }
     if (open) {
@@ -161,9 +161,10 @@
       return;
     }
     announcing = true;
-    JsonNode value = Json.object().put("v", StorageKeys.VERSION).put("reads", StorageKeys.SECOND);
+    JsonNode value =
+        Json.object().put("v", StorageKeys.FIRST_FORMAT).put("reads", StorageKeys.SECOND_FORMAT);
     create(
-        StorageKeys.READERS + settings.node(),
+        StorageKeys.FORMAT_READERS + settings.node(),
         value,
         reply -> {
           announcing = false;
@@ -171,7 +172,7 @@
             runtime
                 .events()
                 .info(LogEvent.FORMAT_SUPPORTED)
-                .with(LogField.FORMAT, StorageKeys.SECOND)
+                .with(LogField.FORMAT, StorageKeys.SECOND_FORMAT)
                 .write();
             nextCheckAt = runtime.now();
           }
@@ -181,11 +182,11 @@
   private void openGate() {
     JsonNode value =
         Json.object()
-            .put("v", StorageKeys.SECOND)
+            .put("v", StorageKeys.SECOND_FORMAT)
             .put("first", sizes.first())
             .put("second", sizes.second());
     create(
-        StorageKeys.GATE,
+        StorageKeys.FORMAT_GATE,
         value,
         reply -> {
           if (reply.ok()) {
@@ -216,7 +217,7 @@
     runtime
         .events()
         .info(LogEvent.FORMAT_GATE_OPENED)
-        .with(LogField.FORMAT, StorageKeys.SECOND)
+        .with(LogField.FORMAT, StorageKeys.SECOND_FORMAT)
         .write();
   }
 }
--- a/src/main/java/org/snowturn/core/storage/JobLookup.java
+++ b/src/main/java/org/snowturn/core/storage/JobLookup.java
@@ -23,10 +23,12 @@
  */
 public final class JobLookup {
   /** The order for nodes that do not lead. */
-  public static final List<String> LIVE_FIRST = List.of(StorageKeys.JOBS, StorageKeys.OVER);
+  public static final List<String> LIVE_FIRST =
+      List.of(StorageKeys.JOBS, StorageKeys.FINISHED_JOBS);
 
   /** The order for the leader: most jobs that it does not know are over. */
-  public static final List<String> OVER_FIRST = List.of(StorageKeys.OVER, StorageKeys.JOBS);
+  public static final List<String> OVER_FIRST =
+      List.of(StorageKeys.FINISHED_JOBS, StorageKeys.JOBS);
 
   private static final int MAX_SINGLE_READS = 12;
   private static final int PAGE_KEYS = 500;
--- a/src/main/java/org/snowturn/core/storage/JobRecord.java
+++ b/src/main/java/org/snowturn/core/storage/JobRecord.java
@@ -112,7 +112,9 @@
   public static List<String> partKeys(String id, String submission, int parts) {
     return submission == null
         ? List.of()
-        : IntStream.range(0, parts).mapToObj(i -> StorageKeys.parts(id, submission) + i).toList();
+        : IntStream.range(0, parts)
+            .mapToObj(i -> StorageKeys.submissionParts(id, submission) + i)
+            .toList();
   }
 
   /** The texts of stored parts, by their keys. */
@@ -125,7 +127,7 @@
   /** The stored form of a job that is not over. */
   public ObjectNode live() {
     ObjectNode object = Json.object();
-    object.put(FORMAT, submission == null ? StorageKeys.VERSION : StorageKeys.SECOND);
+    object.put(FORMAT, submission == null ? StorageKeys.FIRST_FORMAT : StorageKeys.SECOND_FORMAT);
     object.put(PHASE, phase.wire()).put(SUBMITTED_AT, submittedWall);
     object.set(SPEC, spec.toJson());
     if (submission != null) {
@@ -169,7 +171,8 @@
 
   /** The short record that remains of a job that is over. */
   public static ObjectNode over(JobStatus.Phase phase, JobSpec spec) {
-    ObjectNode object = Json.object().put(FORMAT, StorageKeys.VERSION).put(PHASE, phase.wire());
+    ObjectNode object =
+        Json.object().put(FORMAT, StorageKeys.FIRST_FORMAT).put(PHASE, phase.wire());
     object.put(TASKS, spec.tasks());
     return spec.service() ? object.put(SERVICE, true) : object;
   }
@@ -205,6 +208,8 @@
   }
 
   private static ObjectNode part(String text, int from, int to) {
-    return Json.object().put(FORMAT, StorageKeys.SECOND).put(PART_TEXT, text.substring(from, to));
+    return Json.object()
+        .put(FORMAT, StorageKeys.SECOND_FORMAT)
+        .put(PART_TEXT, text.substring(from, to));
   }
 }
--- a/src/main/java/org/snowturn/core/storage/RangeReader.java
+++ b/src/main/java/org/snowturn/core/storage/RangeReader.java
@@ -94,7 +94,7 @@
       Consumer<Range> then)
       throws MalformedException {
     List<StateMessage.Entry> got = StateMessage.entries(body);
-    long oldest = Math.min(revision, StateMessage.epoch(body));
+    long oldest = Math.min(revision, StateMessage.revision(body));
     backoff.reset();
     entriesBefore.addAll(got);
     if (StateMessage.more(body) && !got.isEmpty()) {
--- a/src/main/java/org/snowturn/core/storage/RecordBatch.java
+++ b/src/main/java/org/snowturn/core/storage/RecordBatch.java
@@ -48,7 +48,7 @@
     }
     for (var records : queue.byUrgency()) {
       for (PendingRecord record : records.values()) {
-        boolean deferrable = record.urgency() >= RecordWriter.CAN_WAIT;
+        boolean deferrable = record.urgency() >= RecordWriter.DEFERRABLE_URGENCY;
         int max = deferrable ? Math.min(maxRecords, maxIfDeferrable) : maxRecords;
         if (batch.size() >= max || batch.bytes > MAX_BYTES) {
           return batch;
--- a/src/main/java/org/snowturn/core/storage/RecordWriter.java
+++ b/src/main/java/org/snowturn/core/storage/RecordWriter.java
@@ -24,7 +24,7 @@
  */
 public final class RecordWriter {
   /** Records of this urgency or more are deferrable: they can wait for seconds. */
-  public static final int CAN_WAIT = 20;
+  public static final int DEFERRABLE_URGENCY = 20;
 
   static final int TIMEOUT_MS = 1500;
 
@@ -40,18 +40,18 @@
   private static final long OVERDUE_SPARE_INTERVAL_MS = 2_000;
 
   /** When a whole transaction's turn comes. */
-  public enum Turn {
+  public enum TransactionPriority {
     /** Before all others: somebody has been told that it will happen soon. */
-    FIRST,
+    IMMEDIATE,
     /** Before all records, in turn with those that are not deferrable. */
-    NEXT,
+    NORMAL,
     /** With budget for which no record that is not deferrable has a use. */
-    SPARE
+    BACKGROUND
   }
 
   /** A transaction of its own that begins or ends something. */
   private record Transaction(
-      Turn turn,
+      TransactionPriority turn,
       List<Condition> conditions,
       List<Change> changes,
       CoreRuntime.ReplyHandler onReply,
@@ -82,7 +82,8 @@
   private final Host host;
   private final Supplier<Settings.StateLimits> limits;
   private final Map<String, PendingRecord> records = new HashMap<>();
-  private final Map<Turn, ArrayDeque<Transaction>> transactions = new EnumMap<>(Turn.class);
+  private final Map<TransactionPriority, ArrayDeque<Transaction>> transactions =
+      new EnumMap<>(TransactionPriority.class);
   private final WriteQueue queue = new WriteQueue();
   private final WriteBudget budget;
   private final BatchSettlement settlement;
@@ -105,7 +106,7 @@
     this.limits = limits;
     this.budget = new WriteBudget(limits, share, runtime.now());
     this.settlement = new BatchSettlement(runtime, host, queue, budget);
-    for (Turn turn : Turn.values()) {
+    for (TransactionPriority turn : TransactionPriority.values()) {
       transactions.put(turn, new ArrayDeque<>());
     }
   }
@@ -122,7 +123,7 @@
    * @param content the value to write when its turn comes; null deletes the key
    * @param guard a condition on another key, under which alone this one may be written; null: none
    */
-  public PendingRecord slot(
+  public PendingRecord pendingRecord(
       String key, long stamp, Supplier<JsonNode> content, Supplier<Condition> guard) {
     return records.computeIfAbsent(key, k -> new PendingRecord(k, stamp, content, guard));
   }
@@ -138,7 +139,7 @@
    *
    * @param onDurable called once the content as it is now, or a later one, is durable; may be null
    */
-  public void mark(PendingRecord record, int urgency, Runnable onDurable) {
+  public void enqueue(PendingRecord record, int urgency, Runnable onDurable) {
     if (onDurable != null) {
       record.addDurableAction(onDurable);
     }
@@ -146,29 +147,32 @@
   }
 
   /** Queues one whole transaction; the leader key's condition is added. */
-  public void whole(
-      Turn turn, List<Condition> when, List<Change> apply, CoreRuntime.ReplyHandler then) {
+  public void submit(
+      TransactionPriority turn,
+      List<Condition> when,
+      List<Change> apply,
+      CoreRuntime.ReplyHandler then) {
     transactions.get(turn).add(new Transaction(turn, when, apply, then, runtime.now()));
   }
 
   /** Removes records that no longer mean anything, when there is time for it. */
-  public void drop(List<Condition> when, List<Change> drops) {
+  public void deleteLater(List<Condition> when, List<Change> drops) {
     int most = Math.max(1, limits.get().txnOps());
     for (int i = 0; i < drops.size(); i += most) {
       List<Change> part = drops.subList(i, Math.min(drops.size(), i + most));
-      whole(Turn.SPARE, when, part, (outcome, status, body) -> {});
+      submit(TransactionPriority.BACKGROUND, when, part, (outcome, status, body) -> {});
     }
   }
 
   /** Takes a record out of the queue: its content is about to be removed. */
-  public void clear(PendingRecord record) {
+  public void cancel(PendingRecord record) {
     queue.remove(record);
     record.clearDurableActions();
   }
 
   /** Whether what is not deferrable is queueing up. */
-  public boolean pressed() {
-    return transactions.get(Turn.NEXT).size() > 1
+  public boolean backlogged() {
+    return transactions.get(TransactionPriority.NORMAL).size() > 1
         || (budget.available() < budget.reserved() && queue.hasUrgent());
   }
 
@@ -192,26 +196,26 @@
   }
 
   private boolean sendOne() {
-    Transaction first = transactions.get(Turn.FIRST).peek();
+    Transaction first = transactions.get(TransactionPriority.IMMEDIATE).peek();
     if (first != null) {
       return send(first, 0);
     }
     if (sendOverdueSpare()) {
       return true;
     }
-    Transaction next = transactions.get(Turn.NEXT).peek();
+    Transaction next = transactions.get(TransactionPriority.NORMAL).peek();
     if (next != null) {
       return sendInTurnWithRecords(next);
     }
     if (sendRecords()) {
       return true;
     }
-    Transaction spare = transactions.get(Turn.SPARE).peek();
+    Transaction spare = transactions.get(TransactionPriority.BACKGROUND).peek();
     return spare != null && send(spare, budget.reserved());
   }
 
   private boolean sendOverdueSpare() {
-    Transaction spare = transactions.get(Turn.SPARE).peek();
+    Transaction spare = transactions.get(TransactionPriority.BACKGROUND).peek();
     long now = runtime.now();
     if (spare == null
         || now - spare.queuedSinceMs <= MAX_SPARE_WAIT_MS
--- a/src/main/java/org/snowturn/core/storage/StorageKeys.java
+++ b/src/main/java/org/snowturn/core/storage/StorageKeys.java
@@ -14,7 +14,7 @@
   public static final String JOBS = "j/";
 
   /** Short records of jobs that are over. */
-  public static final String OVER = "d/";
+  public static final String FINISHED_JOBS = "d/";
 
   /** Results and assignments of tasks in the first format. */
   public static final String TASKS = "t/";
@@ -26,28 +26,28 @@
   public static final String RESTARTS = "s/";
 
   /** The first stored format. */
-  public static final int VERSION = 1;
+  public static final int FIRST_FORMAT = 1;
 
   /** The second stored format; the prefixes below came with it. */
-  public static final int SECOND = 2;
+  public static final int SECOND_FORMAT = 2;
 
   /** What the nodes say of the stored formats. */
   public static final String FORMAT = "f/";
 
   /** The nodes that read the second format, by name. */
-  public static final String READERS = "f/n/";
+  public static final String FORMAT_READERS = "f/n/";
 
   /** Exists once all nodes read the second format. */
-  public static final String GATE = "f/gate";
+  public static final String FORMAT_GATE = "f/gate";
 
   /** Results and assignments of tasks in the second format. */
-  public static final String TASKS2 = "p/";
+  public static final String SECOND_FORMAT_TASKS = "p/";
 
   /** Submissions that are too long for a value. */
-  public static final String PARTS = "x/";
+  public static final String SUBMISSION_PARTS = "x/";
 
   /** How many on-demand machines the operators kept up when the first leader took office. */
-  public static final String STANDING = "o/standing";
+  public static final String EXTERNALLY_MANAGED_MACHINES = "o/standing";
 
   private StorageKeys() {}
 
@@ -57,8 +57,8 @@
   }
 
   /** The short record of a job that is over. */
-  public static String over(String id) {
-    return OVER + id;
+  public static String finishedJob(String id) {
+    return FINISHED_JOBS + id;
   }
 
   /** One record of tasks in the first format. */
@@ -67,8 +67,8 @@
   }
 
   /** One record of tasks in the second format. */
-  public static String tasks2(String id, int chunk) {
-    return TASKS2 + id + "/" + chunk;
+  public static String secondFormatTasks(String id, int chunk) {
+    return SECOND_FORMAT_TASKS + id + "/" + chunk;
   }
 
   /** The count of restarts of one job. */
@@ -77,7 +77,7 @@
   }
 
   /** All parts of one submission of a job whose record is too long for a value. */
-  public static String parts(String id, String submission) {
-    return PARTS + id + "/" + submission + "/";
+  public static String submissionParts(String id, String submission) {
+    return SUBMISSION_PARTS + id + "/" + submission + "/";
   }
 }
--- a/src/main/java/org/snowturn/core/storage/TaskLayout.java
+++ b/src/main/java/org/snowturn/core/storage/TaskLayout.java
@@ -32,7 +32,7 @@
   private static final int RESULTS_PER_BYTE = 6;
 
   /** How many tasks share a record in the second format. */
-  public static int span(int valueBytes) {
+  public static int tasksPerRecord(int valueBytes) {
     return Math.max(
         MIN_TASKS_PER_RECORD, (valueBytes - FIXED_BYTES) / (ENTRY_BYTES + TYPICAL_NAME_BYTES + 1));
   }
--- a/src/main/java/org/snowturn/core/storage/WriteQueue.java
+++ b/src/main/java/org/snowturn/core/storage/WriteQueue.java
@@ -42,7 +42,7 @@
 
   /** Whether a record waits that is not deferrable. */
   boolean hasUrgent() {
-    return !queues.isEmpty() && queues.firstKey() < RecordWriter.CAN_WAIT;
+    return !queues.isEmpty() && queues.firstKey() < RecordWriter.DEFERRABLE_URGENCY;
   }
 
   int size() {
@@ -77,7 +77,7 @@
     for (var queue : queues.entrySet()) {
       PendingRecord head = firstSendable(queue.getValue().values());
       if (!mostUrgent && head != null) {
-        boolean deferrable = queue.getKey() >= RecordWriter.CAN_WAIT;
+        boolean deferrable = queue.getKey() >= RecordWriter.DEFERRABLE_URGENCY;
         double maxWaitMs = deferrable ? MAX_DEFERRABLE_WAIT_MS : MAX_WAIT_MS;
         double waited = (nowMs - head.queuedSinceMs()) / maxWaitMs;
         if (waited > longest) {
--- a/src/main/java/org/snowturn/daemon/Daemon.java
+++ b/src/main/java/org/snowturn/daemon/Daemon.java
@@ -284,8 +284,6 @@
       }
     } else if (effect instanceof Effect.Broadcast broadcast) {
       peers.send(broadcast.message());
-    } else if (effect instanceof Effect.Note note) {
-      LOG.info("{}", note.text());
     } else if (effect instanceof Effect.Event event) {
       log(event);
     }
--- a/src/main/java/org/snowturn/peer/MessageKind.java
+++ b/src/main/java/org/snowturn/peer/MessageKind.java
@@ -226,8 +226,8 @@
   private static void writeDemand(DataOutputStream out, PeerMessage.RateDemandReport message)
       throws IOException {
     out.writeDouble(message.demand().requests());
-    out.writeDouble(message.demand().submitted());
-    out.writeDouble(message.demand().led());
+    out.writeDouble(message.demand().submissions());
+    out.writeDouble(message.demand().leaderWrites());
   }
 
   private static PeerMessage.RateDemandReport readDemand(String from, DataInputStream in)
--- a/src/main/java/org/snowturn/wire/CloudMachine.java
+++ b/src/main/java/org/snowturn/wire/CloudMachine.java
@@ -7,11 +7,11 @@
 /**
  * A machine as the cloud lists it.
  *
- * @param addr null if the cloud does not tell it yet
+ * @param address null if the cloud does not tell it yet
  * @param ageS seconds since it was rented
  */
 public record CloudMachine(
-    String id, String addr, String type, String zone, boolean spot, State state, double ageS) {
+    String id, String address, String type, String zone, boolean spot, State state, double ageS) {
   private static final String MACHINES = "drifts";
   private static final String TYPE = "hull";
   private static final String ZONE = "field";
--- a/src/main/java/org/snowturn/wire/Heartbeat.java
+++ b/src/main/java/org/snowturn/wire/Heartbeat.java
@@ -7,20 +7,20 @@
 /**
  * A worker's heartbeat with the status of its tasks.
  *
- * @param addr where the worker takes direct commands, as IP address and port
- * @param epoch the incarnation of the worker's agent; grows with each start
- * @param seq the number of the heartbeat within its epoch
+ * @param address where the worker takes direct commands, as IP address and port
+ * @param agentEpoch the incarnation of the worker's agent; grows with each start
+ * @param sequence the number of the heartbeat within its epoch
  * @param token the greatest fencing token that the worker has seen
  * @param preemptionNoticeS seconds until the cloud takes the machine away, or NaN
  */
 public record Heartbeat(
     String machine,
-    String addr,
+    String address,
     String type,
     String zone,
     boolean spot,
-    long epoch,
-    long seq,
+    long agentEpoch,
+    long sequence,
     long token,
     double preemptionNoticeS,
     List<TaskStatus> tasks) {
--- a/src/main/java/org/snowturn/wire/JobSpec.java
+++ b/src/main/java/org/snowturn/wire/JobSpec.java
@@ -16,14 +16,15 @@
  * @param cpus what each task needs; so are {@code gpus}, {@code memoryGb} and the image
  * @param types allowed machine types, or null for any
  * @param zone the only allowed zone, or null
- * @param oneZone whether all tasks have to be in the same zone
- * @param spread whether a zone may hold at most half of the tasks
+ * @param singleZone whether all tasks have to be in the same zone
+ * @param spreadAcrossZones whether a zone may hold at most half of the tasks
  * @param spot whether the tasks may run on spot machines
  * @param estimateS expected running time of a task in seconds
- * @param checkpointS seconds between checkpoints; 0: the tasks save no progress
- * @param saveS seconds that a task takes to save its progress when it is stopped
+ * @param checkpointIntervalS seconds between checkpoints; 0: the tasks save no progress
+ * @param checkpointWriteS seconds that a task takes to save its progress when it is stopped
  * @param deadlineS seconds from submission, or NaN for none
- * @param awaits the jobs that have to be done before any task of this one starts, each named once
+ * @param dependencies the jobs that have to be done before any task of this one starts, each named
+ *     once
  */
 public record JobSpec(
     String id,
@@ -39,14 +40,14 @@
     double imageGb,
     List<String> types,
     String zone,
-    boolean oneZone,
-    boolean spread,
+    boolean singleZone,
+    boolean spreadAcrossZones,
     boolean spot,
     double estimateS,
-    double checkpointS,
-    double saveS,
+    double checkpointIntervalS,
+    double checkpointWriteS,
     double deadlineS,
-    List<String> awaits) {
+    List<String> dependencies) {
 
   /** How the tasks of a job depend on each other. */
   public enum Kind {
@@ -144,7 +145,7 @@
         fields.number(CHECKPOINT_S, 0, MAX_S),
         fields.number(SAVE_S, 0, MAX_S),
         fields.number(DEADLINE_S, 0, MAX_S, Double.NaN),
-        awaits(fields));
+        dependencies(fields));
   }
 
   private static List<String> machineTypes(Fields fields) throws MalformedException {
@@ -164,7 +165,7 @@
     return List.copyOf(types);
   }
 
-  private static List<String> awaits(Fields fields) throws MalformedException {
+  private static List<String> dependencies(Fields fields) throws MalformedException {
     if (!fields.has(DEPENDENCIES)) {
       return List.of();
     }
@@ -197,12 +198,12 @@
         imageGb,
         null,
         null,
-        oneZone,
-        spread,
+        singleZone,
+        spreadAcrossZones,
         spot,
         estimateS,
-        checkpointS,
-        saveS,
+        checkpointIntervalS,
+        checkpointWriteS,
         deadlineS,
         List.of());
   }
@@ -221,14 +222,17 @@
     if (zone != null) {
       object.put(ZONE, zone);
     }
-    object.put(ONE_ZONE, oneZone).put(SPREAD, spread).put(SPOT, spot);
-    object.put(ESTIMATE_S, estimateS).put(CHECKPOINT_S, checkpointS).put(SAVE_S, saveS);
+    object.put(ONE_ZONE, singleZone).put(SPREAD, spreadAcrossZones).put(SPOT, spot);
+    object
+        .put(ESTIMATE_S, estimateS)
+        .put(CHECKPOINT_S, checkpointIntervalS)
+        .put(SAVE_S, checkpointWriteS);
     if (!Double.isNaN(deadlineS)) {
       object.put(DEADLINE_S, deadlineS);
     }
-    if (!awaits.isEmpty()) {
+    if (!dependencies.isEmpty()) {
       ArrayNode array = object.putArray(DEPENDENCIES);
-      awaits.forEach(array::add);
+      dependencies.forEach(array::add);
     }
     return object;
   }
@@ -239,12 +243,12 @@
   }
 
   /** How many of the tasks must be there for any to run; also what a team's limit must hold. */
-  public int together() {
+  public int minConcurrentTasks() {
     return kind == Kind.ARRAY ? 1 : tasks;
   }
 
   /** How many of the tasks may be in one zone. */
   public int perZoneLimit() {
-    return spread ? (tasks + 1) / 2 : tasks;
+    return spreadAcrossZones ? (tasks + 1) / 2 : tasks;
   }
 }
--- a/src/main/java/org/snowturn/wire/JobStatus.java
+++ b/src/main/java/org/snowturn/wire/JobStatus.java
@@ -24,12 +24,12 @@
   }
 
   /** The answer to a submission or a cancellation. */
-  public ObjectNode brief() {
+  public ObjectNode summary() {
     return Json.object().put("id", id).put("phase", phase.wire());
   }
 
   /** The answer to a poll. */
   public ObjectNode full() {
-    return brief().put("done", done).put("running", running);
+    return summary().put("done", done).put("running", running);
   }
 }
--- a/src/main/java/org/snowturn/wire/StateMessage.java
+++ b/src/main/java/org/snowturn/wire/StateMessage.java
@@ -55,10 +55,10 @@
   }
 
   /** A key with its value (null in a removal) and the version at which it last changed. */
-  public record Entry(String key, JsonNode value, long stamp) {}
+  public record Entry(String key, JsonNode value, long version) {}
 
   /** A condition: the key has this version; 0: it does not exist. */
-  public record Condition(String key, long stamp) {}
+  public record Condition(String key, long version) {}
 
   /** A change: a null value removes the key; lease 0 attaches none. */
   public record Change(String key, JsonNode value, long lease) {
@@ -74,11 +74,11 @@
   }
 
   /** The body of a transaction. */
-  public static JsonNode txn(List<Condition> conditions, List<Change> changes) {
+  public static JsonNode transaction(List<Condition> conditions, List<Change> changes) {
     ObjectNode object = Json.object();
     ArrayNode when = object.putArray("when");
     for (Condition condition : conditions) {
-      when.addObject().put(KEY, condition.key).put(VERSION, condition.stamp);
+      when.addObject().put(KEY, condition.key).put(VERSION, condition.version);
     }
     ArrayNode apply = object.putArray("apply");
     for (Change change : changes) {
@@ -106,12 +106,12 @@
   }
 
   /** The revision in a reply. */
-  public static long epoch(JsonNode body) throws MalformedException {
+  public static long revision(JsonNode body) throws MalformedException {
     return new Fields(body).integer("epoch", 0, Long.MAX_VALUE);
   }
 
   /** The keys that failed a transaction. */
-  public static List<String> failed(JsonNode body) {
+  public static List<String> failedKeys(JsonNode body) {
     List<String> keys = new ArrayList<>();
     body.path("failed").forEach(node -> keys.add(node.asText()));
     return keys;
@@ -144,7 +144,7 @@
   }
 
   /** The changes in a watch's reply; removals have a null value. */
-  public static List<Entry> events(JsonNode body) throws MalformedException {
+  public static List<Entry> changes(JsonNode body) throws MalformedException {
     List<Entry> changes = new ArrayList<>();
     for (JsonNode node : new Fields(body).node("news")) {
       Fields fields = new Fields(node);
--- a/src/test/java/org/snowturn/core/RecordsTest.java
+++ b/src/test/java/org/snowturn/core/RecordsTest.java
@@ -105,7 +105,7 @@
 
   @Test
   void aRecordTakesNoMorePlacementsThanItsValueHolds() throws Exception {
-    int span = TaskLayout.span(VALUE);
+    int span = TaskLayout.tasksPerRecord(VALUE);
     for (String name : new String[] {"i-0000", "machine-with-a-very-long-name-indeed-"}) {
       Job job = new Job(0, spec(span, "i"), 0, 2);
       job.useSecondFormat(new RecordSizes(span, span), VALUE, machines);
--- a/src/test/java/org/snowturn/core/admission/StateRequestBudgetTest.java
+++ b/src/test/java/org/snowturn/core/admission/StateRequestBudgetTest.java
@@ -20,7 +20,7 @@
       for (RequestClass requestClass : RequestClass.values()) {
         // A lease is renewed now and then, whatever the flood.
         boolean asks = requestClass == RequestClass.AUTHORITY ? now % 250 == 0 : now % everyMs == 0;
-        if (asks && budget.take(requestClass, now)) {
+        if (asks && budget.tryAcquire(requestClass, now)) {
           passed.merge(requestClass, 1, Integer::sum);
           all++;
         }
@@ -47,7 +47,7 @@
     StateRequestBudget budget = new StateRequestBudget(50, 0);
     int reads = 0;
     for (long now = 1; now <= 20_000; now++) {
-      reads += budget.take(RequestClass.READS, now) ? 1 : 0;
+      reads += budget.tryAcquire(RequestClass.READS, now) ? 1 : 0;
     }
     assertTrue(reads > 45 * 20, "" + reads);
   }
@@ -59,7 +59,7 @@
       budget.refusedThere(now);
     }
     assertEquals(40, budget.perSecond(), 1);
-    budget.take(RequestClass.WORK, 8_000);
+    budget.tryAcquire(RequestClass.WORK, 8_000);
     assertEquals(100, budget.perSecond(), 1e-6);
     assertEquals(300, budget.refusedThere());
   }
@@ -70,7 +70,7 @@
     for (int i = 0; i < 200; i++) {
       assertTrue(controller.admits("a", 1, 0));
     }
-    controller.refusedThere(0);
+    controller.onServiceRefusal(0);
     int taken = 0;
     for (long now = 0; now < 2_900; now += 10) {
       taken += controller.admits("a", 1, now) ? 1 : 0;
@@ -85,7 +85,7 @@
     int small = 0;
     int tries = 0;
     for (long now = 0; now < 60_000; now += 5) {
-      controller.refusedThere(now);
+      controller.onServiceRefusal(now);
       controller.admits("large", 1, now);
       if (now % 500 == 0) {
         tries++;
@@ -99,7 +99,7 @@
   void refusedUsersComeBackSpreadOut() {
     AdmissionController controller = new AdmissionController(new SplittableRandom(1), 1, 0);
     assertEquals(1, controller.retryAfterS(0));
-    controller.refusedThere(0);
+    controller.onServiceRefusal(0);
     int[] at = new int[40];
     for (int i = 0; i < 500; i++) {
       if (!controller.admits("a", 1, 10)) {
--- a/src/test/java/org/snowturn/core/assignment/AttemptGuardTest.java
+++ b/src/test/java/org/snowturn/core/assignment/AttemptGuardTest.java
@@ -109,12 +109,12 @@
 
   @Test
   void anUnprovenEndIsRefusedWithItsEvidence() {
-    assertFalse(guard.hasEnded(job, 0, new EndEvidence.LeaseLapsed()));
-    assertFalse(guard.hasEnded(job, 0, new EndEvidence.LeaseLapsed()));
+    assertFalse(guard.hasEnded(job, 0, new EndEvidence.LeaseExpired()));
+    assertFalse(guard.hasEnded(job, 0, new EndEvidence.LeaseExpired()));
     assertEquals(2, violations("end_is_proven"));
     assertEquals(1, errors(), "it is logged once");
     runtime.setTime(1_000 + LAPSE_MS, 0);
-    assertTrue(guard.hasEnded(job, 0, new EndEvidence.LeaseLapsed()));
+    assertTrue(guard.hasEnded(job, 0, new EndEvidence.LeaseExpired()));
     assertEquals(1.0, guard.gauges().get("snowturn.releases.lease_lapsed"));
     assertEquals(0, errors());
   }
--- a/src/test/java/org/snowturn/core/election/CancellationWatermarkTest.java
+++ b/src/test/java/org/snowturn/core/election/CancellationWatermarkTest.java
@@ -266,7 +266,7 @@
     wrong.add(
         new PeerMessage.CancellationsReply("n1", LEADER, 1, "x", 0, 1, 0, 0, List.of("../j")));
     wrong.forEach(watermark::onReply);
-    assertEquals((double) wrong.size(), watermark.gauges().get("snowturn.cancellations.unusable"));
+    assertEquals((double) wrong.size(), watermark.gauges().get("snowturn.cancellations.malformed"));
     assertEquals(before, watermark.knownUntil());
     assertFalse(watermark.cancelled("wk-1"));
   }
--- a/src/test/java/org/snowturn/core/health/AttemptSnapshotTest.java
+++ b/src/test/java/org/snowturn/core/health/AttemptSnapshotTest.java
@@ -6,8 +6,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
-import org.snowturn.core.health.EndEvidence.LaterSession;
-import org.snowturn.core.health.EndEvidence.LeaseLapsed;
+import org.snowturn.core.health.EndEvidence.LaterAgentEpoch;
+import org.snowturn.core.health.EndEvidence.LeaseExpired;
 import org.snowturn.core.health.EndEvidence.MachineDeleted;
 import org.snowturn.core.health.EndEvidence.MachineFailed;
 import org.snowturn.core.health.EndEvidence.NeverSent;
@@ -76,9 +76,9 @@
   @Test
   void aLeaseHasRunOutNotBeforeItsLastMoment() {
     now = RENEWED + LEASE_EXPIRY_MS - 1;
-    assertEquals(false, proves(new LeaseLapsed()));
+    assertEquals(false, proves(new LeaseExpired()));
     now = RENEWED + LEASE_EXPIRY_MS;
-    assertEquals(true, proves(new LeaseLapsed()));
+    assertEquals(true, proves(new LeaseExpired()));
   }
 
   @Test
@@ -109,7 +109,7 @@
     stopping = wasStopping;
     assertEquals(false, proves(new NotListed(shown, AGENT_EPOCH, ownHeartbeat)));
     assertEquals(false, proves(new ReportedEnded(shown, AGENT_EPOCH)));
-    assertEquals(false, proves(new LaterSession(AGENT_EPOCH)));
-    assertEquals(true, proves(new LaterSession(AGENT_EPOCH + 1)));
+    assertEquals(false, proves(new LaterAgentEpoch(AGENT_EPOCH)));
+    assertEquals(true, proves(new LaterAgentEpoch(AGENT_EPOCH + 1)));
   }
 }
--- a/src/test/java/org/snowturn/core/health/FailureAttributionTest.java
+++ b/src/test/java/org/snowturn/core/health/FailureAttributionTest.java
@@ -89,14 +89,14 @@
 
     void check(FailureAttribution attribution) {
       for (int machine = world.sick; machine < world.machines; machine++) {
-        assertFalse(attribution.sick(machine), "healthy machine " + machine + " condemned");
+        assertFalse(attribution.isFaulty(machine), "healthy machine " + machine + " condemned");
       }
       for (int machine = 0; machine < world.sick; machine++) {
         boolean faulty = healthyJobFailures[machine] >= FAULTY_AFTER;
-        assertEquals(faulty, attribution.sick(machine), "faulty machine " + machine);
+        assertEquals(faulty, attribution.isFaulty(machine), "faulty machine " + machine);
       }
       for (int job = 0; job < world.jobs; job++) {
-        boolean suspected = attribution.suspect(job);
+        boolean suspected = attribution.isSuspected(job);
         assertFalse(provenJobs.contains(job) && suspected, "healthy job " + job + " suspected");
         boolean fewFailures = failedMachines.get(job).size() < 4;
         assertTrue(job >= world.broken || fewFailures || suspected, "broken " + job);
@@ -130,10 +130,10 @@
       attribution.succeeded(job, 8);
       attribution.forgetJob(job);
     }
-    assertTrue(attribution.sick(7));
+    assertTrue(attribution.isFaulty(7));
     attribution.failed(5, 8);
     attribution.forgetJob(5); // cancelled: its user's mistake, perhaps
-    assertEquals(0, attribution.unexplained(8));
+    assertEquals(0, attribution.unexplainedFailures(8));
   }
 
   @Test
@@ -143,10 +143,10 @@
     attribution.succeeded(1, 2);
     attribution.failed(2, 1);
     attribution.failed(2, 1);
-    assertFalse(attribution.suspect(2));
+    assertFalse(attribution.isSuspected(2));
     attribution.failed(2, 2);
-    assertTrue(attribution.suspect(2));
+    assertTrue(attribution.isSuspected(2));
     attribution.succeeded(2, 3);
-    assertFalse(attribution.suspect(2));
+    assertFalse(attribution.isSuspected(2));
   }
 }
--- a/src/test/java/org/snowturn/core/health/ReachabilityTest.java
+++ b/src/test/java/org/snowturn/core/health/ReachabilityTest.java
@@ -18,9 +18,9 @@
   private long sequence;
 
   private void heartbeat(Reachability reachability, long at, boolean token) {
-    reachability.believed(token);
+    reachability.heartbeatAccepted(token);
     reachability.heartbeatReceived(++sequence, at, DUE_MS);
-    reachability.answeredCheckIn(at);
+    reachability.heartbeatAnswered(at);
   }
 
   @Test
@@ -36,11 +36,11 @@
   void anUnansweredMessageIsDoubtUntilAnAnswerOrTwoReportsInTime() {
     Reachability reachability = new Reachability();
     reachability.prove();
-    reachability.unanswered(1_000);
+    reachability.messageUnanswered(1_000);
     assertFalse(reachability.proven());
     reachability.prove();
     assertTrue(reachability.proven());
-    reachability.unanswered(5_000);
+    reachability.messageUnanswered(5_000);
     heartbeat(reachability, 6_000, true);
     assertFalse(reachability.proven());
     heartbeat(reachability, 8_000, true);
@@ -53,21 +53,21 @@
       @ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 5) Integer> steps) {
     Reachability reachability = new Reachability();
     reachability.prove();
-    reachability.unanswered(0);
+    reachability.messageUnanswered(0);
     long now = 0;
     long last = 0;
     for (int step : steps) {
       switch (step) {
         case 0, 1 -> heartbeat(reachability, last = now += 5_000 + step * 1_000, true);
         case 2 -> heartbeat(reachability, last, true); // held back with the one before
-        case 3 -> reachability.unanswered(now += 1_000);
-        case 4 -> reachability.newSession(now);
+        case 3 -> reachability.messageUnanswered(now += 1_000);
+        case 4 -> reachability.newAgentEpoch(now);
         default -> assertTrue(reachability.claimProbe(now += 4_000));
       }
       assertFalse(reachability.proven());
     }
-    for (int i = 0; i < Reachability.DEAF_AFTER; i++) {
-      reachability.unanswered(now);
+    for (int i = 0; i < Reachability.UNREACHABLE_AFTER; i++) {
+      reachability.messageUnanswered(now);
     }
     assertTrue(reachability.isUnreachable(now + 20_000, 20_000));
   }
@@ -79,7 +79,7 @@
     assertTrue(reachability.isStale(7));
     assertTrue(reachability.isStale(3));
     assertFalse(reachability.isStale(8));
-    reachability.newSession(0);
+    reachability.newAgentEpoch(0);
     assertFalse(reachability.isStale(1));
   }
 
@@ -90,7 +90,7 @@
     for (long now = 0; now < 20_000; now += 250) {
       if (reachability.claimProbe(now)) {
         probes++;
-        reachability.unanswered(now);
+        reachability.messageUnanswered(now);
       }
     }
     assertEquals(8, probes, 1);
--- a/src/test/java/org/snowturn/core/model/LiveJobsTest.java
+++ b/src/test/java/org/snowturn/core/model/LiveJobsTest.java
@@ -38,7 +38,7 @@
   }
 
   private List<Entry> since(long revision) {
-    return history.stream().filter(entry -> entry.stamp() > revision).toList();
+    return history.stream().filter(entry -> entry.version() > revision).toList();
   }
 
   @Property(seed = "4", tries = 400)
@@ -74,7 +74,7 @@
       LiveJobs.Seen seen = jobs.get(e.getKey().substring(PREFIX.length()));
       JsonNode value = e.getValue().value();
       List<String> awaits = List.of(value.asText());
-      assertEquals(new LiveJobs.Seen(e.getValue().stamp(), value.asBoolean(), awaits), seen);
+      assertEquals(new LiveJobs.Seen(e.getValue().version(), value.asBoolean(), awaits), seen);
     }
   }
 }
--- a/src/test/java/org/snowturn/core/recovery/ReconciliationExplorer.java
+++ b/src/test/java/org/snowturn/core/recovery/ReconciliationExplorer.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Function;
+import org.snowturn.core.recovery.Reconciliation.AgentEpoch;
 import org.snowturn.core.recovery.Reconciliation.Case;
 import org.snowturn.core.recovery.Reconciliation.Seen;
-import org.snowturn.core.recovery.Reconciliation.Session;
 import org.snowturn.core.recovery.Reconciliation.Stored;
 import org.snowturn.core.recovery.Reconciliation.Verdict;
 
@@ -281,10 +281,10 @@
           case ENDED -> Seen.ENDED;
           default -> Seen.ABSENT;
         };
-    Session session =
+    AgentEpoch session =
         n[at(m, REPORT_SESSION)] == n[IN_SESSION]
-            ? Session.SAME
-            : n[at(m, REPORT_SESSION)] > n[IN_SESSION] ? Session.LATER : Session.EARLIER;
+            ? AgentEpoch.SAME
+            : n[at(m, REPORT_SESSION)] > n[IN_SESSION] ? AgentEpoch.LATER : AgentEpoch.EARLIER;
     boolean settled =
         n[at(m, STARTS + attempt)] == 0
             && (listed != Seen.ABSENT || n[at(m, REPORT_STARTS + attempt)] == 0);
@@ -293,7 +293,7 @@
         new Case(
             stored,
             listed,
-            here ? session : Session.SAME,
+            here ? session : AgentEpoch.SAME,
             ours,
             here && n[STOPPING] == 1,
             settled));
--- a/src/test/java/org/snowturn/core/recovery/ReconciliationTest.java
+++ b/src/test/java/org/snowturn/core/recovery/ReconciliationTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.snowturn.core.recovery.Reconciliation.AgentEpoch;
 import org.snowturn.core.recovery.Reconciliation.Case;
 import org.snowturn.core.recovery.Reconciliation.Seen;
-import org.snowturn.core.recovery.Reconciliation.Session;
 import org.snowturn.core.recovery.Reconciliation.Stored;
 import org.snowturn.core.recovery.Reconciliation.Verdict;
 
@@ -33,8 +33,9 @@
     for (Seen seen : Seen.values()) {
       Verdict mine = verdicts(ours).get(seen);
       Verdict other = verdicts(others).get(seen);
-      assertEquals(mine, of(stored, seen, Session.SAME, true, false, true), stored + " " + seen);
-      assertEquals(other, of(stored, seen, Session.SAME, false, false, true), stored + " " + seen);
+      assertEquals(mine, of(stored, seen, AgentEpoch.SAME, true, false, true), stored + " " + seen);
+      assertEquals(
+          other, of(stored, seen, AgentEpoch.SAME, false, false, true), stored + " " + seen);
     }
   }
 
@@ -43,9 +44,9 @@
     for (Stored stored : Stored.values()) {
       for (Seen seen : Seen.values()) {
         for (boolean ours : new boolean[] {true, false}) {
-          Verdict same = of(stored, seen, Session.SAME, ours, false, true);
-          Verdict later = of(stored, seen, Session.LATER, ours, false, true);
-          Verdict earlier = of(stored, seen, Session.EARLIER, ours, false, true);
+          Verdict same = of(stored, seen, AgentEpoch.SAME, ours, false, true);
+          Verdict later = of(stored, seen, AgentEpoch.LATER, ours, false, true);
+          Verdict earlier = of(stored, seen, AgentEpoch.EARLIER, ours, false, true);
           assertEquals(stored.here() ? Verdict.RELEASE : same, later);
           assertEquals(stored.here() ? Verdict.WAIT : same, earlier);
         }
@@ -56,26 +57,29 @@
   @Test
   void whatIsToStopIsStoppedWhileItLives() {
     for (Stored stored : new Stored[] {Stored.STARTED, Stored.INHERITED}) {
-      assertEquals(Verdict.STOP, of(stored, Seen.ALIVE, Session.SAME, false, true, false));
+      assertEquals(Verdict.STOP, of(stored, Seen.ALIVE, AgentEpoch.SAME, false, true, false));
       // An end is an end, whoever asked for it.
-      assertEquals(Verdict.RELEASE, of(stored, Seen.ENDED, Session.SAME, true, true, false));
-      assertEquals(Verdict.COMPLETE, of(stored, Seen.DONE, Session.SAME, true, true, false));
+      assertEquals(Verdict.RELEASE, of(stored, Seen.ENDED, AgentEpoch.SAME, true, true, false));
+      assertEquals(Verdict.COMPLETE, of(stored, Seen.DONE, AgentEpoch.SAME, true, true, false));
     }
   }
 
   /** Its user may have been told that the job is cancelled: from then on no start may be sent. */
   @Test
   void whatIsToStopIsNotStartedToBeStoppedOnceNoStartOfItCanArrive() {
-    assertEquals(Verdict.RELEASE, of(Stored.STARTED, Seen.ABSENT, Session.SAME, true, true, true));
-    assertEquals(Verdict.START, of(Stored.STARTED, Seen.ABSENT, Session.SAME, false, true, true));
-    assertEquals(Verdict.START, of(Stored.STARTED, Seen.ABSENT, Session.SAME, true, true, false));
+    assertEquals(
+        Verdict.RELEASE, of(Stored.STARTED, Seen.ABSENT, AgentEpoch.SAME, true, true, true));
+    assertEquals(
+        Verdict.START, of(Stored.STARTED, Seen.ABSENT, AgentEpoch.SAME, false, true, true));
+    assertEquals(
+        Verdict.START, of(Stored.STARTED, Seen.ABSENT, AgentEpoch.SAME, true, true, false));
   }
 
   @Test
   void nothingIsForgottenThatIsNotSettled() {
     for (Stored stored : Stored.values()) {
       for (Seen seen : Seen.values()) {
-        for (Session session : Session.values()) {
+        for (AgentEpoch session : AgentEpoch.values()) {
           assertNotEquals(Verdict.FORGET, of(stored, seen, session, true, false, false));
         }
       }
@@ -83,7 +87,12 @@
   }
 
   private static Verdict of(
-      Stored stored, Seen seen, Session session, boolean ours, boolean stopping, boolean settled) {
+      Stored stored,
+      Seen seen,
+      AgentEpoch session,
+      boolean ours,
+      boolean stopping,
+      boolean settled) {
     return Reconciliation.of(new Case(stored, seen, session, ours, stopping, settled));
   }
 
--- a/src/test/java/org/snowturn/simulation/WorkBoundTest.java
+++ b/src/test/java/org/snowturn/simulation/WorkBoundTest.java
@@ -41,15 +41,15 @@
     for (Map<String, Double> f : java.util.List.of(small, large)) {
       assertTrue(f.get("snowturn.placements") > 0);
     }
-    double few = small.get("snowturn.placements.looks") / small.get("snowturn.placements");
-    double many = large.get("snowturn.placements.looks") / large.get("snowturn.placements");
+    double few = small.get("snowturn.placements.evaluations") / small.get("snowturn.placements");
+    double many = large.get("snowturn.placements.evaluations") / large.get("snowturn.placements");
     assertTrue(many < 2 * few, few + " looks a placement, with ten times the machines " + many);
   }
 
   @Test
   void outboxesAreLookedAtWhenTheyHaveSomethingToSend() {
     Map<String, Double> f = figures(120);
-    double each = f.get("snowturn.outboxes.looks") / f.get("snowturn.placements");
+    double each = f.get("snowturn.command.queues.flushed") / f.get("snowturn.placements");
     assertTrue(each < 2, each + " looks a placement");
   }
 }
--- a/src/test/java/org/snowturn/wire/JobSpecTest.java
+++ b/src/test/java/org/snowturn/wire/JobSpecTest.java
@@ -25,12 +25,12 @@
     object.set("awaits", Json.parse(list));
     JobSpec spec = JobSpec.parse(object);
     assertEquals(spec, JobSpec.parse(spec.toJson()), "as it is stored, it is read again");
-    return spec.awaits();
+    return spec.dependencies();
   }
 
   @Test
   void absentNullAndEmptyMeanNone() throws Exception {
-    assertEquals(List.of(), JobSpec.parse(submission()).awaits());
+    assertEquals(List.of(), JobSpec.parse(submission()).dependencies());
     assertEquals(List.of(), awaits("null"));
     assertEquals(List.of(), awaits("[]"));
     assertEquals(false, JobSpec.parse(submission()).toJson().has("awaits"));
--- a/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
+++ b/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
@@ -81,8 +81,8 @@
     ofJob.add(now);
     if ((worker.rented.spot && !spec.spot())
         || (spec.zone() != null && !spec.zone().equals(worker.rented.zone))
-        || (spec.spread() && sameZone[0] + 1 > spec.perZoneLimit())
-        || (spec.oneZone() && otherZone[0] > 0)) {
+        || (spec.spreadAcrossZones() && sameZone[0] + 1 > spec.perZoneLimit())
+        || (spec.singleZone() && otherZone[0] > 0)) {
       report("wrong_place", task.name() + " on " + worker.rented.id);
     }
   }
@@ -101,7 +101,7 @@
 
   /** All that a job needs must be durably done before any task of it starts. */
   private void checkAwaited(SimulatedWorker.Task task, JobSpec spec) {
-    for (String id : spec.awaits()) {
+    for (String id : spec.dependencies()) {
       JsonNode over = cluster.state.peek("d/" + id);
       if (over == null || !over.path("p").asText().equals("done")) {
         report("too_early", task.name() + " before " + id);
@@ -203,7 +203,7 @@
   }
 
   private boolean released(JobSpec spec) {
-    for (String id : spec.awaits()) {
+    for (String id : spec.dependencies()) {
       JsonNode over = cluster.state.peek("d/" + id);
       if (over == null || !over.path("p").asText().equals("done")) {
         return false;
@@ -215,7 +215,8 @@
   private boolean underLimit(JobSpec spec, Map<String, Double> use) {
     for (Settings.Team team : cluster.settings[0].teams()) {
       if (team.name().equals(spec.team()) && team.cpusMax() > 0) {
-        return use.getOrDefault(team.name(), 0.0) + spec.cpus() * spec.together() <= team.cpusMax();
+        return use.getOrDefault(team.name(), 0.0) + spec.cpus() * spec.minConcurrentTasks()
+            <= team.cpusMax();
       }
     }
     return true;
--- a/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
@@ -137,7 +137,7 @@
     ArrayDeque<String> next = new ArrayDeque<>(List.of(id));
     while (!next.isEmpty()) {
       SubmittedJob submitted = jobs.get(next.poll());
-      for (String needed : submitted == null ? List.<String>of() : submitted.spec.awaits()) {
+      for (String needed : submitted == null ? List.<String>of() : submitted.spec.dependencies()) {
         if (jobs.containsKey(needed) && out.add(needed)) {
           next.add(needed);
         }
@@ -293,7 +293,7 @@
 
   /** The jobs of a pipeline are submitted one after another, each when those it names are taken. */
   private void submitInTurn(SubmittedJob submitted) {
-    for (String id : submitted.spec.awaits()) {
+    for (String id : submitted.spec.dependencies()) {
       SubmittedJob needed = jobs.get(id);
       if (needed != null && needed != submitted && !needed.accepted && needed.refused == null) {
         cluster.after(100, () -> submitInTurn(submitted));
--- a/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
@@ -397,8 +397,6 @@
             send(name, peer.name, () -> peer.accept(new Input.FromPeer(broadcast.message())));
           }
         }
-      } else if (effect instanceof Effect.Note n) {
-        log.add(now, name, n.text());
       } else if (effect instanceof Effect.Event event) {
         logEvent(event);
       } else if (effect instanceof Effect.Call c) {
