--- a/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
@@ -228,7 +228,7 @@
     machine.touchImage(job.spec.image(), job.spec.imageGb());
     writer.enqueue(
         taskRecord(job, job.layout().recordOf(task)),
-        job.priority().ordinal(),
+        job.priority().level(),
         () -> sendStart(job, task, attempt));
   }
 
--- a/src/main/java/org/snowturn/core/election/LeaderLease.java
+++ b/src/main/java/org/snowturn/core/election/LeaderLease.java
@@ -104,7 +104,7 @@
 
   /** A renewal that was sent at this moment has succeeded. */
   void renewed(long sentAt) {
-    validUntil = sentAt + ClockDrift.minElapsedMs(ttlMs) - MARGIN_MS;
+    validUntil = sentAt + ClockDrift.minElapsedMs((double) ttlMs) - MARGIN_MS;
     renewalFailingSince = MonotonicTime.NEVER;
   }
 
--- a/src/main/java/org/snowturn/core/election/PeerCancellations.java
+++ b/src/main/java/org/snowturn/core/election/PeerCancellations.java
@@ -56,7 +56,7 @@
    * counts as received once the state service was read since.
    */
   private boolean gapBefore(PeerMessage.CancellationsReply reply, long readUntil, long nowMs) {
-    long droppedAt = nowMs - ClockDrift.minElapsedMs(reply.lastDroppedAgeMs());
+    long droppedAt = nowMs - ClockDrift.minElapsedMs((double) reply.lastDroppedAgeMs());
     return reply.after() > received
         && (reply.after() > reply.lastDropped() || readUntil < droppedAt);
   }
--- a/src/main/java/org/snowturn/core/leader/AssignmentServices.java
+++ b/src/main/java/org/snowturn/core/leader/AssignmentServices.java
@@ -54,8 +54,7 @@
     AttemptGuard guard =
         new AttemptGuard(
             runtime, machines, term.token(), HeartbeatProcessor.leaseExpiryMs(node.settings()));
-    TaskAssignments assignments =
-        newAssignments(node, term, machines, writer, guard, cancellations);
+    TaskAssignments assignments = newAssignments(node, machines, writer, guard, cancellations);
     DependencyGraph dependencies = new DependencyGraph(runtime, gate, assignments, writer);
     FailureHandler failureHandler = new FailureHandler(runtime, node.tunables().sickErrors());
     listen(assignments, dependencies, failureHandler, cancellations);
@@ -83,7 +82,6 @@
 
   private static TaskAssignments newAssignments(
       LeaderDependencies node,
-      Term term,
       MachineIndex machines,
       RecordWriter writer,
       AttemptGuard guard,
--- a/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
@@ -170,7 +170,7 @@
   /** The gauges of the recovery by name. */
   Map<String, Double> gauges() {
     return Map.of(
-        "snowturn.term.phase", (double) phases.now().ordinal(),
+        "snowturn.term.phase", (double) phases.now().number(),
         "snowturn.term.machines.unconfirmed", (double) prober.unheard(),
         "snowturn.term.probes", (double) prober.sent(),
         "snowturn.term.probes.window", (double) prober.window(),
--- a/src/main/java/org/snowturn/core/model/PriorityCounts.java
+++ b/src/main/java/org/snowturn/core/model/PriorityCounts.java
@@ -8,13 +8,13 @@
 
   /** So many tasks of this priority have come, or gone if negative. */
   public void add(Priority priority, int delta) {
-    counts[priority.ordinal()] += delta;
+    counts[priority.level()] += delta;
   }
 
   /** How many tasks are of lower priority than this. */
   public int below(Priority priority) {
     int count = 0;
-    for (int i = priority.ordinal() + 1; i < counts.length; i++) {
+    for (int i = priority.level() + 1; i < counts.length; i++) {
       count += counts[i];
     }
     return count;
--- a/src/main/java/org/snowturn/core/recovery/RecoveryProgress.java
+++ b/src/main/java/org/snowturn/core/recovery/RecoveryProgress.java
@@ -19,7 +19,7 @@
   public RecoveryProgress(long nowMs) {
     wonAt = nowMs;
     Arrays.fill(began, NOT_YET);
-    began[RecoveryPhase.WON.ordinal()] = nowMs;
+    began[RecoveryPhase.WON.number()] = nowMs;
   }
 
   /** The present phase. */
@@ -38,13 +38,13 @@
       return false;
     }
     now = phase;
-    began[phase.ordinal()] = nowMs;
+    began[phase.number()] = nowMs;
     return true;
   }
 
   /** How long after the term was won the phase began, in milliseconds; -1 if it was not seen. */
   public long afterMs(RecoveryPhase phase) {
-    long at = began[phase.ordinal()];
+    long at = began[phase.number()];
     return at == NOT_YET ? NOT_YET : at - wonAt;
   }
 
--- a/src/main/java/org/snowturn/core/scheduling/LongWaitPlacement.java
+++ b/src/main/java/org/snowturn/core/scheduling/LongWaitPlacement.java
@@ -41,7 +41,7 @@
   /** Places tasks of the jobs that have waited longest, up to their share of the placements. */
   void place(List<Job> waiting, List<Machine> usable) {
     long now = runtime.now();
-    List<Job> longWaiting = aging.beginRound(waiting, runtime.wallMs());
+    List<Job> longWaiting = aging.beginRound(waiting, (double) runtime.wallMs());
     aging.reviewReservation(usable, now);
     for (Job job : longWaiting) {
       if (!aging.isBelowShare(now)) {
--- a/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
+++ b/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
@@ -124,7 +124,7 @@
   private boolean placeWaiting(List<Job> waiting, List<Machine> usable) {
     boolean allPlaced = true;
     boolean longWaitsPlaced = false;
-    for (Job job : fairOrdering.sorted(policy.order().sorted(waiting, runtime.wallMs()))) {
+    for (Job job : fairOrdering.sorted(policy.order().sorted(waiting, (double) runtime.wallMs()))) {
       if (!longWaitsPlaced && job.priority() != Priority.PRODUCTION && !job.isWithinGuarantee()) {
         longWaitsPlaced = true;
         longWaits.place(waiting, usable);
--- a/src/main/java/org/snowturn/core/storage/WriteQueue.java
+++ b/src/main/java/org/snowturn/core/storage/WriteQueue.java
@@ -2,6 +2,7 @@
 
 import java.util.Collection;
 import java.util.LinkedHashMap;
+import java.util.Map;
 import java.util.TreeMap;
 
 /**
@@ -54,7 +55,7 @@
   }
 
   /** The records of each urgency, the most urgent first. */
-  Collection<LinkedHashMap<String, PendingRecord>> byUrgency() {
+  Collection<? extends Map<String, PendingRecord>> byUrgency() {
     return queues.values();
   }
 
--- a/src/main/java/org/snowturn/peer/MessageKind.java
+++ b/src/main/java/org/snowturn/peer/MessageKind.java
@@ -96,7 +96,11 @@
 
   private final int code;
   private final Class<? extends PeerMessage> type;
+
+  @SuppressWarnings("ImmutableEnumChecker") // functions without state
   private final FieldWriter<PeerMessage> writer;
+
+  @SuppressWarnings("ImmutableEnumChecker") // functions without state
   private final FieldReader<? extends PeerMessage> reader;
 
   <T extends PeerMessage> MessageKind(
--- a/src/main/java/org/snowturn/wire/Priority.java
+++ b/src/main/java/org/snowturn/wire/Priority.java
@@ -4,10 +4,21 @@
 
 /** Job priorities, most urgent first. */
 public enum Priority {
-  PRODUCTION,
-  HIGH,
-  NORMAL,
-  LOW;
+  PRODUCTION(0),
+  HIGH(1),
+  NORMAL(2),
+  LOW(3);
+
+  private final int level;
+
+  Priority(int level) {
+    this.level = level;
+  }
+
+  /** From 0 for the most urgent one, without gaps. */
+  public int level() {
+    return level;
+  }
 
   static Priority parse(String text) throws MalformedException {
     for (Priority priority : values()) {
--- a/src/test/java/org/snowturn/core/admission/QuotaGuaranteesTest.java
+++ b/src/test/java/org/snowturn/core/admission/QuotaGuaranteesTest.java
@@ -77,7 +77,12 @@
     for (int i = random.nextInt(25); i > 0; i--) {
       String team = TEAMS.get(random.nextInt(TEAMS.size())).name();
       jobs.add(
-          new Job(team, random.nextInt(8), random.nextInt(4) / 3, random.nextInt(6), "wk-" + i));
+          new Job(
+              team,
+              random.nextInt(8),
+              random.nextInt(4) == 3 ? 1 : 0,
+              random.nextInt(6),
+              "wk-" + i));
     }
     Collections.shuffle(jobs, new java.util.Random(seed));
     QuotaGuarantees guarantees = new QuotaGuarantees(TEAMS);
--- a/src/test/java/org/snowturn/core/health/ReachabilityTest.java
+++ b/src/test/java/org/snowturn/core/health/ReachabilityTest.java
@@ -58,7 +58,11 @@
     long last = 0;
     for (int step : steps) {
       switch (step) {
-        case 0, 1 -> heartbeat(reachability, last = now += 5_000 + step * 1_000, true);
+        case 0, 1 -> {
+          now += 5_000 + step * 1_000;
+          last = now;
+          heartbeat(reachability, last, true);
+        }
         case 2 -> heartbeat(reachability, last, true); // held back with the one before
         case 3 -> reachability.messageUnanswered(now += 1_000);
         case 4 -> reachability.newAgentEpoch(now);
--- a/src/test/java/org/snowturn/core/scheduling/AgingTest.java
+++ b/src/test/java/org/snowturn/core/scheduling/AgingTest.java
@@ -49,7 +49,7 @@
     long toLongWaiting = 0;
     for (long now = 20_000; now < 600_000; now += STEP_MS) {
       int room = random.nextInt(2 * roomEachStep);
-      for (Job job : aging.beginRound(waiting, now)) {
+      for (Job job : aging.beginRound(waiting, (double) now)) {
         if (!aging.isBelowShare(now)) {
           break;
         }
--- a/src/testbench/java/org/snowturn/testbench/ScaleCommand.java
+++ b/src/testbench/java/org/snowturn/testbench/ScaleCommand.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeoutException;
+import java.util.function.Consumer;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -95,7 +96,8 @@
       throw new ParameterException(spec.commandLine(), e.getMessage());
     }
     ScaleResult result;
-    try (ScaleRun run = new ScaleRun(plan, command, root, out, System.err::println)) {
+    Consumer<String> progress = line -> System.err.println(line);
+    try (ScaleRun run = new ScaleRun(plan, command, root, out, progress)) {
       result = run.play();
     }
     ScaleFiles.write(result, out);
--- a/src/testbench/java/org/snowturn/testbench/SoakPlan.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakPlan.java
@@ -24,6 +24,8 @@
  * @param faults in the order of their times
  */
 record SoakPlan(long seed, int workers, int durationS, List<SoakFault> faults) {
+  private static final List<Kind> KINDS = List.of(Kind.values());
+
   static final int MOST_WORKERS = 2_000;
   static final int LONGEST_S = 3_600;
   private static final int CONTROLLERS = 3;
@@ -84,7 +86,7 @@
   }
 
   private static SoakFault fault(SplittableRandom random, long at, int workers) {
-    Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
+    Kind kind = KINDS.get(random.nextInt(KINDS.size()));
     long lasts = random.nextLong(500, 12_000);
     String target = SoakFault.NOBODY;
     if (kind.ofController()) {
