--- a/src/main/java/org/snowturn/core/model/Machine.java
+++ b/src/main/java/org/snowturn/core/model/Machine.java
@@ -166,7 +166,7 @@
     }
     if (!reachability.proven()) {
       return reachability.unansweredMessages() >= Reachability.UNREACHABLE_AFTER
-          ? "deaf"
+          ? "unreachable"
           : "unproven";
     }
     return whyBlocked(now);
@@ -177,15 +177,15 @@
       return "unheard";
     }
     if (preemptionAt != Long.MAX_VALUE) {
-      return "noticed";
+      return "preemption_notice";
     }
     if (quarantined) {
-      return "sick";
+      return "quarantined";
     }
     if (suspected || now >= session.silentFrom()) {
       return "silent";
     }
-    return missesHeartbeats(now) ? "mute" : null;
+    return missesHeartbeats(now) ? "missing_heartbeats" : null;
   }
 
   private String whyBlocked(long now) {
