--- a/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
@@ -30,6 +30,11 @@
   private final ReconciliationCases cases;
   private long repeatedStarts;
 
+  /**
+   * Answers heartbeats for a term.
+   *
+   * @param token the fencing token of the term
+   */
   public HeartbeatCommands(
       TaskAssignments assignments, KnownCancellations cancellations, long token) {
     this.assignments = assignments;
@@ -48,6 +53,20 @@
     boolean newest =
         heartbeat.agentEpoch() == machine.epoch()
             && heartbeat.sequence() == machine.session.heartbeatSeq();
+    LongHashSet listed = addListed(machine, heartbeat, newest, out);
+    boolean renews = true;
+    for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
+      Job job = assignments.job(ref);
+      if (!listed.contains(ref)) {
+        renews &= unlisted(machine, heartbeat, job, TaskAssignments.task(ref), newest, out);
+      }
+    }
+    return new Answer(out, renews);
+  }
+
+  /** Adds the commands for the tasks of a heartbeat; returns those that are assigned there. */
+  private LongHashSet addListed(
+      Machine machine, Heartbeat heartbeat, boolean newest, List<Command> out) {
     LongHashSet listed = new LongHashSet();
     for (TaskStatus status : heartbeat.tasks()) {
       Job named = assignments.job(status.job());
@@ -64,14 +83,7 @@
         out.add(command);
       }
     }
-    boolean renews = true;
-    for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
-      Job job = assignments.job(ref);
-      if (!listed.contains(ref)) {
-        renews &= unlisted(machine, heartbeat, job, TaskAssignments.task(ref), newest, out);
-      }
-    }
-    return new Answer(out, renews);
+    return listed;
   }
 
   /** What to do about one task that is on the newest report; null if nothing. */
--- a/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
@@ -88,7 +88,7 @@
       return Math.max(1, (maxBytes() - NAMES_BYTES) / ENTRY_BYTES);
     }
     double left = maxBytes() * MACHINES_SHARE;
-    int n = 0;
+    int count = 0;
     for (Machine machine : list) {
       left -=
           ENTRY_OVERHEAD_BYTES
@@ -97,9 +97,9 @@
       if (left < 0) {
         break;
       }
-      n++;
+      count++;
     }
-    return Math.max(1, n);
+    return Math.max(1, count);
   }
 
   private boolean hasRoom(Page page, Machine machine) {
@@ -110,11 +110,11 @@
 
   private Page page(int number) {
     while (pages.size() <= number) {
-      int n = pages.size();
+      int next = pages.size();
       pages.add(
           new Page(
               writer.pendingRecord(
-                  StorageKeys.REGISTRY + n, 0, () -> content(pages.get(n)), () -> null)));
+                  StorageKeys.REGISTRY + next, 0, () -> content(pages.get(next)), () -> null)));
     }
     return pages.get(number);
   }
@@ -140,13 +140,14 @@
     ArrayNode all = object.putArray("m");
     ImageNames names = new ImageNames(object, maxImages);
     for (Machine machine : page.machines) {
-      ArrayNode e = all.addArray();
-      e.add(machine.id)
+      ArrayNode entry = all.addArray();
+      entry
+          .add(machine.id)
           .add(machine.addr())
           .add(machine.type())
           .add(machines.zoneName(machine.zone()))
           .add(machine.isSpot());
-      names.add(machine, e);
+      names.add(machine, entry);
     }
     return object;
   }
@@ -164,12 +165,12 @@
               .add(machine.type())
               .add(machines.zoneName(machine.zone()))
               .add(machine.isSpot());
-      Integer n = numbers.putIfAbsent(kind, numbers.size());
-      if (n == null) {
+      Integer kindNumber = numbers.putIfAbsent(kind, numbers.size());
+      if (kindNumber == null) {
         kinds.add(kind);
-        n = numbers.size() - 1;
+        kindNumber = numbers.size() - 1;
       }
-      names.add(machine, all.addArray().add(machine.id).add(machine.addr()).add(n));
+      names.add(machine, all.addArray().add(machine.id).add(machine.addr()).add(kindNumber));
     }
     return object;
   }
@@ -196,12 +197,12 @@
         if (skip-- > 0) {
           continue;
         }
-        Integer n = numbers.putIfAbsent(image.getKey(), numbers.size());
-        if (n == null) {
+        Integer imageNumber = numbers.putIfAbsent(image.getKey(), numbers.size());
+        if (imageNumber == null) {
           names.addArray().add(image.getKey()).add(image.getValue());
-          n = numbers.size() - 1;
+          imageNumber = numbers.size() - 1;
         }
-        has.add(n);
+        has.add(imageNumber);
       }
     }
   }
@@ -215,11 +216,11 @@
   }
 
   private int pageWithRoom(Machine machine) {
-    int n = 0;
-    while (page(n).splitting || !hasRoom(page(n), machine)) {
-      n++;
+    int number = 0;
+    while (page(number).splitting || !hasRoom(page(number), machine)) {
+      number++;
     }
-    return n;
+    return number;
   }
 
   private void put(Machine machine, int number) {
@@ -263,16 +264,8 @@
       if (page.splitting || split(page)) {
         continue; // written once it is short enough
       }
-      boolean images = false;
-      for (Iterator<Machine> it = page.machines.iterator(); it.hasNext(); ) {
-        Machine machine = it.next();
-        if (machine.isTerminated() && machine.assigned.isEmpty()) {
-          it.remove();
-          machine.setRegistryPage(-1);
-          page.hasRemovals = true;
-        }
-        images |= machine.images.isChanged();
-      }
+      boolean images = hasChangedImages(page);
+      removeTerminated(page);
       if (page.hasRemovals && runtime.now() - page.removalsWrittenAt > REMOVALS_INTERVAL_MS) {
         // The next leader takes what was placed there for ended: no waiting for a lease. Before
         // placements, then, but not for each machine of a wave that dies one after the other.
@@ -287,6 +280,26 @@
     }
   }
 
+  private static boolean hasChangedImages(Page page) {
+    for (Machine machine : page.machines) {
+      if (machine.images.isChanged()) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  private static void removeTerminated(Page page) {
+    for (Iterator<Machine> it = page.machines.iterator(); it.hasNext(); ) {
+      Machine machine = it.next();
+      if (machine.isTerminated() && machine.assigned.isEmpty()) {
+        it.remove();
+        machine.setRegistryPage(-1);
+        page.hasRemovals = true;
+      }
+    }
+  }
+
   /**
    * Moves to other pages what a page cannot hold under smaller limits: there first, so that no
    * machine is ever on no page. Until then it keeps its old content.
--- a/src/main/java/org/snowturn/core/assignment/SubmissionChunks.java
+++ b/src/main/java/org/snowturn/core/assignment/SubmissionChunks.java
@@ -25,6 +25,7 @@
   /** Records whose parts are being read, with their versions. */
   private final Map<String, Long> wanted = new HashMap<>();
 
+  /** Reads and removes chunks for a term; the writer is the term's. */
   public SubmissionChunks(CoreRuntime runtime, RecordWriter writer) {
     this.runtime = runtime;
     this.writer = writer;
