--- a/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
+++ b/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
@@ -30,7 +30,7 @@
   private final EvaluationCounter evaluations = new EvaluationCounter();
 
   /**
-   * Decides nothing yet.
+   * A scheduler for one term; it acts only when asked to.
    *
    * @param spotPreemptions how often the cloud preempts spot machines
    */
--- a/src/main/java/org/snowturn/metrics/Metrics.java
+++ b/src/main/java/org/snowturn/metrics/Metrics.java
@@ -15,7 +15,7 @@
  * may count; latencies are recorded and shown on one.
  */
 public final class Metrics {
-  private static final long MOST_MICROS = 60_000_000L;
+  private static final long MAX_LATENCY_MICROS = 60_000_000L;
   private final SimpleMeterRegistry registry = new SimpleMeterRegistry();
   private final Map<String, Counter> counters = new ConcurrentHashMap<>();
   private final Map<String, Histogram> latencies = new TreeMap<>();
@@ -31,8 +31,8 @@
   /** Records how long something took. */
   public void took(String name, long nanos) {
     latencies
-        .computeIfAbsent(name, n -> new Histogram(MOST_MICROS, 2))
-        .recordValue(Math.max(0, Math.min(MOST_MICROS, nanos / 1000)));
+        .computeIfAbsent(name, n -> new Histogram(MAX_LATENCY_MICROS, 2))
+        .recordValue(Math.max(0, Math.min(MAX_LATENCY_MICROS, nanos / 1000)));
   }
 
   /** Shows a value that is read when asked for. */
