--- a/src/test/java/org/snowturn/core/evidence/ReachabilityTest.java
+++ b/src/test/java/org/snowturn/core/health/ReachabilityTest.java
@@ -1,4 +1,4 @@
-package org.snowturn.core.evidence;
+package org.snowturn.core.health;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/org/snowturn/sim/DrawnSeeds.java
+++ b/src/test/java/org/snowturn/simulation/DrawnSeeds.java
@@ -1,4 +1,4 @@
-package org.snowturn.sim;
+package org.snowturn.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/org/snowturn/sim/TargetedFaultsTest.java
+++ b/src/test/java/org/snowturn/simulation/TargetedFaultsTest.java
@@ -1,4 +1,4 @@
-package org.snowturn.sim;
+package org.snowturn.simulation;
 
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
--- a/src/test/java/org/snowturn/lab/ScaleRunTest.java
+++ b/src/test/java/org/snowturn/testbench/ScaleRunTest.java
@@ -1,4 +1,4 @@
-package org.snowturn.lab;
+package org.snowturn.testbench;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/lab/java/org/snowturn/sim/BehaviorDigest.java
+++ b/src/testbench/java/org/snowturn/simulation/BehaviorDigest.java
@@ -1,4 +1,4 @@
-package org.snowturn.sim;
+package org.snowturn.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
@@ -54,7 +54,7 @@
       answers++;
       add(atMs, node, "answer", "" + answer.exchange(), "" + answer.status());
       add(answer.retryAfterS(), answer.body());
-    } else if (effect instanceof Effect.ToPeers toPeers) {
+    } else if (effect instanceof Effect.Broadcast toPeers) {
       peerMessages++;
       add(atMs, node, "peers");
       hash.update(PeerCodec.encode(toPeers.message()));
--- a/src/lab/java/org/snowturn/sim/DirectedLinks.java
+++ b/src/testbench/java/org/snowturn/simulation/DirectedLinks.java
@@ -1,19 +1,19 @@
-package org.snowturn.sim;
+package org.snowturn.simulation;
 
 import java.util.HashMap;
 import java.util.Map;
 
 /** Ways that are cut in one direction; all machines together count as one end. */
-final class DirectedLinks implements World.Links {
+final class DirectedLinks implements SimulatedCluster.Links {
   private record Way(String from, String to) {}
 
-  private final World world;
+  private final SimulatedCluster cluster;
 
   /** How many cuts there are on each way: they may overlap. */
   private final Map<Way, Integer> cuts = new HashMap<>();
 
-  DirectedLinks(World world) {
-    this.world = world;
+  DirectedLinks(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
   /** From now on nothing gets from one end to the other. */
@@ -35,6 +35,6 @@
   }
 
   private String end(String name) {
-    return world.workers.containsKey(name) ? World.ALL_WORKERS : name;
+    return cluster.workers.containsKey(name) ? SimulatedCluster.ALL_WORKERS : name;
   }
 }
--- a/src/lab/java/org/snowturn/sim/History.java
+++ b/src/testbench/java/org/snowturn/simulation/JobHistory.java
@@ -1,4 +1,4 @@
-package org.snowturn.sim;
+package org.snowturn.simulation;
 
 /**
  * What users have been told of one job, as the history of a register that only moves on: unknown,
@@ -6,7 +6,7 @@
  * is linearizable just when no answer is older than one that had come before it was asked for; so
  * questions to all nodes may overlap as they like, and nothing else is excused.
  */
-final class History {
+final class JobHistory {
   private long acceptedAt = Long.MAX_VALUE;
   private long overAt = Long.MAX_VALUE;
   private String over;
--- a/src/lab/java/org/snowturn/sim/RegionPlan.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackPlan.java
@@ -1,4 +1,4 @@
-package org.snowturn.sim;
+package org.snowturn.simulation;
 
 import java.util.List;
 import org.snowturn.config.Settings;
@@ -21,7 +21,7 @@
  * @param hireablePerZone how many more machines of each kind the cloud has in each zone
  * @param teamCpus the most CPUs that a team's tasks may use; 0: twice its even part
  */
-public record RegionPlan(
+public record LoopbackPlan(
     int number,
     List<String> zones,
     List<String> controllers,
--- a/src/lab/java/org/snowturn/sim/RegionStatus.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackStatus.java
@@ -1,4 +1,4 @@
-package org.snowturn.sim;
+package org.snowturn.simulation;
 
 import java.util.List;
 
@@ -20,7 +20,7 @@
  * @param commands direct messages received by workers
  * @param broken names of the rules that are broken, and some details
  */
-public record RegionStatus(
+public record LoopbackStatus(
     long nowMs,
     long starts,
     long running,
--- a/src/lab/java/org/snowturn/sim/MessageWriter.java
+++ b/src/testbench/java/org/snowturn/simulation/MessageWriter.java
@@ -1,4 +1,4 @@
-package org.snowturn.sim;
+package org.snowturn.simulation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
--- a/src/lab/java/org/snowturn/sim/OverlappingFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/OverlappingFaults.java
@@ -1,4 +1,4 @@
-package org.snowturn.sim;
+package org.snowturn.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
