--- /dev/null
+++ b/src/main/java/org/snowturn/core/autoscaling/MachineRentals.java
@@ -0,0 +1,176 @@
+package org.snowturn.core.autoscaling;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
+import org.snowturn.core.Effect;
+import org.snowturn.core.Outcome;
+import org.snowturn.core.assignment.TaskAssignments;
+import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.effects.LogEvent;
+import org.snowturn.core.effects.LogField;
+import org.snowturn.core.model.Machine;
+import org.snowturn.core.model.MachineIndex;
+import org.snowturn.core.model.MachineTypes;
+import org.snowturn.wire.CloudMachine;
+import org.snowturn.wire.MalformedException;
+
+/**
+ * Sends requests for machines to the cloud, repeats those of unknown outcome, takes the replies.
+ */
+final class MachineRentals {
+  private static final String PATH = "/machines";
+  private static final int TIMEOUT_MS = 5000;
+  private static final int STATUS_OK = 200;
+
+  /** After a failure of the cloud, scaling pauses for this long. */
+  private static final long FAILURE_PAUSE_MS = 1_000;
+
+  private final CoreRuntime runtime;
+  private final MachineTypes machineTypes;
+  private final MachineIndex machines;
+  private final TaskAssignments assignments;
+  private final OpenScaleOutRequests openRequests;
+  private final CapacityRefusals refusals;
+  private final CloudCallBudget budget;
+  private final String requestNamePrefix;
+  private final List<ScaleOutRequest> retries = new ArrayList<>();
+  private long requestCount;
+  private long pausedUntil;
+
+  /**
+   * No request is open.
+   *
+   * @param token the fencing token of the term, which makes the names of its requests unique
+   */
+  MachineRentals(
+      ClusterContext cluster,
+      OpenScaleOutRequests openRequests,
+      CapacityRefusals refusals,
+      CloudCallBudget budget,
+      long token) {
+    this.runtime = cluster.runtime();
+    this.machineTypes = cluster.machineTypes();
+    this.machines = cluster.machines();
+    this.assignments = cluster.assignments();
+    this.openRequests = openRequests;
+    this.refusals = refusals;
+    this.budget = budget;
+    this.requestNamePrefix = "r-" + token + "-";
+  }
+
+  /** Whether the cloud has just failed, so that scaling waits a little. */
+  boolean isPaused() {
+    return runtime.now() < pausedUntil;
+  }
+
+  /** Sends requests of unknown outcome again, as far as the budget of calls allows. */
+  void sendRetries() {
+    while (!retries.isEmpty() && budget.tryAcquire()) {
+      send(retries.remove(0));
+    }
+  }
+
+  /** Requests machines; false if no call may be made now. */
+  boolean tryRequest(CapacityPool pool, int count) {
+    if (!budget.tryAcquire()) {
+      return false;
+    }
+    requestCount++;
+    ScaleOutRequest request = new ScaleOutRequest(requestNamePrefix + requestCount, pool, count);
+    openRequests.add(request);
+    send(request);
+    return true;
+  }
+
+  private void send(ScaleOutRequest request) {
+    CapacityPool pool = request.pool();
+    String zone = machines.zoneName(pool.zone());
+    request.recordAttempt();
+    runtime
+        .events()
+        .info(LogEvent.SCALE_OUT)
+        .with(LogField.REQUEST, request.name())
+        .with(LogField.TYPE, pool.type())
+        .with(LogField.ZONE, zone)
+        .with(LogField.SPOT, pool.spot())
+        .with(LogField.COUNT, request.count())
+        .with(LogField.TRY, request.attempts())
+        .write();
+    runtime.call(
+        Effect.Target.CLOUD,
+        null,
+        "POST",
+        PATH,
+        CloudMachine.hire(request.name(), pool.type(), zone, pool.spot(), request.count()),
+        TIMEOUT_MS,
+        (outcome, status, body) -> onReply(request, outcome, status, body));
+  }
+
+  private void onReply(ScaleOutRequest request, Outcome outcome, int status, JsonNode body) {
+    if (outcome == Outcome.ANSWERED && status == STATUS_OK) {
+      openRequests.remove(request);
+      onRented(request, body);
+      return;
+    }
+    if (outcome == Outcome.UNKNOWN && request.mayBeRetried()) {
+      retries.add(request); // of the same name: if it was executed, the same machines come back
+      return;
+    }
+    openRequests.remove(request);
+    boolean noCapacity = body != null && "no capacity".equals(body.path("error").asText());
+    if (noCapacity) {
+      refusals.refused(request.pool());
+    } else {
+      pausedUntil = runtime.now() + FAILURE_PAUSE_MS;
+    }
+  }
+
+  private void onRented(ScaleOutRequest request, JsonNode body) {
+    try {
+      List<String> ids = CloudMachine.parseHired(body);
+      for (String id : ids) {
+        addMachine(id, request.pool());
+      }
+      logRented(request, ids);
+      if (ids.size() < request.count()) {
+        refusals.refused(request.pool());
+      } else {
+        refusals.granted(request.pool());
+      }
+    } catch (MalformedException e) {
+      runtime
+          .events()
+          .info(LogEvent.REPLY_MALFORMED)
+          .with(LogField.PATH, PATH)
+          .with(LogField.ERROR, e.getMessage())
+          .write();
+    }
+  }
+
+  private void addMachine(String id, CapacityPool pool) {
+    Machine machine = machines.getOrAdd(id);
+    machine.setRentedByThisTerm(true);
+    if (machine.type() == null) {
+      machine.setType(pool.type());
+      assignments.setZone(machine, pool.zone());
+      machine.setSpot(pool.spot());
+      machine.setMachineType(machineTypes.get(pool.type()));
+    }
+    machine.setFirstSeenAt(machine.firstSeenAt() == 0 ? runtime.now() : machine.firstSeenAt());
+  }
+
+  private void logRented(ScaleOutRequest request, List<String> ids) {
+    runtime
+        .events()
+        .info(LogEvent.MACHINES_RENTED)
+        .with(LogField.REQUEST, request.name())
+        .with(LogField.TYPE, request.pool().type())
+        .with(LogField.ZONE, machines.zoneName(request.pool().zone()))
+        .with(LogField.SPOT, request.pool().spot())
+        .with(LogField.REQUESTED, request.count())
+        .with(LogField.COUNT, ids.size())
+        .with(LogField.MACHINES, String.join(",", ids))
+        .write();
+  }
+}
--- /dev/null
+++ b/src/main/java/org/snowturn/core/autoscaling/ScaleOut.java
@@ -0,0 +1,64 @@
+package org.snowturn.core.autoscaling;
+
+import org.snowturn.core.assignment.TaskAssignments;
+import org.snowturn.core.model.Machine;
+import org.snowturn.core.model.MachineIndex;
+
+/** Adds machines while the fleet has fewer CPUs than the demand asks for. */
+final class ScaleOut {
+  private final MachineIndex machines;
+  private final TaskAssignments assignments;
+  private final CapacityDemand demand;
+  private final ProvisionedCapacity capacity;
+  private final OpenScaleOutRequests openRequests;
+  private final PoolSelector poolSelector;
+  private final MachineRentals rentals;
+
+  ScaleOut(
+      ClusterContext cluster,
+      CapacityDemand demand,
+      ProvisionedCapacity capacity,
+      OpenScaleOutRequests openRequests,
+      PoolSelector poolSelector,
+      MachineRentals rentals) {
+    this.machines = cluster.machines();
+    this.assignments = cluster.assignments();
+    this.demand = demand;
+    this.capacity = capacity;
+    this.openRequests = openRequests;
+    this.poolSelector = poolSelector;
+    this.rentals = rentals;
+  }
+
+  /** Takes machines back that were to be returned, and then requests new ones. */
+  void run() {
+    rentals.sendRetries();
+    scaleOut(false);
+    scaleOut(true);
+  }
+
+  private void scaleOut(boolean spot) {
+    double targetCpus = demand.targetCpus(spot);
+    cancelScaleIn(spot, targetCpus);
+    while (capacity.cpus(spot) < targetCpus && openRequests.mayOpenAnother()) {
+      double missingCpus = targetCpus - capacity.cpus(spot);
+      CapacityPool pool = poolSelector.select(spot, missingCpus);
+      if (pool == null || !rentals.tryRequest(pool, poolSelector.machineCount(pool, missingCpus))) {
+        return;
+      }
+    }
+  }
+
+  private void cancelScaleIn(boolean spot, double targetCpus) {
+    for (Machine machine : machines.present()) {
+      if (machine.isScalingIn()
+          && !machine.isTerminating()
+          && machine.isSpot() == spot
+          && capacity.cpus(spot) < targetCpus) {
+        machine.setScalingIn(false);
+        capacity.add(machine);
+        assignments.markChanged();
+      }
+    }
+  }
+}
--- a/src/main/java/org/snowturn/core/leader/HealthChecks.java
+++ b/src/main/java/org/snowturn/core/leader/HealthChecks.java
@@ -5,6 +5,8 @@
 import org.snowturn.config.Settings;
 import org.snowturn.core.assignment.FailureHandler;
 import org.snowturn.core.assignment.HeartbeatProcessor;
+import org.snowturn.core.autoscaling.Autoscaler;
+import org.snowturn.core.autoscaling.ZoneOutages;
 import org.snowturn.core.connectivity.ConnectivityMonitor;
 import org.snowturn.core.connectivity.WorkerSilence;
 import org.snowturn.core.effects.CoreRuntime;
@@ -13,8 +15,6 @@
 import org.snowturn.core.model.Machine;
 import org.snowturn.core.model.MachineIndex;
 import org.snowturn.core.model.MachineTypes;
-import org.snowturn.core.scheduling.Autoscaler;
-import org.snowturn.core.scheduling.ZoneOutages;
 import org.snowturn.wire.Heartbeat;
 
 /**
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -23,6 +23,11 @@
 import org.snowturn.core.assignment.KnownCancellations;
 import org.snowturn.core.assignment.MachineRegistry;
 import org.snowturn.core.assignment.TaskAssignments;
+import org.snowturn.core.autoscaling.Autoscaler;
+import org.snowturn.core.autoscaling.ClusterContext;
+import org.snowturn.core.autoscaling.ExternallyManagedMachines;
+import org.snowturn.core.autoscaling.ScalingPolicy;
+import org.snowturn.core.autoscaling.ZoneOutages;
 import org.snowturn.core.connectivity.ConnectivityMonitor;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.effects.LogEvent;
@@ -36,13 +41,9 @@
 import org.snowturn.core.model.PreemptionRate;
 import org.snowturn.core.model.Quota;
 import org.snowturn.core.model.RestartRecords;
-import org.snowturn.core.scheduling.Autoscaler;
-import org.snowturn.core.scheduling.ExternallyManagedMachines;
-import org.snowturn.core.scheduling.ScalingPolicy;
 import org.snowturn.core.scheduling.SchedulingOrder;
 import org.snowturn.core.scheduling.Speculator;
 import org.snowturn.core.scheduling.TaskScheduler;
-import org.snowturn.core.scheduling.ZoneOutages;
 import org.snowturn.core.storage.FormatGate;
 import org.snowturn.core.storage.JobRecord;
 import org.snowturn.core.storage.RangeReader;
@@ -163,7 +164,7 @@
             settings,
             assignments,
             machines,
-            scalingPolicy,
+            scalingPolicy::overprovisioning,
             order,
             spotLosses,
             tunables.beginWithinS(),
@@ -172,16 +173,11 @@
     ZoneOutages zoneOutages = new ZoneOutages(machines.zoneCount());
     autoscaler =
         new Autoscaler(
-            runtime,
-            settings,
-            tunables,
-            machineTypes,
-            machines,
-            assignments,
-            heartbeats,
+            new ClusterContext(
+                runtime, settings, tunables, machineTypes, machines, assignments, heartbeats),
             scheduler,
-            zoneOutages,
             scalingPolicy,
+            zoneOutages,
             externallyManaged,
             spotLosses,
             token);
@@ -209,7 +205,7 @@
             zoneOutages,
             recovery,
             connectivity);
-    externallyManaged.look();
+    externallyManaged.load();
     recovery.begin(this::loaded);
   }
 
--- a/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
+++ b/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.function.BooleanSupplier;
+import java.util.function.DoubleSupplier;
 import org.snowturn.config.Settings;
 import org.snowturn.core.admission.MinimumShares;
 import org.snowturn.core.admission.QuotaGuarantees;
@@ -51,7 +52,7 @@
   private final CoreRuntime runtime;
   private final TaskAssignments assignments;
   private final MachineIndex machines;
-  private final ScalingPolicy scalingPolicy;
+  private final DoubleSupplier overprovisioning;
   private final SchedulingOrder order;
   private final PreemptionRate spotLosses;
   private final Preemptor rooms;
@@ -85,7 +86,7 @@
       Settings settings,
       TaskAssignments assignments,
       MachineIndex machines,
-      ScalingPolicy scalingPolicy,
+      DoubleSupplier overprovisioning,
       SchedulingOrder order,
       PreemptionRate spotLosses,
       double beginWithinS,
@@ -103,13 +104,13 @@
     this.runtime = runtime;
     this.assignments = assignments;
     this.machines = machines;
-    this.scalingPolicy = scalingPolicy;
+    this.overprovisioning = overprovisioning;
   }
 
   /** Places what fits; tells whether every waiting task was placed or cannot be placed now. */
   public boolean plan() {
     long now = runtime.now();
-    plenty = scalingPolicy.plenty();
+    plenty = overprovisioning.getAsDouble();
     List<Machine> usable = new ArrayList<>();
     for (Machine machine : machines.present()) {
       if (machine.usable(now) && machines.zoneKnown(machine.zone())) {
--- a/src/test/java/org/snowturn/core/SchedulingOrderTest.java
+++ b/src/test/java/org/snowturn/core/scheduling/SchedulingOrderTest.java
@@ -1,4 +1,4 @@
-package org.snowturn.core;
+package org.snowturn.core.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -8,8 +8,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.snowturn.config.Settings;
+import org.snowturn.core.TestSettings;
 import org.snowturn.core.model.Job;
-import org.snowturn.core.scheduling.SchedulingOrder;
 import org.snowturn.wire.JobSpec;
 import org.snowturn.wire.Submissions;
 
--- a/src/test/java/org/snowturn/core/SpeculatorTest.java
+++ b/src/test/java/org/snowturn/core/scheduling/SpeculatorTest.java
@@ -1,4 +1,4 @@
-package org.snowturn.core;
+package org.snowturn.core.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,7 +6,6 @@
 import org.junit.jupiter.api.Test;
 import org.snowturn.core.model.DoubleSamples;
 import org.snowturn.core.model.Machine;
-import org.snowturn.core.scheduling.Speculator;
 
 /** The figures of DESIGN-snowturn.md: score, rate, time left, percentile. */
 class SpeculatorTest {
