--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -42,6 +42,7 @@
 import org.snowturn.core.model.Quota;
 import org.snowturn.core.model.RestartRecords;
 import org.snowturn.core.scheduling.SchedulingOrder;
+import org.snowturn.core.scheduling.SchedulingPolicy;
 import org.snowturn.core.scheduling.Speculator;
 import org.snowturn.core.scheduling.TaskScheduler;
 import org.snowturn.core.storage.FormatGate;
@@ -164,11 +165,9 @@
             settings,
             assignments,
             machines,
-            scalingPolicy::overprovisioning,
-            order,
-            spotLosses,
-            tunables.beginWithinS(),
-            this::mostHeard);
+            new SchedulingPolicy(
+                order, scalingPolicy::overprovisioning, tunables.beginWithinS(), this::mostHeard),
+            spotLosses);
     speculator = new Speculator(runtime, tunables, assignments, machines, scheduler, writer, gate);
     ZoneOutages zoneOutages = new ZoneOutages(machines.zoneCount());
     autoscaler =
--- a/src/main/java/org/snowturn/core/scheduling/Preemptor.java
+++ b/src/main/java/org/snowturn/core/scheduling/Preemptor.java
@@ -9,223 +9,250 @@
 import org.snowturn.core.assignment.HeartbeatProcessor;
 import org.snowturn.core.assignment.TaskAssignments;
 import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.effects.LogEvent;
+import org.snowturn.core.effects.LogField;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
 import org.snowturn.wire.JobSpec;
 import org.snowturn.wire.Priority;
 
 /**
- * Makes room for waiting tasks by stopping others: of lower priority, or beyond the guarantee of
+ * Makes room for waiting tasks by preempting others: of lower priority, or beyond the guarantee of
  * another team, or a settled replica that can start elsewhere at once.
  */
 final class Preemptor {
-  /**
-   * Tasks that are stopped to make room beside an image end within this time, or are not waited
-   * for.
-   */
-  private static final long STOPPED_MS = 300;
+  /** A preempted task ends within this time, or is not waited for. */
+  private static final long PREEMPTION_MS = 300;
 
   /** How long a new service waits for room beside its image rather than fetch it elsewhere. */
   private static final long IMAGE_PATIENCE_MS = 1_500;
 
   /** How long room that is being made is waited for before more is made. */
-  private static final long ROOM_MS = 1_500;
+  private static final long ROOM_WAIT_MS = 1_500;
+
+  private static final double VICTIM_PENALTY_S = 10.0;
+  private static final double RESOURCE_TOLERANCE = 1e-6;
 
   private final CoreRuntime runtime;
   private final TaskAssignments assignments;
-  private final TaskScheduler scheduler;
-  private final BooleanSupplier mayStop;
+  private final PlacementConstraints constraints;
+  private final PlacementScore score;
+  private final EvaluationCounter evaluations;
+  private final BooleanSupplier preemptionAllowed;
 
-  /** For what no room could be made in the present plan, and at which priority. */
-  private final List<NoRoom> noRoom = new ArrayList<>();
+  /** For what no room could be made in the present round. */
+  private final List<FailedRequest> failedRequests = new ArrayList<>();
 
-  private record NoRoom(JobSpec spec, Priority priority, boolean within) {}
+  private record FailedRequest(JobSpec spec, Priority priority, boolean withinGuarantee) {}
 
-  /** In the present plan, the machines with work that a priority may stop; found when needed. */
-  private final Map<Priority, List<Machine>> stoppable = new EnumMap<>(Priority.class);
+  /** In the present round, the machines with work of lower priority; found when needed. */
+  private final Map<Priority, List<Machine>> preemptible = new EnumMap<>(Priority.class);
 
-  /** The machines of the present plan. */
-  private List<Machine> planned = List.of();
+  /** The machines of the present round. */
+  private List<Machine> usableInRound = List.of();
 
   Preemptor(
       CoreRuntime runtime,
       TaskAssignments assignments,
-      TaskScheduler scheduler,
-      BooleanSupplier mayStop) {
+      PlacementConstraints constraints,
+      PlacementScore score,
+      EvaluationCounter evaluations,
+      BooleanSupplier preemptionAllowed) {
     this.runtime = runtime;
     this.assignments = assignments;
-    this.scheduler = scheduler;
-    this.mayStop = mayStop;
+    this.constraints = constraints;
+    this.score = score;
+    this.evaluations = evaluations;
+    this.preemptionAllowed = preemptionAllowed;
   }
 
-  /** A plan begins, with these machines. */
-  void begin(List<Machine> usable) {
-    planned = usable;
-    noRoom.clear();
-    stoppable.clear();
+  /** Starts a scheduling round with these machines. */
+  void beginRound(List<Machine> usable) {
+    usableInRound = usable;
+    failedRequests.clear();
+    preemptible.clear();
   }
 
   /** Makes room, or waits for room being made, on a machine that has a new service's image. */
-  boolean roomWithImage(Job job, List<Machine> usable) {
-    if (runtime.wallMs() - job.releasedWall() > IMAGE_PATIENCE_MS || !mayStop.getAsBoolean()) {
+  boolean makeRoomWithImage(Job job, List<Machine> usable) {
+    if (runtime.wallMs() - job.releasedWall() > IMAGE_PATIENCE_MS
+        || !preemptionAllowed.getAsBoolean()) {
       return false;
     }
     if (runtime.now() < job.preemptingUntil()) {
       // Where more replicas wait than room was made for, the others would wait for nothing.
-      return runtime.now() < job.preemptingUntil() - ROOM_MS + STOPPED_MS;
+      return runtime.now() < job.preemptingUntil() - ROOM_WAIT_MS + PREEMPTION_MS;
     }
-    List<Machine> having = new ArrayList<>();
+    List<Machine> withImage = new ArrayList<>();
     for (Machine machine : usable) {
-      if (machine.images.containsKey(job.spec.image()) && scheduler.allowed(job, machine)) {
-        having.add(machine);
+      if (machine.images.containsKey(job.spec.image()) && constraints.isAllowed(job, machine)) {
+        withImage.add(machine);
       }
     }
-    return makeRoom(job, having) || swap(job, having);
+    return makeRoom(job, withImage) || relocateReplica(job, withImage);
   }
 
-  /** Moves a settled replica that can start elsewhere at once, to make room beside an image. */
-  private boolean swap(Job job, List<Machine> having) {
-    for (Machine machine : having) {
-      if (runtime.now() < machine.preemptingUntil()) {
-        continue;
+  /** Stops a settled replica that can start elsewhere at once, to make room beside an image. */
+  private boolean relocateReplica(Job job, List<Machine> withImage) {
+    for (Machine machine : withImage) {
+      if (runtime.now() >= machine.preemptingUntil() && relocateReplicaFrom(machine, job)) {
+        return true;
       }
-      for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
-        Job victim = assignments.job(ref);
-        int task = TaskAssignments.task(ref);
-        boolean movable =
-            victim != job
-                && victim.isMovable(task, runtime.now())
-                && victim.spec.cpus() >= job.spec.cpus()
-                && victim.spec.gpus() >= job.spec.gpus()
-                && victim.spec.memoryGb() >= job.spec.memoryGb();
-        if (movable && scheduler.couldStartElsewhere(victim, machine)) {
-          runtime.note(
-              victim.spec.id()
-                  + "/"
-                  + task
-                  + " moves off "
-                  + machine.id
-                  + ", image of "
-                  + job.spec.id()
-                  + " there");
-          machine.setPreemptingUntil(runtime.now() + ROOM_MS);
-          job.setPreemptingUntil(machine.preemptingUntil());
-          victim.excludedMachine.put(task, machine.index);
-          assignments.stop(victim, task);
-          return true;
-        }
+    }
+    return false;
+  }
+
+  private boolean relocateReplicaFrom(Machine machine, Job job) {
+    for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
+      Job victim = assignments.job(ref);
+      int task = TaskAssignments.task(ref);
+      boolean movable =
+          victim != job
+              && victim.isMovable(task, runtime.now())
+              && victim.spec.cpus() >= job.spec.cpus()
+              && victim.spec.gpus() >= job.spec.gpus()
+              && victim.spec.memoryGb() >= job.spec.memoryGb();
+      if (movable && constraints.canStartElsewhere(victim, machine)) {
+        log(LogEvent.TASK_EVICTED, victim, task, machine, job);
+        recordPreempting(job, machine);
+        victim.excludedMachine.put(task, machine.index);
+        assignments.stop(victim, task);
+        return true;
       }
     }
     return false;
   }
 
+  private void log(LogEvent event, Job victim, int task, Machine machine, Job forJob) {
+    runtime
+        .events()
+        .info(event)
+        .with(LogField.JOB, victim.spec.id())
+        .with(LogField.TASK, task)
+        .with(LogField.MACHINE, machine.id)
+        .with(LogField.FOR_JOB, forJob.spec.id())
+        .write();
+  }
+
+  private void recordPreempting(Job job, Machine machine) {
+    machine.setPreemptingUntil(runtime.now() + ROOM_WAIT_MS);
+    job.setPreemptingUntil(machine.preemptingUntil());
+  }
+
   /**
-   * Stops tasks of lower priority where that lets tasks of this job start: on one machine for each
-   * waiting task, all at once, since one after the other a large service would wait for minutes.
+   * Preempts tasks of lower priority where that lets tasks of this job start: on one machine for
+   * each waiting task, all at once, since one after the other a large service would wait for
+   * minutes. Tells whether room is being made.
    */
   boolean makeRoom(Job job, List<Machine> usable) {
     long now = runtime.now();
     if (now < job.preemptingUntil()) {
-      return true; // room is being made already; see what it brings first
+      return true; // see first what it brings
     }
-    if (!mayStop.getAsBoolean()
-        || (!job.isWithinGuarantee() && assignments.assignedBelow(job.priority()) == 0)
-        || !assignments.quota().allows(job.spec)
-        || knownNoRoom(job)) {
+    if (!mayPreemptFor(job)) {
       return false;
     }
-    List<Room> rooms = new ArrayList<>();
-    for (Machine machine :
-        (job.isWithinGuarantee() ? usable : withStoppable(job.priority(), usable))) {
-      scheduler.looked();
-      if (now >= machine.preemptingUntil() && scheduler.allowed(job, machine)) {
-        List<Long> victims = victims(job, machine);
-        if (victims != null) {
-          rooms.add(
-              new Room(machine, victims, scheduler.score(job, machine) + 10.0 * victims.size()));
-        }
-      }
-    }
-    if (rooms.isEmpty() && TaskScheduler.unconstrained(job.spec)) {
-      noRoom.add(new NoRoom(job.spec, job.priority(), job.isWithinGuarantee()));
+    List<Option> options = options(job, usable);
+    if (options.isEmpty() && PlacementConstraints.isUnconstrained(job.spec)) {
+      failedRequests.add(new FailedRequest(job.spec, job.priority(), job.isWithinGuarantee()));
     }
-    rooms.sort(Comparator.comparingDouble(Room::score));
-    int[] inZone = job.copyOfAssignedInZone();
+    options.sort(Comparator.comparingDouble(Option::score));
+    int[] assignedInZone = job.copyOfAssignedInZone();
     int wanted = job.pending();
-    for (Room r : rooms) {
+    for (Option option : options) {
       if (wanted == 0) {
         break;
       }
-      if (job.spec.spread() && inZone[r.machine.zone()] >= job.spec.perZoneLimit()) {
-        continue;
-      }
-      inZone[r.machine.zone()]++;
-      wanted--;
-      r.machine.setPreemptingUntil(now + ROOM_MS);
-      job.setPreemptingUntil(r.machine.preemptingUntil());
-      for (long ref : r.victims) {
-        Job victim = assignments.job(ref);
-        int task = TaskAssignments.task(ref);
-        runtime.note(
-            victim.spec.id()
-                + "/"
-                + task
-                + " stopped on "
-                + r.machine.id
-                + " for "
-                + job.spec.id());
-        assignments.stop(victim, task);
+      int zone = option.machine.zone();
+      if (!job.spec.spread() || assignedInZone[zone] < job.spec.perZoneLimit()) {
+        assignedInZone[zone]++;
+        wanted--;
+        preempt(job, option);
       }
     }
     return now < job.preemptingUntil();
   }
 
+  private boolean mayPreemptFor(Job job) {
+    return preemptionAllowed.getAsBoolean()
+        && (job.isWithinGuarantee() || assignments.assignedBelow(job.priority()) > 0)
+        && assignments.quota().allows(job.spec)
+        && !isKnownToFail(job);
+  }
+
+  private List<Option> options(Job job, List<Machine> usable) {
+    List<Option> options = new ArrayList<>();
+    List<Machine> machines =
+        job.isWithinGuarantee() ? usable : withLowerPriority(job.priority(), usable);
+    for (Machine machine : machines) {
+      evaluations.increment();
+      if (runtime.now() >= machine.preemptingUntil() && constraints.isAllowed(job, machine)) {
+        List<Long> victims = victims(job, machine);
+        if (victims != null) {
+          double optionScore = score.score(job, machine) + VICTIM_PENALTY_S * victims.size();
+          options.add(new Option(machine, victims, optionScore));
+        }
+      }
+    }
+    return options;
+  }
+
+  private void preempt(Job job, Option option) {
+    recordPreempting(job, option.machine);
+    for (long ref : option.victims) {
+      Job victim = assignments.job(ref);
+      int task = TaskAssignments.task(ref);
+      log(LogEvent.TASK_PREEMPTED, victim, task, option.machine, job);
+      assignments.stop(victim, task);
+    }
+  }
+
   /**
    * Whether for a job that asks for no more, at no lower priority, no room could be made in this
-   * plan. In a flood hundreds of jobs wait beside a few that may be stopped: looked for by each of
-   * them on each machine, those few cost a leader seconds, and its lease.
+   * round. Else, under overload, hundreds of waiting jobs would each search all machines in vain,
+   * for longer than the leader's lease lasts.
    */
-  private boolean knownNoRoom(Job job) {
-    for (NoRoom n : noRoom) {
-      // Whose work may be stopped for a guarantee depends on the team.
-      boolean same =
-          job.isWithinGuarantee() == n.within
-              && (!job.isWithinGuarantee() || job.spec.team().equals(n.spec.team()));
-      boolean noHigher = job.priority().compareTo(n.priority) >= 0;
-      if (same && noHigher && TaskScheduler.asksNoLess(job.spec, n.spec)) {
+  private boolean isKnownToFail(Job job) {
+    for (FailedRequest failed : failedRequests) {
+      // Whose work may be preempted for a guarantee depends on the team.
+      boolean sameVictims =
+          job.isWithinGuarantee() == failed.withinGuarantee
+              && (!job.isWithinGuarantee() || job.spec.team().equals(failed.spec.team()));
+      boolean noHigher = job.priority().compareTo(failed.priority) >= 0;
+      if (sameVictims && noHigher && PlacementConstraints.isNoSmaller(job.spec, failed.spec)) {
         return true;
       }
     }
     return false;
   }
 
-  private List<Machine> withStoppable(Priority priority, List<Machine> usable) {
-    // What only some machines are asked for is not what the plan has found.
-    boolean all = usable == planned;
-    List<Machine> known = all ? stoppable.get(priority) : null;
-    if (known == null) {
-      known = new ArrayList<>();
+  private List<Machine> withLowerPriority(Priority priority, List<Machine> usable) {
+    boolean wholeRound = usable == usableInRound; // only then is the result kept for others
+    List<Machine> found = wholeRound ? preemptible.get(priority) : null;
+    if (found == null) {
+      found = new ArrayList<>();
       for (Machine machine : usable) {
         if (machine.assignedBelow(priority) > 0) {
-          known.add(machine);
+          found.add(machine);
         }
       }
-      if (all) {
-        stoppable.put(priority, known);
+      if (wholeRound) {
+        preemptible.put(priority, found);
       }
     }
-    return known;
+    return found;
   }
 
-  /** What would have to stop on a machine for one task to start there. */
-  private record Room(Machine machine, List<Long> victims, double score) {}
+  /** What would have to be preempted on a machine for one task to start there. */
+  private record Option(Machine machine, List<Long> victims, double score) {}
 
   /**
-   * Whether work may be stopped for a job: of lower priority, or, for a job within its team's
-   * guarantee, whatever another team has beyond its own. Work within a guarantee is never stopped
-   * for another team, nor what a floor has let go before others, but for production and guarantees.
+   * Whether work may be preempted for a job: of lower priority, or, for a job within its team's
+   * guarantee, whatever another team has beyond its own. Work within a guarantee is never preempted
+   * for another team, nor what a minimum share has let go before others, but for production and
+   * guarantees.
    */
-  private static boolean mayBeStopped(Job victim, Job job) {
+  private static boolean isPreemptible(Job victim, Job job) {
     boolean sameTeam = victim.spec.team().equals(job.spec.team());
     if (victim.isWithinGuarantee() && !sameTeam) {
       return false;
@@ -233,36 +260,48 @@
     if (job.isWithinGuarantee() && !sameTeam) {
       return true;
     }
-    boolean keeps = victim.isByMinimumShare() && job.priority() != Priority.PRODUCTION;
-    return victim.priority().compareTo(job.priority()) > 0 && !keeps;
+    boolean isProtected = victim.isByMinimumShare() && job.priority() != Priority.PRODUCTION;
+    return victim.priority().compareTo(job.priority()) > 0 && !isProtected;
   }
 
   /** The tasks whose end would make room, least loss first; null if there are not enough. */
   private List<Long> victims(Job job, Machine machine) {
     double cpus = job.spec.cpus() - machine.cpusFree();
-    double memory = job.spec.memoryGb() - (machine.machineType().memoryGb() - machine.memoryUsed());
+    double memoryGb =
+        job.spec.memoryGb() - (machine.machineType().memoryGb() - machine.memoryUsed());
     double gpus = job.spec.gpus() - (machine.machineType().gpus() - machine.gpusUsed());
-    List<Long> candidates = new ArrayList<>();
-    for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
-      Job victim = assignments.job(ref);
-      if (mayBeStopped(victim, job)) {
-        candidates.add(ref);
+    List<Long> victims = new ArrayList<>();
+    for (long ref : preemptibleTasks(job, machine)) {
+      if (isEnough(cpus, memoryGb, gpus)) {
+        break;
       }
+      JobSpec victim = assignments.job(ref).spec;
+      cpus -= victim.cpus();
+      memoryGb -= victim.memoryGb();
+      gpus -= victim.gpus();
+      victims.add(ref);
     }
-    candidates.sort(
-        Comparator.<Long>comparingInt(r -> -assignments.job(r).priority().ordinal())
-            .thenComparingLong(r -> -assignments.job(r).stateSince(TaskAssignments.task(r))));
-    List<Long> out = new ArrayList<>();
-    for (long ref : candidates) {
-      if (cpus <= 1e-6 && memory <= 1e-6 && gpus <= 1e-6) {
-        break;
+    return isEnough(cpus, memoryGb, gpus) ? victims : null;
+  }
+
+  private static boolean isEnough(double missingCpus, double missingMemoryGb, double missingGpus) {
+    return missingCpus <= RESOURCE_TOLERANCE
+        && missingMemoryGb <= RESOURCE_TOLERANCE
+        && missingGpus <= RESOURCE_TOLERANCE;
+  }
+
+  /** Of the lowest priority first, among these the latest started. */
+  private List<Long> preemptibleTasks(Job job, Machine machine) {
+    List<Long> tasks = new ArrayList<>();
+    for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
+      if (isPreemptible(assignments.job(ref), job)) {
+        tasks.add(ref);
       }
-      Job victim = assignments.job(ref);
-      cpus -= victim.spec.cpus();
-      memory -= victim.spec.memoryGb();
-      gpus -= victim.spec.gpus();
-      out.add(ref);
     }
-    return cpus <= 1e-6 && memory <= 1e-6 && gpus <= 1e-6 ? out : null;
+    tasks.sort(
+        Comparator.<Long, Priority>comparing(
+                ref -> assignments.job(ref).priority(), Comparator.reverseOrder())
+            .thenComparingLong(ref -> -assignments.job(ref).stateSince(TaskAssignments.task(ref))));
+    return tasks;
   }
 }
--- a/src/main/java/org/snowturn/core/scheduling/SchedulingOrder.java
+++ b/src/main/java/org/snowturn/core/scheduling/SchedulingOrder.java
@@ -10,91 +10,116 @@
 import org.snowturn.core.model.Job;
 
 /**
- * In which order waiting jobs get room: by priority, services first, then by what can still be kept
- * of what their users want.
+ * In which order waiting jobs get room: by priority, services first, then by the objectives that
+ * can still be met.
  *
- * <p>Each aim is a time by which a job must have started or be done: its deadline, one and a half
- * times it, the aims at start and finish of its class. A job with little time to spare for the next
- * one that it can still meet goes first; one that can wait goes after it; one that can meet none
- * goes last. Among equals the least work goes first: where not all can be in time, the most are so.
- * By deadlines alone large late arrays would hold the machines of a burst, and by work alone small
- * arrays with hours to spare would make large ones late.
+ * <p>Each objective is a time by which a job must have started or be done: its deadline, one and a
+ * half times it, the start and finish objectives of its class. A job with little slack before the
+ * next one that it can still meet goes first; one that can wait goes after it; one that can meet
+ * none goes last. Among equals the least work goes first: where not all can be in time, the most
+ * are so. By deadlines alone large late arrays would hold the machines of a burst, and by work
+ * alone small arrays with hours of slack would make large ones late.
  */
 public final class SchedulingOrder {
-  private record Aims(List<Double> startWithinS, List<Double> doneWithinS) {}
+  private record ClassObjectives(List<Double> startWithinS, List<Double> doneWithinS) {}
 
-  private static final Aims NONE = new Aims(List.of(), List.of());
+  private static final ClassObjectives NONE = new ClassObjectives(List.of(), List.of());
 
-  /** More than the time to spare of a job without any deadline. */
+  /** Above the slack of a job without any deadline. */
   private static final double MISSED = Double.POSITIVE_INFINITY;
 
-  private final Map<String, Aims> byClass = new HashMap<>();
-  private final double urgentMs;
+  /** Objectives are about the deadline itself and about this multiple of it. */
+  private static final double LATE_DEADLINE_FACTOR = 1.5;
 
-  /** Jobs with less than {@code urgentSlackS} to spare are urgent. */
+  /** How urgent a job is; the most urgent goes first. */
+  enum Urgency {
+    /** There is little slack before some objective. */
+    URGENT,
+    /** There is more slack than that. */
+    CAN_WAIT,
+    /** All objectives are missed whatever is done. */
+    HOPELESS
+  }
+
+  private final Map<String, ClassObjectives> objectivesByClass = new HashMap<>();
+  private final double urgentSlackMs;
+
+  /** Jobs with less than {@code urgentSlackS} of slack, in seconds, are urgent. */
   public SchedulingOrder(Settings settings, double urgentSlackS) {
-    urgentMs = urgentSlackS * 1000;
+    urgentSlackMs = urgentSlackS * 1000;
     for (Settings.Objective objective : settings.objectives()) {
-      Aims a =
-          byClass.computeIfAbsent(
-              objective.jobClass(), c -> new Aims(new ArrayList<>(), new ArrayList<>()));
+      ClassObjectives ofClass =
+          objectivesByClass.computeIfAbsent(
+              objective.jobClass(),
+              jobClass -> new ClassObjectives(new ArrayList<>(), new ArrayList<>()));
       switch (objective.kind()) {
-        case "wait" -> a.startWithinS.add(objective.withinS());
-        case "finished" -> a.doneWithinS.add(objective.withinS());
+        case "wait" -> ofClass.startWithinS.add(objective.withinS());
+        case "finished" -> ofClass.doneWithinS.add(objective.withinS());
         default -> {} // deadlines are the jobs' own
       }
     }
   }
 
   /** A job with what decides its place: worked out once, not at each comparison. */
-  private record Placed(Job job, int rank, int urgency, double work) implements Comparable<Placed> {
+  private record RankedJob(Job job, int rank, Urgency urgency, double remainingWork)
+      implements Comparable<RankedJob> {
     @Override
-    public int compareTo(Placed o) {
-      int c = Integer.compare(rank, o.rank);
-      c = c != 0 ? c : Integer.compare(urgency, o.urgency);
-      c = c != 0 ? c : Double.compare(work, o.work);
-      c = c != 0 ? c : Long.compare(job.submittedWall, o.job.submittedWall);
-      return c != 0 ? c : job.spec.id().compareTo(o.job.spec.id());
+    public int compareTo(RankedJob other) {
+      int order = Integer.compare(rank, other.rank);
+      order = order != 0 ? order : urgency.compareTo(other.urgency);
+      order = order != 0 ? order : Double.compare(remainingWork, other.remainingWork);
+      order = order != 0 ? order : Long.compare(job.submittedWall, other.job.submittedWall);
+      return order != 0 ? order : job.spec.id().compareTo(other.job.spec.id());
     }
   }
 
-  /** The jobs in the order at a time of day. */
-  public List<Job> sorted(Collection<Job> jobs, double wall) {
-    Placed[] all = new Placed[jobs.size()];
-    int n = 0;
+  /** The jobs in the order at a time of day, in milliseconds. */
+  public List<Job> sorted(Collection<Job> jobs, double wallMs) {
+    RankedJob[] ranked = new RankedJob[jobs.size()];
+    int count = 0;
     for (Job job : jobs) {
-      int rank = 2 * job.priority().ordinal() + (job.spec.service() ? 0 : 1);
-      all[n++] = new Placed(job, rank, urgency(job, wall), workLeft(job));
+      ranked[count] = new RankedJob(job, rank(job), urgency(job, wallMs), remainingWork(job));
+      count++;
     }
-    Arrays.sort(all);
-    List<Job> out = new ArrayList<>(n);
-    for (Placed p : all) {
-      out.add(p.job);
+    Arrays.sort(ranked);
+    List<Job> sorted = new ArrayList<>(count);
+    for (RankedJob rankedJob : ranked) {
+      sorted.add(rankedJob.job);
     }
-    return out;
+    return sorted;
   }
 
-  /** 0: little time to spare for some aim; 1: more than that; 2: late for all whatever is done. */
-  public int urgency(Job job, double wall) {
-    Aims aims = byClass.getOrDefault(job.spec.jobClass(), NONE);
-    double end = wall + job.spec.estimateS() * 1000;
-    double spare =
-        Math.min(spare(job.deadlineWallMs(1) - end), spare(job.deadlineWallMs(1.5) - end));
-    for (double s : aims.startWithinS) {
-      spare = Math.min(spare, spare(job.releasedWall() + s * 1000 - wall));
+  private static int rank(Job job) {
+    return 2 * job.priority().ordinal() + (job.spec.service() ? 0 : 1);
+  }
+
+  /** The job's urgency at a time of day, in milliseconds. */
+  Urgency urgency(Job job, double wallMs) {
+    ClassObjectives objectives = objectivesByClass.getOrDefault(job.spec.jobClass(), NONE);
+    double endMs = wallMs + job.spec.estimateS() * 1000;
+    double slackMs =
+        Math.min(
+            slack(job.deadlineWallMs(1) - endMs),
+            slack(job.deadlineWallMs(LATE_DEADLINE_FACTOR) - endMs));
+    for (double withinS : objectives.startWithinS) {
+      slackMs = Math.min(slackMs, slack(job.releasedWall() + withinS * 1000 - wallMs));
+    }
+    for (double withinS : objectives.doneWithinS) {
+      slackMs = Math.min(slackMs, slack(job.releasedWall() + withinS * 1000 - endMs));
     }
-    for (double s : aims.doneWithinS) {
-      spare = Math.min(spare, spare(job.releasedWall() + s * 1000 - end));
+    if (slackMs < urgentSlackMs) {
+      return Urgency.URGENT;
     }
-    return spare < urgentMs ? 0 : spare < MISSED ? 1 : 2;
+    return slackMs < MISSED ? Urgency.CAN_WAIT : Urgency.HOPELESS;
   }
 
-  /** What is missed already is nothing to spare time for. */
-  private static double spare(double ms) {
-    return ms < 0 ? MISSED : ms;
+  /** An objective that is missed already does not make a job urgent. */
+  private static double slack(double slackMs) {
+    return slackMs < 0 ? MISSED : slackMs;
   }
 
-  private static double workLeft(Job job) {
+  /** In CPU-seconds. */
+  private static double remainingWork(Job job) {
     return job.pending() * job.spec.cpus() * Math.max(1, job.spec.estimateS());
   }
 }
--- a/src/main/java/org/snowturn/core/scheduling/Speculator.java
+++ b/src/main/java/org/snowturn/core/scheduling/Speculator.java
@@ -8,6 +8,8 @@
 import org.snowturn.core.assignment.HeartbeatProcessor;
 import org.snowturn.core.assignment.TaskAssignments;
 import org.snowturn.core.effects.CoreRuntime;
+import org.snowturn.core.effects.LogEvent;
+import org.snowturn.core.effects.LogField;
 import org.snowturn.core.model.DoubleSamples;
 import org.snowturn.core.model.Job;
 import org.snowturn.core.model.Machine;
@@ -18,29 +20,34 @@
 import org.snowturn.core.storage.RecordWriter;
 import org.snowturn.core.storage.StorageKeys;
 import org.snowturn.wire.JobSpec;
+import org.snowturn.wire.StateMessage.Condition;
 
 /**
- * The restart of slow tasks, as DESIGN-snowturn.md has it: when room frees and no waiting task
- * fits, the slow task with the longest time to end is stopped and started again, once, on a machine
- * that has shown to be fast enough.
+ * Speculative execution of stragglers: when no waiting task fits, the slow task with the longest
+ * time to end is stopped and started again, once, on a machine that has shown to be fast enough.
  */
 public final class Speculator {
-  /** Slow tasks that are put to the gain test in one consideration, longest time to end first. */
-  private static final int MOST_TRIED = 20;
+  /** Slow tasks whose gain is estimated at a time, longest time to end first. */
+  private static final int MAX_EXAMINED = 20;
+
+  private static final int RECORD_SLOT = 3;
+  private static final double MIN_RUN_S = 0.1;
+  private static final double MIN_FETCH_GB_PER_S = 0.01;
 
   private final CoreRuntime runtime;
-  private final Tunables figures;
+  private final Tunables tunables;
   private final TaskAssignments assignments;
   private final MachineIndex machines;
   private final TaskScheduler scheduler;
   private final RecordWriter writer;
   private final FormatGate gate;
-  private final Map<String, PendingRecord> counters = new HashMap<>();
+  private final Map<String, PendingRecord> restartRecords = new HashMap<>();
   private int restarts;
 
+  /** Restarts nothing yet. */
   public Speculator(
       CoreRuntime runtime,
-      Tunables figures,
+      Tunables tunables,
       TaskAssignments assignments,
       MachineIndex machines,
       TaskScheduler scheduler,
@@ -48,104 +55,117 @@
       FormatGate gate) {
     this.gate = gate;
     this.runtime = runtime;
-    this.figures = figures;
+    this.tunables = tunables;
     this.assignments = assignments;
     this.machines = machines;
     this.scheduler = scheduler;
     this.writer = writer;
   }
 
+  /** How many tasks this leader has restarted. */
   public int restarts() {
     return restarts;
   }
 
-  /** The counter record of an array as it was read. */
+  /** The record of an array's restarts was read, at this revision. */
   public void loaded(Job job, long stamp) {
-    slot(job).stamp = stamp;
+    restartRecord(job).stamp = stamp;
   }
 
-  private PendingRecord slot(Job job) {
-    return counters.computeIfAbsent(
+  private PendingRecord restartRecord(Job job) {
+    return restartRecords.computeIfAbsent(
         job.spec.id(),
         id ->
             writer.slot(
                 StorageKeys.restarts(id),
                 0,
                 () -> RestartRecords.json(job),
-                () ->
-                    new org.snowturn.wire.StateMessage.Condition(
-                        StorageKeys.job(id), job.version())));
+                () -> new Condition(StorageKeys.job(id), job.version())));
   }
 
-  /** A running task's running time over the run that is expected of it; above 1: overdue. */
-  public static double score(double ran, double expected) {
-    return ran / expected;
+  /** A task's running time over the run that is expected of it; above 1: overdue. */
+  static double relativeRunTime(double runS, double expectedS) {
+    return runS / expectedS;
   }
 
-  /** Score per second run; an overdue task's is one over its running time. */
-  public static double rate(double ran, double expected) {
-    return 1 / Math.max(ran, expected);
+  /** Progress per second of running time; an overdue task's is one over its running time. */
+  static double progressRate(double runS, double expectedS) {
+    return 1 / Math.max(runS, expectedS);
   }
 
   /** What is left of the expected run; past it, the running time. */
-  public static double timeLeft(double ran, double expected) {
-    return ran > expected ? ran : expected - ran;
+  static double remainingS(double runS, double expectedS) {
+    return runS > expectedS ? runS : expectedS - runS;
   }
 
   /** Sorted: the overdue first, then by the longest time to end. */
-  private record Candidate(Job job, int task, boolean overdue, double left)
-      implements Comparable<Candidate> {
+  private record Straggler(Job job, int task, boolean overdue, double remainingS)
+      implements Comparable<Straggler> {
     @Override
-    public int compareTo(Candidate o) {
-      return overdue != o.overdue ? (overdue ? -1 : 1) : Double.compare(o.left, left);
+    public int compareTo(Straggler other) {
+      if (overdue != other.overdue) {
+        return overdue ? -1 : 1;
+      }
+      return Double.compare(other.remainingS, remainingS);
     }
   }
 
-  /** Restarts at most one task; called when no waiting task fits and there is room. */
+  /** Restarts at most one task; to be called when no waiting task fits and there is room. */
   public void consider() {
-    if (!figures.speculation()) {
+    if (!tunables.speculation()) {
       return;
     }
-    counters.keySet().removeIf(id -> assignments.job(id) == null);
-    int running = 0;
-    int again = 0;
-    for (Job job : assignments.jobs()) {
-      running += job.assigned();
-      again += job.restarts() > 0 ? boundAgain(job) : 0;
-    }
-    if (again + 1 > Math.max(1, figures.speculativeCap() * running)) {
+    restartRecords.keySet().removeIf(id -> assignments.job(id) == null);
+    if (!isBelowCap()) {
       return;
     }
-    List<Candidate> slow = new ArrayList<>();
-    for (Job job : assignments.jobs()) {
-      if (job.spec.kind() == JobSpec.Kind.ARRAY
-          && !job.isCancelled()
-          && !job.runTimes.isEmpty()
-          && job.running() > 0) {
-        addSlow(job, slow);
-      }
-    }
-    if (slow.isEmpty()) {
+    List<Straggler> stragglers = stragglers();
+    if (stragglers.isEmpty()) {
       return;
     }
-    slow.sort(null);
-    List<Machine> fast = fastEnough();
-    for (Candidate c : slow.subList(0, Math.min(MOST_TRIED, slow.size()))) {
-      if (gains(c, fast)) {
-        restart(c);
+    stragglers.sort(null);
+    List<Machine> fastMachines = fastMachines();
+    int examined = Math.min(MAX_EXAMINED, stragglers.size());
+    for (Straggler straggler : stragglers.subList(0, examined)) {
+      if (gains(straggler, fastMachines)) {
+        restart(straggler);
         return;
       }
     }
   }
 
-  private static int boundAgain(Job job) {
-    int n = 0;
+  /** Whether one more of the running tasks may be a restarted one. */
+  private boolean isBelowCap() {
+    int assigned = 0;
+    int restarted = 0;
+    for (Job job : assignments.jobs()) {
+      assigned += job.assigned();
+      restarted += job.restarts() > 0 ? assignedRestarts(job) : 0;
+    }
+    return restarted + 1 <= Math.max(1, tunables.speculativeCap() * assigned);
+  }
+
+  private static int assignedRestarts(Job job) {
+    int count = 0;
     for (int task = job.restarted.nextSetBit(0);
         task >= 0;
         task = job.restarted.nextSetBit(task + 1)) {
-      n += job.isAssigned(task) ? 1 : 0;
+      count += job.isAssigned(task) ? 1 : 0;
+    }
+    return count;
+  }
+
+  private List<Straggler> stragglers() {
+    List<Straggler> stragglers = new ArrayList<>();
+    for (Job job : assignments.jobs()) {
+      if (job.spec.kind() == JobSpec.Kind.ARRAY
+          && !job.isCancelled()
+          && !job.runTimes.isEmpty()
+          && job.running() > 0) {
+        addStragglers(job, stragglers);
+      }
     }
-    return n;
+    return stragglers;
   }
 
   private double totalWork(Machine machine) {
@@ -154,14 +174,14 @@
       Job job = assignments.job(ref);
       int task = TaskAssignments.task(ref);
       if (!job.spec.service() && job.stateSince(task) != Job.UNKNOWN && !job.runTimes.isEmpty()) {
-        work += Math.min(1, score(ran(job, task), expected(job, machine)));
+        work += Math.min(1, relativeRunTime(runS(job, task), expectedS(job, machine)));
       }
     }
     return work;
   }
 
-  /** The machines whose total work reaches the bar; looked up only once there is a slow task. */
-  private List<Machine> fastEnough() {
+  /** The machines whose total work reaches the threshold. */
+  private List<Machine> fastMachines() {
     List<Machine> usable = new ArrayList<>();
     DoubleSamples work = new DoubleSamples();
     for (Machine machine : machines.present()) {
@@ -170,118 +190,121 @@
         work.add(totalWork(machine));
       }
     }
-    double bar = work.percentile(figures.slowNodePercentile());
-    List<Machine> out = new ArrayList<>();
+    double threshold = work.percentile(tunables.slowNodePercentile());
+    List<Machine> fast = new ArrayList<>();
     for (int i = 0; i < usable.size(); i++) {
-      if (work.get(i) >= bar) {
-        out.add(usable.get(i));
+      if (work.get(i) >= threshold) {
+        fast.add(usable.get(i));
       }
     }
-    return out;
+    return fast;
   }
 
-  private double ran(Job job, int task) {
+  private double runS(Job job, int task) {
     return (runtime.now() - job.stateSince(task)) / 1000.0;
   }
 
-  private double expected(Job job, Machine machine) {
-    return Math.max(0.1, job.median() * machine.slowness());
+  private double expectedS(Job job, Machine machine) {
+    return Math.max(MIN_RUN_S, job.median() * machine.slowness());
   }
 
-  /** Adds the array's tasks that are slow by the design's thresholds. */
-  private void addSlow(Job job, List<Candidate> slow) {
+  /** Adds the array's tasks that are slow by the thresholds of the tunables. */
+  private void addStragglers(Job job, List<Straggler> stragglers) {
     DoubleSamples rates = null;
-    int mostBytes = gate.limits().valueBytes();
+    int maxRecordBytes = gate.limits().valueBytes();
     for (int task = 0; task < job.taskCount(); task++) {
-      if (!judged(job, task)
+      if (!isRunning(job, task)
           || job.restarted.get(task)
           || job.stopping.get(task)
-          || !RestartRecords.fits(job, task, mostBytes)) {
+          || !RestartRecords.fits(job, task, maxRecordBytes)) {
         continue;
       }
-      double ran = ran(job, task);
-      if (ran < figures.judgeAfterS()) {
+      double runS = runS(job, task);
+      if (runS < tunables.judgeAfterS()) {
         continue;
       }
-      rates = rates == null ? rates(job) : rates;
-      double expected = expected(job, machines.get(job.machineOf(task)));
-      if (rate(ran, expected) < rates.percentile(figures.slowTaskPercentile())) {
-        slow.add(new Candidate(job, task, ran > expected, timeLeft(ran, expected)));
+      rates = rates == null ? progressRates(job) : rates;
+      double expectedS = expectedS(job, machines.get(job.machineOf(task)));
+      if (progressRate(runS, expectedS) < rates.percentile(tunables.slowTaskPercentile())) {
+        stragglers.add(new Straggler(job, task, runS > expectedS, remainingS(runS, expectedS)));
       }
     }
   }
 
   /** Rates of the array's finished and running tasks. */
-  private DoubleSamples rates(Job job) {
+  private DoubleSamples progressRates(Job job) {
     DoubleSamples rates = new DoubleSamples();
     for (int i = 0; i < job.runTimes.size(); i++) {
-      rates.add(1 / Math.max(0.1, job.runTimes.get(i)));
+      rates.add(1 / Math.max(MIN_RUN_S, job.runTimes.get(i)));
     }
     for (int task = 0; task < job.taskCount(); task++) {
-      if (judged(job, task)) {
-        rates.add(rate(ran(job, task), expected(job, machines.get(job.machineOf(task)))));
+      if (isRunning(job, task)) {
+        double expectedS = expectedS(job, machines.get(job.machineOf(task)));
+        rates.add(progressRate(runS(job, task), expectedS));
       }
     }
     return rates;
   }
 
-  private boolean judged(Job job, int task) {
+  private static boolean isRunning(Job job, int task) {
     return job.stateOf(task) == Job.RUNNING && job.stateSince(task) != Job.UNKNOWN;
   }
 
-  private boolean gains(Candidate c, List<Machine> fast) {
-    Machine target = target(c.job, machines.get(c.job.machineOf(c.task)), fast);
+  /** Whether a restart on the best fast machine would end sufficiently sooner. */
+  private boolean gains(Straggler straggler, List<Machine> fastMachines) {
+    Job job = straggler.job;
+    Machine target = target(job, machines.get(job.machineOf(straggler.task)), fastMachines);
     if (target == null) {
       return false;
     }
-    double fetch =
-        target.images.containsKey(c.job.spec.image())
+    double fetchS =
+        target.images.containsKey(job.spec.image())
             ? 0
-            : c.job.spec.imageGb() / Math.max(0.01, target.machineType().fetchGbPerS());
-    return c.left > figures.gainFactor() * expected(c.job, target) + fetch;
+            : job.spec.imageGb() / Math.max(MIN_FETCH_GB_PER_S, target.machineType().fetchGbPerS());
+    return straggler.remainingS > tunables.gainFactor() * expectedS(job, target) + fetchS;
   }
 
-  private Machine target(Job job, Machine at, List<Machine> fast) {
+  private Machine target(Job job, Machine current, List<Machine> fastMachines) {
     Machine best = null;
-    double bestScore = Double.MAX_VALUE;
-    for (Machine machine : fast) {
-      if (machine != at && machine.hasRoom(job.spec) && scheduler.allowed(job, machine)) {
+    double lowestScore = Double.MAX_VALUE;
+    for (Machine machine : fastMachines) {
+      if (machine != current && machine.hasRoom(job.spec) && scheduler.isAllowed(job, machine)) {
         double score = scheduler.score(job, machine);
-        if (score < bestScore) {
+        if (score < lowestScore) {
           best = machine;
-          bestScore = score;
+          lowestScore = score;
         }
       }
     }
     return best;
   }
 
-  private void restart(Candidate c) {
-    Job job = c.job;
-    int task = c.task;
+  private void restart(Straggler straggler) {
+    Job job = straggler.job;
+    int task = straggler.task;
     long attempt = job.attemptOf(task);
-    Machine at = machines.get(job.machineOf(task));
+    Machine current = machines.get(job.machineOf(task));
     job.restarted.set(task);
     job.addRestarts(1);
     restarts++;
-    runtime.note(
-        String.format(
-            java.util.Locale.ROOT,
-            "restart of %s/%d on %s: ran %.1f s, median %.1f s, slowness %.2f",
-            job.spec.id(),
-            task,
-            at.id,
-            ran(job, task),
-            job.median(),
-            at.slowness()));
-    // The counter is durable before the stop, so no later leader restarts the task again.
+    runtime
+        .events()
+        .info(LogEvent.TASK_RESTARTED)
+        .with(LogField.JOB, job.spec.id())
+        .with(LogField.TASK, task)
+        .with(LogField.MACHINE, current.id)
+        .with(LogField.RUN_TIME_S, runS(job, task))
+        .with(LogField.MEDIAN_S, job.median())
+        .with(LogField.SLOWNESS, current.slowness())
+        .write();
+    // The record is durable before the stop, so no later leader restarts the task again.
     writer.mark(
-        slot(job),
-        3,
+        restartRecord(job),
+        RECORD_SLOT,
         () -> {
           if (job.isAssigned(task) && job.attemptOf(task) == attempt) {
             assignments.stop(job, task);
-            job.excludedMachine.put(task, at.index);
+            job.excludedMachine.put(task, current.index);
           }
         });
   }
