--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -91,12 +91,12 @@
       }
 
       @Override
-      public boolean known(String job) {
+      public boolean isKnownCancelled(String job) {
         return watermark.cancelled(job);
       }
 
       @Override
-      public boolean current() {
+      public boolean canReportLive() {
         return watermark.mayReportLive();
       }
     };
@@ -106,12 +106,12 @@
   private LiveJobCache.Listener cacheListener() {
     return new LiveJobCache.Listener() {
       @Override
-      public void cancelled(String job) {
+      public void onCancelled(String job) {
         watermark.learn(job);
       }
 
       @Override
-      public void complete(long at) {
+      public void onUpToDate(long at) {
         watermark.read(at);
       }
     };
@@ -189,9 +189,9 @@
     gauges.putAll(watermark.gauges());
     gauges.putAll(rateAllocator.gauges(runtime.now()));
     gauges.put("snowturn.cache.jobs", (double) liveJobs.size());
-    gauges.put("snowturn.cache.validations", (double) liveJobs.proofs());
+    gauges.put("snowturn.cache.validations", (double) liveJobs.validations());
     gauges.put("snowturn.cache.reloads", (double) liveJobs.loads());
-    gauges.put("snowturn.cache.waiting", (double) liveJobs.waiting());
+    gauges.put("snowturn.cache.waiting", (double) liveJobs.waiterCount());
     if (leader != null) {
       gauges.putAll(leader.gauges());
     }
@@ -231,7 +231,7 @@
       leader = null;
     }
     if (leader == null && election.leading()) {
-      liveJobs.refresh(); // workers are answered as far as cancellations are known
+      liveJobs.requestValidation(); // workers are answered as far as cancellations are known
       leader =
           new Leader(
               new LeaderDependencies(
--- a/src/main/java/org/snowturn/core/admission/AdmissionController.java
+++ b/src/main/java/org/snowturn/core/admission/AdmissionController.java
@@ -52,7 +52,7 @@
   }
 
   /** What the nodes agree on from now on, in changes a second. */
-  public void rate(double perSecond, long nowMs) {
+  public void setRate(double perSecond, long nowMs) {
     refill(nowMs);
     rate = Math.max(0.1, perSecond);
   }
@@ -79,7 +79,7 @@
    *
    * @param group its class and team: among these the part is divided
    */
-  public boolean admits(String group, double changes, long nowMs) {
+  public boolean tryAdmit(String group, double changes, long nowMs) {
     refill(nowMs);
     asked.add(changes, nowMs);
     boolean enforced = nowMs < enforcedUntil;
@@ -122,7 +122,7 @@
   }
 
   /** How many changes a second users wanted lately, those refused included. */
-  public double asked(long nowMs) {
+  public double demandPerSecond(long nowMs) {
     return asked.perSecond(nowMs);
   }
 
--- a/src/main/java/org/snowturn/core/admission/MinimumShares.java
+++ b/src/main/java/org/snowturn/core/admission/MinimumShares.java
@@ -50,7 +50,7 @@
   private int waitingGroups;
 
   /** The dense index of a team's class. */
-  public int group(String jobClass, String team) {
+  public int groupIndex(String jobClass, String team) {
     String name = jobClass + "/" + team;
     Integer known = byName.get(name);
     if (known == null) {
--- a/src/main/java/org/snowturn/core/admission/QuotaGuarantees.java
+++ b/src/main/java/org/snowturn/core/admission/QuotaGuarantees.java
@@ -30,13 +30,13 @@
     double gpus();
 
     /** When it was submitted; earlier ones come first, by name among equals. */
-    long submitted();
+    long submittedAt();
 
     /** The job's id. */
     String id();
 
     /** Told whether it is within the guarantee. */
-    void within(boolean is);
+    void setWithinGuarantee(boolean is);
   }
 
   private static final class Team {
@@ -83,16 +83,16 @@
       if (guaranteed.containsKey(claim.team())) {
         claims.add(claim);
       } else {
-        claim.within(false);
+        claim.setWithinGuarantee(false);
       }
     }
-    claims.sort(Comparator.comparingLong(Claim::submitted).thenComparing(Claim::id));
+    claims.sort(Comparator.comparingLong(Claim::submittedAt).thenComparing(Claim::id));
     Map<String, Team> teams = new HashMap<>();
     claimedCpus.clear();
     for (Claim claim : claims) {
       Team team = teams.computeIfAbsent(claim.team(), name -> new Team(guaranteed.get(name)));
       boolean within = team.takes(claim);
-      claim.within(within);
+      claim.setWithinGuarantee(within);
       claimedCpus.merge(claim.team(), within ? claim.cpus() : 0, Double::sum);
     }
   }
--- a/src/main/java/org/snowturn/core/admission/RateAllocator.java
+++ b/src/main/java/org/snowturn/core/admission/RateAllocator.java
@@ -74,31 +74,31 @@
     }
     nextReportAt = nowMs + REPORT_INTERVAL_MS;
     RateDemands.Demand mine = demand(nowMs);
-    budget.rate(demands.requestRate(requestRate, nowMs), nowMs);
-    admissionController.rate(demands.submissionRate(mine, changeRate, nowMs), nowMs);
+    budget.setRate(demands.requestRate(requestRate, nowMs), nowMs);
+    admissionController.setRate(demands.submissionRate(mine, changeRate, nowMs), nowMs);
     return true;
   }
 
   /** What this node needs. */
   public RateDemands.Demand demand(long nowMs) {
     return new RateDemands.Demand(
-        budget.asked(nowMs), admissionController.asked(nowMs), leaderDemand);
+        budget.demandPerSecond(nowMs), admissionController.demandPerSecond(nowMs), leaderDemand);
   }
 
   /** Figures for operators. */
   public Map<String, Double> gauges(long nowMs) {
     Map<String, Double> gauges = new HashMap<>();
-    gauges.put("snowturn.admission.requests.share", budget.perSecond());
-    gauges.put("snowturn.admission.requests.demand", budget.asked(nowMs));
-    gauges.put("snowturn.admission.requests.throttled", (double) budget.refusedThere());
-    gauges.put("snowturn.admission.submissions.demand", admissionController.asked(nowMs));
+    gauges.put("snowturn.admission.requests.share", budget.allowedPerSecond());
+    gauges.put("snowturn.admission.requests.demand", budget.demandPerSecond(nowMs));
+    gauges.put("snowturn.admission.requests.throttled", (double) budget.refusedByService());
+    gauges.put("snowturn.admission.submissions.demand", admissionController.demandPerSecond(nowMs));
     gauges.put("snowturn.admission.submissions.pressure", admissionController.refusedShare(nowMs));
-    gauges.put("snowturn.admission.peers.reporting", (double) demands.freshPeers(nowMs));
+    gauges.put("snowturn.admission.peers.reporting", (double) demands.freshPeerCount(nowMs));
     for (RequestClass requestClass : RequestClass.values()) {
       String name = requestClass.name().toLowerCase(Locale.ROOT);
       gauges.put(
           "snowturn.admission.requests.refused{purpose=\"" + name + "\"}",
-          (double) budget.refused(requestClass));
+          (double) budget.refusedLocally(requestClass));
     }
     return gauges;
   }
--- a/src/main/java/org/snowturn/core/admission/RateDemands.java
+++ b/src/main/java/org/snowturn/core/admission/RateDemands.java
@@ -75,7 +75,7 @@
   }
 
   /** How many peers have reported lately. */
-  public int freshPeers(long nowMs) {
+  public int freshPeerCount(long nowMs) {
     int count = 0;
     for (String peer : peers) {
       count += isFresh(peer, nowMs) ? 1 : 0;
--- a/src/main/java/org/snowturn/core/admission/RequestClass.java
+++ b/src/main/java/org/snowturn/core/admission/RequestClass.java
@@ -21,13 +21,13 @@
   REST(0.1, 0.3);
 
   /** The part of a node's share that it gets whatever the others want. */
-  final double floor;
+  final double guaranteedShare;
 
   /** Beyond its floor it leaves so much of a second's share to those before it. */
-  final double leaves;
+  final double headroomShare;
 
   RequestClass(double floor, double leaves) {
-    this.floor = floor;
-    this.leaves = leaves;
+    this.guaranteedShare = floor;
+    this.headroomShare = leaves;
   }
 }
--- a/src/main/java/org/snowturn/core/admission/StateRequestBudget.java
+++ b/src/main/java/org/snowturn/core/admission/StateRequestBudget.java
@@ -41,7 +41,7 @@
     this.rate = rate;
     this.refilledAt = nowMs;
     for (RequestClass requestClass : RequestClass.values()) {
-      floors.put(requestClass, rate * requestClass.floor);
+      floors.put(requestClass, rate * requestClass.guaranteedShare);
       refused.put(requestClass, 0L);
     }
     tokens = rate;
@@ -52,7 +52,7 @@
   }
 
   /** What the nodes agree on from now on, a second. */
-  public void rate(double perSecond, long nowMs) {
+  public void setRate(double perSecond, long nowMs) {
     refill(nowMs);
     rate = perSecond;
   }
@@ -65,7 +65,7 @@
         floors.get(requestClass) >= 1 && tokens - 1 > -allowed() * MAX_OVERDRAFT_S;
     if (requestClass != RequestClass.AUTHORITY
         && !withinFloor
-        && tokens - 1 < allowed() * requestClass.leaves) {
+        && tokens - 1 < allowed() * requestClass.headroomShare) {
       refused.merge(requestClass, 1L, Long::sum);
       return false;
     }
@@ -75,7 +75,7 @@
   }
 
   /** The service refused a call for its rate. */
-  public void refusedThere(long nowMs) {
+  public void refusedByService(long nowMs) {
     refusals++;
     if (nowMs - reducedAt >= MIN_REFUSAL_INTERVAL_MS) {
       refill(nowMs);
@@ -93,29 +93,29 @@
     rateFactor = Math.min(1, rateFactor + RECOVERY_PER_S * elapsedS);
     tokens = Math.min(allowed(), tokens + allowed() * elapsedS);
     for (RequestClass requestClass : RequestClass.values()) {
-      double floor = allowed() * requestClass.floor;
+      double floor = allowed() * requestClass.guaranteedShare;
       floors.put(
           requestClass, Math.min(Math.max(1, floor), floors.get(requestClass) + floor * elapsedS));
     }
   }
 
   /** How many calls a second were wanted lately, those that were not made included. */
-  public double asked(long nowMs) {
+  public double demandPerSecond(long nowMs) {
     return asked.perSecond(nowMs);
   }
 
   /** What may be taken now, a second. */
-  public double perSecond() {
+  public double allowedPerSecond() {
     return allowed();
   }
 
   /** How many calls were not made for want of budget. */
-  public long refused(RequestClass requestClass) {
+  public long refusedLocally(RequestClass requestClass) {
     return refused.get(requestClass);
   }
 
   /** How many calls the service refused for its rate. */
-  public long refusedThere() {
+  public long refusedByService() {
     return refusals;
   }
 }
--- a/src/main/java/org/snowturn/core/api/CancelledJobs.java
+++ b/src/main/java/org/snowturn/core/api/CancelledJobs.java
@@ -6,8 +6,8 @@
   void confirm(String job);
 
   /** Whether the job is known to be cancelled; that it is not known proves nothing. */
-  boolean known(String job);
+  boolean isKnownCancelled(String job);
 
   /** Whether a cancellation that is not known here would not be due yet. */
-  boolean current();
+  boolean canReportLive();
 }
--- a/src/main/java/org/snowturn/core/api/ChunkedSubmission.java
+++ b/src/main/java/org/snowturn/core/api/ChunkedSubmission.java
@@ -26,13 +26,13 @@
   /** Takes the result, once. */
   interface Listener {
     /** All chunks are stored; the job's record counts only while the first one is the same. */
-    void stored(ObjectNode record, Condition firstChunkUnchanged);
+    void onStored(ObjectNode record, Condition firstChunkUnchanged);
 
     /** It could not be found out which chunks are stored already. */
-    void unreadable();
+    void onUnreadable();
 
     /** A chunk was not stored, perhaps since the job has been accepted by another try. */
-    void failed();
+    void onFailed();
   }
 
   private final CoreRuntime runtime;
@@ -70,7 +70,7 @@
             "GET",
             "/kv?prefix=" + prefix + "&most=1000",
             null,
-            JobStatusReader.TIMEOUT_MS,
+            JobStatusReader.STATE_REQUEST_TIMEOUT_MS,
             (outcome, status, body) -> {
               try {
                 if (outcome.succeeded(status)) {
@@ -84,7 +84,7 @@
               } catch (MalformedException e) {
                 logMalformed("read chunks", e);
               }
-              listener.unreadable();
+              listener.onUnreadable();
             });
   }
 
@@ -101,10 +101,10 @@
     BitSet written = nextToWrite();
     services.admission().charge(written.cardinality(), runtime.now());
     if (written.isEmpty()) {
-      listener.stored(job.live(), firstUnchanged);
+      listener.onStored(job.live(), firstUnchanged);
       return;
     }
-    List<Condition> conditions = new ArrayList<>(JobSubmission.isNew(spec.id()));
+    List<Condition> conditions = new ArrayList<>(JobSubmission.newJobConditions(spec.id()));
     conditions.add(firstUnchanged);
     List<Change> changes = new ArrayList<>();
     written.stream().forEach(i -> changes.add(Change.put(prefix + i, chunks.get(i))));
@@ -115,7 +115,7 @@
             "POST",
             "/txn",
             StateMessage.transaction(conditions, changes),
-            JobStatusReader.TIMEOUT_MS,
+            JobStatusReader.STATE_REQUEST_TIMEOUT_MS,
             (outcome, status, reply) -> {
               try {
                 if (outcome.succeeded(status)) {
@@ -127,13 +127,13 @@
               } catch (MalformedException e) {
                 logMalformed("write chunks", e);
               }
-              listener.failed();
+              listener.onFailed();
             });
   }
 
   /** The first chunk alone, then as many of the others as a transaction takes. */
   private BitSet nextToWrite() {
-    int max = stored.get(0) ? services.format().limits().txnOps() : 1;
+    int max = stored.get(0) ? services.formatGate().limits().txnOps() : 1;
     BitSet next = new BitSet();
     int index = stored.nextClearBit(0);
     for (int count = 0; index < chunks.size() && count < max; count++) {
--- a/src/main/java/org/snowturn/core/api/JobApi.java
+++ b/src/main/java/org/snowturn/core/api/JobApi.java
@@ -19,7 +19,7 @@
   /** The parts of a controller that users' requests rest on. */
   public record Services(
       MachineTypes machineTypes,
-      FormatGate format,
+      FormatGate formatGate,
       StateRequestRelay relay,
       AdmissionController admission,
       LiveJobCache liveJobs) {}
@@ -67,7 +67,7 @@
 
   /** A user asks for a job's status. */
   public void poll(long exchange, String id) {
-    if (!statuses.isFinished(id) && responses.refusedForNow(exchange)) {
+    if (!statuses.isFinished(id) && responses.refuseIfUnreachable(exchange)) {
       return;
     }
     reader.read(
@@ -75,9 +75,9 @@
         id,
         status -> {
           if (status == null) {
-            responses.notFound(exchange);
+            responses.answerNotFound(exchange);
           } else {
-            responses.full(exchange, status);
+            responses.answerFull(exchange, status);
           }
         });
   }
--- a/src/main/java/org/snowturn/core/api/JobCancellation.java
+++ b/src/main/java/org/snowturn/core/api/JobCancellation.java
@@ -34,7 +34,7 @@
       JobStatusReader reader,
       UserResponses responses) {
     this.runtime = runtime;
-    this.format = services.format();
+    this.format = services.formatGate();
     this.relay = services.relay();
     this.admission = services.admission();
     this.statuses = statuses;
@@ -44,10 +44,10 @@
 
   /** Cancels a job and answers with its status; a final state stays as it is. */
   void cancel(long exchange, String id) {
-    JobStatus known = statuses.finished(id);
+    JobStatus known = statuses.finalStatus(id);
     if (known != null) {
-      responses.brief(exchange, known);
-    } else if (!responses.refusedForNow(exchange)) {
+      responses.answerSummary(exchange, known);
+    } else if (!responses.refuseIfUnreachable(exchange)) {
       cancel(exchange, id, MAX_TRIES);
     }
   }
@@ -68,9 +68,9 @@
 
   private void answerFinished(long exchange, JobStatus status) {
     if (status == null) {
-      responses.notFound(exchange);
+      responses.answerNotFound(exchange);
     } else if (status.phase().terminal()) {
-      responses.brief(exchange, status);
+      responses.answerSummary(exchange, status);
     } else {
       responses.refuse(exchange);
     }
@@ -88,12 +88,12 @@
         "POST",
         "/txn",
         txn,
-        JobStatusReader.TIMEOUT_MS,
+        JobStatusReader.STATE_REQUEST_TIMEOUT_MS,
         (outcome, status, reply) -> {
           if (outcome.succeeded(status)) {
             JobStatus aborted = new JobStatus(id, JobStatus.Phase.ABORTED, 0, 0);
             statuses.addFinished(aborted);
-            responses.brief(exchange, aborted);
+            responses.answerSummary(exchange, aborted);
           } else if (outcome.conflict(status) && triesLeft > 1) {
             cancel(exchange, id, triesLeft - 1);
           } else {
--- a/src/main/java/org/snowturn/core/api/JobStatusCache.java
+++ b/src/main/java/org/snowturn/core/api/JobStatusCache.java
@@ -31,7 +31,7 @@
   }
 
   /** A job's final state; null if none is known. */
-  JobStatus finished(String id) {
+  JobStatus finalStatus(String id) {
     return finished.get(id);
   }
 
@@ -46,7 +46,7 @@
   }
 
   /** Whether an accepted job is a service; null if it is not known to have been accepted. */
-  Boolean acceptedService(String id) {
+  Boolean isAcceptedService(String id) {
     return acceptedServices.get(id);
   }
 
--- a/src/main/java/org/snowturn/core/api/JobStatusReader.java
+++ b/src/main/java/org/snowturn/core/api/JobStatusReader.java
@@ -24,7 +24,7 @@
  */
 final class JobStatusReader {
   /** For requests to the state service on which a user waits. */
-  static final int TIMEOUT_MS = 1800;
+  static final int STATE_REQUEST_TIMEOUT_MS = 1800;
 
   private final CoreRuntime runtime;
   private final StateRequestRelay relay;
@@ -55,10 +55,10 @@
    * @param then takes the status, or null if nobody submitted the job
    */
   void read(long exchange, String id, Consumer<JobStatus> then) {
-    JobStatus known = statuses.finished(id);
+    JobStatus known = statuses.finalStatus(id);
     if (known != null) {
       then.accept(known);
-    } else if (liveJobs.known() && relay.direct()) {
+    } else if (liveJobs.isLoaded() && relay.direct()) {
       liveJobs.whenFresh(() -> readFromCache(exchange, id, then), () -> responses.refuse(exchange));
     } else {
       readRecords(exchange, id, then);
@@ -123,7 +123,7 @@
         "GET",
         "/kv/" + key,
         null,
-        TIMEOUT_MS,
+        STATE_REQUEST_TIMEOUT_MS,
         (outcome, status, body) -> {
           if (outcome.notFound(status)) {
             then.accept(null);
@@ -153,14 +153,14 @@
    * heard of the cancellation.
    */
   private boolean mayNeedCancelled(List<String> dependencies) {
-    if (!dependencies.isEmpty() && !cancelled.current()) {
+    if (!dependencies.isEmpty() && !cancelled.canReportLive()) {
       return true;
     }
     Set<String> seen = new HashSet<>(dependencies);
     ArrayDeque<String> next = new ArrayDeque<>(dependencies);
     while (!next.isEmpty()) {
       String id = next.poll();
-      if (cancelled.known(id)) {
+      if (cancelled.isKnownCancelled(id)) {
         return true;
       }
       LiveJobs.Seen live = liveJobs.get(id);
--- a/src/main/java/org/snowturn/core/api/JobSubmission.java
+++ b/src/main/java/org/snowturn/core/api/JobSubmission.java
@@ -51,19 +51,19 @@
 
   /** Accepts a job or answers why not. */
   void submit(long exchange, JobSpec spec) {
-    if (responses.refusedForNow(exchange)) {
+    if (responses.refuseIfUnreachable(exchange)) {
       return;
     }
-    if (!validator.ready()) {
+    if (!validator.isReady()) {
       answerIfKnown(exchange, spec);
       return;
     }
-    String rejection = validator.rejection(spec);
+    String rejection = validator.rejectionReason(spec);
     if (rejection != null) {
       reject(exchange, spec, rejection);
     } else if (spec.dependencies().isEmpty()) {
       write(exchange, spec);
-    } else if (!services.format().open()) {
+    } else if (!services.formatGate().open()) {
       // A node of the previous version would not make the job wait for its dependencies.
       answerIfKnown(exchange, spec);
     } else {
@@ -78,7 +78,7 @@
 
   /** Rejects a job for good, unless it is known already. */
   private void reject(long exchange, JobSpec spec, String reason) {
-    answerIfKnown(exchange, spec, () -> responses.invalid(exchange, reason));
+    answerIfKnown(exchange, spec, () -> responses.answerInvalid(exchange, reason));
   }
 
   private void answerIfKnown(long exchange, JobSpec spec, Runnable otherwise) {
@@ -87,7 +87,7 @@
         spec.id(),
         status -> {
           if (status != null) {
-            responses.brief(exchange, status);
+            responses.answerSummary(exchange, status);
           } else {
             otherwise.run();
           }
@@ -99,7 +99,7 @@
     Map<String, Boolean> serviceByJob = new HashMap<>();
     List<String> unknown = new ArrayList<>();
     for (String id : spec.dependencies()) {
-      Boolean service = statuses.acceptedService(id);
+      Boolean service = statuses.isAcceptedService(id);
       if (service == null) {
         unknown.add(id);
       } else {
@@ -117,7 +117,9 @@
           statuses.addAccepted(serviceByJob);
           if (complete) {
             writeOrReject(
-                exchange, spec, SubmissionValidator.rejection(spec.dependencies(), serviceByJob));
+                exchange,
+                spec,
+                SubmissionValidator.rejectionReason(spec.dependencies(), serviceByJob));
           } else {
             responses.refuse(exchange);
           }
@@ -134,14 +136,14 @@
 
   private void write(long exchange, JobSpec spec) {
     String flow = spec.jobClass() + "/" + spec.team();
-    if (!services.admission().admits(flow, 1, runtime.now())) {
+    if (!services.admission().tryAdmit(flow, 1, runtime.now())) {
       answerUnderPressure(exchange, spec);
       return;
     }
     JobRecord job = new JobRecord(JobStatus.Phase.QUEUED, runtime.wallMs(), spec);
-    int maxBytes = services.format().limits().valueBytes();
+    int maxBytes = services.formatGate().limits().valueBytes();
     ObjectNode record = job.live();
-    if (!services.format().open() || Json.bytes(record).length <= maxBytes) {
+    if (!services.formatGate().open() || Json.bytes(record).length <= maxBytes) {
       commit(exchange, spec, record, List.of());
       return;
     }
@@ -155,7 +157,8 @@
   /** A known job's repeat is answered whatever the pressure, from what is at hand. */
   private void answerUnderPressure(long exchange, JobSpec spec) {
     LiveJobCache liveJobs = services.liveJobs();
-    if (statuses.isAccepted(spec.id()) || (liveJobs.known() && liveJobs.get(spec.id()) != null)) {
+    if (statuses.isAccepted(spec.id())
+        || (liveJobs.isLoaded() && liveJobs.get(spec.id()) != null)) {
       answerIfKnown(exchange, spec);
     } else {
       responses.refuse(exchange);
@@ -165,31 +168,31 @@
   private ChunkedSubmission.Listener chunkListener(long exchange, JobSpec spec) {
     return new ChunkedSubmission.Listener() {
       @Override
-      public void stored(ObjectNode record, Condition firstChunkUnchanged) {
+      public void onStored(ObjectNode record, Condition firstChunkUnchanged) {
         commit(exchange, spec, record, List.of(firstChunkUnchanged));
       }
 
       @Override
-      public void unreadable() {
+      public void onUnreadable() {
         responses.refuse(exchange);
       }
 
       @Override
-      public void failed() {
+      public void onFailed() {
         answerIfKnown(exchange, spec);
       }
     };
   }
 
   /** Conditions that hold as long as no job of this name has been accepted. */
-  static List<Condition> isNew(String id) {
+  static List<Condition> newJobConditions(String id) {
     return List.of(
         new Condition(StorageKeys.job(id), 0), new Condition(StorageKeys.finishedJob(id), 0));
   }
 
   private void commit(
       long exchange, JobSpec spec, ObjectNode record, List<Condition> chunkConditions) {
-    List<Condition> conditions = new ArrayList<>(isNew(spec.id()));
+    List<Condition> conditions = new ArrayList<>(newJobConditions(spec.id()));
     conditions.addAll(chunkConditions);
     services
         .relay()
@@ -199,11 +202,11 @@
             "/txn",
             StateMessage.transaction(
                 conditions, List.of(Change.put(StorageKeys.job(spec.id()), record))),
-            JobStatusReader.TIMEOUT_MS,
+            JobStatusReader.STATE_REQUEST_TIMEOUT_MS,
             (outcome, status, reply) -> {
               if (outcome.succeeded(status)) {
                 statuses.addAccepted(spec.id(), spec.service());
-                responses.accepted(exchange, spec.id());
+                responses.answerAccepted(exchange, spec.id());
               } else if (outcome.conflict(status)) {
                 answerIfKnown(exchange, spec);
               } else {
--- a/src/main/java/org/snowturn/core/api/LiveJobCache.java
+++ b/src/main/java/org/snowturn/core/api/LiveJobCache.java
@@ -28,13 +28,13 @@
   /** Who wants to know what the cache proves. */
   public interface Listener {
     /** The job's record says that it is cancelled. */
-    void cancelled(String job);
+    void onCancelled(String job);
 
     /**
      * The cache holds all that was stored at this moment, in milliseconds of the steady clock, and
      * all cancellations among it have been told.
      */
-    void complete(long at);
+    void onUpToDate(long at);
   }
 
   /** The share of the state service's request rate that the reads of all nodes may take. */
@@ -77,7 +77,7 @@
   private boolean requestOpen;
   private long nextAt;
   private long freshAt = MonotonicTime.NEVER;
-  private long proofs;
+  private long validations;
   private long loads;
 
   /** An empty cache; reads the live jobs at the next tick. */
@@ -95,7 +95,7 @@
   }
 
   /** Whether there is a cache that can be proven fresh by one read. */
-  public boolean known() {
+  public boolean isLoaded() {
     return jobs.known();
   }
 
@@ -118,7 +118,7 @@
   }
 
   /** Proves the cache as soon as possible, whether or not anybody waits for it. */
-  public void refresh() {
+  public void requestValidation() {
     freshAt = MonotonicTime.NEVER;
   }
 
@@ -149,7 +149,7 @@
     // Only who has asked before the request is sent is answered by its reply.
     ArrayDeque<Waiter> covered = waiting;
     waiting = new ArrayDeque<>();
-    proofs++;
+    validations++;
     long sentAt = runtime.now();
     runtime.watchState(
         RequestClass.PROOFS,
@@ -159,7 +159,7 @@
           requestOpen = false;
           if (outcome.succeeded(status) && applyChanges(body)) {
             freshAt = runtime.now();
-            listener.complete(sentAt);
+            listener.onUpToDate(sentAt);
             backoff.reset();
             covered.forEach(waiter -> waiter.fresh.run());
             return;
@@ -200,7 +200,7 @@
     if (entry.key().startsWith(StorageKeys.JOBS)
         && entry.value() != null
         && isCancelled(entry.value())) {
-      listener.cancelled(entry.key().substring(StorageKeys.JOBS.length()));
+      listener.onCancelled(entry.key().substring(StorageKeys.JOBS.length()));
     }
   }
 
@@ -218,7 +218,7 @@
               requestOpen = false;
               jobs.load(range.entries(), range.epoch());
               range.entries().forEach(this::tellIfCancelled);
-              listener.complete(sentAt);
+              listener.onUpToDate(sentAt);
               backoff.reset();
               nextAt = runtime.now();
               readIfDue();
@@ -226,8 +226,8 @@
   }
 
   /** How many reads of changes were sent. */
-  public long proofs() {
-    return proofs;
+  public long validations() {
+    return validations;
   }
 
   /** How many times all live jobs were read. */
@@ -241,7 +241,7 @@
   }
 
   /** How many wait for the next proof. */
-  public int waiting() {
+  public int waiterCount() {
     return waiting.size();
   }
 }
--- a/src/main/java/org/snowturn/core/api/SubmissionValidator.java
+++ b/src/main/java/org/snowturn/core/api/SubmissionValidator.java
@@ -18,12 +18,12 @@
   }
 
   /** Whether enough is known to judge. */
-  boolean ready() {
+  boolean isReady() {
     return machineTypes.known();
   }
 
   /** Why a job could never run, for the user; null if it could. Dependencies are not looked at. */
-  String rejection(JobSpec spec) {
+  String rejectionReason(JobSpec spec) {
     Settings.Team team = null;
     for (Settings.Team candidate : settings.teams()) {
       if (candidate.name().equals(spec.team())) {
@@ -52,7 +52,7 @@
    *
    * @param services whether each accepted one of them is a service
    */
-  static String rejection(List<String> dependencies, Map<String, Boolean> services) {
+  static String rejectionReason(List<String> dependencies, Map<String, Boolean> services) {
     for (String id : dependencies) {
       if (!services.containsKey(id)) {
         return "awaits: " + id + " was never accepted";
--- a/src/main/java/org/snowturn/core/api/UserResponses.java
+++ b/src/main/java/org/snowturn/core/api/UserResponses.java
@@ -39,7 +39,7 @@
   }
 
   /** Refuses at once what needs the state service while that does not answer; tells whether. */
-  boolean refusedForNow(long exchange) {
+  boolean refuseIfUnreachable(long exchange) {
     if (stateServiceReachable.getAsBoolean()) {
       return false;
     }
@@ -53,28 +53,28 @@
   }
 
   /** Answers that there is no such job. */
-  void notFound(long exchange) {
+  void answerNotFound(long exchange) {
     runtime.answer(exchange, NOT_FOUND, null);
   }
 
   /** Answers that a submission can never be accepted. */
-  void invalid(long exchange, String reason) {
+  void answerInvalid(long exchange, String reason) {
     runtime.answer(exchange, UNPROCESSABLE, Json.object().put("error", reason));
   }
 
   /** Answers that a job was accepted. */
-  void accepted(long exchange, String job) {
+  void answerAccepted(long exchange, String job) {
     JobStatus queued = new JobStatus(job, JobStatus.Phase.QUEUED, 0, 0);
     runtime.answer(exchange, CREATED, queued.summary());
   }
 
   /** Answers with the short form of a job's status. */
-  void brief(long exchange, JobStatus status) {
+  void answerSummary(long exchange, JobStatus status) {
     answer(exchange, status, status.summary());
   }
 
   /** Answers with all of a job's status. */
-  void full(long exchange, JobStatus status) {
+  void answerFull(long exchange, JobStatus status) {
     answer(exchange, status, status.full());
   }
 
--- a/src/main/java/org/snowturn/core/effects/CoreRuntime.java
+++ b/src/main/java/org/snowturn/core/effects/CoreRuntime.java
@@ -263,7 +263,7 @@
     OpenCall open = openCalls.remove(reply.call());
     if (open != null) {
       if (reply.status() == TOO_MANY_REQUESTS && open.countsRequests && budget != null) {
-        budget.refusedThere(now);
+        budget.refusedByService(now);
       }
       retryAfterMs = reply.retryAfterMs();
       open.then.on(reply.outcome(), reply.status(), reply.body());
--- a/src/main/java/org/snowturn/core/scheduling/FairOrdering.java
+++ b/src/main/java/org/snowturn/core/scheduling/FairOrdering.java
@@ -32,7 +32,7 @@
   /** Counts a job that waits for room. */
   void countWaiting(Job job, long wallMs) {
     if (job.shareGroup() < 0) {
-      job.setShareGroup(minimumShares.group(job.spec.jobClass(), job.spec.team()));
+      job.setShareGroup(minimumShares.groupIndex(job.spec.jobClass(), job.spec.team()));
       minimumShares.recordArrivals(job.shareGroup(), job.taskCount());
     }
     double waitedS = (wallMs - job.releasedWall()) / 1000.0;
@@ -105,7 +105,7 @@
     }
 
     @Override
-    public long submitted() {
+    public long submittedAt() {
       return job.submittedWall;
     }
 
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public void within(boolean is) {
+    public void setWithinGuarantee(boolean is) {
       job.setWithinGuarantee(is);
     }
   }
--- a/src/test/java/org/snowturn/core/admission/FairSharesTest.java
+++ b/src/test/java/org/snowturn/core/admission/FairSharesTest.java
@@ -18,7 +18,7 @@
   private static final double SLACK = 1e-6;
 
   @Property(seed = "1", tries = 500)
-  void nobodyGetsMoreThanItNeedsAndNothingIsLeftWhileSomebodyNeedsIt(
+  void noShareExceedsItsDemandAndNoRateIsLeftOverWhileDemandIsUnmet(
       @ForAll @Size(min = 1, max = 6) List<@DoubleRange(min = 0, max = 500) Double> wanted,
       @ForAll @DoubleRange(min = 0, max = 600) double rate) {
     double[] needs = wanted.stream().mapToDouble(d -> d).toArray();
@@ -34,7 +34,7 @@
 
   /** Three nodes, told of each other's needs at different times or not at all. */
   @Property(seed = "2", tries = 500)
-  void whatIsSharedOutIsNeverMoreThanThereIsBeyondWhatNewsMayLack(
+  void nodesWithPartialReportsTogetherStayWithinTheRate(
       @ForAll @Size(3) List<@DoubleRange(min = 0, max = 400) Double> needs,
       @ForAll @Size(6) List<Boolean> heard) {
     List<String> names = List.of("n0", "n1", "n2");
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void aNodeWithoutWordOfTheOthersTakesTheEqualPart() {
+  void aNodeWithoutFreshReportsTakesTheEqualShare() {
     RateDemands demands = new RateDemands(List.of("a", "b"));
     double equal = demands.requestRate(300, 0);
     assertEquals(95, equal, SLACK);
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void aTermLeavesUsersWhatTheyAskForUpToHalf() {
+  void aLeaderLeavesUsersTheirDemandUpToItsMinimumShare() {
     RateDemands demands = new RateDemands(List.of("a", "b"));
     demands.record("a", new RateDemands.Demand(0, 0, 0), 0);
     demands.record("b", new RateDemands.Demand(0, 1, 0), 0);
@@ -88,13 +88,13 @@
   }
 
   @Property(seed = "3", tries = 300)
-  void aMalformedNeedChangesNothing(@ForAll @IntRange(min = 0, max = 3) int kind) {
+  void anInvalidDemandIsIgnored(@ForAll @IntRange(min = 0, max = 3) int kind) {
     double bad =
         new double[] {Double.NaN, -1, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY}[kind];
     RateDemands demands = new RateDemands(List.of("a"));
     demands.record("a", new RateDemands.Demand(bad, 0, 0), 0);
     demands.record("a", new RateDemands.Demand(0, bad, 0), 0);
     demands.record("a", new RateDemands.Demand(0, 0, bad), 0);
-    assertEquals(0, demands.freshPeers(0));
+    assertEquals(0, demands.freshPeerCount(0));
   }
 }
--- a/src/test/java/org/snowturn/core/admission/MinimumSharesTest.java
+++ b/src/test/java/org/snowturn/core/admission/MinimumSharesTest.java
@@ -21,7 +21,7 @@
     MinimumShares minimumShares = new MinimumShares();
     double[] got = new double[groups];
     for (int g = 0; g < groups; g++) {
-      minimumShares.group("class" + g, "team");
+      minimumShares.groupIndex("class" + g, "team");
     }
     for (long now = 0; now < 300_000; now += 100) {
       minimumShares.beginRound(now);
@@ -39,7 +39,7 @@
   }
 
   @Property(seed = "5", tries = 60)
-  void everyGroupGetsItsFloorAndAllTogetherNoMoreThanTheirPart(
+  void everyGroupGetsItsMinimumShareWithinTheTotalLimit(
       @ForAll @IntRange(min = 2, max = 30) int groups,
       @ForAll @IntRange(min = 16, max = 600) int waitS) {
     double[] got = serve(groups, waitS);
@@ -55,23 +55,23 @@
   }
 
   @Test
-  void nothingChangesWhileNobodyWaitsForLong() {
+  void groupsWithShortWaitsGetNoMinimumShare() {
     assertEquals(20_000, serve(5, 14)[0]);
   }
 
   @Test
-  void aGroupAloneHasNoFloor() {
+  void aSingleGroupHasNoMinimumShare() {
     MinimumShares minimumShares = new MinimumShares();
-    minimumShares.group("a", "t");
+    minimumShares.groupIndex("a", "t");
     minimumShares.beginRound(0);
     minimumShares.recordWaiting(0, 100, 1);
     assertFalse(minimumShares.isBelowMinimum(0));
   }
 
   @Test
-  void operatorsSeeWhoWaits() {
+  void gaugesShowTheLongestWaitAndTheServedShare() {
     MinimumShares minimumShares = new MinimumShares();
-    int index = minimumShares.group("a", "t");
+    int index = minimumShares.groupIndex("a", "t");
     minimumShares.recordArrivals(index, 40);
     minimumShares.beginRound(0);
     minimumShares.recordWaiting(index, 12, 10);
--- a/src/test/java/org/snowturn/core/admission/QuotaGuaranteesTest.java
+++ b/src/test/java/org/snowturn/core/admission/QuotaGuaranteesTest.java
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public long submitted() {
+    public long submittedAt() {
       return submitted;
     }
 
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public void within(boolean is) {
+    public void setWithinGuarantee(boolean is) {
       within = is;
     }
   }
@@ -70,7 +70,7 @@
           new Settings.Team("none", 0, 0, 0, 0));
 
   @Property(seed = "6", tries = 300)
-  void equalsANaiveRecountInWhateverOrderTheJobsAreGiven(
+  void matchesANaiveRecountForAnyOrderOfJobs(
       @ForAll @LongRange(min = 0, max = 1L << 40) long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     List<Job> jobs = new ArrayList<>();
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void withoutGuaranteesThereIsNothingToWorkOut() {
+  void reportsWhetherAnyGuaranteeIsConfigured() {
     assertFalse(new QuotaGuarantees(List.of(new Settings.Team("t", 0, 5, 0, 1))).isAnyConfigured());
     assertTrue(new QuotaGuarantees(TEAMS).isAnyConfigured());
   }
--- a/src/test/java/org/snowturn/core/admission/StateRequestBudgetTest.java
+++ b/src/test/java/org/snowturn/core/admission/StateRequestBudgetTest.java
@@ -30,11 +30,11 @@
   }
 
   @Test
-  void inAFloodAuthorityAlwaysPassesAndEachFloorIsKept() {
+  void underOverloadAuthorityAlwaysPassesAndEachClassGetsItsGuaranteedShare() {
     int all = flood(new StateRequestBudget(50, 0), 2);
     assertEquals(80, passed.get(RequestClass.AUTHORITY));
     for (RequestClass requestClass : RequestClass.values()) {
-      double floor = 50 * 20 * requestClass.floor;
+      double floor = 50 * 20 * requestClass.guaranteedShare;
       assertTrue(
           passed.get(requestClass) >= 0.9 * floor,
           requestClass + " " + passed.get(requestClass) + " of " + floor);
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void whatOthersLeaveIsAnybodys() {
+  void oneClassMayUseTheUnusedBudgetOfTheOthers() {
     StateRequestBudget budget = new StateRequestBudget(50, 0);
     int reads = 0;
     for (long now = 1; now <= 20_000; now++) {
@@ -53,56 +53,56 @@
   }
 
   @Test
-  void refusalsThereShrinkThePartAndItGrowsBack() {
+  void serviceRefusalsReduceTheRateWhichThenRecovers() {
     StateRequestBudget budget = new StateRequestBudget(100, 0);
     for (long now = 0; now < 3_000; now += 10) {
-      budget.refusedThere(now);
+      budget.refusedByService(now);
     }
-    assertEquals(40, budget.perSecond(), 1);
+    assertEquals(40, budget.allowedPerSecond(), 1);
     budget.tryAcquire(RequestClass.WORK, 8_000);
-    assertEquals(100, budget.perSecond(), 1e-6);
-    assertEquals(300, budget.refusedThere());
+    assertEquals(100, budget.allowedPerSecond(), 1e-6);
+    assertEquals(300, budget.refusedByService());
   }
 
   @Test
   void submissionsAreRefusedOnlyOnceTheServiceRefuses() {
     AdmissionController controller = new AdmissionController(new SplittableRandom(1), 2, 0);
     for (int i = 0; i < 200; i++) {
-      assertTrue(controller.admits("a", 1, 0));
+      assertTrue(controller.tryAdmit("a", 1, 0));
     }
     controller.onServiceRefusal(0);
     int taken = 0;
     for (long now = 0; now < 2_900; now += 10) {
-      taken += controller.admits("a", 1, now) ? 1 : 0;
+      taken += controller.tryAdmit("a", 1, now) ? 1 : 0;
     }
     assertTrue(taken >= 5 && taken <= 7, "" + taken);
-    assertTrue(controller.admits("a", 1, 3_100));
+    assertTrue(controller.tryAdmit("a", 1, 3_100));
   }
 
   @Test
-  void aSmallClassIsNotCrowdedOutByALargeOne() {
+  void aGroupWithLowDemandIsNotStarvedByAnother() {
     AdmissionController controller = new AdmissionController(new SplittableRandom(1), 10, 0);
     int small = 0;
     int tries = 0;
     for (long now = 0; now < 60_000; now += 5) {
       controller.onServiceRefusal(now);
-      controller.admits("large", 1, now);
+      controller.tryAdmit("large", 1, now);
       if (now % 500 == 0) {
         tries++;
-        small += controller.admits("small", 1, now) ? 1 : 0;
+        small += controller.tryAdmit("small", 1, now) ? 1 : 0;
       }
     }
     assertTrue(small >= 0.95 * tries, small + " of " + tries);
   }
 
   @Test
-  void refusedUsersComeBackSpreadOut() {
+  void retryDelaysAreSpreadOut() {
     AdmissionController controller = new AdmissionController(new SplittableRandom(1), 1, 0);
     assertEquals(1, controller.retryAfterS(0));
     controller.onServiceRefusal(0);
     int[] at = new int[40];
     for (int i = 0; i < 500; i++) {
-      if (!controller.admits("a", 1, 10)) {
+      if (!controller.tryAdmit("a", 1, 10)) {
         at[controller.retryAfterS(10)]++;
       }
     }
