--- a/src/main/java/org/snowturn/core/admission/FairShares.java
+++ b/src/main/java/org/snowturn/core/admission/FairShares.java
@@ -3,52 +3,59 @@
 import java.util.Arrays;
 
 /**
- * Divides a rate among those who need it: nobody gets more than it needs, nor less than is fair.
+ * Max-min fair division of a rate: no share exceeds its demand, and unused shares are passed on.
  */
 public final class FairShares {
   private FairShares() {}
 
   /**
-   * Max-min fair shares by weight: whoever needs less than its part leaves the rest to the others.
+   * Returns weighted max-min fair shares: demands below their weighted share are met in full, and
+   * the remainder is divided among the others.
    *
-   * @param needs what each could use, a second
-   * @param weights of what is left each gets a part in proportion to these; more than 0
-   * @param rate what there is, a second
-   * @return a part for each; together no more than {@code rate}
+   * @param demands the rate that each participant can use, per second
+   * @param weights the participants' weights, each greater than 0
+   * @param rate the rate to divide, per second
+   * @return the share of each participant, per second; the sum is at most {@code rate}
    */
-  public static double[] of(double[] needs, double[] weights, double rate) {
-    double[] out = new double[needs.length];
-    boolean[] full = new boolean[needs.length];
-    double left = Math.max(0, rate);
-    for (int round = 0; round < needs.length; round++) {
-      double weight = 0;
-      for (int i = 0; i < needs.length; i++) {
-        weight += full[i] ? 0 : weights[i];
+  public static double[] of(double[] demands, double[] weights, double rate) {
+    double[] shares = new double[demands.length];
+    boolean[] isMet = new boolean[demands.length];
+    double remaining = Math.max(0, rate);
+    for (int round = 0; round < demands.length; round++) {
+      double unmetWeight = 0;
+      for (int i = 0; i < demands.length; i++) {
+        unmetWeight += isMet[i] ? 0 : weights[i];
       }
-      boolean changed = false;
-      double now = left;
-      for (int i = 0; i < needs.length; i++) {
-        if (!full[i] && needs[i] <= now * weights[i] / weight) {
-          out[i] = Math.max(0, needs[i]);
-          left -= out[i];
-          full[i] = true;
-          changed = true;
+      boolean hasChanged = false;
+      double available = remaining;
+      for (int i = 0; i < demands.length; i++) {
+        if (!isMet[i] && demands[i] <= available * weights[i] / unmetWeight) {
+          shares[i] = Math.max(0, demands[i]);
+          remaining -= shares[i];
+          isMet[i] = true;
+          hasChanged = true;
         }
       }
-      if (!changed) {
-        for (int i = 0; i < needs.length; i++) {
-          out[i] = full[i] ? out[i] : left * weights[i] / weight;
+      if (!hasChanged) {
+        for (int i = 0; i < demands.length; i++) {
+          shares[i] = isMet[i] ? shares[i] : remaining * weights[i] / unmetWeight;
         }
         break;
       }
     }
-    return out;
+    return shares;
   }
 
-  /** The same among equals. */
-  public static double[] of(double[] needs, double rate) {
-    double[] weights = new double[needs.length];
+  /**
+   * Returns max-min fair shares with equal weights.
+   *
+   * @param demands the rate that each participant can use, per second
+   * @param rate the rate to divide, per second
+   * @return the share of each participant, per second; the sum is at most {@code rate}
+   */
+  public static double[] of(double[] demands, double rate) {
+    double[] weights = new double[demands.length];
     Arrays.fill(weights, 1);
-    return of(needs, weights, rate);
+    return of(demands, weights, rate);
   }
 }
--- a/src/main/java/org/snowturn/core/admission/MinimumShares.java
+++ b/src/main/java/org/snowturn/core/admission/MinimumShares.java
@@ -7,113 +7,132 @@
 import java.util.TreeMap;
 
 /**
- * A minimum share of placements for each class of each team. The ordinary order is strict, by
- * priority, what can still be in time, and least work: whoever comes after others in it would wait
- * as long as these keep coming. A group that has waited for long and had less than a small share of
- * recent placements goes before the others until it has had that share; the share grows with the
- * wait.
+ * Guarantees a minimum share of placements to each group, which is a job class of a team. The
+ * regular scheduling order is strict: by priority, by deadlines that can still be met, and by least
+ * work. A group that is last in it would starve as long as other jobs keep arriving. Therefore a
+ * group that has waited long and received less than its minimum share of recent placements goes
+ * before the others until it has received that share. The share grows with the wait.
  *
- * <p>It takes no more than {@link #MAX_TOTAL_SHARE} of the placements, however many groups starve,
- * and nothing while nobody waits for long.
+ * <p>The minimum shares take at most {@link #MAX_TOTAL_SHARE} of the placements in total, for any
+ * number of starving groups, and nothing while no group waits long.
  */
 public final class MinimumShares {
-  /** Who waits less than this is served by the ordinary order. */
+  /** Longest wait for which a group is served in the regular order only. */
   private static final double MIN_WAIT_S = 15;
 
-  /** The share at that time; it grows in proportion to the wait. */
+  /** Minimum share of a group after a wait of {@link #MIN_WAIT_S}; it grows with the wait. */
   private static final double BASE_SHARE = 0.03;
 
   private static final double MAX_GROUP_SHARE = 0.15;
 
-  /** All minimum shares together. */
+  /** Maximum sum of all minimum shares. */
   static final double MAX_TOTAL_SHARE = 0.4;
 
-  /** Placements longer ago than this hardly count. */
+  /** Averaging time of the placement rates. */
   private static final long AVERAGING_MS = 30_000;
 
   private static final class Group {
     private final String name;
     private final RateMeter placements = new RateMeter(AVERAGING_MS);
-    private double waitS;
-    private long waiting;
-    private long arrived;
+    private double longestWaitS;
+    private long waitingTasks;
+    private long arrivedTasks;
 
     Group(String name) {
       this.name = name;
     }
   }
 
-  private final Map<String, Integer> byName = new HashMap<>();
+  private final Map<String, Integer> indexByName = new HashMap<>();
   private final List<Group> groups = new ArrayList<>();
   private final RateMeter allPlacements = new RateMeter(AVERAGING_MS);
-  private long roundAt;
-  private int waitingGroups;
+  private long roundStartedAt;
+  private int longWaitingGroups;
 
-  /** The dense index of a team's class. */
+  /** Returns the index of a team's job class, from 0; assigns the next one to a new group. */
   public int groupIndex(String jobClass, String team) {
     String name = jobClass + "/" + team;
-    Integer known = byName.get(name);
-    if (known == null) {
-      known = groups.size();
-      byName.put(name, known);
+    Integer index = indexByName.get(name);
+    if (index == null) {
+      index = groups.size();
+      indexByName.put(name, index);
       groups.add(new Group(name));
     }
-    return known;
+    return index;
   }
 
-  /** Starts a scheduling round: nobody waits yet. */
+  /** Starts a scheduling round and clears the waits recorded in the last one. */
   public void beginRound(long nowMs) {
-    roundAt = nowMs;
-    waitingGroups = 0;
+    roundStartedAt = nowMs;
+    longWaitingGroups = 0;
     for (Group group : groups) {
-      group.waitS = 0;
-      group.waiting = 0;
+      group.longestWaitS = 0;
+      group.waitingTasks = 0;
     }
   }
 
-  /** So many tasks of a job of the group have waited for room for so long, in seconds. */
+  /**
+   * Records the waiting tasks of a job in the current round.
+   *
+   * @param group index of the job's group
+   * @param waitS time that the job has waited for capacity, in seconds
+   * @param tasks number of its waiting tasks
+   */
   public void recordWaiting(int group, double waitS, int tasks) {
     Group shareGroup = groups.get(group);
-    shareGroup.waiting += tasks;
-    boolean waitedBefore = shareGroup.waitS > MIN_WAIT_S;
-    shareGroup.waitS = Math.max(shareGroup.waitS, waitS);
-    waitingGroups += !waitedBefore && shareGroup.waitS > MIN_WAIT_S ? 1 : 0;
+    shareGroup.waitingTasks += tasks;
+    boolean wasLongWaiting = shareGroup.longestWaitS > MIN_WAIT_S;
+    shareGroup.longestWaitS = Math.max(shareGroup.longestWaitS, waitS);
+    longWaitingGroups += !wasLongWaiting && shareGroup.longestWaitS > MIN_WAIT_S ? 1 : 0;
   }
 
-  /** Whether the group has waited long with less than its share, and so goes before the others. */
+  /**
+   * Returns whether the group has waited long and received less than its minimum share. Such a
+   * group goes before the others.
+   */
   public boolean isBelowMinimum(int group) {
     Group shareGroup = groups.get(group);
-    if (shareGroup.waitS <= MIN_WAIT_S || groups.size() < 2) {
+    if (shareGroup.longestWaitS <= MIN_WAIT_S || groups.size() < 2) {
       return false;
     }
-    double share = Math.min(MAX_GROUP_SHARE, BASE_SHARE * shareGroup.waitS / MIN_WAIT_S);
-    share = Math.min(share, MAX_TOTAL_SHARE / waitingGroups);
-    return shareGroup.placements.perSecond(roundAt) < share * allPlacements.perSecond(roundAt);
+    double share = Math.min(MAX_GROUP_SHARE, BASE_SHARE * shareGroup.longestWaitS / MIN_WAIT_S);
+    share = Math.min(share, MAX_TOTAL_SHARE / longWaitingGroups);
+    return shareGroup.placements.perSecond(roundStartedAt)
+        < share * allPlacements.perSecond(roundStartedAt);
   }
 
-  /** A task of the group was placed. */
+  /**
+   * Records the placement of a task.
+   *
+   * @param group index of the task's group
+   * @param cpus number of CPUs of the task
+   */
   public void recordPlacement(int group, double cpus, long nowMs) {
     groups.get(group).placements.add(cpus, nowMs);
     allPlacements.add(cpus, nowMs);
   }
 
-  /** So many tasks of the group have come. */
+  /** Records the arrival of tasks of a group. */
   public void recordArrivals(int group, int tasks) {
-    groups.get(group).arrived += tasks;
+    groups.get(group).arrivedTasks += tasks;
   }
 
   /**
-   * For operators: of each group the longest wait, and what part of its tasks does not wait for it.
+   * Returns the metrics of each group: its longest wait, the share of its arrived tasks that are
+   * not waiting, and its rate of placed CPUs.
    */
   public Map<String, Double> gauges() {
     Map<String, Double> gauges = new TreeMap<>();
     for (Group shareGroup : groups) {
       String label = "{group=\"" + shareGroup.name + "\"}";
-      gauges.put("snowturn.wait.longest.seconds" + label, shareGroup.waitS);
+      gauges.put("snowturn.wait.longest.seconds" + label, shareGroup.longestWaitS);
       gauges.put(
           "snowturn.served.share" + label,
-          1 - Math.min(1.0, (double) shareGroup.waiting / Math.max(1, shareGroup.arrived)));
-      gauges.put("snowturn.share.assigned.cpus" + label, shareGroup.placements.perSecond(roundAt));
+          1
+              - Math.min(
+                  1.0, (double) shareGroup.waitingTasks / Math.max(1, shareGroup.arrivedTasks)));
+      gauges.put(
+          "snowturn.share.assigned.cpus" + label, shareGroup.placements.perSecond(roundStartedAt));
     }
     return gauges;
   }
--- a/src/main/java/org/snowturn/core/admission/QuotaGuarantees.java
+++ b/src/main/java/org/snowturn/core/admission/QuotaGuarantees.java
@@ -9,103 +9,110 @@
 import org.snowturn.config.Settings;
 
 /**
- * Which jobs are within their team's quota guarantee: a job is when it fits into the guarantee
- * together with its team's earlier unfinished jobs. Jobs that await others, and those that are
- * cancelled, hold no part of it. A guarantee of 0 is none.
+ * Determines which jobs are within their team's quota guarantee. A job is within the guarantee if
+ * it fits into it together with all unfinished jobs that the team submitted earlier. The caller
+ * leaves out jobs that wait for dependencies and cancelled jobs, which claim nothing. A guarantee
+ * of 0 counts as no guarantee.
  *
- * <p>Worked out anew from the jobs that there are, so a new leader has it from the records alone.
+ * <p>The result is computed from the unfinished jobs each time and is not stored, so a new leader
+ * obtains it from the job records alone.
  */
 public final class QuotaGuarantees {
-  private static final double TOLERANCE = 1e-6;
+  private static final double ROUNDING_TOLERANCE = 1e-6;
 
-  /** What a job asks of its team's guarantee, all of its tasks together. */
+  /** The claim of a job on its team's guarantee, for all of its tasks together. */
   public interface Claim {
-    /** The team's name. */
+    /** Returns the name of the job's team. */
     String team();
 
-    /** CPUs of all tasks together. */
+    /** Returns the number of CPUs of all tasks together. */
     double cpus();
 
-    /** GPUs of all tasks together. */
+    /** Returns the number of GPUs of all tasks together. */
     double gpus();
 
-    /** When it was submitted; earlier ones come first, by name among equals. */
+    /**
+     * Returns the time of submission, in milliseconds since 1970. Earlier jobs come first; jobs
+     * with the same time are ordered by id.
+     */
     long submittedAt();
 
-    /** The job's id. */
+    /** Returns the job's id. */
     String id();
 
-    /** Told whether it is within the guarantee. */
-    void setWithinGuarantee(boolean is);
+    /** Sets whether the job is within its team's guarantee. */
+    void setWithinGuarantee(boolean isWithin);
   }
 
-  private static final class Team {
+  private static final class TeamUsage {
     private final Settings.Team team;
-    private double cpus;
-    private double gpus;
+    private double claimedCpus;
+    private double claimedGpus;
 
-    Team(Settings.Team team) {
+    TeamUsage(Settings.Team team) {
       this.team = team;
     }
 
-    boolean takes(Claim claim) {
+    boolean addClaim(Claim claim) {
       boolean fits =
-          cpus + claim.cpus() <= team.cpus() + TOLERANCE
-              && gpus + claim.gpus() <= team.gpus() + TOLERANCE;
-      // Also what does not fit stands before what comes after it: no small one overtakes.
-      cpus += claim.cpus();
-      gpus += claim.gpus();
+          claimedCpus + claim.cpus() <= team.cpus() + ROUNDING_TOLERANCE
+              && claimedGpus + claim.gpus() <= team.gpus() + ROUNDING_TOLERANCE;
+      // A claim that does not fit also counts, so that smaller jobs cannot overtake it.
+      claimedCpus += claim.cpus();
+      claimedGpus += claim.gpus();
       return fits;
     }
   }
 
-  private final Map<String, Settings.Team> guaranteed = new TreeMap<>();
-  private final Map<String, Double> claimedCpus = new TreeMap<>();
+  private final Map<String, Settings.Team> teamsWithGuarantee = new TreeMap<>();
+  private final Map<String, Double> claimedCpusByTeam = new TreeMap<>();
 
-  /** Of these teams, those that have a guarantee. */
+  /** Creates the guarantees of those of the given teams that have one. */
   public QuotaGuarantees(Iterable<Settings.Team> teams) {
     for (Settings.Team team : teams) {
       if (team.cpus() > 0 || team.gpus() > 0) {
-        guaranteed.put(team.name(), team);
+        teamsWithGuarantee.put(team.name(), team);
       }
     }
   }
 
-  /** Whether any team has one; if not, nothing needs to be worked out. */
+  /** Returns whether any team has a guarantee; if none has, {@link #evaluate} can be skipped. */
   public boolean isAnyConfigured() {
-    return !guaranteed.isEmpty();
+    return !teamsWithGuarantee.isEmpty();
   }
 
-  /** Tells each of the unfinished jobs whether it is within its team's guarantee. */
-  public void evaluate(Iterable<? extends Claim> unfinished) {
+  /** Determines for each claim whether the job is within its team's guarantee, and sets it. */
+  public void evaluate(Iterable<? extends Claim> unfinishedJobs) {
     List<Claim> claims = new ArrayList<>();
-    for (Claim claim : unfinished) {
-      if (guaranteed.containsKey(claim.team())) {
+    for (Claim claim : unfinishedJobs) {
+      if (teamsWithGuarantee.containsKey(claim.team())) {
         claims.add(claim);
       } else {
         claim.setWithinGuarantee(false);
       }
     }
     claims.sort(Comparator.comparingLong(Claim::submittedAt).thenComparing(Claim::id));
-    Map<String, Team> teams = new HashMap<>();
-    claimedCpus.clear();
+    Map<String, TeamUsage> usageByTeam = new HashMap<>();
+    claimedCpusByTeam.clear();
     for (Claim claim : claims) {
-      Team team = teams.computeIfAbsent(claim.team(), name -> new Team(guaranteed.get(name)));
-      boolean within = team.takes(claim);
-      claim.setWithinGuarantee(within);
-      claimedCpus.merge(claim.team(), within ? claim.cpus() : 0, Double::sum);
+      TeamUsage usage =
+          usageByTeam.computeIfAbsent(
+              claim.team(), name -> new TeamUsage(teamsWithGuarantee.get(name)));
+      boolean isWithin = usage.addClaim(claim);
+      claim.setWithinGuarantee(isWithin);
+      claimedCpusByTeam.merge(claim.team(), isWithin ? claim.cpus() : 0, Double::sum);
     }
   }
 
-  /** For operators: of each team with a guarantee, its CPUs and how many of them are claimed. */
+  /** Returns the metrics of each team with a guarantee: its CPUs, and how many are claimed. */
   public Map<String, Double> gauges() {
     Map<String, Double> gauges = new TreeMap<>();
-    guaranteed.forEach(
+    teamsWithGuarantee.forEach(
         (name, team) -> {
           String label = "{team=\"" + name + "\"}";
           gauges.put("snowturn.guarantee.cpus" + label, team.cpus());
           gauges.put(
-              "snowturn.guarantee.claimed.cpus" + label, claimedCpus.getOrDefault(name, 0.0));
+              "snowturn.guarantee.claimed.cpus" + label, claimedCpusByTeam.getOrDefault(name, 0.0));
         });
     return gauges;
   }
--- a/src/main/java/org/snowturn/core/admission/RateAllocator.java
+++ b/src/main/java/org/snowturn/core/admission/RateAllocator.java
@@ -7,8 +7,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What this node may take of the state service's rates, and the demand that it reports to its
- * peers.
+ * Allocates this node's share of the state service's request and change rates, and provides the
+ * demand that this node reports to its peers.
  */
 public final class RateAllocator {
   private static final long REPORT_INTERVAL_MS = 300;
@@ -18,14 +18,18 @@
   private final RateDemands demands;
   private final StateRequestBudget budget;
   private final AdmissionController admissionController;
-  private double leaderDemand;
+  private double leaderWritesPerSecond;
   private long nextReportAt = Long.MIN_VALUE;
 
   /**
-   * With equal parts, until the peers are heard.
+   * Creates an allocator with an equal share for each node, which applies until the peers report
+   * their demand. If a limit of the service is about to be lowered, its new value must be passed.
    *
-   * @param requestRate requests a second that the state service takes of all nodes
-   * @param changeRate changes a second, likewise: the smaller one if it is to become smaller
+   * @param peers names of the other nodes
+   * @param requestRate requests a second that the state service accepts from all nodes together
+   * @param changeRate changes a second that the state service accepts from all nodes together
+   * @param random source of the retry delays' randomness
+   * @param nowMs the current time, in milliseconds of the monotonic clock
    */
   public RateAllocator(
       List<String> peers,
@@ -42,50 +46,60 @@
             random, demands.submissionRate(RateDemands.Demand.NONE, changeRate, nowMs), nowMs);
   }
 
-  /** This node's part of the requests. */
+  /** Returns the budget of this node's requests to the state service. */
   public StateRequestBudget budget() {
     return budget;
   }
 
-  /** This node's part of the changes that users ask for. */
+  /** Returns the controller that admits the submissions of this node's users. */
   public AdmissionController admissionController() {
     return admissionController;
   }
 
-  /** A peer tells what it needs. */
+  /** Records the demand that a peer has reported. */
   public void recordPeerDemand(String from, RateDemands.Demand demand, long nowMs) {
     demands.record(from, demand, nowMs);
   }
 
-  /** The changes a second that a term of this node has to write; 0 without one. */
+  /** Sets the changes a second that this node needs to write as leader; 0 if it does not lead. */
   public void setLeaderDemand(double perSecond) {
-    leaderDemand = perSecond;
+    leaderWritesPerSecond = perSecond;
   }
 
-  /** The changes a second that a term of this node may write, of so many for all. */
-  public double leaderRate(double rate, long nowMs) {
-    return demands.leaderRate(demand(nowMs), rate, nowMs);
+  /**
+   * Returns the changes a second that this node may write as leader.
+   *
+   * @param totalRate changes a second that the state service accepts from all nodes together
+   */
+  public double leaderRate(double totalRate, long nowMs) {
+    return demands.leaderRate(demand(nowMs), totalRate, nowMs);
   }
 
-  /** Divides anew; tells whether the peers are to be told now. */
+  /**
+   * Recomputes this node's shares at regular intervals.
+   *
+   * @return whether this node's demand is to be reported to the peers now
+   */
   public boolean tick(long nowMs) {
     if (nowMs < nextReportAt) {
       return false;
     }
     nextReportAt = nowMs + REPORT_INTERVAL_MS;
-    RateDemands.Demand mine = demand(nowMs);
+    RateDemands.Demand ownDemand = demand(nowMs);
     budget.setRate(demands.requestRate(requestRate, nowMs), nowMs);
-    admissionController.setRate(demands.submissionRate(mine, changeRate, nowMs), nowMs);
+    admissionController.setRate(demands.submissionRate(ownDemand, changeRate, nowMs), nowMs);
     return true;
   }
 
-  /** What this node needs. */
+  /** Returns this node's demand. */
   public RateDemands.Demand demand(long nowMs) {
     return new RateDemands.Demand(
-        budget.demandPerSecond(nowMs), admissionController.demandPerSecond(nowMs), leaderDemand);
+        budget.demandPerSecond(nowMs),
+        admissionController.demandPerSecond(nowMs),
+        leaderWritesPerSecond);
   }
 
-  /** Figures for operators. */
+  /** Returns the metrics of this node's shares and demands. */
   public Map<String, Double> gauges(long nowMs) {
     Map<String, Double> gauges = new HashMap<>();
     gauges.put("snowturn.admission.requests.share", budget.allowedPerSecond());
--- a/src/main/java/org/snowturn/core/admission/RateDemands.java
+++ b/src/main/java/org/snowturn/core/admission/RateDemands.java
@@ -6,75 +6,80 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * What each node needs of the state service's rates, as the nodes tell each other, and so what this
- * one may take. All nodes divide by the same rule, so they agree as far as they have heard the
- * same; a node that has not been heard lately is taken to need its equal part, which is all that it
- * would take itself without word of the others.
+ * Collects the nodes' demands for the state service's rates, and computes this node's share of
+ * them. All nodes divide the rates by the same rule and so arrive at consistent shares when they
+ * have received the same reports. A peer without a fresh report is assumed to need its equal share,
+ * which is all that a node takes when it has no reports itself.
  *
- * <p>What is told is up to {@link #STALE_MS} old. A node whose need has just grown takes its new
- * part at once, and those whose part shrinks by it learn of it a record later: for so long, all
- * nodes together may take more than there is, by no more than the part that the others had used.
+ * <p>Reports are up to {@link #STALE_MS} old. A node whose demand has just grown takes its larger
+ * share at once, while the nodes whose shares shrink learn of it with the next report. In between,
+ * the nodes together may exceed the rate, by at most the share that the other nodes were using.
  */
 public final class RateDemands {
-  /** Records come every 300 ms; three may be lost. */
+  /** Age up to which a report is used. Reports come every 300 ms, so three may be lost. */
   static final long STALE_MS = 1_200;
 
-  /** The share of the rates that is divided; the rest allows for bursts and uncounted calls. */
+  /** Share of the rates that is divided; the rest allows for bursts and uncounted requests. */
   private static final double USABLE_SHARE = 0.95;
 
-  /** Of the changes, what users may submit however much a leader has to write. */
-  private static final double USERS_SHARE = 0.5;
+  /** Share of the change rate that users get at least, for any demand of a leader. */
+  private static final double MIN_USERS_SHARE = 0.5;
 
-  /** What a leader may write, however much users ask for; and the most that it takes. */
+  /** Share of the change rate that a leader gets at least, for any demand of users. */
   private static final double MIN_LEADER_SHARE = 0.45;
 
   private static final double MAX_LEADER_SHARE = 0.75;
 
-  /** Of its equal part, what a node without demand keeps for its next requests. */
+  /** Fraction of its equal share that a peer without demand keeps for its next requests. */
   private static final double RESERVED_SHARE = 0.25;
 
-  /** A peer's demand may grow so much before it is heard again. */
-  private static final double DEMAND_MARGIN = 1.2;
+  /** Factor by which a peer's demand is assumed to grow until its next report. */
+  private static final double DEMAND_GROWTH_FACTOR = 1.2;
 
+  /** Rate from which a reported demand is ignored as invalid, per second. */
   private static final double MAX_VALID_RATE = 1e6;
 
   /**
-   * What a node needs, a second.
+   * The demand of a node, in amounts per second.
    *
-   * @param requests calls to the state service
-   * @param submissions changes that its users ask for
-   * @param leaderWrites changes that its term has to write; 0 for a node that does not lead
+   * @param requests requests to the state service
+   * @param submissions changes requested by its users
+   * @param leaderWrites changes that it needs to write as leader; 0 for a node that does not lead
    */
   public record Demand(double requests, double submissions, double leaderWrites) {
-    /** A need of nothing. */
+    /** A demand of zero. */
     public static final Demand NONE = new Demand(0, 0, 0);
   }
 
-  private record Report(Demand demand, long at) {}
+  private record Report(Demand demand, long receivedAt) {}
 
-  private final Map<String, Report> reports = new HashMap<>();
+  private final Map<String, Report> reportsByPeer = new HashMap<>();
   private final List<String> peers;
 
-  /** Among this node and its peers, by their names. */
+  /**
+   * Creates demands without reports.
+   *
+   * @param peers names of the other nodes
+   */
   public RateDemands(List<String> peers) {
     this.peers = List.copyOf(peers);
   }
 
-  /** A peer has reported its demand; reports of others are ignored. */
-  public void record(String from, Demand demand, long nowMs) {
-    boolean valid =
+  /** Records the demand that a peer has reported; ignores invalid reports and unknown nodes. */
+  public void record(String peer, Demand demand, long nowMs) {
+    boolean isValid =
         demand.requests >= 0
             && demand.requests < MAX_VALID_RATE
             && demand.submissions >= 0
             && demand.submissions < MAX_VALID_RATE
             && demand.leaderWrites >= 0
             && demand.leaderWrites < MAX_VALID_RATE;
-    if (valid && peers.contains(from)) {
-      reports.put(from, new Report(demand, nowMs));
+    if (isValid && peers.contains(peer)) {
+      reportsByPeer.put(peer, new Report(demand, nowMs));
     }
   }
 
-  /** How many peers have reported lately. */
+  /** Returns the number of peers with a fresh report. */
   public int freshPeerCount(long nowMs) {
     int count = 0;
     for (String peer : peers) {
@@ -84,56 +89,81 @@
   }
 
   private boolean isFresh(String peer, long nowMs) {
-    Report report = reports.get(peer);
-    return report != null && nowMs - report.at <= STALE_MS;
+    Report report = reportsByPeer.get(peer);
+    return report != null && nowMs - report.receivedAt <= STALE_MS;
   }
 
   private int nodeCount() {
     return peers.size() + 1;
   }
 
-  /** The requests a second that this node may make, of so many for all. */
-  public double requestRate(double rate, long nowMs) {
-    return share(rate * USABLE_SHARE, Demand::requests, nowMs);
+  /**
+   * Returns the requests a second that this node may make.
+   *
+   * @param totalRate requests a second that the state service accepts from all nodes together
+   */
+  public double requestRate(double totalRate, long nowMs) {
+    return share(totalRate * USABLE_SHARE, Demand::requests, nowMs);
   }
 
-  /** The changes a second that this node's users may ask for, of so many for all. */
-  public double submissionRate(Demand mine, double rate, long nowMs) {
-    double led = mine.leaderWrites;
-    boolean unknown = false;
+  /**
+   * Returns the changes a second that this node may write for its users.
+   *
+   * @param ownDemand this node's demand
+   * @param totalRate changes a second that the state service accepts from all nodes together
+   */
+  public double submissionRate(Demand ownDemand, double totalRate, long nowMs) {
+    double leaderWrites = ownDemand.leaderWrites;
+    boolean isReportMissing = false;
     for (String peer : peers) {
-      led = isFresh(peer, nowMs) ? Math.max(led, reports.get(peer).demand.leaderWrites) : led;
-      unknown |= !isFresh(peer, nowMs);
+      leaderWrites =
+          isFresh(peer, nowMs)
+              ? Math.max(leaderWrites, reportsByPeer.get(peer).demand.leaderWrites)
+              : leaderWrites;
+      isReportMissing |= !isFresh(peer, nowMs);
     }
-    double all = Math.max(rate * USERS_SHARE, unknown ? 0 : rate * USABLE_SHARE - led);
-    return share(all, Demand::submissions, nowMs);
+    double usersRate =
+        Math.max(
+            totalRate * MIN_USERS_SHARE,
+            isReportMissing ? 0 : totalRate * USABLE_SHARE - leaderWrites);
+    return share(usersRate, Demand::submissions, nowMs);
   }
 
   /**
-   * This node's part of so much: what the peers need is theirs, what no other needs is this node's.
+   * Returns this node's share of a rate. The peers' demands are met within their fair shares; the
+   * rest goes to this node.
    */
-  private double share(double all, ToDoubleFunction<Demand> of, long nowMs) {
-    double equal = all / nodeCount();
-    double[] needs = new double[nodeCount()];
-    needs[0] = Double.MAX_VALUE;
+  private double share(double totalRate, ToDoubleFunction<Demand> component, long nowMs) {
+    double equalShare = totalRate / nodeCount();
+    double[] nodeDemands = new double[nodeCount()];
+    nodeDemands[0] = Double.MAX_VALUE;
     for (int i = 0; i < peers.size(); i++) {
       String peer = peers.get(i);
-      double need = isFresh(peer, nowMs) ? of.applyAsDouble(reports.get(peer).demand) : equal;
-      needs[i + 1] = Math.max(need * DEMAND_MARGIN, equal * RESERVED_SHARE);
+      double demand =
+          isFresh(peer, nowMs)
+              ? component.applyAsDouble(reportsByPeer.get(peer).demand)
+              : equalShare;
+      nodeDemands[i + 1] = Math.max(demand * DEMAND_GROWTH_FACTOR, equalShare * RESERVED_SHARE);
     }
-    return Math.max(equal, FairShares.of(needs, all)[0]);
+    return Math.max(equalShare, FairShares.of(nodeDemands, totalRate)[0]);
   }
 
-  /** The changes a second that a term of this node may write, of so many for all. */
-  public double leaderRate(Demand mine, double rate, long nowMs) {
-    double users = mine.submissions;
+  /**
+   * Returns the changes a second that this node may write as leader.
+   *
+   * @param ownDemand this node's demand
+   * @param totalRate changes a second that the state service accepts from all nodes together
+   */
+  public double leaderRate(Demand ownDemand, double totalRate, long nowMs) {
+    double submissions = ownDemand.submissions;
     for (String peer : peers) {
-      users +=
+      submissions +=
           isFresh(peer, nowMs)
-              ? reports.get(peer).demand.submissions
-              : rate * (USABLE_SHARE - MAX_LEADER_SHARE) / nodeCount();
+              ? reportsByPeer.get(peer).demand.submissions
+              : totalRate * (USABLE_SHARE - MAX_LEADER_SHARE) / nodeCount();
     }
     return Math.max(
-        rate * MIN_LEADER_SHARE, Math.min(rate * MAX_LEADER_SHARE, rate * USABLE_SHARE - users));
+        totalRate * MIN_LEADER_SHARE,
+        Math.min(totalRate * MAX_LEADER_SHARE, totalRate * USABLE_SHARE - submissions));
   }
 }
--- a/src/main/java/org/snowturn/core/admission/RateMeter.java
+++ b/src/main/java/org/snowturn/core/admission/RateMeter.java
@@ -6,18 +6,22 @@
   private double sum;
   private long decayedAt;
 
-  /** Weights an event of {@code averagingMs} ago by a factor of 1/e. */
+  /**
+   * Creates a meter with a rate of zero.
+   *
+   * @param averagingMs time after which an amount counts by a factor of 1/e, in milliseconds
+   */
   public RateMeter(long averagingMs) {
     this.averagingMs = averagingMs;
   }
 
-  /** Counts an amount at this time. */
+  /** Adds an amount at the given time. */
   public void add(double amount, long nowMs) {
     decay(nowMs);
     sum += amount;
   }
 
-  /** The average amount per second. */
+  /** Returns the average amount per second at the given time. */
   public double perSecond(long nowMs) {
     decay(nowMs);
     return sum * 1000 / averagingMs;
--- a/src/main/java/org/snowturn/core/admission/RequestClass.java
+++ b/src/main/java/org/snowturn/core/admission/RequestClass.java
@@ -1,33 +1,42 @@
 package org.snowturn.core.admission;
 
-/** What a call to the state service is for, in the order in which calls go without. */
+/**
+ * The purposes of requests to the state service, in order of importance. When the request budget is
+ * short, the least important classes are refused first.
+ */
 public enum RequestClass {
-  /** What a node's authority rests on: never refused here, and counted before all others. */
+  /**
+   * Requests on which a node's authority depends, such as lease renewals. They are never refused by
+   * the budget, and are deducted from it before all others.
+   */
   AUTHORITY(0, 0),
 
-  /** What a term reads and writes: placements, ends, cancellations that are carried out. */
+  /** A leader's reads and writes: placements, ends of tasks, execution of cancellations. */
   WORK(0.35, 0),
 
   /** Users' submissions and cancellations. */
   USERS(0.2, 0.1),
 
-  /** What proves for all polls at once that a node's cache is fresh. */
+  /** Reads that validate a node's cache of live jobs, each for all waiting status queries. */
   PROOFS(0.15, 0.15),
 
-  /** Reads for single polls, where no cache can serve. */
+  /** Reads for a single status query that the cache cannot answer. */
   READS(0.05, 0.45),
 
-  /** All that can be later: watches, formats. */
+  /** Requests that can wait, such as watches and reads of the storage format. */
   REST(0.1, 0.3);
 
-  /** The part of a node's share that it gets whatever the others want. */
+  /** Share of the node's request rate that is guaranteed to this class under any load. */
   final double guaranteedShare;
 
-  /** Beyond its floor it leaves so much of a second's share to those before it. */
+  /**
+   * Share of one second's budget that requests of this class, beyond the guaranteed share, leave to
+   * the more important classes.
+   */
   final double headroomShare;
 
-  RequestClass(double floor, double leaves) {
-    this.guaranteedShare = floor;
-    this.headroomShare = leaves;
+  RequestClass(double guaranteedShare, double headroomShare) {
+    this.guaranteedShare = guaranteedShare;
+    this.headroomShare = headroomShare;
   }
 }
--- a/src/main/java/org/snowturn/core/admission/StateRequestBudget.java
+++ b/src/main/java/org/snowturn/core/admission/StateRequestBudget.java
@@ -4,79 +4,95 @@
 import java.util.Map;
 
 /**
- * This node's part of the state service's requests, and what it goes to. A call that the service
- * would refuse costs it as much as one that it takes, and what it refuses in a flood are leases'
- * renewals as likely as polls: so the part is kept here, by the order of {@link RequestClass}, with
- * a floor for each.
+ * Limits the rate of this node's requests to the state service with a token bucket, and divides it
+ * by {@link RequestClass} with a guaranteed share for each class. The limit is enforced here
+ * because a request that the service refuses costs the service as much as one that it accepts, and
+ * because an overloaded service refuses lease renewals as readily as status queries.
  *
- * <p>The part is what the nodes agree on ({@link RateDemands}). A refusal by the service for its
- * rate says that somebody takes too much, whoever it is: the part shrinks, and grows back.
+ * <p>The nodes divide the service's rate among themselves ({@link RateDemands}). When the service
+ * refuses a request for its rate, some node has exceeded its share; this node then reduces its own
+ * rate, which recovers over time.
  */
 public final class StateRequestBudget {
-  /** A refusal reduces the allowed rate by this factor, once in each interval. */
+  /** Factor by which a refusal reduces the allowed rate, at most once in each interval. */
   private static final double REFUSAL_FACTOR = 0.85;
 
   private static final long MIN_REFUSAL_INTERVAL_MS = 250;
   private static final double MIN_RATE_FACTOR = 0.4;
+
+  /** Increase of the rate factor per second after a reduction. */
   private static final double RECOVERY_PER_S = 0.15;
 
-  /** Authority and floors may overdraw the budget by so many seconds' worth. */
+  /**
+   * Maximum overdraft by authority requests and guaranteed shares, in seconds of the allowed rate.
+   */
   private static final double MAX_OVERDRAFT_S = 0.4;
 
-  private final RateMeter asked = new RateMeter(2_000);
+  private static final long DEMAND_AVERAGING_MS = 2_000;
+
+  private final RateMeter demand = new RateMeter(DEMAND_AVERAGING_MS);
 
-  /** What each purpose may still take of its floor, whatever the others have taken. */
-  private final Map<RequestClass, Double> floors = new EnumMap<>(RequestClass.class);
+  /** Tokens left of the guaranteed share of each class, independent of the other classes. */
+  private final Map<RequestClass, Double> guaranteedTokens = new EnumMap<>(RequestClass.class);
 
-  private final Map<RequestClass, Long> refused = new EnumMap<>(RequestClass.class);
-  private double rate;
+  private final Map<RequestClass, Long> refusedLocally = new EnumMap<>(RequestClass.class);
+  private double requestsPerSecond;
   private double tokens;
   private double rateFactor = 1;
   private long refilledAt;
   private long reducedAt = Long.MIN_VALUE / 4;
-  private long refusals;
-
-  /** A full budget of so many requests a second. */
-  public StateRequestBudget(double rate, long nowMs) {
-    this.rate = rate;
+  private long refusedByService;
+
+  /**
+   * Creates a budget that holds the tokens of one second.
+   *
+   * @param requestsPerSecond requests a second that this node may make
+   * @param nowMs the current time, in milliseconds of the monotonic clock
+   */
+  public StateRequestBudget(double requestsPerSecond, long nowMs) {
+    this.requestsPerSecond = requestsPerSecond;
     this.refilledAt = nowMs;
     for (RequestClass requestClass : RequestClass.values()) {
-      floors.put(requestClass, rate * requestClass.guaranteedShare);
-      refused.put(requestClass, 0L);
+      guaranteedTokens.put(requestClass, requestsPerSecond * requestClass.guaranteedShare);
+      refusedLocally.put(requestClass, 0L);
     }
-    tokens = rate;
+    tokens = requestsPerSecond;
   }
 
-  private double allowed() {
-    return rate * rateFactor;
+  private double allowedRate() {
+    return requestsPerSecond * rateFactor;
   }
 
-  /** What the nodes agree on from now on, a second. */
+  /** Sets this node's share of the service's rate, in requests a second. */
   public void setRate(double perSecond, long nowMs) {
     refill(nowMs);
-    rate = perSecond;
+    requestsPerSecond = perSecond;
   }
 
-  /** Takes one call out of the budget, or says that it must not be made. */
+  /**
+   * Takes a token for one request.
+   *
+   * @return whether the request may be made
+   */
   public boolean tryAcquire(RequestClass requestClass, long nowMs) {
     refill(nowMs);
-    asked.add(1, nowMs);
-    boolean withinFloor =
-        floors.get(requestClass) >= 1 && tokens - 1 > -allowed() * MAX_OVERDRAFT_S;
+    demand.add(1, nowMs);
+    boolean isGuaranteed =
+        guaranteedTokens.get(requestClass) >= 1 && tokens - 1 > -allowedRate() * MAX_OVERDRAFT_S;
     if (requestClass != RequestClass.AUTHORITY
-        && !withinFloor
-        && tokens - 1 < allowed() * requestClass.headroomShare) {
-      refused.merge(requestClass, 1L, Long::sum);
+        && !isGuaranteed
+        && tokens - 1 < allowedRate() * requestClass.headroomShare) {
+      refusedLocally.merge(requestClass, 1L, Long::sum);
       return false;
     }
-    tokens = Math.max(tokens - 1, -allowed() * MAX_OVERDRAFT_S);
-    floors.merge(requestClass, -1.0, (had, minus) -> Math.max(0, had + minus));
+    tokens = Math.max(tokens - 1, -allowedRate() * MAX_OVERDRAFT_S);
+    guaranteedTokens.merge(requestClass, -1.0, (left, change) -> Math.max(0, left + change));
     return true;
   }
 
-  /** The service refused a call for its rate. */
+  /** Reduces the allowed rate after the service refused a request for exceeding its rate. */
   public void refusedByService(long nowMs) {
-    refusals++;
+    refusedByService++;
     if (nowMs - reducedAt >= MIN_REFUSAL_INTERVAL_MS) {
       refill(nowMs);
       reducedAt = nowMs;
@@ -91,31 +107,34 @@
     }
     refilledAt = nowMs;
     rateFactor = Math.min(1, rateFactor + RECOVERY_PER_S * elapsedS);
-    tokens = Math.min(allowed(), tokens + allowed() * elapsedS);
+    tokens = Math.min(allowedRate(), tokens + allowedRate() * elapsedS);
     for (RequestClass requestClass : RequestClass.values()) {
-      double floor = allowed() * requestClass.guaranteedShare;
-      floors.put(
-          requestClass, Math.min(Math.max(1, floor), floors.get(requestClass) + floor * elapsedS));
+      double guaranteedRate = allowedRate() * requestClass.guaranteedShare;
+      guaranteedTokens.put(
+          requestClass,
+          Math.min(
+              Math.max(1, guaranteedRate),
+              guaranteedTokens.get(requestClass) + guaranteedRate * elapsedS));
     }
   }
 
-  /** How many calls a second were wanted lately, those that were not made included. */
+  /** Returns the recent demand in requests a second, including requests that were refused here. */
   public double demandPerSecond(long nowMs) {
-    return asked.perSecond(nowMs);
+    return demand.perSecond(nowMs);
   }
 
-  /** What may be taken now, a second. */
+  /** Returns the requests a second that this node may make at present. */
   public double allowedPerSecond() {
-    return allowed();
+    return allowedRate();
   }
 
-  /** How many calls were not made for want of budget. */
+  /** Returns the number of requests of a class that this budget refused. */
   public long refusedLocally(RequestClass requestClass) {
-    return refused.get(requestClass);
+    return refusedLocally.get(requestClass);
   }
 
-  /** How many calls the service refused for its rate. */
+  /** Returns the number of requests that the service refused for exceeding its rate. */
   public long refusedByService() {
-    return refusals;
+    return refusedByService;
   }
 }
--- a/src/main/java/org/snowturn/core/admission/package-info.java
+++ b/src/main/java/org/snowturn/core/admission/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Rates and shares: requests to the state service, admission of submissions, minimum shares and
- * quota guarantees.
+ * Division of limited rates and capacity: requests to the state service, admission of submissions,
+ * minimum shares of placements and quota guarantees.
  */
 package org.snowturn.core.admission;
