--- a/src/main/java/org/snowturn/core/api/CancelledJobs.java
+++ b/src/main/java/org/snowturn/core/api/CancelledJobs.java
@@ -1,13 +1,19 @@
 package org.snowturn.core.api;
 
-/** What this node knows of cancellations. */
+/** Cancellations that are known to this node. */
 public interface CancelledJobs {
-  /** A user is about to be told that the job is cancelled. */
+  /** Records that a user is about to receive the confirmation that the job is cancelled. */
   void confirm(String job);
 
-  /** Whether the job is known to be cancelled; that it is not known proves nothing. */
+  /**
+   * Returns whether the job is known to be cancelled. A job for which this returns false may have
+   * been cancelled as well.
+   */
   boolean isKnownCancelled(String job);
 
-  /** Whether a cancellation that is not known here would not be due yet. */
+  /**
+   * Returns whether a job that is not known to be cancelled may be reported as live. This is the
+   * case while no cancellation that this node may have missed is due yet.
+   */
   boolean canReportLive();
 }
--- a/src/main/java/org/snowturn/core/api/ChunkedSubmission.java
+++ b/src/main/java/org/snowturn/core/api/ChunkedSubmission.java
@@ -17,21 +17,27 @@
 import org.snowturn.wire.StateMessage.Condition;
 
 /**
- * Writes the chunks of a submission that is too long for one value, the first one first. All else
- * names its version, so that whoever removes it makes sure that the rest never counts. The chunks
- * are named by their content: where the state service takes only some of them at a time, the user's
- * next try goes on from there, on whichever node.
+ * Writes the chunks of a submission that is too long for a single value, starting with the first
+ * chunk. All later writes depend on the version of the first chunk, so removing that chunk
+ * invalidates the rest of the submission. The chunks' keys are derived from their content: if the
+ * state service accepts only some of the chunks, the user's next try continues from there on any
+ * node.
  */
 final class ChunkedSubmission {
-  /** Takes the result, once. */
+  /** Handler of the result, of which exactly one method is called, once. */
   interface Listener {
-    /** All chunks are stored; the job's record counts only while the first one is the same. */
+    /**
+     * Called when all chunks are stored.
+     *
+     * @param record the job's live record, to be written next
+     * @param firstChunkUnchanged condition under which the record may be written
+     */
     void onStored(ObjectNode record, Condition firstChunkUnchanged);
 
-    /** It could not be found out which chunks are stored already. */
+    /** Called if the chunks that are stored already could not be read. */
     void onUnreadable();
 
-    /** A chunk was not stored, perhaps since the job has been accepted by another try. */
+    /** Called if a chunk was not stored, possibly because another try was accepted. */
     void onFailed();
   }
 
@@ -41,9 +47,9 @@
   private final JobRecord job;
   private final List<ObjectNode> chunks;
   private final Listener listener;
-  private final String prefix;
-  private final BitSet stored = new BitSet();
-  private long firstVersion;
+  private final String keyPrefix;
+  private final BitSet storedChunks = new BitSet();
+  private long firstChunkVersion;
 
   ChunkedSubmission(
       CoreRuntime runtime,
@@ -58,25 +64,26 @@
     this.job = job;
     this.chunks = chunks;
     this.listener = listener;
-    this.prefix = StorageKeys.submissionParts(spec.id(), job.submission());
+    this.keyPrefix = StorageKeys.submissionParts(spec.id(), job.submission());
   }
 
-  /** Reads which chunks an earlier try has stored, and writes the others. */
+  /** Reads which chunks earlier tries have stored, and writes the others. */
   void start() {
     services
         .relay()
         .callState(
             RequestClass.USERS,
             "GET",
-            "/kv?prefix=" + prefix + "&most=1000",
+            "/kv?prefix=" + keyPrefix + "&most=1000",
             null,
             JobStatusReader.STATE_REQUEST_TIMEOUT_MS,
             (outcome, status, body) -> {
               try {
                 if (outcome.succeeded(status)) {
                   StateMessage.entries(body).forEach(this::addStored);
-                  if (!stored.get(0)) {
-                    stored.clear(); // without the first the others may be about to be removed
+                  if (!storedChunks.get(0)) {
+                    // Without the first chunk, the others may be about to be removed.
+                    storedChunks.clear();
                   }
                   writeNext();
                   return;
@@ -89,25 +96,25 @@
   }
 
   private void addStored(StateMessage.Entry entry) {
-    int index = Integer.parseInt(entry.key().substring(prefix.length()));
-    stored.set(index);
+    int index = Integer.parseInt(entry.key().substring(keyPrefix.length()));
+    storedChunks.set(index);
     if (index == 0) {
-      firstVersion = entry.version();
+      firstChunkVersion = entry.version();
     }
   }
 
   private void writeNext() {
-    Condition firstUnchanged = new Condition(prefix + 0, firstVersion);
-    BitSet written = nextToWrite();
+    Condition firstChunkUnchanged = new Condition(keyPrefix + 0, firstChunkVersion);
+    BitSet written = nextChunks();
     services.admission().charge(written.cardinality(), runtime.now());
     if (written.isEmpty()) {
-      listener.onStored(job.live(), firstUnchanged);
+      listener.onStored(job.live(), firstChunkUnchanged);
       return;
     }
     List<Condition> conditions = new ArrayList<>(JobSubmission.newJobConditions(spec.id()));
-    conditions.add(firstUnchanged);
+    conditions.add(firstChunkUnchanged);
     List<Change> changes = new ArrayList<>();
-    written.stream().forEach(i -> changes.add(Change.put(prefix + i, chunks.get(i))));
+    written.stream().forEach(i -> changes.add(Change.put(keyPrefix + i, chunks.get(i))));
     services
         .relay()
         .callState(
@@ -119,8 +126,9 @@
             (outcome, status, reply) -> {
               try {
                 if (outcome.succeeded(status)) {
-                  firstVersion = written.get(0) ? StateMessage.revision(reply) : firstVersion;
-                  stored.or(written);
+                  firstChunkVersion =
+                      written.get(0) ? StateMessage.revision(reply) : firstChunkVersion;
+                  storedChunks.or(written);
                   writeNext();
                   return;
                 }
@@ -131,14 +139,14 @@
             });
   }
 
-  /** The first chunk alone, then as many of the others as a transaction takes. */
-  private BitSet nextToWrite() {
-    int max = stored.get(0) ? services.formatGate().limits().txnOps() : 1;
+  /** Returns the chunks to write next: the first alone, then as many as a transaction can hold. */
+  private BitSet nextChunks() {
+    int maxChunks = storedChunks.get(0) ? services.formatGate().limits().txnOps() : 1;
     BitSet next = new BitSet();
-    int index = stored.nextClearBit(0);
-    for (int count = 0; index < chunks.size() && count < max; count++) {
+    int index = storedChunks.nextClearBit(0);
+    for (int count = 0; index < chunks.size() && count < maxChunks; count++) {
       next.set(index);
-      index = stored.nextClearBit(index + 1);
+      index = storedChunks.nextClearBit(index + 1);
     }
     return next;
   }
--- a/src/main/java/org/snowturn/core/api/JobApi.java
+++ b/src/main/java/org/snowturn/core/api/JobApi.java
@@ -11,12 +11,21 @@
 import org.snowturn.wire.JobSpec;
 
 /**
- * Serves users on every node, from the state service alone: a submission or cancellation is one
- * compare-and-swap transaction, a poll reads. What a user has been told is therefore durable, and
- * no node can know less. Only the counts, which are for display, come from the leader.
+ * Serves users' requests on every node from the state service alone. A submission or cancellation
+ * takes effect by a single compare-and-swap transaction, and a status query reads. Every answer is
+ * therefore durable and can be given by any node. Only the task counts, which are for display, come
+ * from the leader.
  */
 public final class JobApi {
-  /** The parts of a controller that users' requests rest on. */
+  /**
+   * The components of a controller that serve users' requests.
+   *
+   * @param machineTypes machine types of the cloud's catalog
+   * @param formatGate version of the storage format and the limits that apply with it
+   * @param relay access to the state service, directly or through a peer
+   * @param admission admission control of submissions
+   * @param liveJobs cache of the live jobs
+   */
   public record Services(
       MachineTypes machineTypes,
       FormatGate formatGate,
@@ -31,15 +40,16 @@
   private final UserResponses responses;
 
   /**
-   * Has served nobody yet.
+   * Creates an API with empty caches of job statuses.
    *
-   * @param stateHealthy whether the state service has answered this node lately
+   * @param isStateServiceHealthy supplies whether the state service has answered this node recently
+   * @param cancelled cancellations that are known to this node
    */
   public JobApi(
       Settings settings,
       CoreRuntime runtime,
       Services services,
-      BooleanSupplier stateHealthy,
+      BooleanSupplier isStateServiceHealthy,
       CancelledJobs cancelled) {
     StateRequestRelay relay = services.relay();
     responses =
@@ -47,7 +57,7 @@
             runtime,
             services.admission(),
             cancelled,
-            () -> stateHealthy.getAsBoolean() || relay.possible());
+            () -> isStateServiceHealthy.getAsBoolean() || relay.possible());
     reader =
         new JobStatusReader(runtime, relay, services.liveJobs(), cancelled, statuses, responses);
     SubmissionValidator validator = new SubmissionValidator(settings, services.machineTypes());
@@ -55,17 +65,17 @@
     cancellation = new JobCancellation(runtime, services, statuses, reader, responses);
   }
 
-  /** The leader tells how far a job is. */
+  /** Records the progress of a job that the leader has published. */
   public void onProgress(PeerMessage.JobProgress progress) {
     statuses.onProgress(progress);
   }
 
-  /** A user submits a job; repeating it is safe. */
+  /** Submits a job. The operation is idempotent. */
   public void submit(long exchange, JobSpec spec) {
     submission.submit(exchange, spec);
   }
 
-  /** A user asks for a job's status. */
+  /** Answers with a job's status. */
   public void poll(long exchange, String id) {
     if (!statuses.isFinished(id) && responses.refuseIfUnreachable(exchange)) {
       return;
@@ -82,7 +92,7 @@
         });
   }
 
-  /** A user cancels a job; repeating it is safe. */
+  /** Cancels a job. The operation is idempotent. */
   public void cancel(long exchange, String id) {
     cancellation.cancel(exchange, id);
   }
--- a/src/main/java/org/snowturn/core/api/JobCancellation.java
+++ b/src/main/java/org/snowturn/core/api/JobCancellation.java
@@ -16,11 +16,11 @@
 
 /** Cancels jobs, each by a compare-and-swap of its live record. */
 final class JobCancellation {
-  /** The record may change between the read and the write. */
+  /** Maximum number of tries, as the record may change between the read and the write. */
   private static final int MAX_TRIES = 3;
 
   private final CoreRuntime runtime;
-  private final FormatGate format;
+  private final FormatGate formatGate;
   private final StateRequestRelay relay;
   private final AdmissionController admission;
   private final JobStatusCache statuses;
@@ -34,7 +34,7 @@
       JobStatusReader reader,
       UserResponses responses) {
     this.runtime = runtime;
-    this.format = services.formatGate();
+    this.formatGate = services.formatGate();
     this.relay = services.relay();
     this.admission = services.admission();
     this.statuses = statuses;
@@ -42,7 +42,7 @@
     this.responses = responses;
   }
 
-  /** Cancels a job and answers with its status; a final state stays as it is. */
+  /** Cancels a job, unless it is in a final state already, and answers with its status. */
   void cancel(long exchange, String id) {
     JobStatus known = statuses.finalStatus(id);
     if (known != null) {
@@ -59,14 +59,14 @@
         StorageKeys.job(id),
         live -> {
           if (live == null || JobRecord.phaseOf(live.value()).terminal()) {
-            reader.read(exchange, id, status -> answerFinished(exchange, status));
+            reader.read(exchange, id, status -> answerFinalStatus(exchange, status));
           } else {
-            write(exchange, id, live, triesLeft);
+            writeCancelled(exchange, id, live, triesLeft);
           }
         });
   }
 
-  private void answerFinished(long exchange, JobStatus status) {
+  private void answerFinalStatus(long exchange, JobStatus status) {
     if (status == null) {
       responses.answerNotFound(exchange);
     } else if (status.phase().terminal()) {
@@ -76,10 +76,10 @@
     }
   }
 
-  private void write(long exchange, String id, StateMessage.Entry live, int triesLeft) {
+  private void writeCancelled(long exchange, String id, StateMessage.Entry live, int triesLeft) {
     admission.charge(1, runtime.now());
-    JsonNode value = JobRecord.cancelled(live.value(), format.limits().valueBytes());
-    JsonNode txn =
+    JsonNode value = JobRecord.cancelled(live.value(), formatGate.limits().valueBytes());
+    JsonNode transaction =
         StateMessage.transaction(
             List.of(new Condition(StorageKeys.job(id), live.version())),
             List.of(Change.put(StorageKeys.job(id), value)));
@@ -87,7 +87,7 @@
         RequestClass.USERS,
         "POST",
         "/txn",
-        txn,
+        transaction,
         JobStatusReader.STATE_REQUEST_TIMEOUT_MS,
         (outcome, status, reply) -> {
           if (outcome.succeeded(status)) {
--- a/src/main/java/org/snowturn/core/api/JobStatusCache.java
+++ b/src/main/java/org/snowturn/core/api/JobStatusCache.java
@@ -8,86 +8,86 @@
 import org.snowturn.wire.JobStatus;
 
 /**
- * What this node remembers of jobs and may tell without asking the state service, since it never
- * changes; and the leader's counts of tasks, which are for display.
+ * Caches final statuses and acceptances of jobs, which never change and can be reported without
+ * asking the state service. Also holds the leader's task counts, which are for display.
  */
 final class JobStatusCache {
   private static final int MAX_FINISHED = 20_000;
   private static final int MAX_ACCEPTED = 5_000;
   private static final int MAX_IN_PROGRESS = 5_000;
 
-  private final Map<String, JobStatus> finished = new LruMap<>(MAX_FINISHED);
-  private final Map<String, Boolean> acceptedServices = new LruMap<>(MAX_ACCEPTED);
-  private final Map<String, PeerMessage.JobProgress> progress = new LruMap<>(MAX_IN_PROGRESS);
+  private final Map<String, JobStatus> finalStatuses = new LruMap<>(MAX_FINISHED);
+  private final Map<String, Boolean> isServiceByAcceptedJob = new LruMap<>(MAX_ACCEPTED);
+  private final Map<String, PeerMessage.JobProgress> latestProgress = new LruMap<>(MAX_IN_PROGRESS);
 
-  /** The leader tells how far a job is. */
+  /** Records the progress of a job that the leader has published. */
   void onProgress(PeerMessage.JobProgress latest) {
-    progress.put(latest.job(), latest);
+    latestProgress.put(latest.job(), latest);
   }
 
-  /** Whether the job is known to be in a final state. */
+  /** Returns whether the job is known to be in a final state. */
   boolean isFinished(String id) {
-    return finished.containsKey(id);
+    return finalStatuses.containsKey(id);
   }
 
-  /** A job's final state; null if none is known. */
+  /** Returns a job's final status, or null if none is known. */
   JobStatus finalStatus(String id) {
-    return finished.get(id);
+    return finalStatuses.get(id);
   }
 
-  /** A job's final state is durable. */
+  /** Adds a job's final status, which must be durable. */
   void addFinished(JobStatus status) {
-    finished.put(status.id(), status);
+    finalStatuses.put(status.id(), status);
   }
 
-  /** Whether the job is known to have been accepted. */
+  /** Returns whether the job is known to have been accepted. */
   boolean isAccepted(String id) {
-    return acceptedServices.containsKey(id);
+    return isServiceByAcceptedJob.containsKey(id);
   }
 
-  /** Whether an accepted job is a service; null if it is not known to have been accepted. */
+  /** Returns whether an accepted job is a service, or null if no acceptance is known. */
   Boolean isAcceptedService(String id) {
-    return acceptedServices.get(id);
+    return isServiceByAcceptedJob.get(id);
   }
 
-  /** A job has been accepted. */
-  void addAccepted(String id, boolean service) {
-    acceptedServices.put(id, service);
+  /** Adds a job that has been accepted. */
+  void addAccepted(String id, boolean isService) {
+    isServiceByAcceptedJob.put(id, isService);
   }
 
   /**
-   * Jobs have been accepted.
+   * Adds jobs that have been accepted.
    *
-   * @param services whether each is a service, by its id
+   * @param isServiceByJob whether each job is a service, by job id
    */
-  void addAccepted(Map<String, Boolean> services) {
-    acceptedServices.putAll(services);
+  void addAccepted(Map<String, Boolean> isServiceByJob) {
+    isServiceByAcceptedJob.putAll(isServiceByJob);
   }
 
-  /** The status of a job by its stored record, live or final. */
+  /** Returns the status that a job's stored record shows, live or final; caches a final one. */
   JobStatus ofRecord(String id, JsonNode value) {
     JobStatus.Phase phase = JobRecord.phaseOf(value);
     if (phase != JobStatus.Phase.DONE) {
       return ofPhase(id, phase);
     }
     int tasks = value.has("n") ? value.path("n").asInt() : value.path("s").path("flakes").asInt();
-    return finish(new JobStatus(id, phase, tasks, 0));
+    return cacheFinal(new JobStatus(id, phase, tasks, 0));
   }
 
-  /** The status of a job by the phase that its live record shows. */
+  /** Returns the status of a job in a phase with its latest counts; caches a final one. */
   JobStatus ofPhase(String id, JobStatus.Phase phase) {
-    PeerMessage.JobProgress latest = progress.get(id);
+    PeerMessage.JobProgress latest = latestProgress.get(id);
     int done = latest == null ? 0 : latest.done();
     if (phase.terminal()) {
-      return finish(new JobStatus(id, phase, done, 0));
+      return cacheFinal(new JobStatus(id, phase, done, 0));
     }
     int running = latest == null ? 0 : latest.running();
     return new JobStatus(id, running > 0 ? JobStatus.Phase.RUNNING : phase, done, running);
   }
 
-  private JobStatus finish(JobStatus status) {
-    finished.put(status.id(), status);
-    progress.remove(status.id());
+  private JobStatus cacheFinal(JobStatus status) {
+    finalStatuses.put(status.id(), status);
+    latestProgress.remove(status.id());
     return status;
   }
 }
--- a/src/main/java/org/snowturn/core/api/JobStatusReader.java
+++ b/src/main/java/org/snowturn/core/api/JobStatusReader.java
@@ -18,12 +18,12 @@
 import org.snowturn.wire.StateMessage;
 
 /**
- * Finds the status of a job: at once if its final state is known, from the cache of live jobs once
- * that is proven fresh, and else from the stored records. Refuses the user's request where the
- * status cannot be found out.
+ * Determines the status of a job: at once if its final status is known, else from the validated
+ * cache of live jobs, or else from the stored records. Refuses the user's request if the status
+ * cannot be determined.
  */
 final class JobStatusReader {
-  /** For requests to the state service on which a user waits. */
+  /** Timeout of requests to the state service for which a user is waiting, in milliseconds. */
   static final int STATE_REQUEST_TIMEOUT_MS = 1800;
 
   private final CoreRuntime runtime;
@@ -49,63 +49,64 @@
   }
 
   /**
-   * Finds a job's status.
+   * Determines a job's status.
    *
-   * @param exchange refused if the status cannot be found out
-   * @param then takes the status, or null if nobody submitted the job
+   * @param exchange id of the user's exchange, which is refused if the status cannot be determined
+   * @param onStatus handler of the status; receives null if the job does not exist
    */
-  void read(long exchange, String id, Consumer<JobStatus> then) {
+  void read(long exchange, String id, Consumer<JobStatus> onStatus) {
     JobStatus known = statuses.finalStatus(id);
     if (known != null) {
-      then.accept(known);
+      onStatus.accept(known);
     } else if (liveJobs.isLoaded() && relay.direct()) {
-      liveJobs.whenFresh(() -> readFromCache(exchange, id, then), () -> responses.refuse(exchange));
+      liveJobs.whenFresh(
+          () -> readFromCache(exchange, id, onStatus), () -> responses.refuse(exchange));
     } else {
-      readRecords(exchange, id, then);
+      readRecords(exchange, id, onStatus);
     }
   }
 
-  private void readFromCache(long exchange, String id, Consumer<JobStatus> then) {
+  private void readFromCache(long exchange, String id, Consumer<JobStatus> onStatus) {
     LiveJobs.Seen live = liveJobs.get(id);
     if (live == null) {
-      readFinalRecord(exchange, id, () -> readRecords(exchange, id, then), then);
-    } else if (!live.cancelled() && mayNeedCancelled(live.awaits())) {
+      readFinalRecord(exchange, id, () -> readRecords(exchange, id, onStatus), onStatus);
+    } else if (!live.cancelled() && mayHaveCancelledDependency(live.awaits())) {
       responses.refuse(exchange);
     } else {
       JobStatus.Phase phase = live.cancelled() ? JobStatus.Phase.ABORTED : JobStatus.Phase.QUEUED;
-      then.accept(statuses.ofPhase(id, phase));
+      onStatus.accept(statuses.ofPhase(id, phase));
     }
   }
 
-  /** Reads the live record, then the final one: a job's record only moves that way. */
-  private void readRecords(long exchange, String id, Consumer<JobStatus> then) {
+  /** Reads the live record, then the final one. A record moves only in this direction. */
+  private void readRecords(long exchange, String id, Consumer<JobStatus> onStatus) {
     readRecord(
         RequestClass.READS,
         exchange,
         StorageKeys.job(id),
         live -> {
           if (live == null) {
-            readFinalRecord(exchange, id, () -> then.accept(null), then);
+            readFinalRecord(exchange, id, () -> onStatus.accept(null), onStatus);
           } else if (!JobRecord.phaseOf(live.value()).terminal()
-              && mayNeedCancelled(JobRecord.awaits(live.value()))) {
+              && mayHaveCancelledDependency(JobRecord.awaits(live.value()))) {
             responses.refuse(exchange);
           } else {
-            then.accept(statuses.ofRecord(id, live.value()));
+            onStatus.accept(statuses.ofRecord(id, live.value()));
           }
         });
   }
 
   private void readFinalRecord(
-      long exchange, String id, Runnable absent, Consumer<JobStatus> then) {
+      long exchange, String id, Runnable onAbsent, Consumer<JobStatus> onStatus) {
     readRecord(
         RequestClass.USERS,
         exchange,
         StorageKeys.finishedJob(id),
         record -> {
           if (record == null) {
-            absent.run();
+            onAbsent.run();
           } else {
-            then.accept(statuses.ofRecord(id, record.value()));
+            onStatus.accept(statuses.ofRecord(id, record.value()));
           }
         });
   }
@@ -113,25 +114,26 @@
   /**
    * Reads one record.
    *
-   * @param exchange refused if the record cannot be read
-   * @param then takes the record, or null if there is none
+   * @param requestClass purpose of the read
+   * @param exchange id of the user's exchange, which is refused if the record cannot be read
+   * @param onRecord handler of the record; receives null if there is none
    */
   void readRecord(
-      RequestClass purpose, long exchange, String key, Consumer<StateMessage.Entry> then) {
+      RequestClass requestClass, long exchange, String key, Consumer<StateMessage.Entry> onRecord) {
     relay.callState(
-        purpose,
+        requestClass,
         "GET",
         "/kv/" + key,
         null,
         STATE_REQUEST_TIMEOUT_MS,
         (outcome, status, body) -> {
           if (outcome.notFound(status)) {
-            then.accept(null);
+            onRecord.accept(null);
             return;
           }
           if (outcome.succeeded(status)) {
             try {
-              then.accept(StateMessage.entry(body));
+              onRecord.accept(StateMessage.entry(body));
               return;
             } catch (MalformedException e) {
               runtime
@@ -147,26 +149,27 @@
   }
 
   /**
-   * Whether one of these jobs, or of those that they depend on, is or may be cancelled: then so is
-   * the dependent job, but its record does not say so yet, after an outage perhaps longer than it
-   * may be called queued. It is not called anything until it does, nor while this node may not have
-   * heard of the cancellation.
+   * Returns whether one of the jobs, or a job on which they depend directly or indirectly, is or
+   * may be cancelled. The dependent job is then cancelled as well, but its record may not show this
+   * yet; after an outage, possibly not until after it may still be reported as queued. Its status
+   * is withheld until the record shows the cancellation, and also while this node may have missed a
+   * cancellation.
    */
-  private boolean mayNeedCancelled(List<String> dependencies) {
+  private boolean mayHaveCancelledDependency(List<String> dependencies) {
     if (!dependencies.isEmpty() && !cancelled.canReportLive()) {
       return true;
     }
-    Set<String> seen = new HashSet<>(dependencies);
-    ArrayDeque<String> next = new ArrayDeque<>(dependencies);
-    while (!next.isEmpty()) {
-      String id = next.poll();
+    Set<String> visited = new HashSet<>(dependencies);
+    ArrayDeque<String> pending = new ArrayDeque<>(dependencies);
+    while (!pending.isEmpty()) {
+      String id = pending.poll();
       if (cancelled.isKnownCancelled(id)) {
         return true;
       }
       LiveJobs.Seen live = liveJobs.get(id);
       for (String dependency : live == null ? List.<String>of() : live.awaits()) {
-        if (seen.add(dependency)) {
-          next.add(dependency);
+        if (visited.add(dependency)) {
+          pending.add(dependency);
         }
       }
     }
--- a/src/main/java/org/snowturn/core/api/JobSubmission.java
+++ b/src/main/java/org/snowturn/core/api/JobSubmission.java
@@ -18,14 +18,18 @@
 import org.snowturn.wire.StateMessage.Condition;
 
 /**
- * Accepts jobs, each by a transaction that writes its live record if the job has none. A repeated
- * submission is idempotent: it gets the job's status, whatever is found about the job today.
+ * Accepts jobs, each by a transaction that writes its live record if the job has no record yet.
+ * Submissions are idempotent: a repeated submission is answered with the job's status, even if the
+ * job would no longer be accepted today.
  */
 final class JobSubmission {
   private static final int TOO_MANY_REQUESTS = 429;
 
-  /** Users wait five seconds; what was found is remembered for their next try. */
-  private static final long DEPENDENCY_LOOKUP_MS = 3_500;
+  /**
+   * Timeout of the lookup of dependencies. Users wait 5 s, and the dependencies found are cached
+   * for their next try.
+   */
+  private static final long DEPENDENCY_LOOKUP_TIMEOUT_MS = 3_500;
 
   private final CoreRuntime runtime;
   private final JobApi.Services services;
@@ -49,7 +53,7 @@
     this.responses = responses;
   }
 
-  /** Accepts a job or answers why not. */
+  /** Accepts a job, or answers with the reason for not accepting it. */
   void submit(long exchange, JobSpec spec) {
     if (responses.refuseIfUnreachable(exchange)) {
       return;
@@ -62,26 +66,26 @@
     if (rejection != null) {
       reject(exchange, spec, rejection);
     } else if (spec.dependencies().isEmpty()) {
-      write(exchange, spec);
+      admitAndWrite(exchange, spec);
     } else if (!services.formatGate().open()) {
-      // A node of the previous version would not make the job wait for its dependencies.
+      // A node of the previous version would start the job without waiting for its dependencies.
       answerIfKnown(exchange, spec);
     } else {
       checkDependencies(exchange, spec);
     }
   }
 
-  /** Answers with the status of a job that is known already; refuses another one for now. */
+  /** Answers with the status of a job that exists already; refuses a new job for now. */
   private void answerIfKnown(long exchange, JobSpec spec) {
     answerIfKnown(exchange, spec, () -> responses.refuse(exchange));
   }
 
-  /** Rejects a job for good, unless it is known already. */
+  /** Rejects a new job as invalid; answers with the status of a job that exists already. */
   private void reject(long exchange, JobSpec spec, String reason) {
     answerIfKnown(exchange, spec, () -> responses.answerInvalid(exchange, reason));
   }
 
-  private void answerIfKnown(long exchange, JobSpec spec, Runnable otherwise) {
+  private void answerIfKnown(long exchange, JobSpec spec, Runnable onNewJob) {
     reader.read(
         exchange,
         spec.id(),
@@ -89,37 +93,40 @@
           if (status != null) {
             responses.answerSummary(exchange, status);
           } else {
-            otherwise.run();
+            onNewJob.run();
           }
         });
   }
 
-  /** Every dependency must have been accepted, by whichever node and version. */
+  /**
+   * Checks that every dependency has been accepted, by a node of any version, and then writes the
+   * job.
+   */
   private void checkDependencies(long exchange, JobSpec spec) {
-    Map<String, Boolean> serviceByJob = new HashMap<>();
-    List<String> unknown = new ArrayList<>();
+    Map<String, Boolean> isServiceByJob = new HashMap<>();
+    List<String> uncached = new ArrayList<>();
     for (String id : spec.dependencies()) {
-      Boolean service = statuses.isAcceptedService(id);
-      if (service == null) {
-        unknown.add(id);
+      Boolean isService = statuses.isAcceptedService(id);
+      if (isService == null) {
+        uncached.add(id);
       } else {
-        serviceByJob.put(id, service);
+        isServiceByJob.put(id, isService);
       }
     }
     JobLookup.find(
         runtime,
         RequestClass.USERS,
         JobLookup.LIVE_FIRST,
-        unknown,
-        DEPENDENCY_LOOKUP_MS,
-        (found, complete) -> {
-          found.forEach((id, fact) -> serviceByJob.put(id, fact.service()));
-          statuses.addAccepted(serviceByJob);
-          if (complete) {
+        uncached,
+        DEPENDENCY_LOOKUP_TIMEOUT_MS,
+        (found, isComplete) -> {
+          found.forEach((id, storedJob) -> isServiceByJob.put(id, storedJob.service()));
+          statuses.addAccepted(isServiceByJob);
+          if (isComplete) {
             writeOrReject(
                 exchange,
                 spec,
-                SubmissionValidator.rejectionReason(spec.dependencies(), serviceByJob));
+                SubmissionValidator.rejectionReason(spec.dependencies(), isServiceByJob));
           } else {
             responses.refuse(exchange);
           }
@@ -128,23 +135,23 @@
 
   private void writeOrReject(long exchange, JobSpec spec, String rejection) {
     if (rejection == null) {
-      write(exchange, spec);
+      admitAndWrite(exchange, spec);
     } else {
       reject(exchange, spec, rejection);
     }
   }
 
-  private void write(long exchange, JobSpec spec) {
-    String flow = spec.jobClass() + "/" + spec.team();
-    if (!services.admission().tryAdmit(flow, 1, runtime.now())) {
-      answerUnderPressure(exchange, spec);
+  private void admitAndWrite(long exchange, JobSpec spec) {
+    String group = spec.jobClass() + "/" + spec.team();
+    if (!services.admission().tryAdmit(group, 1, runtime.now())) {
+      refuseUnlessKnown(exchange, spec);
       return;
     }
     JobRecord job = new JobRecord(JobStatus.Phase.QUEUED, runtime.wallMs(), spec);
     int maxBytes = services.formatGate().limits().valueBytes();
     ObjectNode record = job.live();
     if (!services.formatGate().open() || Json.bytes(record).length <= maxBytes) {
-      commit(exchange, spec, record, List.of());
+      writeRecord(exchange, spec, record, List.of());
       return;
     }
     String text = Json.text(spec.toJson());
@@ -154,8 +161,11 @@
         .start();
   }
 
-  /** A known job's repeat is answered whatever the pressure, from what is at hand. */
-  private void answerUnderPressure(long exchange, JobSpec spec) {
+  /**
+   * Refuses a submission that was not admitted, unless this node has cached that the job exists: a
+   * repeated submission of such a job is answered under any load.
+   */
+  private void refuseUnlessKnown(long exchange, JobSpec spec) {
     LiveJobCache liveJobs = services.liveJobs();
     if (statuses.isAccepted(spec.id())
         || (liveJobs.isLoaded() && liveJobs.get(spec.id()) != null)) {
@@ -169,7 +179,7 @@
     return new ChunkedSubmission.Listener() {
       @Override
       public void onStored(ObjectNode record, Condition firstChunkUnchanged) {
-        commit(exchange, spec, record, List.of(firstChunkUnchanged));
+        writeRecord(exchange, spec, record, List.of(firstChunkUnchanged));
       }
 
       @Override
@@ -184,13 +194,13 @@
     };
   }
 
-  /** Conditions that hold as long as no job of this name has been accepted. */
+  /** Returns conditions that hold as long as no job with this id has been accepted. */
   static List<Condition> newJobConditions(String id) {
     return List.of(
         new Condition(StorageKeys.job(id), 0), new Condition(StorageKeys.finishedJob(id), 0));
   }
 
-  private void commit(
+  private void writeRecord(
       long exchange, JobSpec spec, ObjectNode record, List<Condition> chunkConditions) {
     List<Condition> conditions = new ArrayList<>(newJobConditions(spec.id()));
     conditions.addAll(chunkConditions);
--- a/src/main/java/org/snowturn/core/api/LiveJobCache.java
+++ b/src/main/java/org/snowturn/core/api/LiveJobCache.java
@@ -20,124 +20,139 @@
 import org.snowturn.wire.StateMessage;
 
 /**
- * Keeps a cache of the live jobs on every node and proves that it is fresh: one read of the changes
- * since, sent after all who wait for it have asked, answers them all. So polls cost the state
- * service nothing apiece; what it is asked grows with time and with changes.
+ * Caches the live jobs on this node and validates the cache by reading the changes since its last
+ * revision. A single read serves all status queries that arrived before it was sent. The number of
+ * requests to the state service therefore depends on time and on the number of changes, not on the
+ * number of queries.
  */
 public final class LiveJobCache {
-  /** Who wants to know what the cache proves. */
+  /** Listener for cancellations and validations. */
   public interface Listener {
-    /** The job's record says that it is cancelled. */
+    /** Called when a job's record shows that the job is cancelled. */
     void onCancelled(String job);
 
     /**
-     * The cache holds all that was stored at this moment, in milliseconds of the steady clock, and
-     * all cancellations among it have been told.
+     * Called when the cache holds all records that were stored at a given time, after {@link
+     * #onCancelled} was called for all cancellations among them.
+     *
+     * @param asOfMs that time, in milliseconds of the monotonic clock
      */
-    void onUpToDate(long at);
+    void onUpToDate(long asOfMs);
   }
 
-  /** The share of the state service's request rate that the reads of all nodes may take. */
+  /** Share of the state service's request rate that the validations of all nodes may use. */
   private static final double MAX_SHARE_OF_RATE = 0.15;
 
   private static final double MIN_REQUESTS_PER_S = 0.1;
-  private static final long MIN_INTERVAL_MS = 100;
-  private static final long MAX_RETRY_MS = 1_000;
+  private static final long MIN_REQUEST_INTERVAL_MS = 100;
+  private static final long MAX_RETRY_DELAY_MS = 1_000;
 
   /**
-   * Without anybody who waits, the changes are read now and then: the state service keeps past
-   * changes only for a while, and a leader may act only as long as its knowledge of cancellations
-   * is young enough.
+   * Maximum interval of validations without waiting queries. They are needed because the state
+   * service keeps past changes for a limited time only, and because a leader may act only while its
+   * knowledge of cancellations is recent enough.
    */
-  private static final long MAX_REFRESH_MS = 5_000;
+  private static final long MAX_VALIDATION_INTERVAL_MS = 5_000;
 
-  private static final long MIN_REFRESH_MS = 500;
+  private static final long MIN_VALIDATION_INTERVAL_MS = 500;
 
-  /** The part of the time between a worker's lease and a cancellation's due time. */
-  private static final int REFRESHES_PER_SLACK = 4;
+  /**
+   * Number of validations in the time from the end of a worker's lease to the due time of a
+   * cancellation.
+   */
+  private static final int VALIDATIONS_PER_SLACK = 4;
 
-  /** Users wait two seconds for a poll. */
+  /** Maximum wait for a validation; users wait 2 s for a status query. */
   private static final long MAX_WAIT_MS = 1_500;
 
   private static final int TIMEOUT_MS = 1_000;
-  private static final int MAX_WAITING = 5_000;
+  private static final int MAX_WAITERS = 5_000;
+
+  /** Status of a reply to a read of changes that the state service no longer keeps. */
   private static final int CHANGES_GONE = 410;
 
-  /** Somebody who waits until the cache is proven fresh. */
-  private record Waiter(long until, Runnable fresh, Runnable unknown) {}
+  /** A query that waits until the cache is validated. */
+  private record Waiter(long deadlineMs, Runnable onFresh, Runnable onUnavailable) {}
 
   private final CoreRuntime runtime;
   private final Listener listener;
-  private final long minIntervalMs;
-  private final long refreshMs;
+  private final long minRequestIntervalMs;
+  private final long validationIntervalMs;
   private final LiveJobs jobs =
       new LiveJobs(StorageKeys.JOBS, LiveJobCache::isCancelled, JobRecord::awaits);
   private final Backoff backoff;
-  private ArrayDeque<Waiter> waiting = new ArrayDeque<>();
-  private boolean requestOpen;
-  private long nextAt;
-  private long freshAt = MonotonicTime.NEVER;
+  private ArrayDeque<Waiter> waiters = new ArrayDeque<>();
+  private boolean isRequestOpen;
+  private long nextRequestAt;
+  private long validatedAt = MonotonicTime.NEVER;
   private long validations;
   private long loads;
 
-  /** An empty cache; reads the live jobs at the next tick. */
+  /** Creates an empty cache, which reads the live jobs at the next tick. */
   public LiveJobCache(Settings settings, CoreRuntime runtime, Listener listener) {
     this.runtime = runtime;
     this.listener = listener;
-    this.backoff = runtime.backoff(MIN_INTERVAL_MS, MAX_RETRY_MS);
+    this.backoff = runtime.backoff(MIN_REQUEST_INTERVAL_MS, MAX_RETRY_DELAY_MS);
     Settings.Workers workers = settings.workers();
-    long slackMs = (long) (1000 * (workers.cancelS() - workers.leaseS()) / REFRESHES_PER_SLACK);
-    this.refreshMs = Math.max(MIN_REFRESH_MS, Math.min(MAX_REFRESH_MS, slackMs));
+    long intervalMs =
+        (long) (1000 * (workers.cancelS() - workers.leaseS()) / VALIDATIONS_PER_SLACK);
+    this.validationIntervalMs =
+        Math.max(MIN_VALIDATION_INTERVAL_MS, Math.min(MAX_VALIDATION_INTERVAL_MS, intervalMs));
     int nodes = settings.peers().size() + 1;
     double requestsPerS = settings.stateLimits().rps() * MAX_SHARE_OF_RATE / nodes;
-    this.minIntervalMs =
-        Math.max(MIN_INTERVAL_MS, (long) (1000 / Math.max(MIN_REQUESTS_PER_S, requestsPerS)));
+    this.minRequestIntervalMs =
+        Math.max(
+            MIN_REQUEST_INTERVAL_MS, (long) (1000 / Math.max(MIN_REQUESTS_PER_S, requestsPerS)));
   }
 
-  /** Whether there is a cache that can be proven fresh by one read. */
+  /** Returns whether the live jobs are loaded, so that a single read can validate the cache. */
   public boolean isLoaded() {
     return jobs.known();
   }
 
-  /** A live job, as of the last proof; null if there was none of this name. */
+  /** Returns a live job as of the last validation, or null if there was none with this id. */
   public LiveJobs.Seen get(String id) {
     return jobs.get(id);
   }
 
   /**
-   * Calls one of the two, once: {@code fresh} when the cache holds everything that was stored when
-   * this was called, {@code unknown} if that could not be found out in the time that a user waits.
+   * Waits for a validation of the cache and calls exactly one of the two handlers, once.
+   *
+   * @param onFresh called when the cache holds all records that were stored at the time of this
+   *     call
+   * @param onUnavailable called if the cache was not validated within the time that a user waits,
+   *     or if too many queries are waiting
    */
-  public void whenFresh(Runnable fresh, Runnable unknown) {
-    if (waiting.size() >= MAX_WAITING) {
-      unknown.run();
+  public void whenFresh(Runnable onFresh, Runnable onUnavailable) {
+    if (waiters.size() >= MAX_WAITERS) {
+      onUnavailable.run();
       return;
     }
-    waiting.add(new Waiter(runtime.now() + MAX_WAIT_MS, fresh, unknown));
+    waiters.add(new Waiter(runtime.now() + MAX_WAIT_MS, onFresh, onUnavailable));
     readIfDue();
   }
 
-  /** Proves the cache as soon as possible, whether or not anybody waits for it. */
+  /** Requests a validation as soon as possible, even if no query is waiting. */
   public void requestValidation() {
-    freshAt = MonotonicTime.NEVER;
+    validatedAt = MonotonicTime.NEVER;
   }
 
-  /** Gives up on those who have waited too long, and reads if it is time. */
+  /** Times out queries that have waited too long, and reads from the state service if due. */
   public void tick() {
-    while (!waiting.isEmpty() && waiting.peek().until <= runtime.now()) {
-      waiting.poll().unknown.run();
+    while (!waiters.isEmpty() && waiters.peek().deadlineMs <= runtime.now()) {
+      waiters.poll().onUnavailable.run();
     }
     readIfDue();
   }
 
   private void readIfDue() {
     long now = runtime.now();
-    boolean wanted = !waiting.isEmpty() || now - freshAt >= refreshMs;
-    if (requestOpen || now < nextAt || !wanted) {
+    boolean isWanted = !waiters.isEmpty() || now - validatedAt >= validationIntervalMs;
+    if (isRequestOpen || now < nextRequestAt || !isWanted) {
       return;
     }
-    requestOpen = true;
-    nextAt = now + minIntervalMs;
+    isRequestOpen = true;
+    nextRequestAt = now + minRequestIntervalMs;
     if (jobs.known()) {
       readChanges();
     } else {
@@ -146,9 +161,9 @@
   }
 
   private void readChanges() {
-    // Only who has asked before the request is sent is answered by its reply.
-    ArrayDeque<Waiter> covered = waiting;
-    waiting = new ArrayDeque<>();
+    // The reply serves only queries that arrived before the request is sent.
+    ArrayDeque<Waiter> covered = waiters;
+    waiters = new ArrayDeque<>();
     validations++;
     long sentAt = runtime.now();
     runtime.watchState(
@@ -156,24 +171,28 @@
         "/watch?prefix=" + StorageKeys.JOBS + "&since=" + jobs.revision() + "&hold_ms=0",
         TIMEOUT_MS,
         (outcome, status, body) -> {
-          requestOpen = false;
+          isRequestOpen = false;
           if (outcome.succeeded(status) && applyChanges(body)) {
-            freshAt = runtime.now();
+            validatedAt = runtime.now();
             listener.onUpToDate(sentAt);
             backoff.reset();
-            covered.forEach(waiter -> waiter.fresh.run());
+            covered.forEach(waiter -> waiter.onFresh.run());
             return;
           }
           if (outcome == Outcome.ANSWERED && status == CHANGES_GONE) {
             jobs.drop();
           }
-          covered.addAll(waiting);
-          waiting = covered;
-          nextAt = runtime.now() + backoff.next(runtime.retryAfterMs());
+          covered.addAll(waiters);
+          waiters = covered;
+          nextRequestAt = runtime.now() + backoff.next(runtime.retryAfterMs());
         });
   }
 
-  /** Returns whether the cache has all changes of a reply, and is not younger than it. */
+  /**
+   * Applies the changes of a reply.
+   *
+   * @return whether they were applied; false if the reply is malformed or older than the cache
+   */
   private boolean applyChanges(JsonNode body) {
     try {
       long revision = StateMessage.revision(body);
@@ -182,7 +201,7 @@
       }
       List<StateMessage.Entry> changes = StateMessage.changes(body);
       jobs.follow(changes, revision);
-      changes.forEach(this::tellIfCancelled);
+      changes.forEach(this::notifyIfCancelled);
       return true;
     } catch (MalformedException e) {
       runtime
@@ -196,7 +215,7 @@
     }
   }
 
-  private void tellIfCancelled(StateMessage.Entry entry) {
+  private void notifyIfCancelled(StateMessage.Entry entry) {
     if (entry.key().startsWith(StorageKeys.JOBS)
         && entry.value() != null
         && isCancelled(entry.value())) {
@@ -215,33 +234,33 @@
         .read(
             StorageKeys.JOBS,
             range -> {
-              requestOpen = false;
+              isRequestOpen = false;
               jobs.load(range.entries(), range.epoch());
-              range.entries().forEach(this::tellIfCancelled);
+              range.entries().forEach(this::notifyIfCancelled);
               listener.onUpToDate(sentAt);
               backoff.reset();
-              nextAt = runtime.now();
+              nextRequestAt = runtime.now();
               readIfDue();
             });
   }
 
-  /** How many reads of changes were sent. */
+  /** Returns the number of reads of changes that were sent. */
   public long validations() {
     return validations;
   }
 
-  /** How many times all live jobs were read. */
+  /** Returns the number of times that reading all live jobs was started. */
   public long loads() {
     return loads;
   }
 
-  /** How many live jobs it holds. */
+  /** Returns the number of cached live jobs. */
   public int size() {
     return jobs.size();
   }
 
-  /** How many wait for the next proof. */
+  /** Returns the number of queries that wait for the next validation. */
   public int waiterCount() {
-    return waiting.size();
+    return waiters.size();
   }
 }
--- a/src/main/java/org/snowturn/core/api/SubmissionValidator.java
+++ b/src/main/java/org/snowturn/core/api/SubmissionValidator.java
@@ -7,7 +7,7 @@
 import org.snowturn.core.model.Quota;
 import org.snowturn.wire.JobSpec;
 
-/** Finds out why a job could never run, by the settings and the cloud's catalog. */
+/** Checks by the settings and the cloud's catalog whether a job can ever run. */
 final class SubmissionValidator {
   private final Settings settings;
   private final MachineTypes machineTypes;
@@ -17,12 +17,15 @@
     this.machineTypes = machineTypes;
   }
 
-  /** Whether enough is known to judge. */
+  /** Returns whether the machine types are known, which the checks need. */
   boolean isReady() {
     return machineTypes.known();
   }
 
-  /** Why a job could never run, for the user; null if it could. Dependencies are not looked at. */
+  /**
+   * Returns the reason, for the user, why a job can never run, or null if it can. Does not check
+   * the job's dependencies.
+   */
   String rejectionReason(JobSpec spec) {
     Settings.Team team = null;
     for (Settings.Team candidate : settings.teams()) {
@@ -39,25 +42,27 @@
     if (spec.zone() != null && !settings.zones().contains(spec.zone())) {
       return "unknown zone";
     }
-    int together = spec.minConcurrentTasks();
-    if (Quota.exceeds(spec.cpus() * together, team.cpusMax())
-        || Quota.exceeds(spec.gpus() * together, team.gpusMax())) {
+    int concurrentTasks = spec.minConcurrentTasks();
+    if (Quota.exceeds(spec.cpus() * concurrentTasks, team.cpusMax())
+        || Quota.exceeds(spec.gpus() * concurrentTasks, team.gpusMax())) {
       return "more than the team's limit";
     }
     return null;
   }
 
   /**
-   * Why a job could never run that depends on these; null if it could.
+   * Returns the reason, for the user, why a job with the given dependencies can never run, or null
+   * if it can.
    *
-   * @param services whether each accepted one of them is a service
+   * @param dependencies ids of the jobs to wait for
+   * @param isServiceByJob whether each accepted dependency is a service, by job id
    */
-  static String rejectionReason(List<String> dependencies, Map<String, Boolean> services) {
+  static String rejectionReason(List<String> dependencies, Map<String, Boolean> isServiceByJob) {
     for (String id : dependencies) {
-      if (!services.containsKey(id)) {
+      if (!isServiceByJob.containsKey(id)) {
         return "awaits: " + id + " was never accepted";
       }
-      if (services.get(id)) {
+      if (isServiceByJob.get(id)) {
         return "awaits: " + id + " is a service";
       }
     }
--- a/src/main/java/org/snowturn/core/api/UserResponses.java
+++ b/src/main/java/org/snowturn/core/api/UserResponses.java
@@ -9,7 +9,7 @@
 import org.snowturn.wire.JobStatus;
 import org.snowturn.wire.Json;
 
-/** Answers users' requests, each of which is named by its exchange. */
+/** Answers users' requests, each of which is identified by the id of its exchange. */
 final class UserResponses {
   private static final int OK = 200;
   private static final int CREATED = 201;
@@ -20,44 +20,50 @@
   private final CoreRuntime runtime;
   private final AdmissionController admission;
   private final CancelledJobs cancelled;
-  private final BooleanSupplier stateServiceReachable;
+  private final BooleanSupplier isStateServiceReachable;
 
   /**
-   * Answers by these.
+   * Creates responses.
    *
-   * @param stateServiceReachable whether requests to the state service may succeed at present
+   * @param admission provides the retry delay of refused requests
+   * @param cancelled receives the cancellations that are confirmed to users
+   * @param isStateServiceReachable supplies whether requests to the state service may succeed now
    */
   UserResponses(
       CoreRuntime runtime,
       AdmissionController admission,
       CancelledJobs cancelled,
-      BooleanSupplier stateServiceReachable) {
+      BooleanSupplier isStateServiceReachable) {
     this.runtime = runtime;
     this.admission = admission;
     this.cancelled = cancelled;
-    this.stateServiceReachable = stateServiceReachable;
+    this.isStateServiceReachable = isStateServiceReachable;
   }
 
-  /** Refuses at once what needs the state service while that does not answer; tells whether. */
+  /**
+   * Refuses a request that needs the state service if the service is unreachable.
+   *
+   * @return whether the request was refused
+   */
   boolean refuseIfUnreachable(long exchange) {
-    if (stateServiceReachable.getAsBoolean()) {
+    if (isStateServiceReachable.getAsBoolean()) {
       return false;
     }
     refuse(exchange);
     return true;
   }
 
-  /** Answers that the request cannot be served now, with a time to come back. */
+  /** Answers that the request cannot be served now, with a retry delay. */
   void refuse(long exchange) {
     runtime.answerUnavailable(exchange, UNAVAILABLE, admission.retryAfterS(runtime.now()));
   }
 
-  /** Answers that there is no such job. */
+  /** Answers that the job does not exist. */
   void answerNotFound(long exchange) {
     runtime.answer(exchange, NOT_FOUND, null);
   }
 
-  /** Answers that a submission can never be accepted. */
+  /** Answers that a submission is invalid and can never be accepted. */
   void answerInvalid(long exchange, String reason) {
     runtime.answer(exchange, UNPROCESSABLE, Json.object().put("error", reason));
   }
@@ -68,19 +74,19 @@
     runtime.answer(exchange, CREATED, queued.summary());
   }
 
-  /** Answers with the short form of a job's status. */
+  /** Answers with the summary of a job's status. */
   void answerSummary(long exchange, JobStatus status) {
     answer(exchange, status, status.summary());
   }
 
-  /** Answers with all of a job's status. */
+  /** Answers with a job's full status. */
   void answerFull(long exchange, JobStatus status) {
     answer(exchange, status, status.full());
   }
 
   /**
-   * Whoever hears of a cancellation may rely on it from then on, so it is logged for the leader
-   * before the answer leaves.
+   * Answers with a job's status. A user may rely on a cancellation from the answer on, so it is
+   * recorded for the leader before the answer is sent.
    */
   private void answer(long exchange, JobStatus status, JsonNode body) {
     if (status.phase() == JobStatus.Phase.ABORTED) {
--- a/src/main/java/org/snowturn/core/api/package-info.java
+++ b/src/main/java/org/snowturn/core/api/package-info.java
@@ -1,2 +1,2 @@
-/** Users' requests: submissions, status queries, cancellations. */
+/** Users' requests: submissions, status queries and cancellations. */
 package org.snowturn.core.api;
