--- a/src/test/java/org/snowturn/core/admission/FairSharesTest.java
+++ b/src/test/java/org/snowturn/core/admission/FairSharesTest.java
@@ -13,66 +13,76 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** What the nodes divide, whatever they have heard of each other. */
+/**
+ * Checks the division of the state service's rates. A wrong share, or nodes with different reports
+ * of each other's demands, could let the nodes together exceed the rates.
+ */
 class FairSharesTest {
-  private static final double SLACK = 1e-6;
+  private static final double TOLERANCE = 1e-6;
 
   @Property(seed = "1", tries = 500)
   void noShareExceedsItsDemandAndNoRateIsLeftOverWhileDemandIsUnmet(
-      @ForAll @Size(min = 1, max = 6) List<@DoubleRange(min = 0, max = 500) Double> wanted,
+      @ForAll @Size(min = 1, max = 6) List<@DoubleRange(min = 0, max = 500) Double> demandList,
       @ForAll @DoubleRange(min = 0, max = 600) double rate) {
-    double[] needs = wanted.stream().mapToDouble(d -> d).toArray();
-    double[] out = FairShares.of(needs, rate);
-    double sum = Arrays.stream(out).sum();
-    double need = Arrays.stream(needs).sum();
-    assertEquals(Math.min(need, rate), sum, SLACK);
-    for (int i = 0; i < needs.length; i++) {
-      assertTrue(out[i] <= needs[i] + SLACK);
-      assertTrue(out[i] >= Math.min(needs[i], rate / needs.length) - SLACK, "less than is fair");
+    double[] demands = demandList.stream().mapToDouble(d -> d).toArray();
+    double[] shares = FairShares.of(demands, rate);
+    double totalShare = Arrays.stream(shares).sum();
+    double totalDemand = Arrays.stream(demands).sum();
+    assertEquals(Math.min(totalDemand, rate), totalShare, TOLERANCE);
+    for (int i = 0; i < demands.length; i++) {
+      assertTrue(shares[i] <= demands[i] + TOLERANCE, "share exceeds the demand");
+      assertTrue(
+          shares[i] >= Math.min(demands[i], rate / demands.length) - TOLERANCE,
+          "share is below the fair share");
     }
   }
 
-  /** Three nodes, told of each other's needs at different times or not at all. */
+  /** Three nodes, each of which has received any subset of the other nodes' reports. */
   @Property(seed = "2", tries = 500)
   void nodesWithPartialReportsTogetherStayWithinTheRate(
-      @ForAll @Size(3) List<@DoubleRange(min = 0, max = 400) Double> needs,
-      @ForAll @Size(6) List<Boolean> heard) {
+      @ForAll @Size(3) List<@DoubleRange(min = 0, max = 400) Double> nodeDemands,
+      @ForAll @Size(6) List<Boolean> isReportReceived) {
     List<String> names = List.of("n0", "n1", "n2");
     double rate = 150;
-    double sum = 0;
-    double users = 0;
+    double requests = 0;
+    double submissions = 0;
     int link = 0;
-    for (int me = 0; me < 3; me++) {
+    for (int node = 0; node < 3; node++) {
       List<String> peers = new ArrayList<>(names);
-      peers.remove(me);
+      peers.remove(node);
       RateDemands demands = new RateDemands(peers);
-      for (int p = 0; p < 3; p++) {
-        if (p != me && heard.get(link++ % 6)) {
+      for (int peer = 0; peer < 3; peer++) {
+        if (peer != node && isReportReceived.get(link++ % 6)) {
           demands.record(
-              names.get(p), new RateDemands.Demand(needs.get(p), needs.get(p) / 10, 0), 1000);
+              names.get(peer),
+              new RateDemands.Demand(nodeDemands.get(peer), nodeDemands.get(peer) / 10, 0),
+              1000);
         }
       }
-      RateDemands.Demand mine = new RateDemands.Demand(needs.get(me), needs.get(me) / 10, 0);
-      // What a node takes is no more than it needs, nor than its part.
-      sum += Math.min(needs.get(me), demands.requestRate(rate, 1500));
-      users += Math.min(needs.get(me) / 10, demands.submissionRate(mine, 20, 1500));
+      RateDemands.Demand ownDemand =
+          new RateDemands.Demand(nodeDemands.get(node), nodeDemands.get(node) / 10, 0);
+      // A node uses at most its demand and its share.
+      requests += Math.min(nodeDemands.get(node), demands.requestRate(rate, 1500));
+      submissions +=
+          Math.min(nodeDemands.get(node) / 10, demands.submissionRate(ownDemand, 20, 1500));
     }
-    assertTrue(sum <= rate + SLACK, "requests " + sum);
-    assertTrue(users <= 20 + SLACK, "changes " + users);
+    assertTrue(requests <= rate + TOLERANCE, "requests a second: " + requests);
+    assertTrue(submissions <= 20 + TOLERANCE, "changes a second: " + submissions);
   }
 
   @Test
   void aNodeWithoutFreshReportsTakesTheEqualShare() {
     RateDemands demands = new RateDemands(List.of("a", "b"));
-    double equal = demands.requestRate(300, 0);
-    assertEquals(95, equal, SLACK);
+    double equalShare = demands.requestRate(300, 0);
+    assertEquals(95, equalShare, TOLERANCE);
     demands.record("a", RateDemands.Demand.NONE, 0);
     demands.record("b", new RateDemands.Demand(10, 0, 0), 0);
-    demands.record("stranger", new RateDemands.Demand(900, 900, 900), 0);
-    double unused = demands.requestRate(300, 1000);
-    assertTrue(unused > 220 && unused < 285, "" + unused);
-    // A peer that is cut off or frozen gets its part back once its word is old.
-    assertEquals(95, demands.requestRate(300, 1000 + RateDemands.STALE_MS), SLACK);
+    demands.record("unknown-node", new RateDemands.Demand(900, 900, 900), 0);
+    double largerShare = demands.requestRate(300, 1000);
+    assertTrue(largerShare > 220 && largerShare < 285, "requests a second: " + largerShare);
+    // A peer that is partitioned or paused is granted its equal share again once its report is
+    // stale.
+    assertEquals(95, demands.requestRate(300, 1000 + RateDemands.STALE_MS), TOLERANCE);
   }
 
   @Test
@@ -80,21 +90,21 @@
     RateDemands demands = new RateDemands(List.of("a", "b"));
     demands.record("a", new RateDemands.Demand(0, 0, 0), 0);
     demands.record("b", new RateDemands.Demand(0, 1, 0), 0);
-    assertEquals(15, demands.leaderRate(RateDemands.Demand.NONE, 20, 0), SLACK);
+    assertEquals(15, demands.leaderRate(RateDemands.Demand.NONE, 20, 0), TOLERANCE);
     demands.record("b", new RateDemands.Demand(0, 6, 0), 0);
-    assertEquals(13, demands.leaderRate(RateDemands.Demand.NONE, 20, 0), SLACK);
+    assertEquals(13, demands.leaderRate(RateDemands.Demand.NONE, 20, 0), TOLERANCE);
     demands.record("b", new RateDemands.Demand(0, 60, 0), 0);
-    assertEquals(9, demands.leaderRate(RateDemands.Demand.NONE, 20, 0), SLACK);
+    assertEquals(9, demands.leaderRate(RateDemands.Demand.NONE, 20, 0), TOLERANCE);
   }
 
   @Property(seed = "3", tries = 300)
-  void anInvalidDemandIsIgnored(@ForAll @IntRange(min = 0, max = 3) int kind) {
-    double bad =
-        new double[] {Double.NaN, -1, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY}[kind];
+  void anInvalidDemandIsIgnored(@ForAll @IntRange(min = 0, max = 3) int index) {
+    double invalid =
+        new double[] {Double.NaN, -1, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY}[index];
     RateDemands demands = new RateDemands(List.of("a"));
-    demands.record("a", new RateDemands.Demand(bad, 0, 0), 0);
-    demands.record("a", new RateDemands.Demand(0, bad, 0), 0);
-    demands.record("a", new RateDemands.Demand(0, 0, bad), 0);
+    demands.record("a", new RateDemands.Demand(invalid, 0, 0), 0);
+    demands.record("a", new RateDemands.Demand(0, invalid, 0), 0);
+    demands.record("a", new RateDemands.Demand(0, 0, invalid), 0);
     assertEquals(0, demands.freshPeerCount(0));
   }
 }
--- a/src/test/java/org/snowturn/core/admission/MinimumSharesTest.java
+++ b/src/test/java/org/snowturn/core/admission/MinimumSharesTest.java
@@ -9,17 +9,20 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Whoever waits for long gets a share, and the flood keeps the rest. */
+/**
+ * Checks that groups that wait long receive their minimum share, and that the minimum shares leave
+ * the rest to the group that is first in the regular order and would otherwise starve the others.
+ */
 class MinimumSharesTest {
   /**
-   * A machine room of 100 cpus a second that all groups want, in the order of their indices; in
-   * each plan whoever is below its floor goes first.
+   * Simulates 300 s of a cluster that places 100 CPUs a second, with demand from all groups in the
+   * order of their indices. In each round, groups below their minimum share go first.
    *
-   * @return what each got of the last 200 s
+   * @return the CPUs that each group received in the last 200 s
    */
-  private static double[] serve(int groups, double waitS) {
+  private static double[] placeCpus(int groups, double waitS) {
     MinimumShares minimumShares = new MinimumShares();
-    double[] got = new double[groups];
+    double[] cpusByGroup = new double[groups];
     for (int g = 0; g < groups; g++) {
       minimumShares.groupIndex("class" + g, "team");
     }
@@ -28,35 +31,39 @@
       for (int g = 0; g < groups; g++) {
         minimumShares.recordWaiting(g, waitS, 10);
       }
-      int served = 0;
+      int selected = 0;
       for (int g = groups - 1; g > 0; g--) {
-        served = minimumShares.isBelowMinimum(g) ? g : served;
+        selected = minimumShares.isBelowMinimum(g) ? g : selected;
       }
-      minimumShares.recordPlacement(served, 10, now);
-      got[served] += now >= 100_000 ? 10 : 0;
+      minimumShares.recordPlacement(selected, 10, now);
+      cpusByGroup[selected] += now >= 100_000 ? 10 : 0;
     }
-    return got;
+    return cpusByGroup;
   }
 
   @Property(seed = "5", tries = 60)
   void everyGroupGetsItsMinimumShareWithinTheTotalLimit(
       @ForAll @IntRange(min = 2, max = 30) int groups,
       @ForAll @IntRange(min = 16, max = 600) int waitS) {
-    double[] got = serve(groups, waitS);
-    double all = 20_000;
-    double floor = Math.min(0.15, 0.03 * waitS / 15);
-    floor = Math.min(floor, MinimumShares.MAX_TOTAL_SHARE / groups);
-    double others = 0;
+    double[] cpusByGroup = placeCpus(groups, waitS);
+    double totalCpus = 20_000;
+    double minimumShare = Math.min(0.15, 0.03 * waitS / 15);
+    minimumShare = Math.min(minimumShare, MinimumShares.MAX_TOTAL_SHARE / groups);
+    double otherCpus = 0;
     for (int g = 1; g < groups; g++) {
-      assertTrue(got[g] >= 0.85 * floor * all - 10, "group " + g + " of " + groups + ": " + got[g]);
-      others += got[g];
+      assertTrue(
+          cpusByGroup[g] >= 0.85 * minimumShare * totalCpus - 10,
+          "group " + g + " of " + groups + ": " + cpusByGroup[g]);
+      otherCpus += cpusByGroup[g];
     }
-    assertTrue(others <= (MinimumShares.MAX_TOTAL_SHARE + 0.05) * all, "floors took " + others);
+    assertTrue(
+        otherCpus <= (MinimumShares.MAX_TOTAL_SHARE + 0.05) * totalCpus,
+        "CPUs of all minimum shares: " + otherCpus);
   }
 
   @Test
   void groupsWithShortWaitsGetNoMinimumShare() {
-    assertEquals(20_000, serve(5, 14)[0]);
+    assertEquals(20_000, placeCpus(5, 14)[0]);
   }
 
   @Test
--- a/src/test/java/org/snowturn/core/admission/QuotaGuaranteesTest.java
+++ b/src/test/java/org/snowturn/core/admission/QuotaGuaranteesTest.java
@@ -14,21 +14,24 @@
 import org.junit.jupiter.api.Test;
 import org.snowturn.config.Settings;
 
-/** Accounting of guarantees against a naive recount in the protocol's words. */
+/**
+ * Compares the result with a naive recount by the definition of a guarantee, for each job. Guards
+ * against results that depend on the order in which the jobs are given.
+ */
 class QuotaGuaranteesTest {
   private static final class Job implements QuotaGuarantees.Claim {
     final String team;
     final double cpus;
     final double gpus;
-    final long submitted;
+    final long submittedAt;
     final String id;
-    private boolean within;
+    private boolean isWithin;
 
-    Job(String team, double cpus, double gpus, long submitted, String id) {
+    Job(String team, double cpus, double gpus, long submittedAt, String id) {
       this.team = team;
       this.cpus = cpus;
       this.gpus = gpus;
-      this.submitted = submitted;
+      this.submittedAt = submittedAt;
       this.id = id;
     }
 
@@ -49,7 +52,7 @@
 
     @Override
     public long submittedAt() {
-      return submitted;
+      return submittedAt;
     }
 
     @Override
@@ -58,8 +61,8 @@
     }
 
     @Override
-    public void setWithinGuarantee(boolean is) {
-      within = is;
+    public void setWithinGuarantee(boolean isWithin) {
+      this.isWithin = isWithin;
     }
   }
 
@@ -88,7 +91,7 @@
     QuotaGuarantees guarantees = new QuotaGuarantees(TEAMS);
     guarantees.evaluate(jobs);
     for (Job job : jobs) {
-      assertEquals(isWithinByRecount(job, jobs), job.within, job.id);
+      assertEquals(isWithinByRecount(job, jobs), job.isWithin, job.id);
     }
   }
 
@@ -108,8 +111,8 @@
   }
 
   private static boolean isNotLater(Job other, Job job) {
-    return other.submitted < job.submitted
-        || (other.submitted == job.submitted && other.id.compareTo(job.id) <= 0);
+    return other.submittedAt < job.submittedAt
+        || (other.submittedAt == job.submittedAt && other.id.compareTo(job.id) <= 0);
   }
 
   @Test
--- a/src/test/java/org/snowturn/core/admission/StateRequestBudgetTest.java
+++ b/src/test/java/org/snowturn/core/admission/StateRequestBudgetTest.java
@@ -9,37 +9,45 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Whose calls pass when all want more than there is. */
+/**
+ * Checks which requests and submissions are admitted when the demand exceeds the rate. Without the
+ * limits, an overload of status queries or of one group would crowd out lease renewals and others.
+ */
 class StateRequestBudgetTest {
-  private final Map<RequestClass, Integer> passed = new EnumMap<>(RequestClass.class);
+  private final Map<RequestClass, Integer> acquiredByClass = new EnumMap<>(RequestClass.class);
 
-  /** Every purpose asks so often for 20 s; counts what passes. */
-  private int flood(StateRequestBudget budget, int everyMs) {
-    int all = 0;
+  /**
+   * Requests tokens for every class at a fixed interval for 20 s.
+   *
+   * @return the number of tokens acquired by all classes together
+   */
+  private int overload(StateRequestBudget budget, int intervalMs) {
+    int total = 0;
     for (long now = 1; now <= 20_000; now++) {
       for (RequestClass requestClass : RequestClass.values()) {
-        // A lease is renewed now and then, whatever the flood.
-        boolean asks = requestClass == RequestClass.AUTHORITY ? now % 250 == 0 : now % everyMs == 0;
-        if (asks && budget.tryAcquire(requestClass, now)) {
-          passed.merge(requestClass, 1, Integer::sum);
-          all++;
+        // A lease is renewed at its own interval, independent of the load.
+        boolean isDue =
+            requestClass == RequestClass.AUTHORITY ? now % 250 == 0 : now % intervalMs == 0;
+        if (isDue && budget.tryAcquire(requestClass, now)) {
+          acquiredByClass.merge(requestClass, 1, Integer::sum);
+          total++;
         }
       }
     }
-    return all;
+    return total;
   }
 
   @Test
   void underOverloadAuthorityAlwaysPassesAndEachClassGetsItsGuaranteedShare() {
-    int all = flood(new StateRequestBudget(50, 0), 2);
-    assertEquals(80, passed.get(RequestClass.AUTHORITY));
+    int total = overload(new StateRequestBudget(50, 0), 2);
+    assertEquals(80, acquiredByClass.get(RequestClass.AUTHORITY));
     for (RequestClass requestClass : RequestClass.values()) {
-      double floor = 50 * 20 * requestClass.guaranteedShare;
+      double guaranteed = 50 * 20 * requestClass.guaranteedShare;
       assertTrue(
-          passed.get(requestClass) >= 0.9 * floor,
-          requestClass + " " + passed.get(requestClass) + " of " + floor);
+          acquiredByClass.get(requestClass) >= 0.9 * guaranteed,
+          requestClass + " " + acquiredByClass.get(requestClass) + " of " + guaranteed);
     }
-    assertTrue(all <= 50 * 21 + 20, "no more than the part: " + all);
+    assertTrue(total <= 50 * 21 + 20, "acquired in total: " + total);
   }
 
   @Test
@@ -49,7 +57,7 @@
     for (long now = 1; now <= 20_000; now++) {
       reads += budget.tryAcquire(RequestClass.READS, now) ? 1 : 0;
     }
-    assertTrue(reads > 45 * 20, "" + reads);
+    assertTrue(reads > 45 * 20, "reads: " + reads);
   }
 
   @Test
@@ -71,28 +79,28 @@
       assertTrue(controller.tryAdmit("a", 1, 0));
     }
     controller.onServiceRefusal(0);
-    int taken = 0;
+    int admitted = 0;
     for (long now = 0; now < 2_900; now += 10) {
-      taken += controller.tryAdmit("a", 1, now) ? 1 : 0;
+      admitted += controller.tryAdmit("a", 1, now) ? 1 : 0;
     }
-    assertTrue(taken >= 5 && taken <= 7, "" + taken);
+    assertTrue(admitted >= 5 && admitted <= 7, "admitted: " + admitted);
     assertTrue(controller.tryAdmit("a", 1, 3_100));
   }
 
   @Test
   void aGroupWithLowDemandIsNotStarvedByAnother() {
     AdmissionController controller = new AdmissionController(new SplittableRandom(1), 10, 0);
-    int small = 0;
+    int smallAdmitted = 0;
     int tries = 0;
     for (long now = 0; now < 60_000; now += 5) {
       controller.onServiceRefusal(now);
       controller.tryAdmit("large", 1, now);
       if (now % 500 == 0) {
         tries++;
-        small += controller.tryAdmit("small", 1, now) ? 1 : 0;
+        smallAdmitted += controller.tryAdmit("small", 1, now) ? 1 : 0;
       }
     }
-    assertTrue(small >= 0.95 * tries, small + " of " + tries);
+    assertTrue(smallAdmitted >= 0.95 * tries, smallAdmitted + " of " + tries);
   }
 
   @Test
@@ -100,20 +108,22 @@
     AdmissionController controller = new AdmissionController(new SplittableRandom(1), 1, 0);
     assertEquals(1, controller.retryAfterS(0));
     controller.onServiceRefusal(0);
-    int[] at = new int[40];
+    int[] usersByDelayS = new int[40];
     for (int i = 0; i < 500; i++) {
       if (!controller.tryAdmit("a", 1, 10)) {
-        at[controller.retryAfterS(10)]++;
+        usersByDelayS[controller.retryAfterS(10)]++;
       }
     }
-    int most = 0;
-    for (int n : at) {
-      most = Math.max(most, n);
+    int maxUsers = 0;
+    for (int users : usersByDelayS) {
+      maxUsers = Math.max(maxUsers, users);
     }
-    // At the largest pressure they are told 2 to 5 s.
-    assertTrue(most < 200, "most return in one second: " + most);
-    for (int s = 15; s < at.length; s++) {
-      assertFalse(at[s] > 0, "users give up after 60 s: " + s);
+    // When all changes are refused, the retry delays range from 2 to 5 s.
+    assertTrue(maxUsers < 200, "users with the same retry delay: " + maxUsers);
+    for (int delayS = 15; delayS < usersByDelayS.length; delayS++) {
+      assertFalse(
+          usersByDelayS[delayS] > 0,
+          "retry delay too long for users who give up after 60 s: " + delayS);
     }
   }
 }
