--- a/src/test/java/org/snowturn/core/admission/FairSharesTest.java
+++ b/src/test/java/org/snowturn/core/admission/FairSharesTest.java
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void aLeaderLeavesUsersTheirDemandUpToItsMinimumShare() {
+  void aLeaderYieldsToUserDemandDownToItsMinimumShare() {
     RateDemands demands = new RateDemands(List.of("a", "b"));
     demands.record("a", new RateDemands.Demand(0, 0, 0), 0);
     demands.record("b", new RateDemands.Demand(0, 1, 0), 0);
