--- a/src/main/java/org/snowturn/core/admission/AdmissionController.java
+++ b/src/main/java/org/snowturn/core/admission/AdmissionController.java
@@ -22,7 +22,7 @@
   /** Mean delay that is added to the minimum of 1 s when all changes are refused. */
   private static final double MAX_MEAN_EXTRA_RETRY_AFTER_S = 2;
 
-  /** Relative range of the random retry delay around its mean. */
+  /** Range of the random retry delay, as factors of its mean. */
   private static final double MIN_RETRY_JITTER = 0.5;
 
   private static final double MAX_RETRY_JITTER = 1.5;
@@ -38,7 +38,7 @@
 
   private static final int MAX_GROUPS = 500;
 
-  /** Share of the burst below which groups with more than an equal share are refused. */
+  /** Fraction of the burst below which groups with more than an equal share are refused. */
   private static final double LOW_TOKENS_SHARE = 0.5;
 
   private static final double MIN_BURST_CHANGES = 3;
@@ -47,7 +47,7 @@
   /** Rate below which a group counts as inactive when the equal share is computed. */
   private static final double MIN_ACTIVE_CHANGES_PER_S = 0.01;
 
-  /** Rate below which a rate counts as zero. */
+  /** Averaged rates below this value count as zero. */
   private static final double NEGLIGIBLE_CHANGES_PER_S = 1e-3;
 
   /** Factor by which a group may exceed the equal share. */
--- a/src/main/java/org/snowturn/core/admission/QuotaGuarantees.java
+++ b/src/main/java/org/snowturn/core/admission/QuotaGuarantees.java
@@ -53,6 +53,7 @@
       this.team = team;
     }
 
+    /** Adds a claim and returns whether it fits into the guarantee. */
     boolean addClaim(Claim claim) {
       boolean fits =
           claimedCpus + claim.cpus() <= team.cpus() + ROUNDING_TOLERANCE
--- a/src/main/java/org/snowturn/core/admission/RateAllocator.java
+++ b/src/main/java/org/snowturn/core/admission/RateAllocator.java
@@ -57,8 +57,8 @@
   }
 
   /** Records the demand that a peer has reported. */
-  public void recordPeerDemand(String from, RateDemands.Demand demand, long nowMs) {
-    demands.record(from, demand, nowMs);
+  public void recordPeerDemand(String peer, RateDemands.Demand demand, long nowMs) {
+    demands.record(peer, demand, nowMs);
   }
 
   /** Sets the changes a second that this node needs to write as leader; 0 if it does not lead. */
--- a/src/main/java/org/snowturn/core/admission/RateDemands.java
+++ b/src/main/java/org/snowturn/core/admission/RateDemands.java
@@ -28,6 +28,7 @@
   /** Share of the change rate that a leader gets at least, for any demand of users. */
   private static final double MIN_LEADER_SHARE = 0.45;
 
+  /** Share of the change rate that a leader gets at most. */
   private static final double MAX_LEADER_SHARE = 0.75;
 
   /** Fraction of its equal share that a peer without demand keeps for its next requests. */
@@ -36,7 +37,7 @@
   /** Factor by which a peer's demand is assumed to grow until its next report. */
   private static final double DEMAND_GROWTH_FACTOR = 1.2;
 
-  /** Rate from which a reported demand is ignored as invalid, per second. */
+  /** Bound of a valid demand, per second; reports that reach it are ignored. */
   private static final double MAX_VALID_RATE = 1e6;
 
   /**
@@ -57,7 +58,7 @@
   private final List<String> peers;
 
   /**
-   * Creates demands without reports.
+   * Creates a collection of demands that contains no reports yet.
    *
    * @param peers names of the other nodes
    */
--- a/src/main/java/org/snowturn/core/admission/RequestClass.java
+++ b/src/main/java/org/snowturn/core/admission/RequestClass.java
@@ -1,13 +1,13 @@
 package org.snowturn.core.admission;
 
 /**
- * The purposes of requests to the state service, in order of importance. When the request budget is
- * short, the least important classes are refused first.
+ * The purposes of requests to the state service, the most important first. The shares of each class
+ * determine which requests are refused when the request budget is short.
  */
 public enum RequestClass {
   /**
-   * Requests on which a node's authority depends, such as lease renewals. They are never refused by
-   * the budget, and are deducted from it before all others.
+   * Requests on which a node's authority depends, such as lease renewals. The budget never refuses
+   * them and deducts them before all others.
    */
   AUTHORITY(0, 0),
 
@@ -31,7 +31,7 @@
 
   /**
    * Share of one second's budget that requests of this class, beyond the guaranteed share, leave to
-   * the more important classes.
+   * other classes.
    */
   final double headroomShare;
 
--- a/src/main/java/org/snowturn/core/api/JobApi.java
+++ b/src/main/java/org/snowturn/core/api/JobApi.java
@@ -21,7 +21,8 @@
    * The components of a controller that serve users' requests.
    *
    * @param machineTypes machine types of the cloud's catalog
-   * @param formatGate version of the storage format and the limits that apply with it
+   * @param formatGate decides whether the second storage format may be written, and provides the
+   *     limits of the state service
    * @param relay access to the state service, directly or through a peer
    * @param admission admission control of submissions
    * @param liveJobs cache of the live jobs
--- a/src/main/java/org/snowturn/core/api/LiveJobCache.java
+++ b/src/main/java/org/snowturn/core/api/LiveJobCache.java
@@ -62,13 +62,13 @@
    */
   private static final int VALIDATIONS_PER_SLACK = 4;
 
-  /** Maximum wait for a validation; users wait 2 s for a status query. */
+  /** Maximum wait for a validation. Users wait 2 s for the answer to a status query. */
   private static final long MAX_WAIT_MS = 1_500;
 
   private static final int TIMEOUT_MS = 1_000;
   private static final int MAX_WAITERS = 5_000;
 
-  /** Status of a reply to a read of changes that the state service no longer keeps. */
+  /** HTTP status of a read of changes that the state service no longer keeps. */
   private static final int CHANGES_GONE = 410;
 
   /** A query that waits until the cache is validated. */
