--- a/src/main/java/org/snowturn/core/api/JobSubmission.java
+++ b/src/main/java/org/snowturn/core/api/JobSubmission.java
@@ -18,14 +18,18 @@
 import org.snowturn.wire.StateMessage.Condition;
 
 /**
- * Accepts jobs, each by a transaction that writes its live record if the job has none. A repeated
- * submission is idempotent: it gets the job's status, whatever is found about the job today.
+ * Accepts jobs, each by a transaction that writes its live record if the job has no record yet.
+ * Submissions are idempotent: a repeated submission is answered with the job's status, even if the
+ * job would no longer be accepted today.
  */
 final class JobSubmission {
   private static final int TOO_MANY_REQUESTS = 429;
 
-  /** Users wait five seconds; what was found is remembered for their next try. */
-  private static final long DEPENDENCY_LOOKUP_MS = 3_500;
+  /**
+   * Timeout of the lookup of dependencies. Users wait 5 s, and the dependencies found are cached
+   * for their next try.
+   */
+  private static final long DEPENDENCY_LOOKUP_TIMEOUT_MS = 3_500;
 
   private final CoreRuntime runtime;
   private final JobApi.Services services;
@@ -49,75 +53,80 @@
     this.responses = responses;
   }
 
-  /** Accepts a job or answers why not. */
+  /** Accepts a job, or answers with the reason for not accepting it. */
   void submit(long exchange, JobSpec spec) {
-    if (responses.refusedForNow(exchange)) {
+    if (responses.refuseIfUnreachable(exchange)) {
       return;
     }
-    if (!validator.ready()) {
+    if (!validator.isReady()) {
       answerIfKnown(exchange, spec);
       return;
     }
-    String rejection = validator.rejection(spec);
+    String rejection = validator.rejectionReason(spec);
     if (rejection != null) {
       reject(exchange, spec, rejection);
     } else if (spec.dependencies().isEmpty()) {
-      write(exchange, spec);
-    } else if (!services.format().open()) {
-      // A node of the previous version would not make the job wait for its dependencies.
+      admitAndWrite(exchange, spec);
+    } else if (!services.formatGate().open()) {
+      // A node of the previous version would start the job without waiting for its dependencies.
       answerIfKnown(exchange, spec);
     } else {
       checkDependencies(exchange, spec);
     }
   }
 
-  /** Answers with the status of a job that is known already; refuses another one for now. */
+  /** Answers with the status of a job that exists already; refuses a new job for now. */
   private void answerIfKnown(long exchange, JobSpec spec) {
     answerIfKnown(exchange, spec, () -> responses.refuse(exchange));
   }
 
-  /** Rejects a job for good, unless it is known already. */
+  /** Rejects a new job as invalid; answers with the status of a job that exists already. */
   private void reject(long exchange, JobSpec spec, String reason) {
-    answerIfKnown(exchange, spec, () -> responses.invalid(exchange, reason));
+    answerIfKnown(exchange, spec, () -> responses.answerInvalid(exchange, reason));
   }
 
-  private void answerIfKnown(long exchange, JobSpec spec, Runnable otherwise) {
+  private void answerIfKnown(long exchange, JobSpec spec, Runnable onNewJob) {
     reader.read(
         exchange,
         spec.id(),
         status -> {
           if (status != null) {
-            responses.brief(exchange, status);
+            responses.answerSummary(exchange, status);
           } else {
-            otherwise.run();
+            onNewJob.run();
           }
         });
   }
 
-  /** Every dependency must have been accepted, by whichever node and version. */
+  /**
+   * Checks that every dependency has been accepted, by a node of any version, and then writes the
+   * job.
+   */
   private void checkDependencies(long exchange, JobSpec spec) {
-    Map<String, Boolean> serviceByJob = new HashMap<>();
-    List<String> unknown = new ArrayList<>();
+    Map<String, Boolean> isServiceByJob = new HashMap<>();
+    List<String> uncached = new ArrayList<>();
     for (String id : spec.dependencies()) {
-      Boolean service = statuses.acceptedService(id);
-      if (service == null) {
-        unknown.add(id);
+      Boolean isService = statuses.isAcceptedService(id);
+      if (isService == null) {
+        uncached.add(id);
       } else {
-        serviceByJob.put(id, service);
+        isServiceByJob.put(id, isService);
       }
     }
     JobLookup.find(
         runtime,
         RequestClass.USERS,
         JobLookup.LIVE_FIRST,
-        unknown,
-        DEPENDENCY_LOOKUP_MS,
-        (found, complete) -> {
-          found.forEach((id, fact) -> serviceByJob.put(id, fact.service()));
-          statuses.addAccepted(serviceByJob);
-          if (complete) {
+        uncached,
+        DEPENDENCY_LOOKUP_TIMEOUT_MS,
+        (found, isComplete) -> {
+          found.forEach((id, storedJob) -> isServiceByJob.put(id, storedJob.service()));
+          statuses.addAccepted(isServiceByJob);
+          if (isComplete) {
             writeOrReject(
-                exchange, spec, SubmissionValidator.rejection(spec.dependencies(), serviceByJob));
+                exchange,
+                spec,
+                SubmissionValidator.rejectionReason(spec.dependencies(), isServiceByJob));
           } else {
             responses.refuse(exchange);
           }
@@ -126,23 +135,23 @@
 
   private void writeOrReject(long exchange, JobSpec spec, String rejection) {
     if (rejection == null) {
-      write(exchange, spec);
+      admitAndWrite(exchange, spec);
     } else {
       reject(exchange, spec, rejection);
     }
   }
 
-  private void write(long exchange, JobSpec spec) {
-    String flow = spec.jobClass() + "/" + spec.team();
-    if (!services.admission().admits(flow, 1, runtime.now())) {
-      answerUnderPressure(exchange, spec);
+  private void admitAndWrite(long exchange, JobSpec spec) {
+    String group = spec.jobClass() + "/" + spec.team();
+    if (!services.admission().tryAdmit(group, 1, runtime.now())) {
+      refuseUnlessKnown(exchange, spec);
       return;
     }
     JobRecord job = new JobRecord(JobStatus.Phase.QUEUED, runtime.wallMs(), spec);
-    int maxBytes = services.format().limits().valueBytes();
+    int maxBytes = services.formatGate().limits().valueBytes();
     ObjectNode record = job.live();
-    if (!services.format().open() || Json.bytes(record).length <= maxBytes) {
-      commit(exchange, spec, record, List.of());
+    if (!services.formatGate().open() || Json.bytes(record).length <= maxBytes) {
+      writeRecord(exchange, spec, record, List.of());
       return;
     }
     String text = Json.text(spec.toJson());
@@ -152,10 +161,14 @@
         .start();
   }
 
-  /** A known job's repeat is answered whatever the pressure, from what is at hand. */
-  private void answerUnderPressure(long exchange, JobSpec spec) {
+  /**
+   * Refuses a submission that was not admitted, unless this node has cached that the job exists: a
+   * repeated submission of such a job is answered under any load.
+   */
+  private void refuseUnlessKnown(long exchange, JobSpec spec) {
     LiveJobCache liveJobs = services.liveJobs();
-    if (statuses.isAccepted(spec.id()) || (liveJobs.known() && liveJobs.get(spec.id()) != null)) {
+    if (statuses.isAccepted(spec.id())
+        || (liveJobs.isLoaded() && liveJobs.get(spec.id()) != null)) {
       answerIfKnown(exchange, spec);
     } else {
       responses.refuse(exchange);
@@ -165,31 +178,31 @@
   private ChunkedSubmission.Listener chunkListener(long exchange, JobSpec spec) {
     return new ChunkedSubmission.Listener() {
       @Override
-      public void stored(ObjectNode record, Condition firstChunkUnchanged) {
-        commit(exchange, spec, record, List.of(firstChunkUnchanged));
+      public void onStored(ObjectNode record, Condition firstChunkUnchanged) {
+        writeRecord(exchange, spec, record, List.of(firstChunkUnchanged));
       }
 
       @Override
-      public void unreadable() {
+      public void onUnreadable() {
         responses.refuse(exchange);
       }
 
       @Override
-      public void failed() {
+      public void onFailed() {
         answerIfKnown(exchange, spec);
       }
     };
   }
 
-  /** Conditions that hold as long as no job of this name has been accepted. */
-  static List<Condition> isNew(String id) {
+  /** Returns conditions that hold as long as no job with this id has been accepted. */
+  static List<Condition> newJobConditions(String id) {
     return List.of(
         new Condition(StorageKeys.job(id), 0), new Condition(StorageKeys.finishedJob(id), 0));
   }
 
-  private void commit(
+  private void writeRecord(
       long exchange, JobSpec spec, ObjectNode record, List<Condition> chunkConditions) {
-    List<Condition> conditions = new ArrayList<>(isNew(spec.id()));
+    List<Condition> conditions = new ArrayList<>(newJobConditions(spec.id()));
     conditions.addAll(chunkConditions);
     services
         .relay()
@@ -199,11 +212,11 @@
             "/txn",
             StateMessage.transaction(
                 conditions, List.of(Change.put(StorageKeys.job(spec.id()), record))),
-            JobStatusReader.TIMEOUT_MS,
+            JobStatusReader.STATE_REQUEST_TIMEOUT_MS,
             (outcome, status, reply) -> {
               if (outcome.succeeded(status)) {
                 statuses.addAccepted(spec.id(), spec.service());
-                responses.accepted(exchange, spec.id());
+                responses.answerAccepted(exchange, spec.id());
               } else if (outcome.conflict(status)) {
                 answerIfKnown(exchange, spec);
               } else {
