--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -66,13 +66,13 @@
             startedMs);
     runtime.limitStateRequests(rateAllocator.budget());
     watermark = new CancellationWatermark(settings, runtime, incarnation);
-    watermark.listen(this::onCancellation);
+    watermark.setListener(this::onCancellation);
     liveJobs = new LiveJobCache(settings, runtime, cacheListener());
     machineTypes = new MachineTypes(runtime);
     election = new Election(settings, tunables, runtime, watermark, incarnation, startedMs);
     formatGate = new FormatGate(settings, runtime);
     connectivity = new ConnectivityMonitor(settings, runtime, election::stateServiceAnsweredAt);
-    election.deferIf(connectivity::betterElsewhere);
+    election.deferClaimIf(connectivity::betterElsewhere);
     relay =
         new StateRequestRelay(
             settings, runtime, connectivity, () -> connectivity.mine().stateService());
@@ -80,7 +80,7 @@
         new JobApi.Services(
             machineTypes, formatGate, relay, rateAllocator.admissionController(), liveJobs);
     jobApi =
-        new JobApi(settings, runtime, services, election::stateServiceHealthy, cancelledJobs());
+        new JobApi(settings, runtime, services, election::isStateServiceHealthy, cancelledJobs());
   }
 
   private CancelledJobs cancelledJobs() {
@@ -92,12 +92,12 @@
 
       @Override
       public boolean known(String job) {
-        return watermark.cancelled(job);
+        return watermark.isCancelled(job);
       }
 
       @Override
       public boolean current() {
-        return watermark.mayReportLive();
+        return watermark.canReportLive();
       }
     };
   }
@@ -112,7 +112,7 @@
 
       @Override
       public void complete(long at) {
-        watermark.read(at);
+        watermark.onLiveJobsRead(at);
       }
     };
   }
@@ -174,10 +174,10 @@
    * each other of, they stay in place.
    */
   public boolean ready() {
-    return election.stateServiceHealthy()
+    return election.isStateServiceHealthy()
         || relay.possible()
         || settings.peers().isEmpty()
-        || (connectivity.hearsPeers() && !election.peersReachStateService());
+        || (connectivity.hearsPeers() && !election.canPeersReachStateService());
   }
 
   /** Figures for operators. */
@@ -226,11 +226,11 @@
 
   /** Starts or ends a term as the election has it. */
   private void followElection() {
-    if (leader != null && (!election.leading() || election.token() != leader.token())) {
+    if (leader != null && (!election.isLeader() || election.token() != leader.token())) {
       leader.end();
       leader = null;
     }
-    if (leader == null && election.leading()) {
+    if (leader == null && election.isLeader()) {
       liveJobs.refresh(); // workers are answered as far as cancellations are known
       leader =
           new Leader(
@@ -292,7 +292,7 @@
     } else if (message instanceof PeerMessage.CancellationsReply reply) {
       watermark.onReply(reply);
     } else {
-      election.fromPeer(message);
+      election.onPeerMessage(message);
     }
   }
 }
--- a/src/main/java/org/snowturn/core/election/Authority.java
+++ b/src/main/java/org/snowturn/core/election/Authority.java
@@ -18,11 +18,11 @@
     /** All peers have promised not to claim leadership. */
     PROMISES;
 
-    private final String text = name().toLowerCase(Locale.ROOT);
+    private final String logName = name().toLowerCase(Locale.ROOT);
 
     /** The name in the log. */
-    String text() {
-      return text;
+    String logName() {
+      return logName;
     }
   }
 
@@ -49,18 +49,18 @@
    * Whether this node may act: nobody else can lead, and whatever cancellation it may not know of
    * would still be carried out in time.
    */
-  boolean held() {
-    return state.leading() && ground() != Ground.NONE;
+  boolean isHeld() {
+    return state.isLeader() && ground() != Ground.NONE;
   }
 
   /** What this node's right to act rests on at present. */
   Ground ground() {
-    if (!state.leading() || !watermark.current()) {
+    if (!state.isLeader() || !watermark.isCurrent()) {
       return Ground.NONE;
     }
-    if (lease.valid()) {
+    if (lease.isValid()) {
       return Ground.LEASE;
     }
-    return promises.validOfAllPeers(runtime.now()) ? Ground.PROMISES : Ground.NONE;
+    return promises.hasValidPromisesFromAllPeers(runtime.now()) ? Ground.PROMISES : Ground.NONE;
   }
 }
--- a/src/main/java/org/snowturn/core/election/AuthorityLog.java
+++ b/src/main/java/org/snowturn/core/election/AuthorityLog.java
@@ -29,7 +29,7 @@
   }
 
   /** Logs that this node has become leader. */
-  void acquired() {
+  void logAcquired() {
     loggedCurrent = true;
     runtime
         .events()
@@ -40,7 +40,7 @@
   }
 
   /** Logs what authority rests on, if that has changed. */
-  void groundChanges() {
+  void logGroundChange() {
     Authority.Ground ground = authority.ground();
     if (ground == loggedGround) {
       return;
@@ -50,15 +50,15 @@
         .events()
         .info(LogEvent.AUTHORITY_CHANGED)
         .with(LogField.TOKEN, state.token())
-        .with(LogField.GROUND, ground.text())
+        .with(LogField.GROUND, ground.logName())
         .with(LogField.LEASE, lease.id())
         .with(LogField.UNTIL_MS, lease.validUntil() - runtime.now())
         .write();
   }
 
   /** Logs whether all cancellations that matter are known to this leader, if that has changed. */
-  void watermarkChanges() {
-    if (loggedCurrent == watermark.current()) {
+  void logWatermarkChange() {
+    if (loggedCurrent == watermark.isCurrent()) {
       return;
     }
     loggedCurrent = !loggedCurrent;
@@ -67,7 +67,7 @@
             .events()
             .info(loggedCurrent ? LogEvent.CANCELLATIONS_CURRENT : LogEvent.CANCELLATIONS_STALE)
             .with(LogField.TOKEN, state.token());
-    if (!loggedCurrent && watermark.everKnown()) {
+    if (!loggedCurrent && watermark.isEstablished()) {
       line.with(LogField.AGE_MS, watermark.ageMs());
     }
     line.write();
--- a/src/main/java/org/snowturn/core/election/Campaign.java
+++ b/src/main/java/org/snowturn/core/election/Campaign.java
@@ -32,10 +32,10 @@
   /** What a campaign tells the election. */
   interface Listener {
     /** The leader key is vacant: what is due for a candidate is to be done at once. */
-    void vacant();
+    void onVacant();
 
     /** This node owns the leader key, whose version is this. */
-    void elected(long token);
+    void onElected(long token);
   }
 
   private final CoreRuntime runtime;
@@ -74,13 +74,13 @@
   }
 
   /** Asks this before a claim: whether a peer is better connected than this node. */
-  void deferIf(BooleanSupplier isBetterCandidate) {
+  void deferClaimIf(BooleanSupplier isBetterCandidate) {
     betterCandidate = isBetterCandidate;
   }
 
   /** Whether this node may own the leader key, or come to own it by a claim that is under way. */
-  boolean mayOwnLeaderKey() {
-    return state.role().mayOwnLeaderKey() || claimInDoubt;
+  boolean isPossibleLeaderKeyOwner() {
+    return state.role().isPossibleLeaderKeyOwner() || claimInDoubt;
   }
 
   /** Leaves a vacant leader key to other nodes until this moment, or an earlier call's if later. */
@@ -122,7 +122,7 @@
   }
 
   private void run() {
-    if (givenPromises.forbidClaim()) {
+    if (givenPromises.isClaimForbidden()) {
       return;
     }
     if (!deferred && betterCandidate.getAsBoolean()) {
@@ -187,7 +187,7 @@
   private void vacant() {
     state.becomeCandidate();
     nextAt = Math.max(runtime.now(), holdOffUntil);
-    listener.vacant();
+    listener.onVacant();
   }
 
   private void owned(StateMessage.Entry leaderKey) {
@@ -199,7 +199,7 @@
       endPredecessor(ElectionRequests.leaseOf(value), leaderKey.version());
       return;
     }
-    state.follow();
+    state.becomeFollower();
     deferred = false;
   }
 
@@ -210,7 +210,7 @@
    */
   private void endPredecessor(long predecessorLease, long predecessorToken) {
     runtime.broadcast(new PeerMessage.StepDown(node, predecessorLease, predecessorToken));
-    if (givenPromises.anyStandbyPeer()) {
+    if (givenPromises.hasStandbyPeer()) {
       holdOffUntil(runtime.now() + START_DELAY_MS);
     }
     revokeAndDiscover(predecessorLease);
@@ -236,13 +236,13 @@
 
   private void acquireLease() {
     requestOpen = true;
-    lease.requested();
+    lease.onRequestSent();
     requests.acquireLease(
         lease.ttlMs(),
         orRetry(
             body -> {
-              lease.granted(StateMessage.leaseId(body));
-              if (givenPromises.forbidClaim()) {
+              lease.onGranted(StateMessage.leaseId(body));
+              if (givenPromises.isClaimForbidden()) {
                 retryDiscovery();
                 return;
               }
@@ -274,7 +274,7 @@
 
   private boolean elected(JsonNode reply) {
     try {
-      listener.elected(StateMessage.revision(reply));
+      listener.onElected(StateMessage.revision(reply));
       return true;
     } catch (MalformedException e) {
       runtime
--- a/src/main/java/org/snowturn/core/election/CancellationLog.java
+++ b/src/main/java/org/snowturn/core/election/CancellationLog.java
@@ -70,7 +70,7 @@
    * @param from this node
    * @param position up to where the peer has a log of this node; null if it has none
    */
-  PeerMessage.CancellationsReply reply(
+  PeerMessage.CancellationsReply createReply(
       PeerMessage.CancellationsRequest request,
       String from,
       PeerMessage.LogPosition position,
--- a/src/main/java/org/snowturn/core/election/CancellationWatermark.java
+++ b/src/main/java/org/snowturn/core/election/CancellationWatermark.java
@@ -16,7 +16,7 @@
  * Up to when this node knows every cancellation that any node may have confirmed to a user. A
  * leader that renews the leases of workers knows what it must stop; one that has lost the state
  * service does not, while its peers go on confirming. So it renews only while whatever it may not
- * know of would still be ended in time by the expiry of a worker's lease: see {@link #current()}.
+ * know of would still be ended in time by the expiry of a worker's lease: see {@link #isCurrent()}.
  *
  * <p>Two things move the watermark. A read of the state service that was answered shows all that
  * was confirmed before it was sent, by whichever node. And each peer tells what it has confirmed
@@ -82,7 +82,7 @@
   }
 
   /** Tells this of every cancellation that becomes known, perhaps more than once. */
-  public void listen(Consumer<String> onCancellation) {
+  public void setListener(Consumer<String> onCancellation) {
     listener = onCancellation;
   }
 
@@ -99,7 +99,7 @@
   }
 
   /** Whether the job is known here to be cancelled. */
-  public boolean cancelled(String job) {
+  public boolean isCancelled(String job) {
     return cancelled.containsKey(job);
   }
 
@@ -107,7 +107,7 @@
    * The state service has answered a read of all live jobs that was sent at this moment, and the
    * cancellations that the reply holds have been learnt.
    */
-  public void read(long sentAt) {
+  public void onLiveJobsRead(long sentAt) {
     readUntil = Math.max(readUntil, sentAt);
   }
 
@@ -124,7 +124,7 @@
   }
 
   /** Whether there was a moment up to which all were known. */
-  boolean everKnown() {
+  boolean isEstablished() {
     return knownUntil() != MonotonicTime.NEVER;
   }
 
@@ -132,7 +132,7 @@
    * Whether the lease of a worker that is answered now, and then never again, would expire in time
    * for a cancellation that was confirmed after this moment.
    */
-  public boolean lapsesInTime(long confirmedAfter) {
+  public boolean wouldLeaseExpireInTime(long confirmedAfter) {
     return runtime.now() - confirmedAfter < slackMs;
   }
 
@@ -142,15 +142,15 @@
   }
 
   /** Whether the lease of a worker that is answered now would expire in time for all not known. */
-  public boolean current() {
-    return lapsesInTime(knownUntil());
+  public boolean isCurrent() {
+    return wouldLeaseExpireInTime(knownUntil());
   }
 
   /**
    * Whether a job of which nothing is known may be called live now: if one that it depends on was
    * cancelled, that is not due yet.
    */
-  public boolean mayReportLive() {
+  public boolean canReportLive() {
     return ageMs() < confirmationDueMs;
   }
 
@@ -168,7 +168,7 @@
     Map<String, PeerMessage.LogPosition> positions = new HashMap<>();
     peers.forEach(
         (name, peer) -> {
-          if (peer.heard()) {
+          if (peer.hasReplied()) {
             positions.put(name, peer.position());
           }
         });
@@ -181,7 +181,8 @@
       malformedMessages++;
       return;
     }
-    runtime.broadcast(log.reply(request, node, request.logPositions().get(node), runtime.now()));
+    runtime.broadcast(
+        log.createReply(request, node, request.logPositions().get(node), runtime.now()));
   }
 
   /** A peer tells what it has confirmed to users, or a part of it. */
@@ -202,7 +203,7 @@
   public Map<String, Double> gauges() {
     return Map.of(
         "snowturn.cancellations.age",
-        everKnown() ? ageMs() / 1000.0 : Double.NaN,
+        isEstablished() ? ageMs() / 1000.0 : Double.NaN,
         "snowturn.cancellations.listed",
         (double) log.size(),
         "snowturn.cancellations.malformed",
--- a/src/main/java/org/snowturn/core/election/Election.java
+++ b/src/main/java/org/snowturn/core/election/Election.java
@@ -66,20 +66,20 @@
   private Campaign.Listener campaignListener() {
     return new Campaign.Listener() {
       @Override
-      public void vacant() {
+      public void onVacant() {
         tick();
       }
 
       @Override
-      public void elected(long token) {
+      public void onElected(long token) {
         startTerm(token);
       }
     };
   }
 
   /** Asks this before a claim: whether a peer is better connected than this node. */
-  public void deferIf(BooleanSupplier betterCandidate) {
-    campaign.deferIf(betterCandidate);
+  public void deferClaimIf(BooleanSupplier betterCandidate) {
+    campaign.deferClaimIf(betterCandidate);
   }
 
   /**
@@ -91,8 +91,8 @@
   }
 
   /** Whether this node owns the leader key, as far as it knows; it may act only with authority. */
-  public boolean leading() {
-    return state.leading();
+  public boolean isLeader() {
+    return state.isLeader();
   }
 
   /**
@@ -100,17 +100,17 @@
    * would still be carried out in time.
    */
   public boolean hasAuthority() {
-    return authority.held();
+    return authority.isHeld();
   }
 
   /** Whether the state service has answered this node lately. */
-  public boolean stateServiceHealthy() {
-    return service.healthy();
+  public boolean isStateServiceHealthy() {
+    return service.isHealthy();
   }
 
   /** Whether a peer has said lately that the state service answers it. */
-  public boolean peersReachStateService() {
-    return service.answersPeers();
+  public boolean canPeersReachStateService() {
+    return service.isAnsweringPeers();
   }
 
   /** The fencing token of this node's last term. */
@@ -127,12 +127,12 @@
   public void tick() {
     handover.tick();
     givenPromises.tick();
-    log.groundChanges();
-    service.probe(state.leading());
+    log.logGroundChange();
+    service.probe(state.isLeader());
     status.tick();
-    watermark.tick(state.leading());
-    if (state.leading()) {
-      log.watermarkChanges();
+    watermark.tick(state.isLeader());
+    if (state.isLeader()) {
+      log.logWatermarkChange();
       renewal.tick();
     } else {
       campaign.tick();
@@ -140,16 +140,16 @@
   }
 
   private void startTerm(long token) {
-    state.lead(settings.node(), token);
+    state.becomeLeader(settings.node(), token);
     lease.activate();
     promises.clear();
     status.expedite();
     renewal.start();
-    log.acquired();
+    log.logAcquired();
   }
 
   /** Takes a peer's message about the election; others are ignored. */
-  public void fromPeer(PeerMessage message) {
+  public void onPeerMessage(PeerMessage message) {
     if (message instanceof PeerMessage.StandbyStatus standby) {
       onStandby(standby);
     } else if (message instanceof PeerMessage.PromiseRequest request) {
@@ -178,19 +178,19 @@
     service.onPeerReport(request.from(), !request.stateServiceTrouble());
     service.onLeaderReport(request.stateServiceTrouble());
     boolean outdated = request.token() < state.highestToken();
-    if (!state.leading() && !outdated) {
+    if (!state.isLeader() && !outdated) {
       state.setLeader(request.from());
     }
-    if (campaign.mayOwnLeaderKey() || outdated) {
+    if (campaign.isPossibleLeaderKeyOwner() || outdated) {
       return;
     }
     state.observeToken(request.token());
-    givenPromises.promise(request, service.answersNow());
+    givenPromises.promise(request, service.isAnsweringNow());
   }
 
   private void onPromise(PeerMessage.Promise promise) {
     service.onPeerReport(promise.from(), promise.stateServiceAnswers());
-    if (state.leading() && promise.token() == state.token() && promises.accept(promise)) {
+    if (state.isLeader() && promise.token() == state.token() && promises.accept(promise)) {
       handover.onPromise(promise);
     }
   }
--- a/src/main/java/org/snowturn/core/election/ElectionState.java
+++ b/src/main/java/org/snowturn/core/election/ElectionState.java
@@ -16,7 +16,7 @@
  */
 final class ElectionState {
   private Role role = Role.DISCOVERING;
-  private long changesOfLeadership;
+  private long leadershipChangeCount;
   private long token;
   private long highestToken;
   private String leader;
@@ -25,7 +25,7 @@
     return role;
   }
 
-  boolean leading() {
+  boolean isLeader() {
     return role == Role.LEADER;
   }
 
@@ -43,8 +43,8 @@
    * How often this node has become or ceased to be leader: tells whether a reply belongs to the
    * present term.
    */
-  long changesOfLeadership() {
-    return changesOfLeadership;
+  long leadershipChangeCount() {
+    return leadershipChangeCount;
   }
 
   /** The node that owns the leader key, as far as known; null if none is known. */
@@ -68,7 +68,7 @@
   }
 
   /** Another node owns the leader key. */
-  void follow() {
+  void becomeFollower() {
     role = Role.FOLLOWER;
   }
 
@@ -84,9 +84,9 @@
   }
 
   /** This node owns the leader key, whose version is the fencing token. */
-  void lead(String node, long fencingToken) {
+  void becomeLeader(String node, long fencingToken) {
     role = Role.LEADER;
-    changesOfLeadership++;
+    leadershipChangeCount++;
     token = fencingToken;
     leader = node;
     observeToken(fencingToken);
@@ -94,7 +94,7 @@
 
   /** This node leads no more; who does is to be found out. */
   void stepDown() {
-    changesOfLeadership++;
+    leadershipChangeCount++;
     leader = null;
     role = Role.DISCOVERING;
   }
--- a/src/main/java/org/snowturn/core/election/GivenPromises.java
+++ b/src/main/java/org/snowturn/core/election/GivenPromises.java
@@ -40,16 +40,16 @@
   /** Finds out whether a predecessor's promises have ended. */
   void tick() {
     boundByPredecessor =
-        boundByPredecessor && recentlyStarted() && standbyPeers.size() < settings.peers().size();
+        boundByPredecessor && isRecentlyStarted() && standbyPeers.size() < settings.peers().size();
   }
 
   /** Whether promises of a predecessor on this node could still last. */
-  boolean recentlyStarted() {
+  boolean isRecentlyStarted() {
     return runtime.now() < predecessorBoundUntil;
   }
 
   /** Whether a promise forbids this node to claim leadership now. */
-  boolean forbidClaim() {
+  boolean isClaimForbidden() {
     return boundByPredecessor || runtime.now() < promisedUntil;
   }
 
@@ -59,7 +59,7 @@
   }
 
   /** Whether any peer has told since this process began that it does not lead. */
-  boolean anyStandbyPeer() {
+  boolean hasStandbyPeer() {
     return !standbyPeers.isEmpty();
   }
 
--- a/src/main/java/org/snowturn/core/election/LeaderLease.java
+++ b/src/main/java/org/snowturn/core/election/LeaderLease.java
@@ -64,12 +64,12 @@
   }
 
   /** Whether authority may rest on the lease now. */
-  boolean valid() {
+  boolean isValid() {
     return runtime.now() < validUntil;
   }
 
   /** Whether peers have been asked to end the lease: it may end at any time. */
-  boolean offered() {
+  boolean isOffered() {
     return offered;
   }
 
@@ -82,41 +82,41 @@
   }
 
   /** Whether the last renewal failed. */
-  boolean renewalFailing() {
+  boolean isRenewalFailing() {
     return renewalFailingSince != MonotonicTime.NEVER;
   }
 
   /** A lease is asked for now. */
-  void requested() {
+  void onRequestSent() {
     requestedAt = runtime.now();
   }
 
   /** The lease that was asked for was granted; nothing rests on it yet. */
-  void granted(long lease) {
+  void onGranted(long lease) {
     id = lease;
   }
 
   /** From now on leadership rests on the lease that was granted last. */
   void activate() {
     offered = false;
-    renewed(requestedAt);
+    onRenewed(requestedAt);
   }
 
   /** A renewal that was sent at this moment has succeeded. */
-  void renewed(long sentAt) {
+  void onRenewed(long sentAt) {
     validUntil = sentAt + ClockDrift.minElapsedMs((double) ttlMs) - MARGIN_MS;
     renewalFailingSince = MonotonicTime.NEVER;
   }
 
   /** A renewal that was sent at this moment has failed. */
-  void renewalFailed(long sentAt) {
-    if (!renewalFailing()) {
+  void onRenewalFailed(long sentAt) {
+    if (!isRenewalFailing()) {
       renewalFailingSince = sentAt;
     }
   }
 
   /** Peers are asked to end the lease: nothing rests on it any more. */
-  void offer() {
+  void onOffered() {
     invalidate();
     offered = true;
   }
--- a/src/main/java/org/snowturn/core/election/LeaseHandover.java
+++ b/src/main/java/org/snowturn/core/election/LeaseHandover.java
@@ -63,7 +63,7 @@
     if (offeredAt < lease.renewalFailingSince()) {
       offeredAt = runtime.now();
       // An offer may be taken up at any later time, so from now on only promises keep this term.
-      lease.offer();
+      lease.onOffered();
     }
     if (runtime.now() - offeredAt < OFFER_TIMEOUT_MS) {
       runtime.broadcast(new PeerMessage.LeaseHandover(node, lease.id(), state.token()));
@@ -77,7 +77,7 @@
     // A process that is behind with its work has not yet handled the replies that it has received.
     boolean behind = runtime.now() - OFFER_AFTER_MS < tickedLateAt;
     return !behind
-        && lease.renewalFailing()
+        && lease.isRenewalFailing()
         && runtime.now() - lease.renewalFailingSince() > OFFER_AFTER_MS;
   }
 
@@ -90,7 +90,7 @@
    * nothing before its promises have ended or the owner, told of it, has released them.
    */
   void onOffer(PeerMessage.LeaseHandover offer) {
-    if (state.leading()) {
+    if (state.isLeader()) {
       return;
     }
     requests.revokeLease(
@@ -104,14 +104,14 @@
 
   /** A peer has ended the lease that this leader offered. */
   void onLeaseEnded(PeerMessage.LeaseEnded ended) {
-    if (state.leading() && ended.token() == state.token()) {
+    if (state.isLeader() && ended.token() == state.token()) {
       resignTo(ended);
     }
   }
 
   /** A leader has resigned: ends its lease, in case the state service does not answer it. */
   void onStepDown(PeerMessage.StepDown resigned) {
-    if (state.leading()) {
+    if (state.isLeader()) {
       return;
     }
     if (resigned.token() >= state.highestToken()) {
--- a/src/main/java/org/snowturn/core/election/LeaseRenewal.java
+++ b/src/main/java/org/snowturn/core/election/LeaseRenewal.java
@@ -54,11 +54,11 @@
   private void renew() {
     underWay = true;
     long sentAt = runtime.now();
-    long term = state.changesOfLeadership();
+    long term = state.leadershipChangeCount();
     requests.renewLease(
         lease.id(),
         (outcome, status, body) -> {
-          if (term != state.changesOfLeadership() || !state.leading()) {
+          if (term != state.leadershipChangeCount() || !state.isLeader()) {
             return;
           }
           underWay = false;
@@ -67,16 +67,16 @@
   }
 
   private void renewed(long sentAt, Outcome outcome, int status) {
-    if (outcome.succeeded(status) && lease.offered()) {
+    if (outcome.succeeded(status) && lease.isOffered()) {
       stepDown.resign("its lease was offered to peers while the state service did not answer");
     } else if (outcome.succeeded(status)) {
-      lease.renewed(sentAt);
-      service.answered(sentAt);
+      lease.onRenewed(sentAt);
+      service.onAnswer(sentAt);
       nextAt = sentAt + intervalMs();
     } else if (outcome.notFound(status)) {
       stepDown.stepDown("lease expired");
     } else {
-      lease.renewalFailed(sentAt);
+      lease.onRenewalFailed(sentAt);
       nextAt = runtime.now() + RETRY_MS;
     }
   }
--- a/src/main/java/org/snowturn/core/election/PeerCancellations.java
+++ b/src/main/java/org/snowturn/core/election/PeerCancellations.java
@@ -11,7 +11,7 @@
   private long knownUntil = MonotonicTime.NEVER;
 
   /** Whether the peer has ever replied. */
-  boolean heard() {
+  boolean hasReplied() {
     return incarnation != null;
   }
 
--- a/src/main/java/org/snowturn/core/election/PeerPromises.java
+++ b/src/main/java/org/snowturn/core/election/PeerPromises.java
@@ -31,7 +31,7 @@
   }
 
   /** Notes that a request is sent to all peers now; returns its number. */
-  long request(long nowMs) {
+  long recordRequest(long nowMs) {
     requestsSentAt.put(++lastRequest, nowMs);
     if (requestsSentAt.size() > MAX_UNANSWERED_REQUESTS) {
       requestsSentAt.remove(requestsSentAt.keySet().iterator().next());
@@ -51,7 +51,7 @@
   }
 
   /** Whether every peer's promise is valid: nobody else can lead then. False without peers. */
-  boolean validOfAllPeers(long nowMs) {
+  boolean hasValidPromisesFromAllPeers(long nowMs) {
     if (peers.isEmpty()) {
       return false;
     }
--- a/src/main/java/org/snowturn/core/election/Role.java
+++ b/src/main/java/org/snowturn/core/election/Role.java
@@ -14,7 +14,7 @@
   LEADER;
 
   /** Whether a claim of this node may succeed or has succeeded. */
-  boolean mayOwnLeaderKey() {
+  boolean isPossibleLeaderKeyOwner() {
     return this == CANDIDATE || this == CLAIMING || this == LEADER;
   }
 }
--- a/src/main/java/org/snowturn/core/election/StateServiceHealth.java
+++ b/src/main/java/org/snowturn/core/election/StateServiceHealth.java
@@ -44,17 +44,17 @@
   }
 
   /** It has answered a request that was sent at this moment. */
-  void answered(long sentAt) {
+  void onAnswer(long sentAt) {
     answeredAt = Math.max(answeredAt, sentAt);
   }
 
   /** Whether it has answered this node lately. */
-  boolean healthy() {
+  boolean isHealthy() {
     return runtime.now() - LOST_AFTER_MS < answeredAt;
   }
 
   /** Whether a peer has said lately that it is answered. */
-  boolean answersPeers() {
+  boolean isAnsweringPeers() {
     for (long at : peersAnsweredAt.values()) {
       if (runtime.now() - PEER_REPORT_FRESH_MS < at) {
         return true;
@@ -103,13 +103,13 @@
         (outcome, status, body) -> {
           probing = false;
           if (outcome.succeeded(status) || outcome.notFound(status)) {
-            answered(sentAt);
+            onAnswer(sentAt);
           }
         });
   }
 
   /** Whether it has answered this standby so lately that a leader may rely on it. */
-  boolean answersNow() {
+  boolean isAnsweringNow() {
     long freshMs = leaderTroubled() ? TROUBLED_FRESH_MS : 2 * PROBE_INTERVAL_MS;
     return runtime.now() - freshMs < answeredAt;
   }
--- a/src/main/java/org/snowturn/core/election/StatusBroadcast.java
+++ b/src/main/java/org/snowturn/core/election/StatusBroadcast.java
@@ -47,17 +47,17 @@
     if (now < nextAt) {
       return;
     }
-    boolean starting = !state.leading() && givenPromises.recentlyStarted();
+    boolean starting = !state.isLeader() && givenPromises.isRecentlyStarted();
     nextAt = now + (starting ? START_INTERVAL_MS : INTERVAL_MS);
-    runtime.broadcast(state.leading() ? promiseRequest() : standbyStatus());
+    runtime.broadcast(state.isLeader() ? promiseRequest() : standbyStatus());
   }
 
   private PeerMessage promiseRequest() {
-    long number = promises.request(runtime.now());
-    return new PeerMessage.PromiseRequest(node, number, state.token(), lease.renewalFailing());
+    long number = promises.recordRequest(runtime.now());
+    return new PeerMessage.PromiseRequest(node, number, state.token(), lease.isRenewalFailing());
   }
 
   private PeerMessage standbyStatus() {
-    return new PeerMessage.StandbyStatus(node, service.answersNow());
+    return new PeerMessage.StandbyStatus(node, service.isAnsweringNow());
   }
 }
--- a/src/main/java/org/snowturn/core/election/StepDown.java
+++ b/src/main/java/org/snowturn/core/election/StepDown.java
@@ -40,7 +40,7 @@
    * @param reason for the log
    */
   void stepDown(String reason) {
-    if (!state.leading()) {
+    if (!state.isLeader()) {
       return;
     }
     runtime
--- a/src/main/java/org/snowturn/core/leader/AssignmentServices.java
+++ b/src/main/java/org/snowturn/core/leader/AssignmentServices.java
@@ -120,7 +120,7 @@
     return new KnownCancellations() {
       @Override
       public boolean known(String job) {
-        return watermark.cancelled(job);
+        return watermark.isCancelled(job);
       }
 
       @Override
@@ -130,7 +130,7 @@
 
       @Override
       public boolean lapsesInTime(long confirmedAfter) {
-        return watermark.lapsesInTime(confirmedAfter);
+        return watermark.wouldLeaseExpireInTime(confirmedAfter);
       }
     };
   }
--- a/src/main/java/org/snowturn/core/leader/JobWatch.java
+++ b/src/main/java/org/snowturn/core/leader/JobWatch.java
@@ -82,7 +82,7 @@
     try {
       StateMessage.changes(body).forEach(this::apply);
       nextRevision = Math.max(nextRevision, StateMessage.revision(body));
-      watermark.read(sentAt);
+      watermark.onLiveJobsRead(sentAt);
       assignments.retryFinishing();
     } catch (MalformedException e) {
       retryAt = runtime.now() + RETRY_MS;
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
@@ -82,7 +82,7 @@
     services.writer().deleteLater(List.of(), orphans);
     raiseAgentEpochs();
     stopCancelled();
-    watermark.read(records.jobsReadAt());
+    watermark.onLiveJobsRead(records.jobsReadAt());
   }
 
   private boolean load(StateMessage.Entry entry, RecordParser parser) {
--- a/src/test/java/org/snowturn/core/election/CancellationWatermarkTest.java
+++ b/src/test/java/org/snowturn/core/election/CancellationWatermarkTest.java
@@ -127,7 +127,7 @@
                   }
                   at(leader());
                   stored.forEach(leader().watermark::learn);
-                  leader().watermark.read(sentAt);
+                  leader().watermark.onLiveJobsRead(sentAt);
                 });
           });
     }
@@ -149,7 +149,7 @@
             if (at < until) {
               known++;
               assertTrue(
-                  leader().watermark.cancelled(job), job + " told at " + at + " of " + until);
+                  leader().watermark.isCancelled(job), job + " told at " + at + " of " + until);
             }
           });
     }
@@ -206,7 +206,7 @@
     nodes.check();
     assertTrue(nodes.leader().watermark.ageMs() < 500, "age " + nodes.leader().watermark.ageMs());
     assertEquals(700, nodes.known);
-    assertTrue(nodes.leader().watermark.current());
+    assertTrue(nodes.leader().watermark.isCurrent());
   }
 
   @Test
@@ -217,11 +217,14 @@
     for (long t = 0; t <= slack + 1_000; t += 100) {
       step(nodes, 100);
     }
-    assertFalse(nodes.leader().watermark.current());
-    nodes.leader().watermark.read(nodes.now); // shows what the predecessor may have confirmed
+    assertFalse(nodes.leader().watermark.isCurrent());
+    nodes
+        .leader()
+        .watermark
+        .onLiveJobsRead(nodes.now); // shows what the predecessor may have confirmed
     step(nodes, 300);
     step(nodes, 300);
-    assertTrue(nodes.leader().watermark.current());
+    assertTrue(nodes.leader().watermark.isCurrent());
   }
 
   /** Both processes have asked as often; what the peer confirmed in between is not in its reply. */
@@ -239,7 +242,7 @@
     List<PeerMessage> late = messages(peer);
     nodes.leader().begin(nodes.now);
     step(nodes, 50);
-    nodes.leader().watermark.read(nodes.now);
+    nodes.leader().watermark.onLiveJobsRead(nodes.now);
     step(nodes, 400);
     nodes.now += 10;
     nodes.confirm(peer, 1);
@@ -268,17 +271,17 @@
     wrong.forEach(watermark::onReply);
     assertEquals((double) wrong.size(), watermark.gauges().get("snowturn.cancellations.malformed"));
     assertEquals(before, watermark.knownUntil());
-    assertFalse(watermark.cancelled("wk-1"));
+    assertFalse(watermark.isCancelled("wk-1"));
   }
 
   /** Nobody confirms anything, no message is lost, and the state service has been read. */
   private static Nodes quiet() {
     Nodes nodes = new Nodes(1);
     step(nodes, 50);
-    nodes.leader().watermark.read(nodes.now);
+    nodes.leader().watermark.onLiveJobsRead(nodes.now);
     step(nodes, 400);
     step(nodes, 400);
-    assertTrue(nodes.leader().watermark.current());
+    assertTrue(nodes.leader().watermark.isCurrent());
     return nodes;
   }
 
