--- a/src/main/java/org/snowturn/core/election/Authority.java
+++ b/src/main/java/org/snowturn/core/election/Authority.java
@@ -4,14 +4,15 @@
 import org.snowturn.core.effects.CoreRuntime;
 
 /**
- * Whether this node may act as leader. While the state service is out, authority can also rest on
- * promises: every peer has promised not to claim leadership for a while, so nobody can take over,
- * whatever became of the lease.
+ * The authority of this node to act as leader. It is normally based on a valid lease in the state
+ * service. While the state service is unavailable, it can also be based on promises: if every peer
+ * has promised not to claim leadership for a limited time, no other node can take over, even if the
+ * lease has expired.
  */
 final class Authority {
-  /** What authority rests on. */
+  /** Basis of the authority to act as leader. */
   enum Ground {
-    /** There is none. */
+    /** This node has no authority. */
     NONE,
     /** The lease is valid. */
     LEASE,
@@ -20,7 +21,7 @@
 
     private final String logName = name().toLowerCase(Locale.ROOT);
 
-    /** The name in the log. */
+    /** Returns the name of this ground in the log. */
     String logName() {
       return logName;
     }
@@ -32,6 +33,7 @@
   private final PeerPromises promises;
   private final CancellationWatermark watermark;
 
+  /** Creates the authority of a node, which is derived from the given election state. */
   Authority(
       CoreRuntime runtime,
       ElectionState state,
@@ -46,14 +48,14 @@
   }
 
   /**
-   * Whether this node may act: nobody else can lead, and whatever cancellation it may not know of
-   * would still be carried out in time.
+   * Returns whether this node may act as leader: no other node can lead, and every cancellation
+   * that this node may not have received yet can still be carried out in time.
    */
   boolean isHeld() {
     return state.isLeader() && ground() != Ground.NONE;
   }
 
-  /** What this node's right to act rests on at present. */
+  /** Returns the ground on which the authority of this node is currently based. */
   Ground ground() {
     if (!state.isLeader() || !watermark.isCurrent()) {
       return Ground.NONE;
--- a/src/main/java/org/snowturn/core/election/AuthorityLog.java
+++ b/src/main/java/org/snowturn/core/election/AuthorityLog.java
@@ -5,7 +5,9 @@
 import org.snowturn.core.effects.LogEvent;
 import org.snowturn.core.effects.LogField;
 
-/** Logs when this node's right to act begins, ends or comes to rest on something else. */
+/**
+ * Logs when this node gains or loses the authority to act as leader, or when its ground changes.
+ */
 final class AuthorityLog {
   private final CoreRuntime runtime;
   private final ElectionState state;
@@ -13,8 +15,9 @@
   private final Authority authority;
   private final CancellationWatermark watermark;
   private Authority.Ground loggedGround = Authority.Ground.NONE;
-  private boolean loggedCurrent = true;
+  private boolean loggedWatermarkCurrent = true;
 
+  /** Creates a log that has written no line yet. */
   AuthorityLog(
       CoreRuntime runtime,
       ElectionState state,
@@ -30,7 +33,7 @@
 
   /** Logs that this node has become leader. */
   void logAcquired() {
-    loggedCurrent = true;
+    loggedWatermarkCurrent = true;
     runtime
         .events()
         .info(LogEvent.LEADERSHIP_ACQUIRED)
@@ -39,7 +42,7 @@
         .write();
   }
 
-  /** Logs what authority rests on, if that has changed. */
+  /** Logs the ground of the authority if it has changed since the last line. */
   void logGroundChange() {
     Authority.Ground ground = authority.ground();
     if (ground == loggedGround) {
@@ -56,18 +59,21 @@
         .write();
   }
 
-  /** Logs whether all cancellations that matter are known to this leader, if that has changed. */
+  /** Logs whether the cancellation watermark is current if that has changed since the last line. */
   void logWatermarkChange() {
-    if (loggedCurrent == watermark.isCurrent()) {
+    if (loggedWatermarkCurrent == watermark.isCurrent()) {
       return;
     }
-    loggedCurrent = !loggedCurrent;
+    loggedWatermarkCurrent = !loggedWatermarkCurrent;
     EventLog.Line line =
         runtime
             .events()
-            .info(loggedCurrent ? LogEvent.CANCELLATIONS_CURRENT : LogEvent.CANCELLATIONS_STALE)
+            .info(
+                loggedWatermarkCurrent
+                    ? LogEvent.CANCELLATIONS_CURRENT
+                    : LogEvent.CANCELLATIONS_STALE)
             .with(LogField.TOKEN, state.token());
-    if (!loggedCurrent && watermark.isEstablished()) {
+    if (!loggedWatermarkCurrent && watermark.isEstablished()) {
       line.with(LogField.AGE_MS, watermark.ageMs());
     }
     line.write();
--- a/src/main/java/org/snowturn/core/election/Campaign.java
+++ b/src/main/java/org/snowturn/core/election/Campaign.java
@@ -14,27 +14,38 @@
 import org.snowturn.wire.StateMessage;
 
 /**
- * What a node that does not lead does about the leader key: reads it, watches it while another node
- * owns it, and claims it once it is vacant.
+ * The campaign of a node that is not the leader: reads the leader key, watches it while another
+ * node owns it, and claims it when it is vacant.
  */
 final class Campaign {
-  /** Nobody leads while reads and claims fail, so they are repeated soon. */
+  /**
+   * Minimum delay before a failed read or claim is retried. The cluster may have no leader while
+   * reads and claims fail, so the delays are short.
+   */
   private static final long MIN_RETRY_MS = 100;
 
+  /** Maximum delay before a failed read or claim is retried. */
   private static final long MAX_RETRY_MS = 400;
 
-  /** A restarted process leaves the claim to peers that are up for so long. */
+  /** Delay of the first claim of a restarted process, which gives running peers precedence. */
   private static final long START_DELAY_MS = 400;
 
-  /** A node that lacks a link leaves the claim to one that has all for so long. */
+  /** Delay of the claim of a node while a peer is better connected. */
   private static final long DEFER_MS = 1_500;
 
-  /** What a campaign tells the election. */
+  /** Handles the events of a campaign. */
   interface Listener {
-    /** The leader key is vacant: what is due for a candidate is to be done at once. */
+    /**
+     * Called when this node finds the leader key vacant. The listener calls {@link Campaign#tick()}
+     * so that a claim that is due is made at once.
+     */
     void onVacant();
 
-    /** This node owns the leader key, whose version is this. */
+    /**
+     * Called when this node has written the leader key.
+     *
+     * @param token the version of the leader key, which is the fencing token of the term
+     */
     void onElected(long token);
   }
 
@@ -46,7 +57,7 @@
   private final GivenPromises givenPromises;
   private final Listener listener;
   private final Backoff backoff;
-  private BooleanSupplier betterCandidate = () -> false;
+  private BooleanSupplier isPeerBetterConnected = () -> false;
   private long nextAt;
   private long holdOffUntil;
   private long watchRevision;
@@ -55,6 +66,7 @@
   private boolean deferred;
   private boolean claimInDoubt;
 
+  /** Creates a campaign that starts by reading the leader key. */
   Campaign(
       CoreRuntime runtime,
       String node,
@@ -73,27 +85,40 @@
     this.backoff = runtime.backoff(MIN_RETRY_MS, MAX_RETRY_MS);
   }
 
-  /** Asks this before a claim: whether a peer is better connected than this node. */
-  void deferClaimIf(BooleanSupplier isBetterCandidate) {
-    betterCandidate = isBetterCandidate;
+  /**
+   * Sets the condition under which this node defers its claim once.
+   *
+   * @param isPeerBetterConnected returns whether a peer is better connected than this node
+   */
+  void deferClaimIf(BooleanSupplier isPeerBetterConnected) {
+    this.isPeerBetterConnected = isPeerBetterConnected;
   }
 
-  /** Whether this node may own the leader key, or come to own it by a claim that is under way. */
+  /** Returns whether this node may own the leader key now or by a claim that has no reply yet. */
   boolean isPossibleLeaderKeyOwner() {
     return state.role().isPossibleLeaderKeyOwner() || claimInDoubt;
   }
 
-  /** Leaves a vacant leader key to other nodes until this moment, or an earlier call's if later. */
+  /**
+   * Makes no claim to a vacant leader key before a point in time. If an earlier call set a later
+   * time, that time stays.
+   *
+   * @param at the earliest time of a claim, in milliseconds of the monotonic clock
+   */
   void holdOffUntil(long at) {
     holdOffUntil = Math.max(holdOffUntil, at);
   }
 
-  /** Does the next step not before this moment. */
+  /**
+   * Schedules the next read or claim.
+   *
+   * @param at the earliest time of the read or claim, in milliseconds of the monotonic clock
+   */
   void discoverAt(long at) {
     nextAt = at;
   }
 
-  /** Reads the leader key after a delay that grows from one failure to the next. */
+  /** Schedules a read of the leader key after a delay that grows with each failure. */
   void retryDiscovery() {
     state.discover();
     requestOpen = false;
@@ -106,7 +131,7 @@
     nextAt = runtime.now();
   }
 
-  /** Does what is due on a node that does not lead. */
+  /** Sends the request that is due, if any, on a node that is not the leader. */
   void tick() {
     if (!watching && state.role() == Role.FOLLOWER) {
       watch();
@@ -116,17 +141,18 @@
     }
     switch (state.role()) {
       case DISCOVERING -> readLeaderKey();
-      case CANDIDATE -> run();
+      case CANDIDATE -> claimOrDefer();
       case FOLLOWER, CLAIMING, LEADER -> {}
     }
   }
 
-  private void run() {
+  private void claimOrDefer() {
     if (givenPromises.isClaimForbidden()) {
       return;
     }
-    if (!deferred && betterCandidate.getAsBoolean()) {
-      // Only once, so that somebody leads in any case.
+    if (!deferred && isPeerBetterConnected.getAsBoolean()) {
+      // Defers only once: a leader must be elected even if the better connected peer does not
+      // claim the key.
       deferred = true;
       nextAt = runtime.now() + DEFER_MS;
       runtime.events().info(LogEvent.CANDIDACY_DEFERRED).with(LogField.NODE, node).write();
@@ -142,11 +168,11 @@
             body -> {
               watchRevision = StateMessage.revision(body);
               backoff.reset();
-              List<StateMessage.Entry> found = StateMessage.entries(body);
-              if (found.isEmpty()) {
-                vacant();
+              List<StateMessage.Entry> entries = StateMessage.entries(body);
+              if (entries.isEmpty()) {
+                onVacant();
               } else {
-                owned(found.get(0));
+                onOwned(entries.get(0));
               }
             }));
   }
@@ -168,7 +194,7 @@
             watchRevision = Math.max(watchRevision, StateMessage.revision(body));
             List<StateMessage.Entry> changes = StateMessage.changes(body);
             if (!changes.isEmpty()) {
-              changed(changes.get(changes.size() - 1));
+              onChanged(changes.get(changes.size() - 1));
             }
           } catch (MalformedException e) {
             retryDiscovery();
@@ -176,21 +202,21 @@
         });
   }
 
-  private void changed(StateMessage.Entry leaderKey) {
+  private void onChanged(StateMessage.Entry leaderKey) {
     if (leaderKey.value() == null) {
-      vacant();
+      onVacant();
     } else {
-      owned(leaderKey);
+      onOwned(leaderKey);
     }
   }
 
-  private void vacant() {
+  private void onVacant() {
     state.becomeCandidate();
     nextAt = Math.max(runtime.now(), holdOffUntil);
     listener.onVacant();
   }
 
-  private void owned(StateMessage.Entry leaderKey) {
+  private void onOwned(StateMessage.Entry leaderKey) {
     JsonNode value = leaderKey.value();
     String owner = ElectionRequests.owner(value);
     state.observeToken(leaderKey.version());
@@ -204,9 +230,9 @@
   }
 
   /**
-   * The leader key belongs to an earlier process of this node, which has ended, since this one runs
-   * in its place. Peers are released from their promises to it, and go first where they are ahead
-   * of a process that has just begun.
+   * Ends the term of the previous process of this node, which has exited but still owns the leader
+   * key. Releases the peers from their promises to that process. If a peer is running, delays the
+   * claim of this process, which has only just started.
    */
   private void endPredecessor(long predecessorLease, long predecessorToken) {
     runtime.broadcast(new PeerMessage.StepDown(node, predecessorLease, predecessorToken));
@@ -257,22 +283,27 @@
         lease.id(),
         (outcome, status, body) -> {
           requestOpen = false;
-          if (outcome.succeeded(status) && elected(body)) {
+          if (outcome.succeeded(status) && startTerm(body)) {
             return;
           }
           if (outcome == Outcome.UNKNOWN) {
-            // The claim may still be executed: only ending its lease makes it harmless.
+            // The claim may still be executed, so its lease has to be revoked.
             claimInDoubt = true;
             revokeAndDiscover(lease.id());
           } else if (outcome.conflict(status)) {
-            discoverNow(); // another node was first
+            discoverNow(); // another node has written the leader key
           } else {
             retryDiscovery();
           }
         });
   }
 
-  private boolean elected(JsonNode reply) {
+  /**
+   * Reports the election of this node to the listener.
+   *
+   * @return whether the reply is well-formed
+   */
+  private boolean startTerm(JsonNode reply) {
     try {
       listener.onElected(StateMessage.revision(reply));
       return true;
@@ -287,13 +318,18 @@
     }
   }
 
-  /** Takes the body of a successful reply. */
+  /** Handles the body of a successful reply. */
   private interface BodyHandler {
     void accept(JsonNode body) throws MalformedException;
   }
 
-  /** Handles the reply to the open request; one that cannot be used is a failure. */
-  private ReplyHandler orRetry(BodyHandler then) {
+  /**
+   * Creates a handler for the reply to the open request. If the request fails or the body is
+   * malformed, the handler schedules another read of the leader key.
+   *
+   * @param onBody handles the body of a successful reply
+   */
+  private ReplyHandler orRetry(BodyHandler onBody) {
     return (outcome, status, body) -> {
       requestOpen = false;
       if (!outcome.succeeded(status)) {
@@ -301,7 +337,7 @@
         return;
       }
       try {
-        then.accept(body);
+        onBody.accept(body);
       } catch (MalformedException e) {
         retryDiscovery();
       }
--- a/src/main/java/org/snowturn/core/election/CancellationWatermark.java
+++ b/src/main/java/org/snowturn/core/election/CancellationWatermark.java
@@ -13,35 +13,51 @@
 import org.snowturn.wire.JobSpec;
 
 /**
- * Up to when this node knows every cancellation that any node may have confirmed to a user. A
- * leader that renews the leases of workers knows what it must stop; one that has lost the state
- * service does not, while its peers go on confirming. So it renews only while whatever it may not
- * know of would still be ended in time by the expiry of a worker's lease: see {@link #isCurrent()}.
+ * The point in time before which this node knows every cancellation that any node has confirmed to
+ * a user.
  *
- * <p>Two things move the watermark. A read of the state service that was answered shows all that
- * was confirmed before it was sent, by whichever node. And each peer tells what it has confirmed
- * itself: all of it before the leader's request was sent, since its reply was made after. What a
- * process that has ended confirmed last, its successor on the same node cannot tell, so the
- * successor's reply counts only once the state service has been read after it was first heard.
+ * <p>A leader renews the leases of workers and must stop the tasks of cancelled jobs. If it cannot
+ * reach the state service, it may miss cancellations that its peers continue to confirm. It
+ * therefore renews leases only while the expiry of a worker's lease would still end the tasks of
+ * every missed cancellation in time; see {@link #isCurrent()}.
+ *
+ * <p>The watermark advances in two ways:
+ *
+ * <ul>
+ *   <li>A successful read of the state service returns all cancellations that any node confirmed
+ *       before the read was sent.
+ *   <li>A peer's reply contains the cancellations that the peer itself confirmed before the request
+ *       was sent. A restarted peer does not know the last cancellations that its previous process
+ *       confirmed. Its replies therefore advance the watermark only after a read of the state
+ *       service that was sent after the first reply of the new process.
+ * </ul>
  */
 public final class CancellationWatermark {
-  /** For what a worker takes to find that its lease has expired and to end its tasks. */
+  /** Time that a worker needs to detect the expiry of its lease and to end its tasks. */
   private static final long MARGIN_MS = 1_000;
 
+  /** Minimum of the slack, for settings in which the lease leaves less time. */
   private static final long MIN_SLACK_MS = 2_000;
 
+  /** Interval between a leader's requests to its peers. */
   private static final long LEADER_REQUEST_INTERVAL_MS = 300;
 
-  /** Who does not lead asks as well, so that it is known early which process each peer is. */
+  /**
+   * Interval between a standby's requests to its peers. A standby sends requests so that, once
+   * elected, it already knows the incarnations of its peers.
+   */
   private static final long STANDBY_REQUEST_INTERVAL_MS = 1_000;
 
+  /** Maximum number of requests whose replies can still advance the watermark. */
   private static final int MAX_UNANSWERED_REQUESTS = 50;
+
+  /** Maximum number of jobs remembered as cancelled; the least recently used is dropped first. */
   private static final int MAX_KNOWN_CANCELLATIONS = 20_000;
 
   private final CoreRuntime runtime;
   private final String node;
   private final long slackMs;
-  private final long confirmationDueMs;
+  private final long maxReportLiveAgeMs;
   private final CancellationLog log;
   private final Map<String, PeerCancellations> peers = new LinkedHashMap<>();
   private final Map<Long, Long> requestsSentAt = new LinkedHashMap<>();
@@ -53,26 +69,30 @@
   private long malformedMessages;
 
   /**
-   * Knows nothing yet.
+   * Creates a watermark that is not established yet.
    *
-   * @param incarnation a name that no other process of this node has had
+   * @param incarnation a unique identifier of this process among all processes of this node
    */
   public CancellationWatermark(Settings settings, CoreRuntime runtime, String incarnation) {
     this.runtime = runtime;
     this.node = settings.node();
     this.log = new CancellationLog(incarnation);
-    // A peer's late reply to the previous process of this node must not be taken for one to this.
+    // Starts at a random number: a late reply to the previous process of this node must not match
+    // a request of this process.
     this.lastRequest = new SplittableRandom(incarnation.hashCode()).nextLong() >>> 2;
     this.slackMs = slackMs(settings);
-    this.confirmationDueMs =
+    this.maxReportLiveAgeMs =
         ClockDrift.minElapsedMs(settings.workers().cancelS() * 1000) - MARGIN_MS;
     settings.peers().forEach(peer -> peers.put(peer.node(), new PeerCancellations()));
   }
 
   /**
-   * How long after the watermark a worker may still be answered: its lease, counted from then, ends
-   * before a cancellation just past the watermark is due. Where settings leave no such time nothing
-   * could be served at all; then an expiry is late by what they lack.
+   * Returns the maximum age of the watermark, in milliseconds, at which worker leases may be
+   * renewed. A lease that is renewed within this time expires before a cancellation confirmed just
+   * after the watermark must have been carried out.
+   *
+   * <p>If the settings leave less than {@link #MIN_SLACK_MS}, that minimum is returned, because the
+   * leader could not renew any lease otherwise. The expiry is then late by the missing time.
    */
   static long slackMs(Settings settings) {
     double leaseMs = settings.workers().leaseS() * 1000 * (1 + ClockDrift.MAX_RATE);
@@ -81,82 +101,102 @@
     return (long) Math.max(MIN_SLACK_MS, slack);
   }
 
-  /** Tells this of every cancellation that becomes known, perhaps more than once. */
+  /**
+   * Sets the listener for cancellations.
+   *
+   * @param onCancellation receives the ID of each job that is learnt to be cancelled, possibly more
+   *     than once
+   */
   public void setListener(Consumer<String> onCancellation) {
     listener = onCancellation;
   }
 
-  /** This node is about to confirm a cancellation to a user. */
+  /** Records a cancellation that this node is about to confirm to a user. */
   public void confirm(String job) {
     log.append(job, runtime.now());
     learn(job);
   }
 
-  /** The job is cancelled, and that is durable. */
+  /** Records that a job is cancelled and that its cancellation is durable. */
   public void learn(String job) {
     cancelled.put(job, true);
     listener.accept(job);
   }
 
-  /** Whether the job is known here to be cancelled. */
+  /** Returns whether this node knows that the job is cancelled. */
   public boolean isCancelled(String job) {
     return cancelled.containsKey(job);
   }
 
   /**
-   * The state service has answered a read of all live jobs that was sent at this moment, and the
-   * cancellations that the reply holds have been learnt.
+   * Advances the watermark after a read of all live jobs from the state service. Call {@link
+   * #learn} for every cancellation in the reply first.
+   *
+   * @param sentAt the time at which the read was sent, in milliseconds of the monotonic clock
    */
   public void onLiveJobsRead(long sentAt) {
     readUntil = Math.max(readUntil, sentAt);
   }
 
   /**
-   * Every cancellation that was confirmed before this moment is known; {@link MonotonicTime#NEVER}
-   * if there is no such moment.
+   * Returns the time before which every confirmed cancellation is known, in milliseconds of the
+   * monotonic clock; {@link MonotonicTime#NEVER} if the watermark is not established.
    */
   public long knownUntil() {
-    long until = runtime.now(); // what this node itself confirms, it knows
+    long until = runtime.now(); // this node knows all cancellations that it has confirmed itself
     for (PeerCancellations peer : peers.values()) {
       until = Math.min(until, Math.max(readUntil, peer.knownUntil()));
     }
     return until;
   }
 
-  /** Whether there was a moment up to which all were known. */
+  /**
+   * Returns whether the watermark is established, which requires a read of the state service if
+   * this node has peers.
+   */
   boolean isEstablished() {
     return knownUntil() != MonotonicTime.NEVER;
   }
 
   /**
-   * Whether the lease of a worker that is answered now, and then never again, would expire in time
-   * for a cancellation that was confirmed after this moment.
+   * Returns whether a worker's lease that is renewed now for the last time would expire before a
+   * cancellation must have been carried out.
+   *
+   * @param confirmedAfter a time before the confirmation of the cancellation, in milliseconds of
+   *     the monotonic clock
    */
   public boolean wouldLeaseExpireInTime(long confirmedAfter) {
     return runtime.now() - confirmedAfter < slackMs;
   }
 
-  /** How old the knowledge is, in milliseconds. */
+  /** Returns the age of the watermark, in milliseconds. */
   public long ageMs() {
     return runtime.now() - knownUntil();
   }
 
-  /** Whether the lease of a worker that is answered now would expire in time for all not known. */
+  /**
+   * Returns whether the watermark is recent enough to renew worker leases: a lease that is renewed
+   * now would expire in time for every cancellation that this node may have missed.
+   */
   public boolean isCurrent() {
     return wouldLeaseExpireInTime(knownUntil());
   }
 
   /**
-   * Whether a job of which nothing is known may be called live now: if one that it depends on was
-   * cancelled, that is not due yet.
+   * Returns whether this node can report a job as live if it knows of no cancellation that affects
+   * it. A missed cancellation of a job that it depends on need not have taken effect yet.
    */
   public boolean canReportLive() {
-    return ageMs() < confirmationDueMs;
+    return ageMs() < maxReportLiveAgeMs;
   }
 
-  /** Asks the peers for their cancellations if it is time. */
-  public void tick(boolean leading) {
-    long intervalMs = leading ? LEADER_REQUEST_INTERVAL_MS : STANDBY_REQUEST_INTERVAL_MS;
+  /**
+   * Requests the cancellations that the peers have confirmed, if a request is due.
+   *
+   * @param isLeader whether this node is the leader
+   */
+  public void tick(boolean isLeader) {
+    long intervalMs = isLeader ? LEADER_REQUEST_INTERVAL_MS : STANDBY_REQUEST_INTERVAL_MS;
     if (runtime.now() - lastRequestAt < intervalMs) {
       return;
     }
@@ -175,7 +215,7 @@
     runtime.broadcast(new PeerMessage.CancellationsRequest(node, lastRequest, positions));
   }
 
-  /** A peer asks for what this node has confirmed to users. */
+  /** Answers a peer's request for the cancellations that this node has confirmed to users. */
   public void onRequest(PeerMessage.CancellationsRequest request) {
     if (!peers.containsKey(request.from())) {
       malformedMessages++;
@@ -185,7 +225,7 @@
         log.createReply(request, node, request.logPositions().get(node), runtime.now()));
   }
 
-  /** A peer tells what it has confirmed to users, or a part of it. */
+  /** Learns the cancellations in a peer's reply, which may contain only a part of its log. */
   public void onReply(PeerMessage.CancellationsReply reply) {
     if (!reply.to().equals(node)) {
       return;
@@ -199,7 +239,7 @@
     peer.advance(reply, requestsSentAt.get(reply.requestId()), readUntil, runtime.now());
   }
 
-  /** Figures for operators. */
+  /** Returns the gauges for the metrics, by name. */
   public Map<String, Double> gauges() {
     return Map.of(
         "snowturn.cancellations.age",
--- a/src/main/java/org/snowturn/core/election/Election.java
+++ b/src/main/java/org/snowturn/core/election/Election.java
@@ -8,8 +8,9 @@
 import org.snowturn.core.effects.CoreRuntime;
 
 /**
- * Leader election by a lease in the state service. Who writes the leader key under its lease leads;
- * the key's version is the fencing token. Called by the core's only thread.
+ * Leader election by a lease in the state service. A node becomes leader by writing the leader key
+ * under its lease; the version of the key is the fencing token. Must be called only by the thread
+ * of the core.
  *
  * @see LeaderLease
  * @see Authority
@@ -24,7 +25,7 @@
   private final GivenPromises givenPromises;
   private final StateServiceHealth service;
   private final Authority authority;
-  private final AuthorityLog log;
+  private final AuthorityLog authorityLog;
   private final Campaign campaign;
   private final StepDown stepDown;
   private final LeaseRenewal renewal;
@@ -32,11 +33,11 @@
   private final StatusBroadcast status;
 
   /**
-   * A node that has not taken part yet.
+   * Creates the election of a node that has not yet read the leader key.
    *
-   * @param incarnation a name that no other process of this node has had
-   * @param startedAt when this process began, in milliseconds of the steady clock: whatever its
-   *     predecessor on this node has promised was promised before that
+   * @param incarnation a unique identifier of this process among all processes of this node
+   * @param startedAt the time at which this process started, in milliseconds of the monotonic
+   *     clock; the previous process of this node made all its promises before
    */
   public Election(
       Settings settings,
@@ -54,7 +55,7 @@
     givenPromises = new GivenPromises(runtime, settings, startedAt);
     service = new StateServiceHealth(runtime);
     authority = new Authority(runtime, state, lease, promises, watermark);
-    log = new AuthorityLog(runtime, state, lease, authority, watermark);
+    authorityLog = new AuthorityLog(runtime, state, lease, authority, watermark);
     campaign =
         new Campaign(runtime, node, requests, state, lease, givenPromises, campaignListener());
     stepDown = new StepDown(runtime, node, requests, state, lease, campaign);
@@ -77,62 +78,72 @@
     };
   }
 
-  /** Asks this before a claim: whether a peer is better connected than this node. */
-  public void deferClaimIf(BooleanSupplier betterCandidate) {
-    campaign.deferClaimIf(betterCandidate);
+  /**
+   * Sets the condition under which this node defers its claim once.
+   *
+   * @param isPeerBetterConnected returns whether a peer is better connected than this node
+   */
+  public void deferClaimIf(BooleanSupplier isPeerBetterConnected) {
+    campaign.deferClaimIf(isPeerBetterConnected);
   }
 
   /**
-   * When the last request that the state service answered was sent; {@link MonotonicTime#NEVER} if
-   * it has answered none.
+   * Returns the time at which the latest request answered by the state service was sent, in
+   * milliseconds of the monotonic clock; {@link MonotonicTime#NEVER} if it has answered none.
    */
   public long stateServiceAnsweredAt() {
     return service.answeredAt();
   }
 
-  /** Whether this node owns the leader key, as far as it knows; it may act only with authority. */
+  /**
+   * Returns whether this node has become leader and has not stepped down. It may act as leader only
+   * while {@link #hasAuthority()} is true as well.
+   */
   public boolean isLeader() {
     return state.isLeader();
   }
 
   /**
-   * Whether this node may act: nobody else can lead, and whatever cancellation it may not know of
-   * would still be carried out in time.
+   * Returns whether this node may act as leader: no other node can lead, and every cancellation
+   * that this node may not have received yet can still be carried out in time.
    */
   public boolean hasAuthority() {
     return authority.isHeld();
   }
 
-  /** Whether the state service has answered this node lately. */
+  /** Returns whether the state service has answered this node recently. */
   public boolean isStateServiceHealthy() {
     return service.isHealthy();
   }
 
-  /** Whether a peer has said lately that the state service answers it. */
+  /** Returns whether a peer has reported recently that the state service answers it. */
   public boolean canPeersReachStateService() {
     return service.isAnsweringPeers();
   }
 
-  /** The fencing token of this node's last term. */
+  /** Returns the fencing token of this node's current or latest term. */
   public long token() {
     return state.token();
   }
 
-  /** Who leads, as far as this node knows; null if nobody or itself without authority. */
+  /**
+   * Returns the name of the peer that owns the leader key, according to this node; null if the
+   * owner is unknown or is this node.
+   */
   public String leader() {
     return settings.node().equals(state.leader()) ? null : state.leader();
   }
 
-  /** Does what is due at this time. */
+  /** Performs the work of the election that is due. */
   public void tick() {
     handover.tick();
     givenPromises.tick();
-    log.logGroundChange();
+    authorityLog.logGroundChange();
     service.probe(state.isLeader());
     status.tick();
     watermark.tick(state.isLeader());
     if (state.isLeader()) {
-      log.logWatermarkChange();
+      authorityLog.logWatermarkChange();
       renewal.tick();
     } else {
       campaign.tick();
@@ -145,10 +156,10 @@
     promises.clear();
     status.expedite();
     renewal.start();
-    log.logAcquired();
+    authorityLog.logAcquired();
   }
 
-  /** Takes a peer's message about the election; others are ignored. */
+  /** Handles a peer's message about the election; ignores messages of other types. */
   public void onPeerMessage(PeerMessage message) {
     if (message instanceof PeerMessage.StandbyStatus standby) {
       onStandby(standby);
@@ -171,17 +182,18 @@
   }
 
   /**
-   * Promises nothing that this node may not keep: not while a claim of its own may be executed, nor
-   * after it has seen the leader's key vanish or a later leader's key.
+   * Answers a leader's request for a promise if this node can keep the promise. It makes no promise
+   * while a claim of its own may be executed, after it has found the leader key vacant, or after it
+   * has learnt of a leader with a higher token.
    */
   private void onPromiseRequest(PeerMessage.PromiseRequest request) {
     service.onPeerReport(request.from(), !request.stateServiceTrouble());
     service.onLeaderReport(request.stateServiceTrouble());
-    boolean outdated = request.token() < state.highestToken();
-    if (!state.isLeader() && !outdated) {
+    boolean isOutdated = request.token() < state.highestToken();
+    if (!state.isLeader() && !isOutdated) {
       state.setLeader(request.from());
     }
-    if (campaign.isPossibleLeaderKeyOwner() || outdated) {
+    if (campaign.isPossibleLeaderKeyOwner() || isOutdated) {
       return;
     }
     state.observeToken(request.token());
@@ -196,18 +208,18 @@
   }
 
   /**
-   * Gives up leadership, if this node has it; the next read of the leader key finds who does.
+   * Steps down if this node is the leader, and schedules a read of the leader key.
    *
-   * @param reason for the log
+   * @param reason the reason that is logged
    */
   public void stepDown(String reason) {
     stepDown.stepDown(reason);
   }
 
   /**
-   * Gives up leadership and the lease, so that another node can lead at once.
+   * Steps down and revokes the lease, so that another node can be elected at once.
    *
-   * @param reason for the log
+   * @param reason the reason that is logged
    */
   public void resign(String reason) {
     stepDown.resign(reason);
--- a/src/main/java/org/snowturn/core/election/ElectionRequests.java
+++ b/src/main/java/org/snowturn/core/election/ElectionRequests.java
@@ -11,14 +11,18 @@
 import org.snowturn.wire.StateMessage.Change;
 import org.snowturn.wire.StateMessage.Condition;
 
-/** The requests to the state service on which leadership rests. */
+/** The requests to the state service by which a node gains and keeps leadership. */
 final class ElectionRequests {
+  /** Timeout of all requests except renewals and watches. */
   private static final int TIMEOUT_MS = 1500;
+
+  /** Timeout of a lease renewal. */
   private static final int RENEWAL_TIMEOUT_MS = 1000;
 
-  /** How long the state service holds a watch that has no changes to tell. */
+  /** Time after which the state service answers a watch that has seen no change. */
   private static final int WATCH_HOLD_MS = 5_000;
 
+  /** Timeout of a watch. */
   private static final int WATCH_TIMEOUT_MS = 7_000;
 
   private final CoreRuntime runtime;
@@ -26,9 +30,9 @@
   private final String incarnation;
 
   /**
-   * Requests of one process.
+   * Creates the requests of one process.
    *
-   * @param incarnation a name that no other process of this node has had
+   * @param incarnation a unique identifier of this process among all processes of this node
    */
   ElectionRequests(CoreRuntime runtime, String node, String incarnation) {
     this.runtime = runtime;
@@ -37,13 +41,13 @@
   }
 
   /** Reads the leader key. */
-  void readLeaderKey(ReplyHandler then) {
+  void readLeaderKey(ReplyHandler onReply) {
     runtime.callForAuthority(
-        "GET", "/kv?prefix=" + StorageKeys.LEADER_PREFIX + "&most=5", null, TIMEOUT_MS, then);
+        "GET", "/kv?prefix=" + StorageKeys.LEADER_PREFIX + "&most=5", null, TIMEOUT_MS, onReply);
   }
 
-  /** Waits for changes of the leader key after a revision. */
-  void watchLeaderKey(long sinceRevision, ReplyHandler then) {
+  /** Watches the leader key for changes after a revision. */
+  void watchLeaderKey(long sinceRevision, ReplyHandler onReply) {
     runtime.watchState(
         RequestClass.AUTHORITY,
         "/watch?prefix="
@@ -53,11 +57,11 @@
             + "&hold_ms="
             + WATCH_HOLD_MS,
         WATCH_TIMEOUT_MS,
-        then);
+        onReply);
   }
 
-  /** Writes the leader key under a lease, by compare-and-swap: only if it does not exist. */
-  void claimLeaderKey(long lease, ReplyHandler then) {
+  /** Writes the leader key under a lease if the key does not exist, by compare-and-swap. */
+  void claimLeaderKey(long lease, ReplyHandler onReply) {
     JsonNode value =
         Json.object()
             .put("v", StorageKeys.FIRST_FORMAT)
@@ -68,40 +72,45 @@
         StateMessage.transaction(
             List.of(new Condition(StorageKeys.LEADER, 0)),
             List.of(new Change(StorageKeys.LEADER, value, lease)));
-    runtime.callForAuthority("POST", "/txn", txn, TIMEOUT_MS, then);
+    runtime.callForAuthority("POST", "/txn", txn, TIMEOUT_MS, onReply);
   }
 
-  /** Whether this process wrote a value of the leader key. */
+  /** Returns whether this process wrote the given value of the leader key. */
   boolean isOwn(JsonNode leaderKey) {
     return incarnation.equals(leaderKey.path("inc").asText());
   }
 
-  /** Which node wrote a value of the leader key; null if it does not say. */
+  /** Returns the node that wrote the given value of the leader key; null if it names none. */
   static String owner(JsonNode leaderKey) {
     return leaderKey.path("node").asText(null);
   }
 
-  /** The lease that a value of the leader key is attached to. */
+  /** Returns the ID of the lease to which the given value of the leader key is attached. */
   static long leaseOf(JsonNode leaderKey) {
     return leaderKey.path("lease").asLong();
   }
 
-  /** Asks for a lease. */
-  void acquireLease(long ttlMs, ReplyHandler then) {
-    runtime.callForAuthority("POST", "/leases", StateMessage.lease(ttlMs), TIMEOUT_MS, then);
+  /**
+   * Requests a new lease.
+   *
+   * @param ttlMs the time-to-live of the lease, in milliseconds
+   */
+  void acquireLease(long ttlMs, ReplyHandler onReply) {
+    runtime.callForAuthority("POST", "/leases", StateMessage.lease(ttlMs), TIMEOUT_MS, onReply);
   }
 
   /** Renews a lease. */
-  void renewLease(long lease, ReplyHandler then) {
-    runtime.callForAuthority("POST", "/leases/" + lease + "/renew", null, RENEWAL_TIMEOUT_MS, then);
+  void renewLease(long lease, ReplyHandler onReply) {
+    runtime.callForAuthority(
+        "POST", "/leases/" + lease + "/renew", null, RENEWAL_TIMEOUT_MS, onReply);
   }
 
-  /** Ends a lease, and with it the leader key that is attached to it. */
-  void revokeLease(long lease, ReplyHandler then) {
-    runtime.callForAuthority("DELETE", "/leases/" + lease, null, TIMEOUT_MS, then);
+  /** Revokes a lease, which deletes the leader key that is attached to it. */
+  void revokeLease(long lease, ReplyHandler onReply) {
+    runtime.callForAuthority("DELETE", "/leases/" + lease, null, TIMEOUT_MS, onReply);
   }
 
-  /** The same, where nothing depends on whether it succeeds. */
+  /** Revokes a lease and ignores the reply. */
   void revokeLease(long lease) {
     revokeLease(lease, (outcome, status, body) -> {});
   }
--- a/src/main/java/org/snowturn/core/election/ElectionState.java
+++ b/src/main/java/org/snowturn/core/election/ElectionState.java
@@ -1,8 +1,8 @@
 package org.snowturn.core.election;
 
 /**
- * This node's role, and the latest that it knows of the leader key. All transitions between roles
- * are made here.
+ * The role of this node and its latest information about the leader key. All transitions between
+ * roles are made here.
  *
  * <pre>
  * DISCOVERING -> FOLLOWER    another node owns the leader key
@@ -21,69 +21,76 @@
   private long highestToken;
   private String leader;
 
+  /** Returns the current role of this node. */
   Role role() {
     return role;
   }
 
+  /** Returns whether this node is the leader. */
   boolean isLeader() {
     return role == Role.LEADER;
   }
 
-  /** The fencing token of the last term of this node. */
+  /** Returns the fencing token of the current or latest term of this node. */
   long token() {
     return token;
   }
 
-  /** The highest fencing token of any leader that this node has heard of. */
+  /** Returns the highest fencing token that this node has observed, of any leader. */
   long highestToken() {
     return highestToken;
   }
 
   /**
-   * How often this node has become or ceased to be leader: tells whether a reply belongs to the
-   * present term.
+   * Returns the number of times that this node has become leader or has stepped down. Comparing it
+   * shows whether a reply belongs to the current term.
    */
   long leadershipChangeCount() {
     return leadershipChangeCount;
   }
 
-  /** The node that owns the leader key, as far as known; null if none is known. */
+  /** Returns the name of the node that owns the leader key; null if the owner is unknown. */
   String leader() {
     return leader;
   }
 
-  /** Another node, or an earlier process of this one, is known to lead. */
+  /** Records that another node, or the previous process of this node, owns the leader key. */
   void setLeader(String node) {
     leader = node;
   }
 
-  /** A leader with this fencing token has been heard of. */
+  /** Records the fencing token of a leader. */
   void observeToken(long observed) {
     highestToken = Math.max(highestToken, observed);
   }
 
-  /** The leader key has to be read. */
+  /** Starts discovery: the leader key has to be read. */
   void discover() {
     role = Role.DISCOVERING;
   }
 
-  /** Another node owns the leader key. */
+  /** Makes this node a follower, because another node owns the leader key. */
   void becomeFollower() {
     role = Role.FOLLOWER;
   }
 
-  /** The leader key is vacant. */
+  /** Makes this node a candidate, because the leader key is vacant. */
   void becomeCandidate() {
     leader = null;
     role = Role.CANDIDATE;
   }
 
-  /** A lease was granted, and the leader key is to be written. */
+  /** Starts a claim: a lease was granted, and the leader key has to be written under it. */
   void claim() {
     role = Role.CLAIMING;
   }
 
-  /** This node owns the leader key, whose version is the fencing token. */
+  /**
+   * Makes this node the leader.
+   *
+   * @param node the name of this node
+   * @param fencingToken the version of the leader key that this node has written
+   */
   void becomeLeader(String node, long fencingToken) {
     role = Role.LEADER;
     leadershipChangeCount++;
@@ -92,7 +99,7 @@
     observeToken(fencingToken);
   }
 
-  /** This node leads no more; who does is to be found out. */
+  /** Ends the term of this node and starts discovery of the new leader. */
   void stepDown() {
     leadershipChangeCount++;
     leader = null;
--- a/src/main/java/org/snowturn/core/election/GivenPromises.java
+++ b/src/main/java/org/snowturn/core/election/GivenPromises.java
@@ -8,62 +8,72 @@
 import org.snowturn.core.effects.CoreRuntime;
 
 /**
- * What this node has promised leaders: not to claim leadership for a while. A promise binds the
- * node, not the process: a restarted node makes no claim for as long as a promise of its
- * predecessor could last, unless every peer has told it that it does not lead.
+ * The promises of this node to leaders not to claim leadership for a limited time.
+ *
+ * <p>A promise binds the node and not only the process that made it. A restarted process makes no
+ * claim as long as a promise of the previous process could be valid, unless every peer has reported
+ * that it is not the leader.
  */
 final class GivenPromises {
+  /** Duration of a promise, from the arrival of the request. */
   private static final int PROMISE_MS = 2000;
 
-  /** For what a predecessor has promised just before it ended. */
+  /** Margin for promises that the previous process made just before it exited. */
   private static final long START_MARGIN_MS = 200;
 
   private final CoreRuntime runtime;
   private final Settings settings;
-  private final long predecessorBoundUntil;
+  private final long previousProcessBoundUntil;
   private final Set<String> standbyPeers = new HashSet<>();
-  private boolean boundByPredecessor = true;
+  private boolean boundByPreviousProcess = true;
   private long promisedUntil = MonotonicTime.NEVER;
 
   /**
-   * Has promised nothing yet.
+   * Creates the promises of a process that has made none itself but may be bound by those of the
+   * previous process of this node.
    *
-   * @param startedAt when this process began, in milliseconds of the steady clock: whatever its
-   *     predecessor on this node has promised was promised before that
+   * @param startedAt the time at which this process started, in milliseconds of the monotonic
+   *     clock; the previous process of this node made all its promises before
    */
   GivenPromises(CoreRuntime runtime, Settings settings, long startedAt) {
     this.runtime = runtime;
     this.settings = settings;
-    this.predecessorBoundUntil = startedAt + PROMISE_MS + START_MARGIN_MS;
+    this.previousProcessBoundUntil = startedAt + PROMISE_MS + START_MARGIN_MS;
   }
 
-  /** Finds out whether a predecessor's promises have ended. */
+  /** Checks whether this node is still bound by promises of the previous process. */
   void tick() {
-    boundByPredecessor =
-        boundByPredecessor && isRecentlyStarted() && standbyPeers.size() < settings.peers().size();
+    boundByPreviousProcess =
+        boundByPreviousProcess
+            && isRecentlyStarted()
+            && standbyPeers.size() < settings.peers().size();
   }
 
-  /** Whether promises of a predecessor on this node could still last. */
+  /** Returns whether a promise of the previous process could still be valid. */
   boolean isRecentlyStarted() {
-    return runtime.now() < predecessorBoundUntil;
+    return runtime.now() < previousProcessBoundUntil;
   }
 
-  /** Whether a promise forbids this node to claim leadership now. */
+  /** Returns whether a promise forbids this node to claim leadership now. */
   boolean isClaimForbidden() {
-    return boundByPredecessor || runtime.now() < promisedUntil;
+    return boundByPreviousProcess || runtime.now() < promisedUntil;
   }
 
-  /** A peer has told that it does not lead. */
+  /** Records that a peer has reported that it is not the leader. */
   void addStandbyPeer(String peer) {
     standbyPeers.add(peer);
   }
 
-  /** Whether any peer has told since this process began that it does not lead. */
+  /** Returns whether any peer has reported to this process that it is not the leader. */
   boolean hasStandbyPeer() {
     return !standbyPeers.isEmpty();
   }
 
-  /** Answers a request; the promise counts from its arrival. */
+  /**
+   * Makes a promise and sends it to the leader that requested it.
+   *
+   * @param stateServiceAnswers whether the state service answers this node
+   */
   void promise(PeerMessage.PromiseRequest request, boolean stateServiceAnswers) {
     promisedUntil = Math.max(promisedUntil, runtime.now() + PROMISE_MS);
     runtime.broadcast(
@@ -75,7 +85,7 @@
             stateServiceAnswers));
   }
 
-  /** The leader that this node made its promises to has released it. */
+  /** Ends the promises of this process after the leader has released it from them. */
   void release() {
     promisedUntil = MonotonicTime.NEVER;
   }
--- a/src/main/java/org/snowturn/core/election/LeaderLease.java
+++ b/src/main/java/org/snowturn/core/election/LeaderLease.java
@@ -6,21 +6,28 @@
 import org.snowturn.core.effects.CoreRuntime;
 
 /**
- * The lease in the state service that a leader holds, and how long authority may rest on it: one
- * time-to-live after the last successful renewal was <em>sent</em>, less the drift of the clocks,
- * so it always ends before the state service can end the lease.
+ * The leader's lease in the state service and the time until which authority can be based on it.
+ * That time is one time-to-live after the last successful renewal was <em>sent</em>, less the
+ * maximum clock drift and a margin. The leader thus stops before the state service can expire the
+ * lease.
  */
 final class LeaderLease {
-  /** For the time between the check of the lease and what is done on its strength. */
+  /** Margin for the time between the check of the lease and the action that depends on it. */
   private static final long MARGIN_MS = 20;
 
+  /** Minimum time-to-live of the lease. */
   private static final double MIN_TTL_S = 0.5;
+
+  /** Maximum time-to-live of the lease if the tunables set none. */
   private static final double MAX_DEFAULT_TTL_S = 2.5;
 
-  /** Within a worker's lease, workers have to find a new leader. */
-  private static final double DEFAULT_SHARE_OF_WORKER_LEASE = 0.25;
+  /**
+   * Default time-to-live as a share of the worker lease. It is well below 1 because workers must
+   * find a new leader before their own leases expire.
+   */
+  private static final double DEFAULT_TTL_SHARE_OF_WORKER_LEASE = 0.25;
 
-  /** The time that a new leader has to carry out an earlier leader's cancellation. */
+  /** Time reserved for a new leader to carry out a cancellation of the previous leader. */
   private static final double CANCELLATION_RESERVE_S = 2;
 
   private final CoreRuntime runtime;
@@ -31,97 +38,111 @@
   private long renewalFailingSince = MonotonicTime.NEVER;
   private boolean offered;
 
+  /** Creates a lease that has not been requested yet. */
   LeaderLease(CoreRuntime runtime, long ttlMs) {
     this.runtime = runtime;
     this.ttlMs = ttlMs;
   }
 
-  /** The time-to-live in milliseconds that the settings allow. */
+  /** Returns the time-to-live of the lease for the given settings, in milliseconds. */
   static long ttlMs(Settings settings, Tunables tunables) {
     double ttlS =
         tunables.leaderTtlS() > 0
             ? tunables.leaderTtlS()
             : Math.min(
-                MAX_DEFAULT_TTL_S, settings.workers().leaseS() * DEFAULT_SHARE_OF_WORKER_LEASE);
-    // The next leader must carry out a cancellation even where only the worker's lease ends tasks.
+                MAX_DEFAULT_TTL_S, settings.workers().leaseS() * DEFAULT_TTL_SHARE_OF_WORKER_LEASE);
+    // The next leader must be able to carry out a cancellation in time even if the task ends only
+    // when the worker's lease expires.
     double maxS =
         settings.workers().cancelS() - settings.workers().leaseS() - CANCELLATION_RESERVE_S;
     return (long) (1000 * Math.max(MIN_TTL_S, Math.min(ttlS, maxS)));
   }
 
+  /** Returns the time-to-live of the lease, in milliseconds. */
   long ttlMs() {
     return ttlMs;
   }
 
-  /** Names the lease in the state service. */
+  /** Returns the ID of the lease in the state service. */
   long id() {
     return id;
   }
 
-  /** Until when authority may rest on the lease, in milliseconds of the steady clock. */
+  /**
+   * Returns the time until which authority can be based on the lease, in milliseconds of the
+   * monotonic clock.
+   */
   long validUntil() {
     return validUntil;
   }
 
-  /** Whether authority may rest on the lease now. */
+  /** Returns whether authority can be based on the lease now. */
   boolean isValid() {
     return runtime.now() < validUntil;
   }
 
-  /** Whether peers have been asked to end the lease: it may end at any time. */
+  /** Returns whether the lease has been offered to peers, which can revoke it at any time. */
   boolean isOffered() {
     return offered;
   }
 
   /**
-   * When the first of the renewals was sent that have failed since the last success; {@link
-   * MonotonicTime#NEVER} if the last one succeeded.
+   * Returns the time at which the first renewal that failed since the last success was sent, in
+   * milliseconds of the monotonic clock; {@link MonotonicTime#NEVER} if the last renewal succeeded.
    */
   long renewalFailingSince() {
     return renewalFailingSince;
   }
 
-  /** Whether the last renewal failed. */
+  /** Returns whether the last renewal failed. */
   boolean isRenewalFailing() {
     return renewalFailingSince != MonotonicTime.NEVER;
   }
 
-  /** A lease is asked for now. */
+  /** Records that a request for a new lease is sent now. */
   void onRequestSent() {
     requestedAt = runtime.now();
   }
 
-  /** The lease that was asked for was granted; nothing rests on it yet. */
-  void onGranted(long lease) {
-    id = lease;
+  /** Records the ID of the lease that was granted. Authority is not yet based on it. */
+  void onGranted(long leaseId) {
+    id = leaseId;
   }
 
-  /** From now on leadership rests on the lease that was granted last. */
+  /** Makes the lease that was granted last the basis of authority. */
   void activate() {
     offered = false;
     onRenewed(requestedAt);
   }
 
-  /** A renewal that was sent at this moment has succeeded. */
+  /**
+   * Extends the validity of the lease after a successful renewal.
+   *
+   * @param sentAt the time at which the renewal was sent, in milliseconds of the monotonic clock
+   */
   void onRenewed(long sentAt) {
     validUntil = sentAt + ClockDrift.minElapsedMs((double) ttlMs) - MARGIN_MS;
     renewalFailingSince = MonotonicTime.NEVER;
   }
 
-  /** A renewal that was sent at this moment has failed. */
+  /**
+   * Records a failed renewal.
+   *
+   * @param sentAt the time at which the renewal was sent, in milliseconds of the monotonic clock
+   */
   void onRenewalFailed(long sentAt) {
     if (!isRenewalFailing()) {
       renewalFailingSince = sentAt;
     }
   }
 
-  /** Peers are asked to end the lease: nothing rests on it any more. */
+  /** Records that the lease is offered to peers. Authority is no longer based on it. */
   void onOffered() {
     invalidate();
     offered = true;
   }
 
-  /** Nothing rests on the lease any more. */
+  /** Makes the lease invalid. Authority is no longer based on it. */
   void invalidate() {
     validUntil = Long.MIN_VALUE;
   }
--- a/src/main/java/org/snowturn/core/election/LeaseHandover.java
+++ b/src/main/java/org/snowturn/core/election/LeaseHandover.java
@@ -5,17 +5,23 @@
 import org.snowturn.core.effects.CoreRuntime;
 
 /**
- * Hands leadership to a peer that the state service answers while it does not answer the leader:
- * the leader offers its lease, a peer ends it in the state service, and the leader resigns.
+ * Hands leadership over to the peers when the state service answers a peer but not the leader. The
+ * leader offers its lease, a peer revokes the lease in the state service, and the leader resigns.
  */
 final class LeaseHandover {
-  /** When renewals have failed for this long, before the lease ends, the leader offers it. */
+  /**
+   * Duration of failed renewals after which the leader offers its lease, without waiting for the
+   * expiry of the lease.
+   */
   private static final long OFFER_AFTER_MS = 1500;
 
-  /** How long a peer may take to end an offered lease. */
+  /** Time after which the leader resigns if no peer has confirmed the revocation of its lease. */
   private static final long OFFER_TIMEOUT_MS = 700;
 
-  /** After a tick that came so late, replies may have been waiting in this process. */
+  /**
+   * Interval between ticks above which this process counts as delayed. Replies may have been queued
+   * in a delayed process, so renewals that seem to fail may have succeeded.
+   */
   private static final long LATE_TICK_MS = 500;
 
   private final CoreRuntime runtime;
@@ -25,10 +31,11 @@
   private final LeaderLease lease;
   private final GivenPromises givenPromises;
   private final StepDown stepDown;
-  private long tickedAt = MonotonicTime.NEVER;
-  private long tickedLateAt = MonotonicTime.NEVER;
+  private long lastTickAt = MonotonicTime.NEVER;
+  private long lastLateTickAt = MonotonicTime.NEVER;
   private long offeredAt = MonotonicTime.NEVER;
 
+  /** Creates a handover in which the lease has not been offered yet. */
   LeaseHandover(
       CoreRuntime runtime,
       String node,
@@ -46,37 +53,42 @@
     this.stepDown = stepDown;
   }
 
-  /** Notes whether this process keeps up with its work. */
+  /** Records whether this process is delayed, by the interval since the previous tick. */
   void tick() {
     long now = runtime.now();
-    if (tickedAt != MonotonicTime.NEVER && now - tickedAt > LATE_TICK_MS) {
-      tickedLateAt = now;
+    if (lastTickAt != MonotonicTime.NEVER && now - lastTickAt > LATE_TICK_MS) {
+      lastLateTickAt = now;
     }
-    tickedAt = now;
+    lastTickAt = now;
   }
 
-  /** A peer has renewed its promise to this leader and says whether the state service answers. */
+  /**
+   * Offers the lease, or resigns after an unanswered offer, if renewals have failed for too long
+   * and the state service answers the peer that sent this promise.
+   */
   void onPromise(PeerMessage.Promise promise) {
-    if (!promise.stateServiceAnswers() || !renewalsFailedTooLong()) {
+    if (!promise.stateServiceAnswers() || !hasRenewalFailedTooLong()) {
       return;
     }
     if (offeredAt < lease.renewalFailingSince()) {
       offeredAt = runtime.now();
-      // An offer may be taken up at any later time, so from now on only promises keep this term.
+      // A peer may revoke the offered lease at any later time, so from now on authority can be
+      // based only on promises.
       lease.onOffered();
     }
     if (runtime.now() - offeredAt < OFFER_TIMEOUT_MS) {
       runtime.broadcast(new PeerMessage.LeaseHandover(node, lease.id(), state.token()));
     } else {
-      // The peer does not know offers or is too slow; its report on the state service is recent.
+      // The peer does not support offers or is too slow. Its report that the state service answers
+      // it is recent, so it can be elected.
       resignTo(promise);
     }
   }
 
-  private boolean renewalsFailedTooLong() {
-    // A process that is behind with its work has not yet handled the replies that it has received.
-    boolean behind = runtime.now() - OFFER_AFTER_MS < tickedLateAt;
-    return !behind
+  private boolean hasRenewalFailedTooLong() {
+    // A delayed process may not have handled all replies that it has received.
+    boolean isDelayed = runtime.now() - OFFER_AFTER_MS < lastLateTickAt;
+    return !isDelayed
         && lease.isRenewalFailing()
         && runtime.now() - lease.renewalFailingSince() > OFFER_AFTER_MS;
   }
@@ -86,8 +98,8 @@
   }
 
   /**
-   * Ends a lease that its owner offers. That takes nothing from what was promised: this node claims
-   * nothing before its promises have ended or the owner, told of it, has released them.
+   * Revokes the lease that a leader offers. The promises of this node to the leader stay valid: it
+   * makes no claim until they have expired or the leader has been informed and has released it.
    */
   void onOffer(PeerMessage.LeaseHandover offer) {
     if (state.isLeader()) {
@@ -102,21 +114,25 @@
         });
   }
 
-  /** A peer has ended the lease that this leader offered. */
+  /** Resigns if a peer has revoked the lease that this leader offered. */
   void onLeaseEnded(PeerMessage.LeaseEnded ended) {
     if (state.isLeader() && ended.token() == state.token()) {
       resignTo(ended);
     }
   }
 
-  /** A leader has resigned: ends its lease, in case the state service does not answer it. */
-  void onStepDown(PeerMessage.StepDown resigned) {
+  /**
+   * Handles the resignation of a leader. Revokes its lease, in case the state service does not
+   * answer the leader itself, and ends the promises of this node unless they were made to a later
+   * leader.
+   */
+  void onStepDown(PeerMessage.StepDown stepDownMessage) {
     if (state.isLeader()) {
       return;
     }
-    if (resigned.token() >= state.highestToken()) {
+    if (stepDownMessage.token() >= state.highestToken()) {
       givenPromises.release();
     }
-    requests.revokeLease(resigned.lease());
+    requests.revokeLease(stepDownMessage.lease());
   }
 }
--- a/src/main/java/org/snowturn/core/election/LeaseRenewal.java
+++ b/src/main/java/org/snowturn/core/election/LeaseRenewal.java
@@ -5,9 +5,10 @@
 
 /** Renews the leader's lease, one request at a time. */
 final class LeaseRenewal {
-  /** A time-to-live has room for so many renewals. */
+  /** Number of renewals that are sent within one time-to-live if all succeed. */
   private static final int RENEWALS_PER_TTL = 5;
 
+  /** Delay before a failed renewal is retried. */
   private static final long RETRY_MS = 250;
 
   private final CoreRuntime runtime;
@@ -17,8 +18,9 @@
   private final StateServiceHealth service;
   private final StepDown stepDown;
   private long nextAt;
-  private boolean underWay;
+  private boolean requestOpen;
 
+  /** Creates the renewal of the leader's lease; {@link #start()} starts it for a term. */
   LeaseRenewal(
       CoreRuntime runtime,
       ElectionRequests requests,
@@ -34,15 +36,15 @@
     this.stepDown = stepDown;
   }
 
-  /** A term begins. */
+  /** Schedules the first renewal of a term. */
   void start() {
-    underWay = false;
+    requestOpen = false;
     nextAt = runtime.now() + intervalMs();
   }
 
-  /** Renews the lease if it is time. */
+  /** Renews the lease if a renewal is due. */
   void tick() {
-    if (!underWay && runtime.now() >= nextAt) {
+    if (!requestOpen && runtime.now() >= nextAt) {
       renew();
     }
   }
@@ -52,7 +54,7 @@
   }
 
   private void renew() {
-    underWay = true;
+    requestOpen = true;
     long sentAt = runtime.now();
     long term = state.leadershipChangeCount();
     requests.renewLease(
@@ -61,12 +63,12 @@
           if (term != state.leadershipChangeCount() || !state.isLeader()) {
             return;
           }
-          underWay = false;
-          renewed(sentAt, outcome, status);
+          requestOpen = false;
+          onReply(sentAt, outcome, status);
         });
   }
 
-  private void renewed(long sentAt, Outcome outcome, int status) {
+  private void onReply(long sentAt, Outcome outcome, int status) {
     if (outcome.succeeded(status) && lease.isOffered()) {
       stepDown.resign("its lease was offered to peers while the state service did not answer");
     } else if (outcome.succeeded(status)) {
--- a/src/main/java/org/snowturn/core/election/PeerCancellations.java
+++ b/src/main/java/org/snowturn/core/election/PeerCancellations.java
@@ -3,61 +3,67 @@
 import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.PeerMessage;
 
-/** How far the cancellations that one peer has confirmed to users are known here. */
+/**
+ * The part of one peer's cancellation log that this node has received, and the time before which it
+ * knows every cancellation that the peer has confirmed to users.
+ */
 final class PeerCancellations {
   private String incarnation;
-  private long received;
-  private long firstHeardAt = Long.MAX_VALUE;
+  private long lastReceived;
+  private long firstReplyAt = Long.MAX_VALUE;
   private long knownUntil = MonotonicTime.NEVER;
 
-  /** Whether the peer has ever replied. */
+  /** Returns whether the peer has ever replied. */
   boolean hasReplied() {
     return incarnation != null;
   }
 
-  /** Up to where the peer's log has been received. */
+  /** Returns the position of the last entry that has been received from the peer's log. */
   PeerMessage.LogPosition position() {
-    return new PeerMessage.LogPosition(incarnation, received);
+    return new PeerMessage.LogPosition(incarnation, lastReceived);
   }
 
   /**
-   * Every cancellation that the peer confirmed before this moment is known; {@link
-   * MonotonicTime#NEVER} if there is no such moment.
+   * Returns the time before which every cancellation that the peer confirmed is known, in
+   * milliseconds of the monotonic clock; {@link MonotonicTime#NEVER} if there is no such time.
    */
   long knownUntil() {
     return knownUntil;
   }
 
   /**
-   * The jobs that a reply names have been learnt.
+   * Advances the position and the known time after the jobs in a reply have been learnt.
    *
-   * @param requestSentAt when the request was sent that this answers; null if it is not known
-   * @param readUntil when the last read of the state service was sent that was answered
+   * @param requestSentAt the time at which the answered request was sent, in milliseconds of the
+   *     monotonic clock; null if the request is unknown
+   * @param readUntil the time at which the latest answered read of the state service was sent, in
+   *     milliseconds of the monotonic clock
+   * @param nowMs the current time, in milliseconds of the monotonic clock
    */
   void advance(
       PeerMessage.CancellationsReply reply, Long requestSentAt, long readUntil, long nowMs) {
     if (!reply.incarnation().equals(incarnation)) {
       incarnation = reply.incarnation();
-      received = 0;
-      firstHeardAt = nowMs;
+      lastReceived = 0;
+      firstReplyAt = nowMs;
     }
-    if (gapBefore(reply, readUntil, nowMs)) {
+    if (hasGapBefore(reply, readUntil, nowMs)) {
       return;
     }
-    received = Math.max(received, reply.after() + reply.jobs().size());
-    boolean complete = received >= reply.last() && readUntil >= firstHeardAt;
-    if (requestSentAt != null && complete) {
+    lastReceived = Math.max(lastReceived, reply.after() + reply.jobs().size());
+    boolean isComplete = lastReceived >= reply.last() && readUntil >= firstReplyAt;
+    if (requestSentAt != null && isComplete) {
       knownUntil = Math.max(knownUntil, requestSentAt);
     }
   }
 
   /**
-   * Whether entries are missing before the first of a reply. What the peer has dropped for its age
-   * counts as received once the state service was read since.
+   * Returns whether entries are missing before the first entry of a reply. Entries that the peer
+   * has dropped count as received if the state service was read after they were confirmed.
    */
-  private boolean gapBefore(PeerMessage.CancellationsReply reply, long readUntil, long nowMs) {
-    long droppedAt = nowMs - ClockDrift.minElapsedMs((double) reply.lastDroppedAgeMs());
-    return reply.after() > received
-        && (reply.after() > reply.lastDropped() || readUntil < droppedAt);
+  private boolean hasGapBefore(PeerMessage.CancellationsReply reply, long readUntil, long nowMs) {
+    long droppedConfirmedAt = nowMs - ClockDrift.minElapsedMs((double) reply.lastDroppedAgeMs());
+    return reply.after() > lastReceived
+        && (reply.after() > reply.lastDropped() || readUntil < droppedConfirmedAt);
   }
 }
--- a/src/main/java/org/snowturn/core/election/PeerPromises.java
+++ b/src/main/java/org/snowturn/core/election/PeerPromises.java
@@ -8,11 +8,15 @@
 import org.snowturn.core.PeerMessage;
 
 /**
- * What a leader's peers have promised it: not to claim leadership for a while. A peer counts from
- * when the request arrived, the leader from when it was sent, so the leader always stops first.
+ * The promises of a leader's peers not to claim leadership for a limited time. A peer measures the
+ * duration from the arrival of the request and the leader from its sending, so a promise always
+ * expires at the leader first.
  */
 final class PeerPromises {
+  /** Margin for the time between the check of the promises and the action that depends on it. */
   private static final long MARGIN_MS = 20;
+
+  /** Maximum number of requests whose promises are still accepted. */
   private static final int MAX_UNANSWERED_REQUESTS = 50;
 
   private final List<Settings.Peer> peers;
@@ -20,17 +24,27 @@
   private final Map<Long, Long> requestsSentAt = new LinkedHashMap<>();
   private long lastRequest;
 
+  /**
+   * Creates an empty set of promises.
+   *
+   * @param peers all other nodes, each of which must make a promise
+   */
   PeerPromises(List<Settings.Peer> peers) {
     this.peers = peers;
   }
 
-  /** A new term begins, to which nobody has promised anything. */
+  /** Removes all promises and requests of the previous term. */
   void clear() {
     validUntil.clear();
     requestsSentAt.clear();
   }
 
-  /** Notes that a request is sent to all peers now; returns its number. */
+  /**
+   * Records that a request is sent to all peers now.
+   *
+   * @param nowMs the current time, in milliseconds of the monotonic clock
+   * @return the number of the request
+   */
   long recordRequest(long nowMs) {
     requestsSentAt.put(++lastRequest, nowMs);
     if (requestsSentAt.size() > MAX_UNANSWERED_REQUESTS) {
@@ -39,7 +53,11 @@
     return lastRequest;
   }
 
-  /** Takes a promise; returns whether it answers a request of this term. */
+  /**
+   * Records a promise if it answers a request of this term.
+   *
+   * @return whether the promise was recorded
+   */
   boolean accept(PeerMessage.Promise promise) {
     Long sentAt = requestsSentAt.get(promise.requestId());
     if (sentAt == null) {
@@ -50,7 +68,10 @@
     return true;
   }
 
-  /** Whether every peer's promise is valid: nobody else can lead then. False without peers. */
+  /**
+   * Returns whether every peer has made a promise that is still valid, so that no other node can
+   * lead. Returns false if there are no peers.
+   */
   boolean hasValidPromisesFromAllPeers(long nowMs) {
     if (peers.isEmpty()) {
       return false;
--- a/src/main/java/org/snowturn/core/election/Role.java
+++ b/src/main/java/org/snowturn/core/election/Role.java
@@ -1,19 +1,19 @@
 package org.snowturn.core.election;
 
-/** What a node does in the election; {@link ElectionState} has the transitions. */
+/** Role of a node in the election; {@link ElectionState} lists the transitions. */
 enum Role {
-  /** Reads the leader key, to find out whether somebody leads. */
+  /** The node reads the leader key to find out which node is the leader, if any. */
   DISCOVERING,
-  /** Another node leads; watches the leader key. */
+  /** Another node is the leader; this node watches the leader key. */
   FOLLOWER,
-  /** Nobody leads; is about to acquire a lease, or waits until it may. */
+  /** The leader key is vacant; the node requests a lease or waits until it may do so. */
   CANDIDATE,
-  /** Has a lease and writes the leader key. */
+  /** The node has a lease and is writing the leader key. */
   CLAIMING,
-  /** Owns the leader key. */
+  /** The node owns the leader key. */
   LEADER;
 
-  /** Whether a claim of this node may succeed or has succeeded. */
+  /** Returns whether a claim of the node to the leader key may succeed or has succeeded. */
   boolean isPossibleLeaderKeyOwner() {
     return this == CANDIDATE || this == CLAIMING || this == LEADER;
   }
--- a/src/main/java/org/snowturn/core/election/StateServiceHealth.java
+++ b/src/main/java/org/snowturn/core/election/StateServiceHealth.java
@@ -6,117 +6,150 @@
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.storage.StorageKeys;
 
-/** Whether the state service answers this node, and whether it answers the peers. */
+/** Health of the state service, as seen by this node and as reported by its peers. */
 final class StateServiceHealth {
+  /** Interval between probes. */
   private static final long PROBE_INTERVAL_MS = 700;
+
+  /** Timeout of a probe. */
   private static final int PROBE_TIMEOUT_MS = 1000;
 
   /**
-   * While the leader has trouble with the state service, peers probe more often, and an answer
-   * counts for less long: a leader that resigns in an outage that has just begun leaves nobody.
+   * Probe interval of a standby while the leader's renewals fail. The interval and the maximum age
+   * of an answer are shorter then, because a leader that resigns at the start of an outage of the
+   * whole state service leaves the cluster without a leader.
    */
-  private static final long TROUBLED_PROBE_INTERVAL_MS = 250;
+  private static final long RENEWAL_FAILING_PROBE_INTERVAL_MS = 250;
 
-  private static final long TROUBLED_FRESH_MS = 500;
+  /** Maximum age of an answer that a standby reports while the leader's renewals fail. */
+  private static final long RENEWAL_FAILING_MAX_ANSWER_AGE_MS = 500;
 
-  /** After this, trouble counts as the normal state of a slow state service. */
-  private static final long MAX_TROUBLE_MS = 5_000;
+  /**
+   * Maximum time for which the short interval and age apply. Renewals that fail for longer count as
+   * the normal state of a slow state service.
+   */
+  private static final long MAX_RENEWAL_FAILING_MS = 5_000;
 
-  /** Without a good reply for this long, this node counts as cut off from the state service. */
-  private static final long LOST_AFTER_MS = 2200;
+  /** Time without a successful reply after which the state service counts as unreachable. */
+  private static final long UNREACHABLE_AFTER_MS = 2200;
 
-  private static final long PEER_REPORT_FRESH_MS = 1500;
+  /** Maximum age of a peer's report that the state service answers it. */
+  private static final long MAX_PEER_REPORT_AGE_MS = 1500;
 
   private final CoreRuntime runtime;
   private final Map<String, Long> peersAnsweredAt = new HashMap<>();
-  private long leaderTroubledSince = MonotonicTime.NEVER;
+  private long leaderRenewalFailingSince = MonotonicTime.NEVER;
   private long nextProbeAt;
-  private boolean probing;
+  private boolean probeOpen;
   private long answeredAt = MonotonicTime.NEVER;
 
+  /** Creates the health of a state service that has not answered yet. */
   StateServiceHealth(CoreRuntime runtime) {
     this.runtime = runtime;
   }
 
-  /** When the last request that it answered was sent; {@link MonotonicTime#NEVER} if none was. */
+  /**
+   * Returns the time at which the latest request answered by the state service was sent, in
+   * milliseconds of the monotonic clock; {@link MonotonicTime#NEVER} if it has answered none.
+   */
   long answeredAt() {
     return answeredAt;
   }
 
-  /** It has answered a request that was sent at this moment. */
+  /**
+   * Records an answer of the state service to this node.
+   *
+   * @param sentAt the time at which the answered request was sent, in milliseconds of the monotonic
+   *     clock
+   */
   void onAnswer(long sentAt) {
     answeredAt = Math.max(answeredAt, sentAt);
   }
 
-  /** Whether it has answered this node lately. */
+  /** Returns whether the state service has answered this node recently. */
   boolean isHealthy() {
-    return runtime.now() - LOST_AFTER_MS < answeredAt;
+    return runtime.now() - UNREACHABLE_AFTER_MS < answeredAt;
   }
 
-  /** Whether a peer has said lately that it is answered. */
+  /** Returns whether a peer has reported recently that the state service answers it. */
   boolean isAnsweringPeers() {
     for (long at : peersAnsweredAt.values()) {
-      if (runtime.now() - PEER_REPORT_FRESH_MS < at) {
+      if (runtime.now() - MAX_PEER_REPORT_AGE_MS < at) {
         return true;
       }
     }
     return false;
   }
 
-  /** A peer says whether it is answered. */
-  void onPeerReport(String peer, boolean answered) {
-    if (answered) {
+  /**
+   * Handles the report of a peer.
+   *
+   * @param isAnswered whether the state service answers the peer
+   */
+  void onPeerReport(String peer, boolean isAnswered) {
+    if (isAnswered) {
       peersAnsweredAt.put(peer, runtime.now());
     } else {
       peersAnsweredAt.remove(peer);
     }
   }
 
-  /** The leader says whether it has trouble with the state service. */
-  void onLeaderReport(boolean troubled) {
-    if (!troubled) {
-      leaderTroubledSince = MonotonicTime.NEVER;
-    } else if (leaderTroubledSince == MonotonicTime.NEVER) {
-      leaderTroubledSince = runtime.now();
+  /**
+   * Handles the report of the leader.
+   *
+   * @param isRenewalFailing whether the last renewal of the leader's lease failed
+   */
+  void onLeaderReport(boolean isRenewalFailing) {
+    if (!isRenewalFailing) {
+      leaderRenewalFailingSince = MonotonicTime.NEVER;
+    } else if (leaderRenewalFailingSince == MonotonicTime.NEVER) {
+      leaderRenewalFailingSince = runtime.now();
       nextProbeAt = Math.min(nextProbeAt, runtime.now());
     }
   }
 
   /**
-   * Sends a cheap read if it is time, one at a time.
+   * Probes the state service by reading one key, if a probe is due and none is open.
    *
-   * @param leading whether this node leads itself
+   * @param isLeader whether this node is the leader
    */
-  void probe(boolean leading) {
-    if (probing || runtime.now() < nextProbeAt) {
+  void probe(boolean isLeader) {
+    if (probeOpen || runtime.now() < nextProbeAt) {
       return;
     }
-    probing = true;
+    probeOpen = true;
     long sentAt = runtime.now();
     nextProbeAt =
-        sentAt + (!leading && leaderTroubled() ? TROUBLED_PROBE_INTERVAL_MS : PROBE_INTERVAL_MS);
+        sentAt
+            + (!isLeader && isLeaderRenewalFailing()
+                ? RENEWAL_FAILING_PROBE_INTERVAL_MS
+                : PROBE_INTERVAL_MS);
     runtime.callForAuthority(
         "GET",
         "/kv/" + StorageKeys.LEADER,
         null,
         PROBE_TIMEOUT_MS,
         (outcome, status, body) -> {
-          probing = false;
+          probeOpen = false;
           if (outcome.succeeded(status) || outcome.notFound(status)) {
             onAnswer(sentAt);
           }
         });
   }
 
-  /** Whether it has answered this standby so lately that a leader may rely on it. */
+  /**
+   * Returns whether the state service has answered this standby recently enough that a leader can
+   * hand leadership over to it.
+   */
   boolean isAnsweringNow() {
-    long freshMs = leaderTroubled() ? TROUBLED_FRESH_MS : 2 * PROBE_INTERVAL_MS;
-    return runtime.now() - freshMs < answeredAt;
+    long maxAnswerAgeMs =
+        isLeaderRenewalFailing() ? RENEWAL_FAILING_MAX_ANSWER_AGE_MS : 2 * PROBE_INTERVAL_MS;
+    return runtime.now() - maxAnswerAgeMs < answeredAt;
   }
 
-  /** Whether the leader has begun to say that the state service does not answer it. */
-  private boolean leaderTroubled() {
-    return leaderTroubledSince != MonotonicTime.NEVER
-        && runtime.now() - leaderTroubledSince < MAX_TROUBLE_MS;
+  /** Returns whether the leader has recently started to report failing renewals. */
+  private boolean isLeaderRenewalFailing() {
+    return leaderRenewalFailingSince != MonotonicTime.NEVER
+        && runtime.now() - leaderRenewalFailingSince < MAX_RENEWAL_FAILING_MS;
   }
 }
--- a/src/main/java/org/snowturn/core/election/StatusBroadcast.java
+++ b/src/main/java/org/snowturn/core/election/StatusBroadcast.java
@@ -3,11 +3,19 @@
 import org.snowturn.core.PeerMessage;
 import org.snowturn.core.effects.CoreRuntime;
 
-/** Tells the peers regularly what this node is: the leader asks for promises, others stand by. */
+/**
+ * Broadcasts the status of this node to its peers at regular intervals: the leader sends a request
+ * for promises, any other node a standby status.
+ */
 final class StatusBroadcast {
+  /** Interval between messages. */
   private static final long INTERVAL_MS = 300;
 
-  /** Until peers have heard that a restarted node does not lead, none of them may claim. */
+  /**
+   * Interval between messages of a restarted node that is not the leader. It is short because a
+   * restarted peer makes no claim until it has received the standby status of every other node or
+   * the promises of its previous process have expired.
+   */
   private static final long START_INTERVAL_MS = 100;
 
   private final CoreRuntime runtime;
@@ -19,6 +27,7 @@
   private final StateServiceHealth service;
   private long nextAt;
 
+  /** Creates a broadcast whose first message is due at once. */
   StatusBroadcast(
       CoreRuntime runtime,
       String node,
@@ -41,20 +50,20 @@
     nextAt = runtime.now();
   }
 
-  /** Sends a message if it is due. */
+  /** Broadcasts a message if one is due. */
   void tick() {
     long now = runtime.now();
     if (now < nextAt) {
       return;
     }
-    boolean starting = !state.isLeader() && givenPromises.isRecentlyStarted();
-    nextAt = now + (starting ? START_INTERVAL_MS : INTERVAL_MS);
+    boolean isStarting = !state.isLeader() && givenPromises.isRecentlyStarted();
+    nextAt = now + (isStarting ? START_INTERVAL_MS : INTERVAL_MS);
     runtime.broadcast(state.isLeader() ? promiseRequest() : standbyStatus());
   }
 
   private PeerMessage promiseRequest() {
-    long number = promises.recordRequest(runtime.now());
-    return new PeerMessage.PromiseRequest(node, number, state.token(), lease.isRenewalFailing());
+    long requestId = promises.recordRequest(runtime.now());
+    return new PeerMessage.PromiseRequest(node, requestId, state.token(), lease.isRenewalFailing());
   }
 
   private PeerMessage standbyStatus() {
--- a/src/main/java/org/snowturn/core/election/StepDown.java
+++ b/src/main/java/org/snowturn/core/election/StepDown.java
@@ -5,11 +5,12 @@
 import org.snowturn.core.effects.LogEvent;
 import org.snowturn.core.effects.LogField;
 
-/** Ends a term of this node. */
+/** Ends the term of this node as leader. */
 final class StepDown {
-  /** For so long after its resignation, a node leaves a vacant leader key to its peers. */
+  /** Time after its resignation during which a node makes no claim to a vacant leader key. */
   private static final long HOLD_OFF_MS = 15_000;
 
+  /** Delay between a resignation and the next read of the leader key. */
   private static final long DISCOVERY_DELAY_MS = 1000;
 
   private final CoreRuntime runtime;
@@ -19,6 +20,7 @@
   private final LeaderLease lease;
   private final Campaign campaign;
 
+  /** Creates the step-down procedure of a node. */
   StepDown(
       CoreRuntime runtime,
       String node,
@@ -35,9 +37,9 @@
   }
 
   /**
-   * Gives up leadership, if this node has it. The lease is left to expire.
+   * Steps down if this node is the leader. The lease is not revoked and expires by itself.
    *
-   * @param reason for the log
+   * @param reason the reason that is logged
    */
   void stepDown(String reason) {
     if (!state.isLeader()) {
@@ -55,9 +57,9 @@
   }
 
   /**
-   * Gives up leadership and the lease, so that another node can lead at once.
+   * Steps down and revokes the lease, so that another node can be elected at once.
    *
-   * @param reason for the log
+   * @param reason the reason that is logged
    */
   void resign(String reason) {
     campaign.holdOffUntil(runtime.now() + HOLD_OFF_MS);
--- a/src/main/java/org/snowturn/core/election/package-info.java
+++ b/src/main/java/org/snowturn/core/election/package-info.java
@@ -1,2 +1,5 @@
-/** Leader election: the lease, peers' promises, and how far cancellations are known. */
+/**
+ * Leader election by a lease in the state service, the promises of peers that replace the lease
+ * during an outage of the state service, and the watermark of known cancellations.
+ */
 package org.snowturn.core.election;
