--- a/src/main/java/org/snowturn/core/election/Authority.java
+++ b/src/main/java/org/snowturn/core/election/Authority.java
@@ -4,7 +4,7 @@
 import org.snowturn.core.effects.CoreRuntime;
 
 /**
- * The authority of this node to act as leader. It is normally based on a valid lease in the state
+ * Authority of this node to act as leader. It is normally based on a valid lease in the state
  * service. While the state service is unavailable, it can also be based on promises: if every peer
  * has promised not to claim leadership for a limited time, no other node can take over, even if the
  * lease has expired.
--- a/src/main/java/org/snowturn/core/election/AuthorityLog.java
+++ b/src/main/java/org/snowturn/core/election/AuthorityLog.java
@@ -5,9 +5,7 @@
 import org.snowturn.core.effects.LogEvent;
 import org.snowturn.core.effects.LogField;
 
-/**
- * Logs when this node gains or loses the authority to act as leader, or when its ground changes.
- */
+/** Log of the changes in this node's authority to act as leader and in the ground for it. */
 final class AuthorityLog {
   private final CoreRuntime runtime;
   private final ElectionState state;
--- a/src/main/java/org/snowturn/core/election/Campaign.java
+++ b/src/main/java/org/snowturn/core/election/Campaign.java
@@ -14,8 +14,8 @@
 import org.snowturn.wire.StateMessage;
 
 /**
- * The campaign of a node that is not the leader: reads the leader key, watches it while another
- * node owns it, and claims it when it is vacant.
+ * Campaign for leadership of a node that is not the leader. The node reads the leader key, watches
+ * it while another node owns it, and claims it when it is vacant.
  */
 final class Campaign {
   /**
@@ -27,13 +27,16 @@
   /** Maximum delay before a failed read or claim is retried. */
   private static final long MAX_RETRY_MS = 400;
 
-  /** Delay of the first claim of a restarted process, which gives running peers precedence. */
+  /**
+   * Delay of the claim of a restarted process whose previous process owned the leader key. It gives
+   * running peers precedence.
+   */
   private static final long START_DELAY_MS = 400;
 
   /** Delay of the claim of a node while a peer is better connected. */
   private static final long DEFER_MS = 1_500;
 
-  /** Handles the events of a campaign. */
+  /** Handler of the events of a campaign. */
   interface Listener {
     /**
      * Called when this node finds the leader key vacant. The listener calls {@link Campaign#tick()}
@@ -164,7 +167,7 @@
   private void readLeaderKey() {
     requestOpen = true;
     requests.readLeaderKey(
-        orRetry(
+        retryOnFailure(
             body -> {
               watchRevision = StateMessage.revision(body);
               backoff.reset();
@@ -222,7 +225,7 @@
     state.observeToken(leaderKey.version());
     state.setLeader(owner);
     if (node.equals(owner) && !requests.isOwn(value)) {
-      endPredecessor(ElectionRequests.leaseOf(value), leaderKey.version());
+      endPreviousTerm(ElectionRequests.leaseOf(value), leaderKey.version());
       return;
     }
     state.becomeFollower();
@@ -234,12 +237,12 @@
    * key. Releases the peers from their promises to that process. If a peer is running, delays the
    * claim of this process, which has only just started.
    */
-  private void endPredecessor(long predecessorLease, long predecessorToken) {
-    runtime.broadcast(new PeerMessage.StepDown(node, predecessorLease, predecessorToken));
+  private void endPreviousTerm(long previousLease, long previousToken) {
+    runtime.broadcast(new PeerMessage.StepDown(node, previousLease, previousToken));
     if (givenPromises.hasStandbyPeer()) {
       holdOffUntil(runtime.now() + START_DELAY_MS);
     }
-    revokeAndDiscover(predecessorLease);
+    revokeAndDiscover(previousLease);
   }
 
   private void revokeAndDiscover(long leaseId) {
@@ -265,7 +268,7 @@
     lease.onRequestSent();
     requests.acquireLease(
         lease.ttlMs(),
-        orRetry(
+        retryOnFailure(
             body -> {
               lease.onGranted(StateMessage.leaseId(body));
               if (givenPromises.isClaimForbidden()) {
@@ -287,7 +290,7 @@
             return;
           }
           if (outcome == Outcome.UNKNOWN) {
-            // The claim may still be executed, so its lease has to be revoked.
+            // The claim may still be executed. It has no lasting effect once its lease is revoked.
             claimInDoubt = true;
             revokeAndDiscover(lease.id());
           } else if (outcome.conflict(status)) {
@@ -318,7 +321,7 @@
     }
   }
 
-  /** Handles the body of a successful reply. */
+  /** Handler of the body of a successful reply. */
   private interface BodyHandler {
     void accept(JsonNode body) throws MalformedException;
   }
@@ -329,7 +332,7 @@
    *
    * @param onBody handles the body of a successful reply
    */
-  private ReplyHandler orRetry(BodyHandler onBody) {
+  private ReplyHandler retryOnFailure(BodyHandler onBody) {
     return (outcome, status, body) -> {
       requestOpen = false;
       if (!outcome.succeeded(status)) {
--- a/src/main/java/org/snowturn/core/election/CancellationLog.java
+++ b/src/main/java/org/snowturn/core/election/CancellationLog.java
@@ -8,13 +8,13 @@
 import org.snowturn.core.PeerMessage;
 
 /**
- * The cancellations that this process has confirmed to users, numbered in the order of their
+ * Log of the cancellations that this process has confirmed to users, numbered in the order of their
  * confirmation. Peers receive them from this log, so that a leader learns of them even when it
  * cannot read the state service.
  */
 final class CancellationLog {
   /**
-   * Maximum age of an entry. A leader that has not learnt of a cancellation for this long has lost
+   * Maximum age of an entry. A leader that has not learned of a cancellation for this long has lost
    * its authority, so older entries are not needed.
    */
   private static final long MAX_AGE_MS = 180_000;
--- a/src/main/java/org/snowturn/core/election/CancellationWatermark.java
+++ b/src/main/java/org/snowturn/core/election/CancellationWatermark.java
@@ -104,8 +104,8 @@
   /**
    * Sets the listener for cancellations.
    *
-   * @param onCancellation receives the ID of each job that is learnt to be cancelled, possibly more
-   *     than once
+   * @param onCancellation receives the ID of each job that is learned to be cancelled, possibly
+   *     more than once
    */
   public void setListener(Consumer<String> onCancellation) {
     listener = onCancellation;
@@ -159,8 +159,8 @@
   }
 
   /**
-   * Returns whether a worker's lease that is renewed now for the last time would expire before a
-   * cancellation must have been carried out.
+   * Returns whether the expiry of a worker's lease would still carry out a cancellation in time if
+   * the lease were renewed now and never again.
    *
    * @param confirmedAfter a time before the confirmation of the cancellation, in milliseconds of
    *     the monotonic clock
@@ -184,7 +184,8 @@
 
   /**
    * Returns whether this node can report a job as live if it knows of no cancellation that affects
-   * it. A missed cancellation of a job that it depends on need not have taken effect yet.
+   * the job. A missed cancellation, for example of a job that it depends on, does not have to be
+   * carried out yet.
    */
   public boolean canReportLive() {
     return ageMs() < maxReportLiveAgeMs;
--- a/src/main/java/org/snowturn/core/election/Election.java
+++ b/src/main/java/org/snowturn/core/election/Election.java
@@ -23,7 +23,7 @@
   private final LeaderLease lease;
   private final PeerPromises promises;
   private final GivenPromises givenPromises;
-  private final StateServiceHealth service;
+  private final StateServiceHealth stateService;
   private final Authority authority;
   private final AuthorityLog authorityLog;
   private final Campaign campaign;
@@ -53,15 +53,16 @@
     lease = new LeaderLease(runtime, LeaderLease.ttlMs(settings, tunables));
     promises = new PeerPromises(settings.peers());
     givenPromises = new GivenPromises(runtime, settings, startedAt);
-    service = new StateServiceHealth(runtime);
+    stateService = new StateServiceHealth(runtime);
     authority = new Authority(runtime, state, lease, promises, watermark);
     authorityLog = new AuthorityLog(runtime, state, lease, authority, watermark);
     campaign =
         new Campaign(runtime, node, requests, state, lease, givenPromises, campaignListener());
     stepDown = new StepDown(runtime, node, requests, state, lease, campaign);
-    renewal = new LeaseRenewal(runtime, requests, state, lease, service, stepDown);
+    renewal = new LeaseRenewal(runtime, requests, state, lease, stateService, stepDown);
     handover = new LeaseHandover(runtime, node, requests, state, lease, givenPromises, stepDown);
-    status = new StatusBroadcast(runtime, node, state, lease, promises, givenPromises, service);
+    status =
+        new StatusBroadcast(runtime, node, state, lease, promises, givenPromises, stateService);
   }
 
   private Campaign.Listener campaignListener() {
@@ -92,7 +93,7 @@
    * milliseconds of the monotonic clock; {@link MonotonicTime#NEVER} if it has answered none.
    */
   public long stateServiceAnsweredAt() {
-    return service.answeredAt();
+    return stateService.answeredAt();
   }
 
   /**
@@ -113,12 +114,12 @@
 
   /** Returns whether the state service has answered this node recently. */
   public boolean isStateServiceHealthy() {
-    return service.isHealthy();
+    return stateService.isHealthy();
   }
 
   /** Returns whether a peer has reported recently that the state service answers it. */
   public boolean canPeersReachStateService() {
-    return service.isAnsweringPeers();
+    return stateService.isAnsweringPeers();
   }
 
   /** Returns the fencing token of this node's current or latest term. */
@@ -139,7 +140,7 @@
     handover.tick();
     givenPromises.tick();
     authorityLog.logGroundChange();
-    service.probe(state.isLeader());
+    stateService.probe(state.isLeader());
     status.tick();
     watermark.tick(state.isLeader());
     if (state.isLeader()) {
@@ -167,8 +168,8 @@
       onPromiseRequest(request);
     } else if (message instanceof PeerMessage.Promise promise) {
       onPromise(promise);
-    } else if (message instanceof PeerMessage.StepDown resigned) {
-      handover.onStepDown(resigned);
+    } else if (message instanceof PeerMessage.StepDown stepDownMessage) {
+      handover.onStepDown(stepDownMessage);
     } else if (message instanceof PeerMessage.LeaseHandover offer) {
       handover.onOffer(offer);
     } else if (message instanceof PeerMessage.LeaseEnded ended) {
@@ -178,17 +179,17 @@
 
   private void onStandby(PeerMessage.StandbyStatus standby) {
     givenPromises.addStandbyPeer(standby.from());
-    service.onPeerReport(standby.from(), standby.stateServiceAnswers());
+    stateService.onPeerReport(standby.from(), standby.stateServiceAnswers());
   }
 
   /**
    * Answers a leader's request for a promise if this node can keep the promise. It makes no promise
    * while a claim of its own may be executed, after it has found the leader key vacant, or after it
-   * has learnt of a leader with a higher token.
+   * has learned of a leader with a higher token.
    */
   private void onPromiseRequest(PeerMessage.PromiseRequest request) {
-    service.onPeerReport(request.from(), !request.stateServiceTrouble());
-    service.onLeaderReport(request.stateServiceTrouble());
+    stateService.onPeerReport(request.from(), !request.stateServiceTrouble());
+    stateService.onLeaderReport(request.stateServiceTrouble());
     boolean isOutdated = request.token() < state.highestToken();
     if (!state.isLeader() && !isOutdated) {
       state.setLeader(request.from());
@@ -197,11 +198,11 @@
       return;
     }
     state.observeToken(request.token());
-    givenPromises.promise(request, service.isAnsweringNow());
+    givenPromises.promise(request, stateService.isAnsweringNow());
   }
 
   private void onPromise(PeerMessage.Promise promise) {
-    service.onPeerReport(promise.from(), promise.stateServiceAnswers());
+    stateService.onPeerReport(promise.from(), promise.stateServiceAnswers());
     if (state.isLeader() && promise.token() == state.token() && promises.accept(promise)) {
       handover.onPromise(promise);
     }
--- a/src/main/java/org/snowturn/core/election/LeaseHandover.java
+++ b/src/main/java/org/snowturn/core/election/LeaseHandover.java
@@ -5,7 +5,7 @@
 import org.snowturn.core.effects.CoreRuntime;
 
 /**
- * Hands leadership over to the peers when the state service answers a peer but not the leader. The
+ * Handover of leadership to the peers when the state service answers a peer but not the leader. The
  * leader offers its lease, a peer revokes the lease in the state service, and the leader resigns.
  */
 final class LeaseHandover {
--- a/src/main/java/org/snowturn/core/election/LeaseRenewal.java
+++ b/src/main/java/org/snowturn/core/election/LeaseRenewal.java
@@ -3,7 +3,7 @@
 import org.snowturn.core.Outcome;
 import org.snowturn.core.effects.CoreRuntime;
 
-/** Renews the leader's lease, one request at a time. */
+/** Renewal of the leader's lease, with at most one open request at a time. */
 final class LeaseRenewal {
   /** Number of renewals that are sent within one time-to-live if all succeed. */
   private static final int RENEWALS_PER_TTL = 5;
@@ -15,7 +15,7 @@
   private final ElectionRequests requests;
   private final ElectionState state;
   private final LeaderLease lease;
-  private final StateServiceHealth service;
+  private final StateServiceHealth stateService;
   private final StepDown stepDown;
   private long nextAt;
   private boolean requestOpen;
@@ -26,13 +26,13 @@
       ElectionRequests requests,
       ElectionState state,
       LeaderLease lease,
-      StateServiceHealth service,
+      StateServiceHealth stateService,
       StepDown stepDown) {
     this.runtime = runtime;
     this.requests = requests;
     this.state = state;
     this.lease = lease;
-    this.service = service;
+    this.stateService = stateService;
     this.stepDown = stepDown;
   }
 
@@ -56,11 +56,11 @@
   private void renew() {
     requestOpen = true;
     long sentAt = runtime.now();
-    long term = state.leadershipChangeCount();
+    long changeCount = state.leadershipChangeCount();
     requests.renewLease(
         lease.id(),
         (outcome, status, body) -> {
-          if (term != state.leadershipChangeCount() || !state.isLeader()) {
+          if (changeCount != state.leadershipChangeCount() || !state.isLeader()) {
             return;
           }
           requestOpen = false;
@@ -73,7 +73,7 @@
       stepDown.resign("its lease was offered to peers while the state service did not answer");
     } else if (outcome.succeeded(status)) {
       lease.onRenewed(sentAt);
-      service.onAnswer(sentAt);
+      stateService.onAnswer(sentAt);
       nextAt = sentAt + intervalMs();
     } else if (outcome.notFound(status)) {
       stepDown.stepDown("lease expired");
--- a/src/main/java/org/snowturn/core/election/PeerCancellations.java
+++ b/src/main/java/org/snowturn/core/election/PeerCancellations.java
@@ -32,7 +32,7 @@
   }
 
   /**
-   * Advances the position and the known time after the jobs in a reply have been learnt.
+   * Advances the position and the known time after the jobs in a reply have been learned.
    *
    * @param requestSentAt the time at which the answered request was sent, in milliseconds of the
    *     monotonic clock; null if the request is unknown
--- a/src/main/java/org/snowturn/core/election/StateServiceHealth.java
+++ b/src/main/java/org/snowturn/core/election/StateServiceHealth.java
@@ -11,13 +11,17 @@
   /** Interval between probes. */
   private static final long PROBE_INTERVAL_MS = 700;
 
+  /** Maximum age of an answer that a standby reports. */
+  private static final long MAX_ANSWER_AGE_MS = 2 * PROBE_INTERVAL_MS;
+
   /** Timeout of a probe. */
   private static final int PROBE_TIMEOUT_MS = 1000;
 
   /**
    * Probe interval of a standby while the leader's renewals fail. The interval and the maximum age
-   * of an answer are shorter then, because a leader that resigns at the start of an outage of the
-   * whole state service leaves the cluster without a leader.
+   * of an answer are shorter then, so that standbys detect an outage of the whole state service
+   * early: a leader that resigns at the start of such an outage leaves the cluster without a
+   * leader.
    */
   private static final long RENEWAL_FAILING_PROBE_INTERVAL_MS = 250;
 
@@ -143,7 +147,7 @@
    */
   boolean isAnsweringNow() {
     long maxAnswerAgeMs =
-        isLeaderRenewalFailing() ? RENEWAL_FAILING_MAX_ANSWER_AGE_MS : 2 * PROBE_INTERVAL_MS;
+        isLeaderRenewalFailing() ? RENEWAL_FAILING_MAX_ANSWER_AGE_MS : MAX_ANSWER_AGE_MS;
     return runtime.now() - maxAnswerAgeMs < answeredAt;
   }
 
--- a/src/main/java/org/snowturn/core/election/StatusBroadcast.java
+++ b/src/main/java/org/snowturn/core/election/StatusBroadcast.java
@@ -4,8 +4,8 @@
 import org.snowturn.core.effects.CoreRuntime;
 
 /**
- * Broadcasts the status of this node to its peers at regular intervals: the leader sends a request
- * for promises, any other node a standby status.
+ * Periodic broadcast of this node's status to its peers. The leader sends a request for promises,
+ * any other node a standby status.
  */
 final class StatusBroadcast {
   /** Interval between messages. */
@@ -24,7 +24,7 @@
   private final LeaderLease lease;
   private final PeerPromises promises;
   private final GivenPromises givenPromises;
-  private final StateServiceHealth service;
+  private final StateServiceHealth stateService;
   private long nextAt;
 
   /** Creates a broadcast whose first message is due at once. */
@@ -35,14 +35,14 @@
       LeaderLease lease,
       PeerPromises promises,
       GivenPromises givenPromises,
-      StateServiceHealth service) {
+      StateServiceHealth stateService) {
     this.runtime = runtime;
     this.node = node;
     this.state = state;
     this.lease = lease;
     this.promises = promises;
     this.givenPromises = givenPromises;
-    this.service = service;
+    this.stateService = stateService;
   }
 
   /** Makes the next message due at once. */
@@ -67,6 +67,6 @@
   }
 
   private PeerMessage standbyStatus() {
-    return new PeerMessage.StandbyStatus(node, service.isAnsweringNow());
+    return new PeerMessage.StandbyStatus(node, stateService.isAnsweringNow());
   }
 }
--- a/src/main/java/org/snowturn/core/election/StepDown.java
+++ b/src/main/java/org/snowturn/core/election/StepDown.java
@@ -5,7 +5,7 @@
 import org.snowturn.core.effects.LogEvent;
 import org.snowturn.core.effects.LogField;
 
-/** Ends the term of this node as leader. */
+/** Procedures by which this node ends its term as leader. */
 final class StepDown {
   /** Time after its resignation during which a node makes no claim to a vacant leader key. */
   private static final long HOLD_OFF_MS = 15_000;
@@ -20,7 +20,7 @@
   private final LeaderLease lease;
   private final Campaign campaign;
 
-  /** Creates the step-down procedure of a node. */
+  /** Creates the step-down procedures of a node. */
   StepDown(
       CoreRuntime runtime,
       String node,
