--- a/src/test/java/org/snowturn/core/election/CancellationWatermarkTest.java
+++ b/src/test/java/org/snowturn/core/election/CancellationWatermarkTest.java
@@ -21,14 +21,14 @@
 import org.snowturn.core.effects.CoreRuntime;
 
 /**
- * A leader and its peers, who confirm cancellations, end and come back, while what they say to each
- * other is lost, doubled and late, and the state service is read now and then. Whatever the leader
- * takes for known, it knows.
+ * Guards against a leader that counts a cancellation as known although it has never received it.
+ * Nodes confirm cancellations and restart while messages are lost, duplicated or delayed, and the
+ * leader reads the state service from time to time.
  */
 class CancellationWatermarkTest {
   private static final String LEADER = "n0";
 
-  /** A node with its present process. */
+  /** A node and its current process. */
   private static final class Node {
     private final String name;
     private int incarnation;
@@ -37,10 +37,10 @@
 
     Node(String name, long now) {
       this.name = name;
-      begin(now);
+      startProcess(now);
     }
 
-    void begin(long now) {
+    void startProcess(long now) {
       incarnation++;
       runtime = new CoreRuntime(31L * incarnation + name.hashCode());
       runtime.setTime(now, now);
@@ -56,44 +56,44 @@
     }
   }
 
-  /** What goes on between them. */
-  private static final class Nodes {
+  /** A simulation of three nodes, their messages and the leader's reads of the state service. */
+  private static final class Cluster {
     private final RandomGenerator random;
-    private final List<Node> all;
+    private final List<Node> nodes;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final Map<String, Long> confirmedAt = new HashMap<>();
     private long now = 1_000_000;
     private long order;
-    private int known;
+    private int knownCount;
 
-    Nodes(long seed) {
+    Cluster(long seed) {
       random = new SplittableRandom(seed);
-      all = List.of(new Node(LEADER, now), new Node("n1", now), new Node("n2", now));
+      nodes = List.of(new Node(LEADER, now), new Node("n1", now), new Node("n2", now));
     }
 
     Node leader() {
-      return all.get(0);
+      return nodes.get(0);
     }
 
-    void after(long ms, Runnable run) {
-      events.add(new Event(now + ms, order++, run));
+    void schedule(long delayMs, Runnable run) {
+      events.add(new Event(now + delayMs, order++, run));
     }
 
-    void at(Node node) {
+    void setTime(Node node) {
       node.runtime.setTime(now, now);
     }
 
-    /** Delivers what a node has to say: mostly soon, sometimes late, twice or never. */
-    void deliver(Node from) {
+    /** Delivers the messages of a node: mostly soon, sometimes late, twice or never. */
+    void deliverMessages(Node from) {
       for (Effect effect : from.runtime.drainEffects()) {
         if (effect instanceof Effect.Broadcast broadcast) {
-          for (Node to : all) {
+          for (Node to : nodes) {
             for (int copies = random.nextInt(6) == 0 ? random.nextInt(3) : 1;
                 copies > 0;
                 copies--) {
-              long late = random.nextInt(8) == 0 ? random.nextInt(4_000) : random.nextInt(20);
+              long delayMs = random.nextInt(8) == 0 ? random.nextInt(4_000) : random.nextInt(20);
               if (to != from) {
-                after(late, () -> take(to, broadcast.message()));
+                schedule(delayMs, () -> receive(to, broadcast.message()));
               }
             }
           }
@@ -101,55 +101,61 @@
       }
     }
 
-    void take(Node to, PeerMessage message) {
-      at(to);
+    void receive(Node to, PeerMessage message) {
+      setTime(to);
       if (message instanceof PeerMessage.CancellationsRequest request) {
         to.watermark.onRequest(request);
       } else if (message instanceof PeerMessage.CancellationsReply reply) {
         to.watermark.onReply(reply);
       }
-      deliver(to);
+      deliverMessages(to);
     }
 
-    /** The state service has every confirmed cancellation; it is read at once, answered later. */
-    void read() {
+    /** Reads every confirmed cancellation from the state service, whose reply arrives later. */
+    void readStateService() {
       long sentAt = now;
       int incarnation = leader().incarnation;
-      after(
+      schedule(
           random.nextInt(30),
           () -> {
             List<String> stored = List.copyOf(confirmedAt.keySet());
-            after(
+            schedule(
                 random.nextInt(500),
                 () -> {
                   if (leader().incarnation != incarnation) {
-                    return; // a reply ends with the process that asked
+                    return; // a restarted process does not receive the reply
                   }
-                  at(leader());
+                  setTime(leader());
                   stored.forEach(leader().watermark::learn);
                   leader().watermark.onLiveJobsRead(sentAt);
                 });
           });
     }
 
-    void confirm(Node node, int jobs) {
-      at(node);
-      for (int i = 0; i < jobs; i++) {
+    void confirm(Node node, int jobCount) {
+      setTime(node);
+      for (int i = 0; i < jobCount; i++) {
         String job = "wk-" + String.format("%06d", confirmedAt.size());
         confirmedAt.put(job, now);
         node.watermark.confirm(job);
       }
     }
 
-    void check() {
-      at(leader());
+    void checkKnownCancellations() {
+      setTime(leader());
       long until = leader().watermark.knownUntil();
       confirmedAt.forEach(
           (job, at) -> {
             if (at < until) {
-              known++;
+              knownCount++;
               assertTrue(
-                  leader().watermark.isCancelled(job), job + " told at " + at + " of " + until);
+                  leader().watermark.isCancelled(job),
+                  job
+                      + " confirmed at "
+                      + at
+                      + ", before the watermark "
+                      + until
+                      + ", is not known");
             }
           });
     }
@@ -163,152 +169,178 @@
           event.run().run();
         }
         now = next;
-        Node peer = all.get(1 + random.nextInt(2));
+        Node peer = nodes.get(1 + random.nextInt(2));
         switch (random.nextInt(14)) {
           case 0, 1, 2 -> confirm(peer, 1 + random.nextInt(3));
           case 3 -> confirm(leader(), 1);
           case 4 -> confirm(peer, random.nextInt(20) == 0 ? 400 : 1);
           case 5 -> {
             if (random.nextInt(4) == 0) {
-              (random.nextInt(4) == 0 ? leader() : peer).begin(now);
+              (random.nextInt(4) == 0 ? leader() : peer).startProcess(now);
             }
           }
           case 6 -> {
             if (random.nextInt(3) == 0) {
-              read();
+              readStateService();
             }
           }
           default -> {
-            at(leader());
+            setTime(leader());
             leader().watermark.tick(true);
-            deliver(leader());
+            deliverMessages(leader());
           }
         }
-        check();
+        checkKnownCancellations();
       }
     }
   }
 
   @Property(seed = "11", tries = 400, edgeCases = EdgeCasesMode.NONE)
-  void whatIsTakenForKnownIsKnown(@ForAll long seed) {
-    Nodes nodes = new Nodes(seed);
-    nodes.run(150);
+  void everyCancellationConfirmedBeforeTheWatermarkIsKnown(@ForAll long seed) {
+    Cluster cluster = new Cluster(seed);
+    cluster.run(150);
   }
 
-  /** So the property above is no empty one: with links that work the watermark follows closely. */
+  /**
+   * Guards against a watermark that never advances, with which the property above would hold
+   * without checking anything. All messages arrive, so the watermark must stay recent.
+   */
   @Test
-  void logsAloneKeepTheWatermarkCloseOnceTheStateServiceWasRead() {
-    Nodes nodes = quiet();
-    nodes.confirm(nodes.all.get(1), 700); // more than one record holds
+  void repliesOfPeersKeepTheWatermarkRecentOnceTheStateServiceWasRead() {
+    Cluster cluster = clusterWithCurrentWatermark();
+    cluster.confirm(cluster.nodes.get(1), 700); // more than one reply holds
     for (int i = 0; i < 40; i++) {
-      step(nodes, 100);
+      step(cluster, 100);
     }
-    nodes.check();
-    assertTrue(nodes.leader().watermark.ageMs() < 500, "age " + nodes.leader().watermark.ageMs());
-    assertEquals(700, nodes.known);
-    assertTrue(nodes.leader().watermark.isCurrent());
+    cluster.checkKnownCancellations();
+    assertTrue(
+        cluster.leader().watermark.ageMs() < 500, "age " + cluster.leader().watermark.ageMs());
+    assertEquals(700, cluster.knownCount);
+    assertTrue(cluster.leader().watermark.isCurrent());
   }
 
+  /**
+   * Guards against trusting the replies of a restarted peer, which does not know what its previous
+   * process confirmed, before the state service has been read.
+   */
   @Test
-  void aRestartedPeerSaysNothingOfItsPredecessor() {
-    Nodes nodes = quiet();
-    nodes.all.get(1).begin(nodes.now);
+  void repliesOfARestartedPeerCountOnlyAfterAReadOfTheStateService() {
+    Cluster cluster = clusterWithCurrentWatermark();
+    cluster.nodes.get(1).startProcess(cluster.now);
     long slack = CancellationWatermark.slackMs(TestSettings.of(LEADER));
     for (long t = 0; t <= slack + 1_000; t += 100) {
-      step(nodes, 100);
+      step(cluster, 100);
     }
-    assertFalse(nodes.leader().watermark.isCurrent());
-    nodes
+    assertFalse(cluster.leader().watermark.isCurrent());
+    cluster
         .leader()
         .watermark
-        .onLiveJobsRead(nodes.now); // shows what the predecessor may have confirmed
-    step(nodes, 300);
-    step(nodes, 300);
-    assertTrue(nodes.leader().watermark.isCurrent());
+        .onLiveJobsRead(cluster.now); // returns what the previous process may have confirmed
+    step(cluster, 300);
+    step(cluster, 300);
+    assertTrue(cluster.leader().watermark.isCurrent());
   }
 
-  /** Both processes have asked as often; what the peer confirmed in between is not in its reply. */
+  /**
+   * Guards against a late reply to the leader's previous process being matched to a request of the
+   * new process. Both have sent the same number of requests, and the late reply lacks a
+   * cancellation that the peer has confirmed since.
+   */
   @Test
-  void aReplyToThePreviousProcessMovesNothing() {
-    Nodes nodes = quiet();
-    Node peer = nodes.all.get(1);
-    nodes.now += 400;
-    nodes.at(nodes.leader());
-    nodes.leader().watermark.tick(true);
-    PeerMessage.CancellationsRequest asked =
-        (PeerMessage.CancellationsRequest) messages(nodes.leader()).get(0);
-    nodes.at(peer);
-    peer.watermark.onRequest(asked);
-    List<PeerMessage> late = messages(peer);
-    nodes.leader().begin(nodes.now);
-    step(nodes, 50);
-    nodes.leader().watermark.onLiveJobsRead(nodes.now);
-    step(nodes, 400);
-    nodes.now += 10;
-    nodes.confirm(peer, 1);
-    for (int lost = 0; lost < 8; lost++) {
-      step(nodes, 400, nodes.all.subList(2, 3)); // what this peer is asked is lost
+  void aReplyToThePreviousProcessDoesNotAdvanceTheWatermark() {
+    Cluster cluster = clusterWithCurrentWatermark();
+    Node peer = cluster.nodes.get(1);
+    cluster.now += 400;
+    cluster.setTime(cluster.leader());
+    cluster.leader().watermark.tick(true);
+    PeerMessage.CancellationsRequest request =
+        (PeerMessage.CancellationsRequest) messages(cluster.leader()).get(0);
+    cluster.setTime(peer);
+    peer.watermark.onRequest(request);
+    List<PeerMessage> lateReplies = messages(peer);
+    cluster.leader().startProcess(cluster.now);
+    step(cluster, 50);
+    cluster.leader().watermark.onLiveJobsRead(cluster.now);
+    step(cluster, 400);
+    cluster.now += 10;
+    cluster.confirm(peer, 1);
+    for (int i = 0; i < 8; i++) {
+      step(cluster, 400, cluster.nodes.subList(2, 3)); // requests to this peer are lost
     }
-    late.forEach(c -> nodes.leader().watermark.onReply((PeerMessage.CancellationsReply) c));
-    assertTrue(nodes.leader().watermark.knownUntil() < nodes.confirmedAt.get("wk-000000"));
+    lateReplies.forEach(
+        reply -> cluster.leader().watermark.onReply((PeerMessage.CancellationsReply) reply));
+    assertTrue(cluster.leader().watermark.knownUntil() < cluster.confirmedAt.get("wk-000000"));
   }
 
   @Test
-  void inconsistentRepliesMoveNothingAndAreCounted() {
-    Nodes nodes = quiet();
-    CancellationWatermark watermark = nodes.leader().watermark;
-    long before = watermark.knownUntil();
-    List<String> job = List.of("wk-1");
-    List<PeerMessage.CancellationsReply> wrong = new ArrayList<>();
-    wrong.add(new PeerMessage.CancellationsReply("n9", LEADER, 1, "x", 0, 1, 0, 0, job));
-    wrong.add(new PeerMessage.CancellationsReply("n1", LEADER, 1, "x", 0, 0, 0, 0, job));
-    wrong.add(new PeerMessage.CancellationsReply("n1", LEADER, 1, "x", -1, 0, 0, 0, job));
-    wrong.add(new PeerMessage.CancellationsReply("n1", LEADER, 1, "x", 3, 4, 5, 0, job));
-    wrong.add(new PeerMessage.CancellationsReply("n1", LEADER, 1, "x", 0, 4, 0, 0, List.of()));
-    wrong.add(new PeerMessage.CancellationsReply("n1", LEADER, 1, "x", 0, 1, 0, -1, job));
-    wrong.add(
+  void inconsistentRepliesAreCountedAndDoNotAdvanceTheWatermark() {
+    Cluster cluster = clusterWithCurrentWatermark();
+    CancellationWatermark watermark = cluster.leader().watermark;
+    long knownUntilBefore = watermark.knownUntil();
+    List<String> jobs = List.of("wk-1");
+    List<PeerMessage.CancellationsReply> malformedReplies = new ArrayList<>();
+    malformedReplies.add(
+        new PeerMessage.CancellationsReply("n9", LEADER, 1, "x", 0, 1, 0, 0, jobs));
+    malformedReplies.add(
+        new PeerMessage.CancellationsReply("n1", LEADER, 1, "x", 0, 0, 0, 0, jobs));
+    malformedReplies.add(
+        new PeerMessage.CancellationsReply("n1", LEADER, 1, "x", -1, 0, 0, 0, jobs));
+    malformedReplies.add(
+        new PeerMessage.CancellationsReply("n1", LEADER, 1, "x", 3, 4, 5, 0, jobs));
+    malformedReplies.add(
+        new PeerMessage.CancellationsReply("n1", LEADER, 1, "x", 0, 4, 0, 0, List.of()));
+    malformedReplies.add(
+        new PeerMessage.CancellationsReply("n1", LEADER, 1, "x", 0, 1, 0, -1, jobs));
+    malformedReplies.add(
         new PeerMessage.CancellationsReply("n1", LEADER, 1, "x", 0, 1, 0, 0, List.of("../j")));
-    wrong.forEach(watermark::onReply);
-    assertEquals((double) wrong.size(), watermark.gauges().get("snowturn.cancellations.malformed"));
-    assertEquals(before, watermark.knownUntil());
+    malformedReplies.forEach(watermark::onReply);
+    assertEquals(
+        (double) malformedReplies.size(),
+        watermark.gauges().get("snowturn.cancellations.malformed"));
+    assertEquals(knownUntilBefore, watermark.knownUntil());
     assertFalse(watermark.isCancelled("wk-1"));
   }
 
-  /** Nobody confirms anything, no message is lost, and the state service has been read. */
-  private static Nodes quiet() {
-    Nodes nodes = new Nodes(1);
-    step(nodes, 50);
-    nodes.leader().watermark.onLiveJobsRead(nodes.now);
-    step(nodes, 400);
-    step(nodes, 400);
-    assertTrue(nodes.leader().watermark.isCurrent());
-    return nodes;
+  /**
+   * Creates a cluster with an established watermark, no cancellations and no messages in transit.
+   */
+  private static Cluster clusterWithCurrentWatermark() {
+    Cluster cluster = new Cluster(1);
+    step(cluster, 50);
+    cluster.leader().watermark.onLiveJobsRead(cluster.now);
+    step(cluster, 400);
+    step(cluster, 400);
+    assertTrue(cluster.leader().watermark.isCurrent());
+    return cluster;
   }
 
-  private static void step(Nodes nodes, long ms) {
-    step(nodes, ms, nodes.all.subList(1, 3));
+  /** Advances the time, after which the leader and all peers exchange requests and replies. */
+  private static void step(Cluster cluster, long ms) {
+    step(cluster, ms, cluster.nodes.subList(1, 3));
   }
 
-  private static void step(Nodes nodes, long ms, List<Node> reached) {
-    nodes.now += ms;
-    nodes.at(nodes.leader());
-    nodes.leader().watermark.tick(true);
-    List<PeerMessage> asks = messages(nodes.leader());
-    for (Node peer : reached) {
-      nodes.at(peer);
-      asks.forEach(a -> peer.watermark.onRequest((PeerMessage.CancellationsRequest) a));
+  private static void step(Cluster cluster, long ms, List<Node> reachablePeers) {
+    cluster.now += ms;
+    cluster.setTime(cluster.leader());
+    cluster.leader().watermark.tick(true);
+    List<PeerMessage> requests = messages(cluster.leader());
+    for (Node peer : reachablePeers) {
+      cluster.setTime(peer);
+      requests.forEach(
+          request -> peer.watermark.onRequest((PeerMessage.CancellationsRequest) request));
       messages(peer)
-          .forEach(c -> nodes.leader().watermark.onReply((PeerMessage.CancellationsReply) c));
+          .forEach(
+              reply -> cluster.leader().watermark.onReply((PeerMessage.CancellationsReply) reply));
     }
   }
 
   private static List<PeerMessage> messages(Node node) {
-    List<PeerMessage> out = new ArrayList<>();
+    List<PeerMessage> messages = new ArrayList<>();
     for (Effect effect : node.runtime.drainEffects()) {
       if (effect instanceof Effect.Broadcast broadcast) {
-        out.add(broadcast.message());
+        messages.add(broadcast.message());
       }
     }
-    return out;
+    return messages;
   }
 }
