--- a/src/main/java/org/snowturn/core/election/StepDown.java
+++ b/src/main/java/org/snowturn/core/election/StepDown.java
@@ -7,7 +7,10 @@
 
 /** Procedures by which this node ends its term as leader. */
 final class StepDown {
-  /** Time after its resignation during which a node makes no claim to a vacant leader key. */
+  /**
+   * Time after its resignation during which a node makes no claim to a vacant leader key, so that a
+   * peer is elected.
+   */
   private static final long HOLD_OFF_MS = 15_000;
 
   /** Delay between a resignation and the next read of the leader key. */
