--- a/src/main/java/org/snowturn/core/election/AuthorityLog.java
+++ b/src/main/java/org/snowturn/core/election/AuthorityLog.java
@@ -5,7 +5,7 @@
 import org.snowturn.core.effects.LogEvent;
 import org.snowturn.core.effects.LogField;
 
-/** Logs when this node's right to act begins, ends or comes to rest on something else. */
+/** Log of the changes in this node's authority to act as leader and in the ground for it. */
 final class AuthorityLog {
   private final CoreRuntime runtime;
   private final ElectionState state;
@@ -13,8 +13,9 @@
   private final Authority authority;
   private final CancellationWatermark watermark;
   private Authority.Ground loggedGround = Authority.Ground.NONE;
-  private boolean loggedCurrent = true;
+  private boolean loggedWatermarkCurrent = true;
 
+  /** Creates a log that has written no line yet. */
   AuthorityLog(
       CoreRuntime runtime,
       ElectionState state,
@@ -29,8 +30,8 @@
   }
 
   /** Logs that this node has become leader. */
-  void acquired() {
-    loggedCurrent = true;
+  void logAcquired() {
+    loggedWatermarkCurrent = true;
     runtime
         .events()
         .info(LogEvent.LEADERSHIP_ACQUIRED)
@@ -39,8 +40,8 @@
         .write();
   }
 
-  /** Logs what authority rests on, if that has changed. */
-  void groundChanges() {
+  /** Logs the ground of the authority if it has changed since the last line. */
+  void logGroundChange() {
     Authority.Ground ground = authority.ground();
     if (ground == loggedGround) {
       return;
@@ -50,24 +51,27 @@
         .events()
         .info(LogEvent.AUTHORITY_CHANGED)
         .with(LogField.TOKEN, state.token())
-        .with(LogField.GROUND, ground.text())
+        .with(LogField.GROUND, ground.logName())
         .with(LogField.LEASE, lease.id())
         .with(LogField.UNTIL_MS, lease.validUntil() - runtime.now())
         .write();
   }
 
-  /** Logs whether all cancellations that matter are known to this leader, if that has changed. */
-  void watermarkChanges() {
-    if (loggedCurrent == watermark.current()) {
+  /** Logs whether the cancellation watermark is current if that has changed since the last line. */
+  void logWatermarkChange() {
+    if (loggedWatermarkCurrent == watermark.isCurrent()) {
       return;
     }
-    loggedCurrent = !loggedCurrent;
+    loggedWatermarkCurrent = !loggedWatermarkCurrent;
     EventLog.Line line =
         runtime
             .events()
-            .info(loggedCurrent ? LogEvent.CANCELLATIONS_CURRENT : LogEvent.CANCELLATIONS_STALE)
+            .info(
+                loggedWatermarkCurrent
+                    ? LogEvent.CANCELLATIONS_CURRENT
+                    : LogEvent.CANCELLATIONS_STALE)
             .with(LogField.TOKEN, state.token());
-    if (!loggedCurrent && watermark.everKnown()) {
+    if (!loggedWatermarkCurrent && watermark.isEstablished()) {
       line.with(LogField.AGE_MS, watermark.ageMs());
     }
     line.write();
--- a/src/main/java/org/snowturn/core/election/LeaseRenewal.java
+++ b/src/main/java/org/snowturn/core/election/LeaseRenewal.java
@@ -3,46 +3,48 @@
 import org.snowturn.core.Outcome;
 import org.snowturn.core.effects.CoreRuntime;
 
-/** Renews the leader's lease, one request at a time. */
+/** Renewal of the leader's lease, with at most one open request at a time. */
 final class LeaseRenewal {
-  /** A time-to-live has room for so many renewals. */
+  /** Number of renewals that are sent within one time-to-live if all succeed. */
   private static final int RENEWALS_PER_TTL = 5;
 
+  /** Delay before a failed renewal is retried. */
   private static final long RETRY_MS = 250;
 
   private final CoreRuntime runtime;
   private final ElectionRequests requests;
   private final ElectionState state;
   private final LeaderLease lease;
-  private final StateServiceHealth service;
+  private final StateServiceHealth stateService;
   private final StepDown stepDown;
   private long nextAt;
-  private boolean underWay;
+  private boolean requestOpen;
 
+  /** Creates the renewal of the leader's lease; {@link #start()} starts it for a term. */
   LeaseRenewal(
       CoreRuntime runtime,
       ElectionRequests requests,
       ElectionState state,
       LeaderLease lease,
-      StateServiceHealth service,
+      StateServiceHealth stateService,
       StepDown stepDown) {
     this.runtime = runtime;
     this.requests = requests;
     this.state = state;
     this.lease = lease;
-    this.service = service;
+    this.stateService = stateService;
     this.stepDown = stepDown;
   }
 
-  /** A term begins. */
+  /** Schedules the first renewal of a term. */
   void start() {
-    underWay = false;
+    requestOpen = false;
     nextAt = runtime.now() + intervalMs();
   }
 
-  /** Renews the lease if it is time. */
+  /** Renews the lease if a renewal is due. */
   void tick() {
-    if (!underWay && runtime.now() >= nextAt) {
+    if (!requestOpen && runtime.now() >= nextAt) {
       renew();
     }
   }
@@ -52,31 +54,31 @@
   }
 
   private void renew() {
-    underWay = true;
+    requestOpen = true;
     long sentAt = runtime.now();
-    long term = state.changesOfLeadership();
+    long changeCount = state.leadershipChangeCount();
     requests.renewLease(
         lease.id(),
         (outcome, status, body) -> {
-          if (term != state.changesOfLeadership() || !state.leading()) {
+          if (changeCount != state.leadershipChangeCount() || !state.isLeader()) {
             return;
           }
-          underWay = false;
-          renewed(sentAt, outcome, status);
+          requestOpen = false;
+          onReply(sentAt, outcome, status);
         });
   }
 
-  private void renewed(long sentAt, Outcome outcome, int status) {
-    if (outcome.succeeded(status) && lease.offered()) {
+  private void onReply(long sentAt, Outcome outcome, int status) {
+    if (outcome.succeeded(status) && lease.isOffered()) {
       stepDown.resign("its lease was offered to peers while the state service did not answer");
     } else if (outcome.succeeded(status)) {
-      lease.renewed(sentAt);
-      service.answered(sentAt);
+      lease.onRenewed(sentAt);
+      stateService.onAnswer(sentAt);
       nextAt = sentAt + intervalMs();
     } else if (outcome.notFound(status)) {
       stepDown.stepDown("lease expired");
     } else {
-      lease.renewalFailed(sentAt);
+      lease.onRenewalFailed(sentAt);
       nextAt = runtime.now() + RETRY_MS;
     }
   }
--- a/src/main/java/org/snowturn/core/election/StatusBroadcast.java
+++ b/src/main/java/org/snowturn/core/election/StatusBroadcast.java
@@ -3,11 +3,19 @@
 import org.snowturn.core.PeerMessage;
 import org.snowturn.core.effects.CoreRuntime;
 
-/** Tells the peers regularly what this node is: the leader asks for promises, others stand by. */
+/**
+ * Periodic broadcast of this node's status to its peers. The leader sends a request for promises,
+ * any other node a standby status.
+ */
 final class StatusBroadcast {
+  /** Interval between messages. */
   private static final long INTERVAL_MS = 300;
 
-  /** Until peers have heard that a restarted node does not lead, none of them may claim. */
+  /**
+   * Interval between messages of a restarted node that is not the leader. It is short because a
+   * restarted peer makes no claim until it has received the standby status of every other node or
+   * the promises of its previous process have expired.
+   */
   private static final long START_INTERVAL_MS = 100;
 
   private final CoreRuntime runtime;
@@ -16,9 +24,10 @@
   private final LeaderLease lease;
   private final PeerPromises promises;
   private final GivenPromises givenPromises;
-  private final StateServiceHealth service;
+  private final StateServiceHealth stateService;
   private long nextAt;
 
+  /** Creates a broadcast whose first message is due at once. */
   StatusBroadcast(
       CoreRuntime runtime,
       String node,
@@ -26,14 +35,14 @@
       LeaderLease lease,
       PeerPromises promises,
       GivenPromises givenPromises,
-      StateServiceHealth service) {
+      StateServiceHealth stateService) {
     this.runtime = runtime;
     this.node = node;
     this.state = state;
     this.lease = lease;
     this.promises = promises;
     this.givenPromises = givenPromises;
-    this.service = service;
+    this.stateService = stateService;
   }
 
   /** Makes the next message due at once. */
@@ -41,23 +50,23 @@
     nextAt = runtime.now();
   }
 
-  /** Sends a message if it is due. */
+  /** Broadcasts a message if one is due. */
   void tick() {
     long now = runtime.now();
     if (now < nextAt) {
       return;
     }
-    boolean starting = !state.leading() && givenPromises.recentlyStarted();
-    nextAt = now + (starting ? START_INTERVAL_MS : INTERVAL_MS);
-    runtime.broadcast(state.leading() ? promiseRequest() : standbyStatus());
+    boolean isStarting = !state.isLeader() && givenPromises.isRecentlyStarted();
+    nextAt = now + (isStarting ? START_INTERVAL_MS : INTERVAL_MS);
+    runtime.broadcast(state.isLeader() ? promiseRequest() : standbyStatus());
   }
 
   private PeerMessage promiseRequest() {
-    long number = promises.request(runtime.now());
-    return new PeerMessage.PromiseRequest(node, number, state.token(), lease.renewalFailing());
+    long requestId = promises.recordRequest(runtime.now());
+    return new PeerMessage.PromiseRequest(node, requestId, state.token(), lease.isRenewalFailing());
   }
 
   private PeerMessage standbyStatus() {
-    return new PeerMessage.StandbyStatus(node, service.answersNow());
+    return new PeerMessage.StandbyStatus(node, stateService.isAnsweringNow());
   }
 }
