--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -27,7 +27,7 @@
  */
 public final class Controller {
   /** For so long after its authority has ended, a leader redirects workers to a peer. */
-  private static final long REDIRECT_MS = 3_000;
+  private static final long REDIRECT_WINDOW_MS = 3_000;
 
   /** The HTTP status that sends a worker to another controller. */
   private static final int MISDIRECTED_REQUEST = 421;
@@ -40,7 +40,7 @@
   private final JobApi jobApi;
   private final Election election;
   private final ConnectivityMonitor connectivity;
-  private final StateRequestRelay relay;
+  private final StateRequestRelay stateRequestRelay;
   private final RateAllocator rateAllocator;
   private final LiveJobCache liveJobs;
   private final CancellationWatermark watermark;
@@ -53,7 +53,7 @@
    * @param incarnation a name that no other process of this node has had
    * @param startedMs when the process began, in milliseconds of the steady clock
    */
-  public Controller(Settings settings, Tunables tunables, String incarnation, long startedMs) {
+  public Controller(Settings settings, Tunables tunables, String incarnation, long startedAtMs) {
     this.settings = settings;
     this.tunables = tunables;
     runtime = new CoreRuntime(incarnation.hashCode());
@@ -63,22 +63,26 @@
             settings.stateLimits().least(settings.nextStateLimits()).rps(),
             settings.stateLimits().least(settings.nextStateLimits()).writeRps(),
             runtime.random(),
-            startedMs);
+            startedAtMs);
     runtime.limitStateRequests(rateAllocator.budget());
     watermark = new CancellationWatermark(settings, runtime, incarnation);
     watermark.listen(this::onCancellation);
-    liveJobs = new LiveJobCache(settings, runtime, cacheListener());
+    liveJobs = new LiveJobCache(settings, runtime, liveJobListener());
     machineTypes = new MachineTypes(runtime);
-    election = new Election(settings, tunables, runtime, watermark, incarnation, startedMs);
+    election = new Election(settings, tunables, runtime, watermark, incarnation, startedAtMs);
     formatGate = new FormatGate(settings, runtime);
     connectivity = new ConnectivityMonitor(settings, runtime, election::stateServiceAnsweredAt);
     election.deferIf(connectivity::betterElsewhere);
-    relay =
+    stateRequestRelay =
         new StateRequestRelay(
             settings, runtime, connectivity, () -> connectivity.mine().stateService());
     JobApi.Services services =
         new JobApi.Services(
-            machineTypes, formatGate, relay, rateAllocator.admissionController(), liveJobs);
+            machineTypes,
+            formatGate,
+            stateRequestRelay,
+            rateAllocator.admissionController(),
+            liveJobs);
     jobApi =
         new JobApi(settings, runtime, services, election::stateServiceHealthy, cancelledJobs());
   }
@@ -103,7 +107,7 @@
   }
 
   /** The watermark of cancellations moves with what the cache of live jobs has read. */
-  private LiveJobCache.Listener cacheListener() {
+  private LiveJobCache.Listener liveJobListener() {
     return new LiveJobCache.Listener() {
       @Override
       public void cancelled(String job) {
@@ -119,13 +123,13 @@
 
   private void onCancellation(String job) {
     if (leader != null) {
-      leader.cancellationConfirmed(job);
+      leader.onCancellationConfirmed(job);
     }
   }
 
   /** Whether to write a line of the log for each task, heartbeat and answer as well. */
-  public void logDetails(boolean on) {
-    runtime.events().debug(on);
+  public void setDebugLogging(boolean isEnabled) {
+    runtime.events().debug(isEnabled);
   }
 
   /**
@@ -138,7 +142,7 @@
     runtime.setTime(nowMs, wallMs);
     dispatch(input);
     runtime.rejectUnbudgeted();
-    followElection();
+    updateTerm();
     if (leader != null) {
       leader.flush();
     }
@@ -173,9 +177,9 @@
    * it hears no peer either, so that it cannot tell. In an outage, which all nodes share and tell
    * each other of, they stay in place.
    */
-  public boolean ready() {
+  public boolean isReady() {
     return election.stateServiceHealthy()
-        || relay.possible()
+        || stateRequestRelay.possible()
         || settings.peers().isEmpty()
         || (connectivity.hearsPeers() && !election.peersReachStateService());
   }
@@ -184,7 +188,7 @@
   public Map<String, Double> gauges() {
     Map<String, Double> gauges = new HashMap<>();
     gauges.put("snowturn.format.gate", formatGate.open() ? 1.0 : 0.0);
-    gauges.put("snowturn.state.requests.relayed", (double) relay.relayed());
+    gauges.put("snowturn.state.requests.relayed", (double) stateRequestRelay.relayed());
     gauges.putAll(connectivity.gauges());
     gauges.putAll(watermark.gauges());
     gauges.putAll(rateAllocator.gauges(runtime.now()));
@@ -205,7 +209,7 @@
     formatGate.tick();
     liveJobs.tick();
     tickRateAllocation();
-    followElection();
+    updateTerm();
     lastAuthorityAt = election.hasAuthority() ? runtime.now() : lastAuthorityAt;
     if (leader != null) {
       leader.tick();
@@ -225,7 +229,7 @@
   }
 
   /** Starts or ends a term as the election has it. */
-  private void followElection() {
+  private void updateTerm() {
     if (leader != null && (!election.leading() || election.token() != leader.token())) {
       leader.end();
       leader = null;
@@ -257,7 +261,7 @@
     runtime.answer(
         received.exchange(),
         MISDIRECTED_REQUEST,
-        Command.elsewhere(leader != null ? anyPeer() : election.leader()));
+        Command.elsewhere(leader != null ? redirectTarget() : election.leader()));
   }
 
   /**
@@ -266,9 +270,9 @@
    * once, instead of to the next one a second later. Null once nobody may lead for longer: workers
    * that all nodes redirect at once would be a flood.
    */
-  private String anyPeer() {
+  private String redirectTarget() {
     List<Settings.Peer> peers = settings.peers();
-    if (runtime.now() - lastAuthorityAt > REDIRECT_MS) {
+    if (runtime.now() - lastAuthorityAt > REDIRECT_WINDOW_MS) {
       return null;
     }
     return peers.isEmpty() ? null : peers.get(runtime.random().nextInt(peers.size())).node();
@@ -284,9 +288,9 @@
     } else if (message instanceof PeerMessage.WorkerSample sample) {
       connectivity.onSample(sample);
     } else if (message instanceof PeerMessage.RelayRequest request) {
-      relay.onRequest(request);
+      stateRequestRelay.onRequest(request);
     } else if (message instanceof PeerMessage.RelayReply reply) {
-      relay.onReply(reply);
+      stateRequestRelay.onReply(reply);
     } else if (message instanceof PeerMessage.CancellationsRequest request) {
       watermark.onRequest(request);
     } else if (message instanceof PeerMessage.CancellationsReply reply) {
--- a/src/main/java/org/snowturn/core/Effect.java
+++ b/src/main/java/org/snowturn/core/Effect.java
@@ -21,7 +21,13 @@
    * @param body null for none
    */
   record Call(
-      long id, Target target, String addr, String method, String path, JsonNode body, int timeoutMs)
+      long id,
+      Target target,
+      String address,
+      String method,
+      String path,
+      JsonNode body,
+      int timeoutMs)
       implements Effect {}
 
   /** An answer to an exchange; retryAfterS 0: none. */
--- a/src/main/java/org/snowturn/core/Input.java
+++ b/src/main/java/org/snowturn/core/Input.java
@@ -15,11 +15,11 @@
    * @param retryAfterMs when the other side asked to be called again, in milliseconds; 0 if it did
    *     not say
    */
-  record Reply(long call, Outcome outcome, int status, JsonNode body, long retryAfterMs)
+  record Reply(long callId, Outcome outcome, int status, JsonNode body, long retryAfterMs)
       implements Input {
     /** A reply that does not say when to come back. */
-    public Reply(long call, Outcome outcome, int status, JsonNode body) {
-      this(call, outcome, status, body, 0);
+    public Reply(long callId, Outcome outcome, int status, JsonNode body) {
+      this(callId, outcome, status, body, 0);
     }
   }
 
--- a/src/main/java/org/snowturn/core/Outcome.java
+++ b/src/main/java/org/snowturn/core/Outcome.java
@@ -14,17 +14,17 @@
   private static final int CONFLICT = 409;
 
   /** Whether the request was executed and, by the HTTP status of its reply, succeeded. */
-  public boolean succeeded(int status) {
+  public boolean isSuccess(int status) {
     return this == ANSWERED && status == OK;
   }
 
   /** Whether the request was executed and what it names does not exist. */
-  public boolean notFound(int status) {
+  public boolean isNotFound(int status) {
     return this == ANSWERED && status == NOT_FOUND;
   }
 
   /** Whether the request was executed and changed nothing, since a condition did not hold. */
-  public boolean conflict(int status) {
+  public boolean isConflict(int status) {
     return this == ANSWERED && status == CONFLICT;
   }
 }
--- a/src/main/java/org/snowturn/core/PeerMessage.java
+++ b/src/main/java/org/snowturn/core/PeerMessage.java
@@ -19,7 +19,7 @@
    *
    * @param stateServiceTrouble whether the state service has stopped answering the leader
    */
-  record PromiseRequest(String from, long requestId, long token, boolean stateServiceTrouble)
+  record PromiseRequest(String from, long requestId, long token, boolean isStateServiceUnresponsive)
       implements PeerMessage {}
 
   /** For this long from the arrival of the request on, the sender will not claim leadership. */
@@ -30,13 +30,13 @@
   /**
    * The sender can no longer serve as leader; whoever reaches the state service may end its lease.
    */
-  record StepDown(String from, long lease, long token) implements PeerMessage {}
+  record StepDown(String from, long leaseId, long token) implements PeerMessage {}
 
   /**
    * A leader that the state service does not answer asks those whom it does to end its lease. It
    * goes on until one of them has: a state service that is out for all by then leaves it in place.
    */
-  record LeaseHandover(String from, long lease, long token) implements PeerMessage {}
+  record LeaseHandover(String from, long leaseId, long token) implements PeerMessage {}
 
   /** The state service has ended the lease of this token at the sender's wish. */
   record LeaseEnded(String from, long token) implements PeerMessage {}
@@ -45,7 +45,7 @@
   record ConnectivityReport(String from, Connectivity connectivity) implements PeerMessage {}
 
   /** Addresses of some workers that the sender, a leader, hears. */
-  record WorkerSample(String from, List<String> workers) implements PeerMessage {}
+  record WorkerSample(String from, List<String> addresses) implements PeerMessage {}
 
   /**
    * Asks one peer to make a call to the state service, since the sender's own link to it is down.
@@ -74,7 +74,7 @@
   record JobProgress(String from, String job, int done, int running) implements PeerMessage {}
 
   /** The last entry that the sender has received of the log of this incarnation of a peer. */
-  record LogPosition(String incarnation, long lastReceived) {}
+  record LogPosition(String incarnation, long lastReceivedNumber) {}
 
   /**
    * Asks each peer for the cancellations that it has confirmed to users.
@@ -100,20 +100,20 @@
       String to,
       long requestId,
       String incarnation,
-      long after,
-      long last,
-      long lastDropped,
+      long precedingNumber,
+      long lastNumber,
+      long lastDroppedNumber,
       long lastDroppedAgeMs,
       List<String> jobs)
       implements PeerMessage {
     /** Whether the numbers agree with each other. */
-    public boolean consistent() {
-      return lastDropped >= 0
+    public boolean isConsistent() {
+      return lastDroppedNumber >= 0
           && lastDroppedAgeMs >= 0
-          && after >= lastDropped
-          && last >= after
-          && jobs.size() <= last - after
-          && (!jobs.isEmpty() || last == after);
+          && precedingNumber >= lastDroppedNumber
+          && lastNumber >= precedingNumber
+          && jobs.size() <= lastNumber - precedingNumber
+          && (!jobs.isEmpty() || lastNumber == precedingNumber);
     }
   }
 }
--- a/src/main/java/org/snowturn/core/api/ChunkedSubmission.java
+++ b/src/main/java/org/snowturn/core/api/ChunkedSubmission.java
@@ -73,7 +73,7 @@
             JobStatusReader.TIMEOUT_MS,
             (outcome, status, body) -> {
               try {
-                if (outcome.succeeded(status)) {
+                if (outcome.isSuccess(status)) {
                   StateMessage.entries(body).forEach(this::addStored);
                   if (!stored.get(0)) {
                     stored.clear(); // without the first the others may be about to be removed
@@ -118,7 +118,7 @@
             JobStatusReader.TIMEOUT_MS,
             (outcome, status, reply) -> {
               try {
-                if (outcome.succeeded(status)) {
+                if (outcome.isSuccess(status)) {
                   firstVersion = written.get(0) ? StateMessage.revision(reply) : firstVersion;
                   stored.or(written);
                   writeNext();
--- a/src/main/java/org/snowturn/core/api/JobCancellation.java
+++ b/src/main/java/org/snowturn/core/api/JobCancellation.java
@@ -90,11 +90,11 @@
         txn,
         JobStatusReader.TIMEOUT_MS,
         (outcome, status, reply) -> {
-          if (outcome.succeeded(status)) {
+          if (outcome.isSuccess(status)) {
             JobStatus aborted = new JobStatus(id, JobStatus.Phase.ABORTED, 0, 0);
             statuses.addFinished(aborted);
             responses.brief(exchange, aborted);
-          } else if (outcome.conflict(status) && triesLeft > 1) {
+          } else if (outcome.isConflict(status) && triesLeft > 1) {
             cancel(exchange, id, triesLeft - 1);
           } else {
             responses.refuse(exchange);
--- a/src/main/java/org/snowturn/core/api/JobStatusReader.java
+++ b/src/main/java/org/snowturn/core/api/JobStatusReader.java
@@ -125,11 +125,11 @@
         null,
         TIMEOUT_MS,
         (outcome, status, body) -> {
-          if (outcome.notFound(status)) {
+          if (outcome.isNotFound(status)) {
             then.accept(null);
             return;
           }
-          if (outcome.succeeded(status)) {
+          if (outcome.isSuccess(status)) {
             try {
               then.accept(StateMessage.entry(body));
               return;
--- a/src/main/java/org/snowturn/core/api/JobSubmission.java
+++ b/src/main/java/org/snowturn/core/api/JobSubmission.java
@@ -201,10 +201,10 @@
                 conditions, List.of(Change.put(StorageKeys.job(spec.id()), record))),
             JobStatusReader.TIMEOUT_MS,
             (outcome, status, reply) -> {
-              if (outcome.succeeded(status)) {
+              if (outcome.isSuccess(status)) {
                 statuses.addAccepted(spec.id(), spec.service());
                 responses.accepted(exchange, spec.id());
-              } else if (outcome.conflict(status)) {
+              } else if (outcome.isConflict(status)) {
                 answerIfKnown(exchange, spec);
               } else {
                 if (status == TOO_MANY_REQUESTS) {
--- a/src/main/java/org/snowturn/core/api/LiveJobCache.java
+++ b/src/main/java/org/snowturn/core/api/LiveJobCache.java
@@ -157,7 +157,7 @@
         TIMEOUT_MS,
         (outcome, status, body) -> {
           requestOpen = false;
-          if (outcome.succeeded(status) && applyChanges(body)) {
+          if (outcome.isSuccess(status) && applyChanges(body)) {
             freshAt = runtime.now();
             listener.complete(sentAt);
             backoff.reset();
--- a/src/main/java/org/snowturn/core/connectivity/ConnectivityMonitor.java
+++ b/src/main/java/org/snowturn/core/connectivity/ConnectivityMonitor.java
@@ -159,7 +159,7 @@
   /** A leader names workers to probe. */
   public void onSample(PeerMessage.WorkerSample received) {
     if (isPeer(received.from())) {
-      List<String> workers = received.workers();
+      List<String> workers = received.addresses();
       sample = workers.size() <= SAMPLE_SIZE ? workers : workers.subList(0, SAMPLE_SIZE);
     }
   }
--- a/src/main/java/org/snowturn/core/effects/CoreRuntime.java
+++ b/src/main/java/org/snowturn/core/effects/CoreRuntime.java
@@ -260,7 +260,7 @@
 
   /** Hands a reply to whoever made the call. */
   public void handleReply(Input.Reply reply) {
-    OpenCall open = openCalls.remove(reply.call());
+    OpenCall open = openCalls.remove(reply.callId());
     if (open != null) {
       if (reply.status() == TOO_MANY_REQUESTS && open.countsRequests && budget != null) {
         budget.refusedThere(now);
--- a/src/main/java/org/snowturn/core/election/Campaign.java
+++ b/src/main/java/org/snowturn/core/election/Campaign.java
@@ -160,7 +160,7 @@
           if (state.role() != Role.FOLLOWER) {
             return;
           }
-          if (!outcome.succeeded(status)) {
+          if (!outcome.isSuccess(status)) {
             retryDiscovery();
             return;
           }
@@ -257,14 +257,14 @@
         lease.id(),
         (outcome, status, body) -> {
           requestOpen = false;
-          if (outcome.succeeded(status) && elected(body)) {
+          if (outcome.isSuccess(status) && elected(body)) {
             return;
           }
           if (outcome == Outcome.UNKNOWN) {
             // The claim may still be executed: only ending its lease makes it harmless.
             claimInDoubt = true;
             revokeAndDiscover(lease.id());
-          } else if (outcome.conflict(status)) {
+          } else if (outcome.isConflict(status)) {
             discoverNow(); // another node was first
           } else {
             retryDiscovery();
@@ -296,7 +296,7 @@
   private ReplyHandler orRetry(BodyHandler then) {
     return (outcome, status, body) -> {
       requestOpen = false;
-      if (!outcome.succeeded(status)) {
+      if (!outcome.isSuccess(status)) {
         retryDiscovery();
         return;
       }
--- a/src/main/java/org/snowturn/core/election/CancellationLog.java
+++ b/src/main/java/org/snowturn/core/election/CancellationLog.java
@@ -77,7 +77,7 @@
       long nowMs) {
     trim(nowMs);
     boolean sameLog = position != null && position.incarnation().equals(incarnation);
-    long received = sameLog ? position.lastReceived() : 0;
+    long received = sameLog ? position.lastReceivedNumber() : 0;
     long after = Math.max(lastDropped, Math.min(received, last));
     return new PeerMessage.CancellationsReply(
         from,
--- a/src/main/java/org/snowturn/core/election/CancellationWatermark.java
+++ b/src/main/java/org/snowturn/core/election/CancellationWatermark.java
@@ -190,7 +190,7 @@
       return;
     }
     PeerCancellations peer = peers.get(reply.from());
-    if (peer == null || !reply.consistent() || !reply.jobs().stream().allMatch(JobSpec::isId)) {
+    if (peer == null || !reply.isConsistent() || !reply.jobs().stream().allMatch(JobSpec::isId)) {
       malformedMessages++;
       return;
     }
--- a/src/main/java/org/snowturn/core/election/Election.java
+++ b/src/main/java/org/snowturn/core/election/Election.java
@@ -175,8 +175,8 @@
    * after it has seen the leader's key vanish or a later leader's key.
    */
   private void onPromiseRequest(PeerMessage.PromiseRequest request) {
-    service.onPeerReport(request.from(), !request.stateServiceTrouble());
-    service.onLeaderReport(request.stateServiceTrouble());
+    service.onPeerReport(request.from(), !request.isStateServiceUnresponsive());
+    service.onLeaderReport(request.isStateServiceUnresponsive());
     boolean outdated = request.token() < state.highestToken();
     if (!state.leading() && !outdated) {
       state.setLeader(request.from());
--- a/src/main/java/org/snowturn/core/election/LeaseHandover.java
+++ b/src/main/java/org/snowturn/core/election/LeaseHandover.java
@@ -94,9 +94,9 @@
       return;
     }
     requests.revokeLease(
-        offer.lease(),
+        offer.leaseId(),
         (outcome, status, body) -> {
-          if (outcome.succeeded(status) || outcome.notFound(status)) {
+          if (outcome.isSuccess(status) || outcome.isNotFound(status)) {
             runtime.broadcast(new PeerMessage.LeaseEnded(node, offer.token()));
           }
         });
@@ -117,6 +117,6 @@
     if (resigned.token() >= state.highestToken()) {
       givenPromises.release();
     }
-    requests.revokeLease(resigned.lease());
+    requests.revokeLease(resigned.leaseId());
   }
 }
--- a/src/main/java/org/snowturn/core/election/LeaseRenewal.java
+++ b/src/main/java/org/snowturn/core/election/LeaseRenewal.java
@@ -67,13 +67,13 @@
   }
 
   private void renewed(long sentAt, Outcome outcome, int status) {
-    if (outcome.succeeded(status) && lease.offered()) {
+    if (outcome.isSuccess(status) && lease.offered()) {
       stepDown.resign("its lease was offered to peers while the state service did not answer");
-    } else if (outcome.succeeded(status)) {
+    } else if (outcome.isSuccess(status)) {
       lease.renewed(sentAt);
       service.answered(sentAt);
       nextAt = sentAt + intervalMs();
-    } else if (outcome.notFound(status)) {
+    } else if (outcome.isNotFound(status)) {
       stepDown.stepDown("lease expired");
     } else {
       lease.renewalFailed(sentAt);
--- a/src/main/java/org/snowturn/core/election/PeerCancellations.java
+++ b/src/main/java/org/snowturn/core/election/PeerCancellations.java
@@ -44,8 +44,8 @@
     if (gapBefore(reply, readUntil, nowMs)) {
       return;
     }
-    received = Math.max(received, reply.after() + reply.jobs().size());
-    boolean complete = received >= reply.last() && readUntil >= firstHeardAt;
+    received = Math.max(received, reply.precedingNumber() + reply.jobs().size());
+    boolean complete = received >= reply.lastNumber() && readUntil >= firstHeardAt;
     if (requestSentAt != null && complete) {
       knownUntil = Math.max(knownUntil, requestSentAt);
     }
@@ -57,7 +57,7 @@
    */
   private boolean gapBefore(PeerMessage.CancellationsReply reply, long readUntil, long nowMs) {
     long droppedAt = nowMs - ClockDrift.minElapsedMs((double) reply.lastDroppedAgeMs());
-    return reply.after() > received
-        && (reply.after() > reply.lastDropped() || readUntil < droppedAt);
+    return reply.precedingNumber() > received
+        && (reply.precedingNumber() > reply.lastDroppedNumber() || readUntil < droppedAt);
   }
 }
--- a/src/main/java/org/snowturn/core/election/StateServiceHealth.java
+++ b/src/main/java/org/snowturn/core/election/StateServiceHealth.java
@@ -102,7 +102,7 @@
         PROBE_TIMEOUT_MS,
         (outcome, status, body) -> {
           probing = false;
-          if (outcome.succeeded(status) || outcome.notFound(status)) {
+          if (outcome.isSuccess(status) || outcome.isNotFound(status)) {
             answered(sentAt);
           }
         });
--- a/src/main/java/org/snowturn/core/leader/AssignmentServices.java
+++ b/src/main/java/org/snowturn/core/leader/AssignmentServices.java
@@ -24,13 +24,13 @@
 record AssignmentServices(
     MachineIndex machines,
     RecordWriter writer,
-    AttemptGuard guard,
+    AttemptGuard attemptGuard,
     TaskAssignments assignments,
-    DependencyGraph dependencies,
+    DependencyGraph dependencyGraph,
     FailureHandler failureHandler,
     MachineRegistry registry,
     PreemptionRate preemptionRate,
-    HeartbeatProcessor heartbeats,
+    HeartbeatProcessor heartbeatProcessor,
     HeartbeatCommands heartbeatCommands) {
 
   /**
@@ -40,68 +40,75 @@
    * @param commandHost told of the fate of direct commands
    */
   static AssignmentServices create(
-      LeaderDependencies node,
+      LeaderDependencies dependencies,
       Term term,
       RecordWriter.Host writerHost,
       CommandQueue.Host commandHost) {
-    CoreRuntime runtime = node.runtime();
-    FormatGate gate = node.gate();
+    CoreRuntime runtime = dependencies.runtime();
+    FormatGate formatGate = dependencies.formatGate();
     MachineIndex machines =
         new MachineIndex(
-            node.settings().zones(), machine -> new CommandQueue(runtime, commandHost, machine));
-    RecordWriter writer = new RecordWriter(runtime, writerHost, gate::limits, node.writeShare());
-    KnownCancellations cancellations = cancellations(node.watermark());
-    AttemptGuard guard =
+            dependencies.settings().zones(),
+            machine -> new CommandQueue(runtime, commandHost, machine));
+    RecordWriter writer =
+        new RecordWriter(runtime, writerHost, formatGate::limits, dependencies.leaderWriteRate());
+    KnownCancellations cancellations = knownCancellations(dependencies.watermark());
+    AttemptGuard attemptGuard =
         new AttemptGuard(
-            runtime, machines, term.token(), HeartbeatProcessor.leaseExpiryMs(node.settings()));
-    TaskAssignments assignments = newAssignments(node, machines, writer, guard, cancellations);
-    DependencyGraph dependencies = new DependencyGraph(runtime, gate, assignments, writer);
-    FailureHandler failureHandler = new FailureHandler(runtime, node.tunables().sickErrors());
-    listen(assignments, dependencies, failureHandler, cancellations);
+            runtime,
+            machines,
+            term.token(),
+            HeartbeatProcessor.leaseExpiryMs(dependencies.settings()));
+    TaskAssignments assignments =
+        newAssignments(dependencies, machines, writer, attemptGuard, cancellations);
+    DependencyGraph dependencyGraph = new DependencyGraph(runtime, formatGate, assignments, writer);
+    FailureHandler failureHandler =
+        new FailureHandler(runtime, dependencies.tunables().sickErrors());
+    addJobListeners(assignments, dependencyGraph, failureHandler, cancellations);
     PreemptionRate preemptionRate = new PreemptionRate();
     return new AssignmentServices(
         machines,
         writer,
-        guard,
+        attemptGuard,
         assignments,
-        dependencies,
+        dependencyGraph,
         failureHandler,
-        new MachineRegistry(runtime, writer, machines, gate),
+        new MachineRegistry(runtime, writer, machines, formatGate),
         preemptionRate,
         new HeartbeatProcessor(
             runtime,
-            node.settings(),
+            dependencies.settings(),
             failureHandler,
             assignments,
             machines,
-            node.machineTypes(),
+            dependencies.machineTypes(),
             preemptionRate,
             term.token()),
         new HeartbeatCommands(assignments, cancellations, term.token()));
   }
 
   private static TaskAssignments newAssignments(
-      LeaderDependencies node,
+      LeaderDependencies dependencies,
       MachineIndex machines,
       RecordWriter writer,
-      AttemptGuard guard,
+      AttemptGuard attemptGuard,
       KnownCancellations cancellations) {
     return new TaskAssignments(
-        node.runtime(),
-        node.gate(),
+        dependencies.runtime(),
+        dependencies.formatGate(),
         writer,
         machines,
-        new Quota(node.settings().teams()),
+        new Quota(dependencies.settings().teams()),
         cancellations,
-        guard);
+        attemptGuard);
   }
 
-  private static void listen(
+  private static void addJobListeners(
       TaskAssignments assignments,
-      DependencyGraph dependencies,
+      DependencyGraph dependencyGraph,
       FailureHandler failureHandler,
       KnownCancellations cancellations) {
-    assignments.registry().listen(dependencies);
+    assignments.registry().listen(dependencyGraph);
     assignments.registry().listen(failureHandler);
     assignments
         .registry()
@@ -116,7 +123,7 @@
             });
   }
 
-  private static KnownCancellations cancellations(CancellationWatermark watermark) {
+  private static KnownCancellations knownCancellations(CancellationWatermark watermark) {
     return new KnownCancellations() {
       @Override
       public boolean known(String job) {
--- a/src/main/java/org/snowturn/core/leader/ClusterSummary.java
+++ b/src/main/java/org/snowturn/core/leader/ClusterSummary.java
@@ -27,7 +27,7 @@
   private final CoreRuntime runtime;
   private final AssignmentServices services;
   private final SchedulingServices scheduling;
-  private long nextAt;
+  private long nextWriteAt;
 
   ClusterSummary(CoreRuntime runtime, AssignmentServices services, SchedulingServices scheduling) {
     this.runtime = runtime;
@@ -37,8 +37,8 @@
 
   /** Writes the line if it is time for it. */
   void tick() {
-    if (runtime.now() >= nextAt) {
-      nextAt = runtime.now() + INTERVAL_MS;
+    if (runtime.now() >= nextWriteAt) {
+      nextWriteAt = runtime.now() + INTERVAL_MS;
       write();
     }
   }
@@ -60,7 +60,7 @@
       job.countStates(states);
     }
     line.with(LogField.JOBS, assignments.jobs().size())
-        .with(LogField.JOBS_AWAITING_DEPENDENCIES, services.dependencies().waitingJobs())
+        .with(LogField.JOBS_AWAITING_DEPENDENCIES, services.dependencyGraph().waitingJobs())
         .with(LogField.TASKS_WAITING, tasks.waiting())
         .with(LogField.TASKS_ASSIGNED, tasks.assigned())
         .with(LogField.TASKS_PLACING, states.of(TaskState.PLACING))
--- a/src/main/java/org/snowturn/core/leader/HealthSweep.java
+++ b/src/main/java/org/snowturn/core/leader/HealthSweep.java
@@ -21,15 +21,15 @@
   static final long INTERVAL_MS = 250;
 
   /** Fewer silent machines than this do not mean that the node is cut off. */
-  private static final int MIN_SILENT = 3;
+  private static final int MIN_SILENT_MACHINES = 3;
 
   /** The node is cut off where silent machines are more than so many times those heard. */
-  private static final int CUT_OFF_RATIO = 4;
+  private static final int MIN_SILENT_PER_HEARD = 4;
 
   /** Half a lease, for a lease in seconds. */
   private static final long HALF_LEASE_MS_PER_S = 500;
 
-  private final LeaderDependencies node;
+  private final LeaderDependencies dependencies;
   private final CoreRuntime runtime;
   private final Settings settings;
   private final MachineIndex machines;
@@ -37,39 +37,39 @@
   private final SchedulingServices scheduling;
   private final LeaderRecovery recovery;
   private final ReachabilityChecks reachability;
-  private final MachineSilence silence;
+  private final MachineSilence machineSilence;
 
   /** Machines that have been up, in the last sweep. */
-  private int total;
+  private int lastMachineCount;
 
   /** Machines that send heartbeats and left several messages unanswered, in the last sweep. */
-  private int unreachable;
+  private int lastUnreachableCount;
 
   /** Machines that answer messages and miss heartbeats, in the last sweep. */
-  private int missingHeartbeats;
+  private int lastMissingHeartbeatsCount;
 
-  private int countTotal;
-  private int countUnreachable;
-  private int countMissingHeartbeats;
-  private int countHeard;
-  private int countSilent;
+  private int machineCount;
+  private int unreachableCount;
+  private int missingHeartbeatsCount;
+  private int heardCount;
+  private int silentCount;
 
   HealthSweep(
-      LeaderDependencies node,
+      LeaderDependencies dependencies,
       AssignmentServices services,
       SchedulingServices scheduling,
       LeaderRecovery recovery,
       ReachabilityChecks reachability,
-      MachineSilence silence) {
-    this.node = node;
-    this.runtime = node.runtime();
-    this.settings = node.settings();
+      MachineSilence machineSilence) {
+    this.dependencies = dependencies;
+    this.runtime = dependencies.runtime();
+    this.settings = dependencies.settings();
     this.machines = services.machines();
     this.services = services;
     this.scheduling = scheduling;
     this.recovery = recovery;
     this.reachability = reachability;
-    this.silence = silence;
+    this.machineSilence = machineSilence;
   }
 
   /**
@@ -85,50 +85,50 @@
     scheduling.zoneOutages().reset();
     for (Machine machine : machines.present()) {
       if (machine.machineType() == null && machine.type() != null) {
-        machine.setMachineType(node.machineTypes().get(machine.type()));
+        machine.setMachineType(dependencies.machineTypes().get(machine.type()));
       }
-      services.heartbeats().leaseExpired(machine);
+      services.heartbeatProcessor().leaseExpired(machine);
       if (MachineSilence.hasBeenUp(machine)) {
-        check(machine);
+        checkMachine(machine);
       }
     }
     scheduling.zoneOutages().evaluate();
-    total = countTotal;
-    unreachable = countUnreachable;
-    missingHeartbeats = countMissingHeartbeats;
+    lastMachineCount = machineCount;
+    lastUnreachableCount = unreachableCount;
+    lastMissingHeartbeatsCount = missingHeartbeatsCount;
     return isCutOffFromMost() ? "most machines are out of reach" : null;
   }
 
   private void resetCounts() {
-    countTotal = 0;
-    countUnreachable = 0;
-    countMissingHeartbeats = 0;
-    countHeard = 0;
-    countSilent = 0;
+    machineCount = 0;
+    unreachableCount = 0;
+    missingHeartbeatsCount = 0;
+    heardCount = 0;
+    silentCount = 0;
   }
 
   /** Whether this node hears few of its machines while a peer might hear more. */
   private boolean isCutOffFromMost() {
-    return countSilent >= MIN_SILENT
-        && countHeard * CUT_OFF_RATIO < countSilent
-        && silence.termOlderThan(2 * HeartbeatProcessor.leaseExpiryMs(settings))
+    return silentCount >= MIN_SILENT_MACHINES
+        && heardCount * MIN_SILENT_PER_HEARD < silentCount
+        && machineSilence.isTermOlderThan(2 * HeartbeatProcessor.leaseExpiryMs(settings))
         && !settings.peers().isEmpty()
-        && node.connectivity().otherMayServe();
+        && dependencies.connectivity().otherMayServe();
   }
 
-  private void check(Machine machine) {
-    countTotal += machine.isTerminating() ? 0 : 1;
-    boolean silent = silence.isSilent(machine);
-    boolean heard = MachineSilence.isHeard(machine);
+  private void checkMachine(Machine machine) {
+    machineCount += machine.isTerminating() ? 0 : 1;
+    boolean isSilent = machineSilence.isSilent(machine);
+    boolean isHeard = MachineSilence.hasBeenHeard(machine);
     // Those that have not been heard yet count once they have left a probe unanswered: else the
     // first that are probed often enough would be judged by the few that were heard.
-    boolean missedProbe = !heard && recovery.hasMissedProbe(machine);
-    if (silent || missedProbe || heard) {
-      scheduling.zoneOutages().count(machine, silent || missedProbe);
+    boolean hasMissedProbe = !isHeard && recovery.hasMissedProbe(machine);
+    if (isSilent || hasMissedProbe || isHeard) {
+      scheduling.zoneOutages().count(machine, isSilent || hasMissedProbe);
     }
-    if (heard) {
-      checkHeard(machine, silent);
-    } else if (silent) {
+    if (isHeard) {
+      checkHeard(machine, isSilent);
+    } else if (isSilent) {
       replaceUnheard(machine);
     }
   }
@@ -136,22 +136,22 @@
   /** A machine that an earlier leader recorded and this one has not heard, though it should. */
   private void replaceUnheard(Machine machine) {
     if (machine.assigned.isEmpty()
-        && silence.termOlderThan(2 * HeartbeatProcessor.leaseExpiryMs(settings))
+        && machineSilence.isTermOlderThan(2 * HeartbeatProcessor.leaseExpiryMs(settings))
         && machine.listedAt() == MonotonicTime.NEVER) {
       machines.remove(machine);
-    } else if (silence.mayReplaceUnheard(machine)) {
+    } else if (machineSilence.canReplaceUnheard(machine)) {
       scheduling.autoscaler().terminate(machine, "not heard of since the change of leader");
     }
   }
 
-  private void checkHeard(Machine machine, boolean silent) {
+  private void checkHeard(Machine machine, boolean isSilent) {
     boolean missesHeartbeats = machine.missesHeartbeats(runtime.now());
-    boolean lost = silent || missesHeartbeats;
-    countSilent += lost && !machine.isTerminating() ? 1 : 0;
-    countHeard += lost ? 0 : 1;
-    countMissingHeartbeats += missesHeartbeats && !silent ? 1 : 0;
+    boolean isLost = isSilent || missesHeartbeats;
+    silentCount += isLost && !machine.isTerminating() ? 1 : 0;
+    heardCount += isLost ? 0 : 1;
+    missingHeartbeatsCount += missesHeartbeats && !isSilent ? 1 : 0;
     services.failureHandler().review(machine);
-    if (silent) {
+    if (isSilent) {
       probeOrReplaceSilent(machine);
     } else {
       replaceUnreachable(machine);
@@ -165,11 +165,11 @@
       return;
     }
     reachability.probeIfDue(machine);
-    countUnreachable +=
+    unreachableCount +=
         machine.reachability.unansweredMessages() >= Reachability.UNREACHABLE_AFTER ? 1 : 0;
     if (machine.reachability.isUnreachable(runtime.now(), unreachableLimitMs())
-        && unreachable * 2 < total
-        && silence.mayReplace()) {
+        && lastUnreachableCount * 2 < lastMachineCount
+        && machineSilence.canReplaceHeard()) {
       scheduling.autoscaler().terminate(machine, "reports, but receives nothing");
     }
   }
@@ -183,13 +183,13 @@
 
   /** A machine that answers messages, but whose own heartbeats do not come. */
   private void replaceMissingHeartbeats(Machine machine) {
-    boolean forLong =
+    boolean isOverdue =
         runtime.now() - HeartbeatProcessor.leaseExpiryMs(settings)
             > machine.session.heartbeatDueAt();
     if (!machine.isTerminating()
-        && forLong
-        && missingHeartbeats * 2 < total
-        && silence.mayReplace()) {
+        && isOverdue
+        && lastMissingHeartbeatsCount * 2 < lastMachineCount
+        && machineSilence.canReplaceHeard()) {
       scheduling.autoscaler().terminate(machine, "reaches no controller");
     }
   }
@@ -199,7 +199,7 @@
       return;
     }
     if (runtime.now() > machine.preemptionAt()) {
-      if (silence.mayReplace()) {
+      if (machineSilence.canReplaceHeard()) {
         scheduling.autoscaler().terminate(machine, "taken back");
       }
     } else if (machine.commands().idle()) {
@@ -210,12 +210,12 @@
 
   /** Whether this node should resign since no worker reaches it and a peer is reached. */
   private boolean isCutOffFromWorkers() {
-    WorkerSilence workers = silence.workers();
-    workers.sweep(total, runtime.now());
-    boolean reassigned = silence.workersReassigned();
-    probeSample(reassigned ? 0 : workers.probesWanted());
-    boolean unheard = workers.isolated(reassigned) && !settings.peers().isEmpty();
-    return workers.shouldHandOver(unheard, node.connectivity().otherMayServe());
+    WorkerSilence workers = machineSilence.workerSilence();
+    workers.sweep(lastMachineCount, runtime.now());
+    boolean isReassignmentPeriodOver = machineSilence.isReassignmentPeriodOver();
+    probeSample(isReassignmentPeriodOver ? 0 : workers.probesWanted());
+    boolean isUnheard = workers.isolated(isReassignmentPeriodOver) && !settings.peers().isEmpty();
+    return workers.shouldHandOver(isUnheard, dependencies.connectivity().otherMayServe());
   }
 
   /** Probes about so many machines from all over the cluster. */
@@ -232,7 +232,7 @@
   /** The gauges of the last sweep by name. */
   Map<String, Double> gauges() {
     return Map.of(
-        "snowturn.machines.unreachable", (double) unreachable,
-        "snowturn.machines.missing.heartbeats", (double) missingHeartbeats);
+        "snowturn.machines.unreachable", (double) lastUnreachableCount,
+        "snowturn.machines.missing.heartbeats", (double) lastMissingHeartbeatsCount);
   }
 }
--- a/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
+++ b/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
@@ -25,22 +25,22 @@
   private final CancellationWatermark watermark;
   private final AssignmentServices services;
   private final MachineIndex machines;
-  private final HeartbeatCommands commands;
+  private final HeartbeatCommands heartbeatCommands;
   private final LeaderRecovery recovery;
   private final ReachabilityChecks reachability;
 
   HeartbeatHandler(
-      LeaderDependencies node,
+      LeaderDependencies dependencies,
       Term term,
       AssignmentServices services,
       LeaderRecovery recovery,
       ReachabilityChecks reachability) {
-    this.runtime = node.runtime();
+    this.runtime = dependencies.runtime();
     this.term = term;
-    this.watermark = node.watermark();
+    this.watermark = dependencies.watermark();
     this.services = services;
     this.machines = services.machines();
-    this.commands = services.heartbeatCommands();
+    this.heartbeatCommands = services.heartbeatCommands();
     this.recovery = recovery;
     this.reachability = reachability;
   }
@@ -60,10 +60,10 @@
     if (machine.isTerminated() || heartbeat.agentEpoch() <= machine.session.endedEpoch()) {
       // Terminated, or an agent epoch that has certainly ended: nothing may renew its lease.
       refuse(exchange, heartbeat, "session_over");
-    } else if (!recovery.loaded()) {
-      recovery.keep(machine, heartbeat);
+    } else if (!recovery.isLoaded()) {
+      recovery.keepEarlyHeartbeat(machine, heartbeat);
       machine.session.setLastAnswerAt(runtime.now());
-      answer(exchange, machine, heartbeat, commands.stops(heartbeat));
+      answer(exchange, machine, heartbeat, heartbeatCommands.stops(heartbeat));
     } else if (reachability.isStale(machine, heartbeat)) {
       refuse(exchange, heartbeat, "late_copy");
     } else {
@@ -72,10 +72,10 @@
   }
 
   private void applyAndAnswer(long exchange, Machine machine, Heartbeat heartbeat) {
-    reachability.heartbeatReceived();
+    reachability.onHeartbeatReceived();
     apply(machine, heartbeat);
-    reachability.heartbeatApplied(machine, heartbeat);
-    HeartbeatCommands.Answer answer = commands.respond(machine, heartbeat);
+    reachability.onHeartbeatApplied(machine, heartbeat);
+    HeartbeatCommands.Answer answer = heartbeatCommands.respond(machine, heartbeat);
     if (!answer.renews()) {
       runtime
           .events()
@@ -85,17 +85,17 @@
       refuse(exchange, heartbeat, "start_in_doubt_of_cancelled_job");
       return;
     }
-    services.heartbeats().leaseRenewed(machine);
+    services.heartbeatProcessor().leaseRenewed(machine);
     answer(exchange, machine, heartbeat, answer.commands());
   }
 
   /** Handles the heartbeat with which a worker has answered a direct message. */
   void handleReply(Heartbeat heartbeat) {
     Machine machine = machines.find(heartbeat.machine());
-    if (term.ended() || !recovery.loaded() || machine == null || machine.isTerminated()) {
+    if (term.hasEnded() || !recovery.isLoaded() || machine == null || machine.isTerminated()) {
       return;
     }
-    reachability.messageAnswered(machine, heartbeat);
+    reachability.onMessageAnswered(machine, heartbeat);
     apply(machine, heartbeat);
     if (!machine.reachability.proven()) {
       machine.reachability.prove();
@@ -106,7 +106,7 @@
   /** Applies what a machine reports to the term's state. */
   void apply(Machine machine, Heartbeat heartbeat) {
     if (machine.addr() == null || machine.machineType() == null || !machine.isRegistered()) {
-      services.heartbeats().describe(machine, heartbeat);
+      services.heartbeatProcessor().describe(machine, heartbeat);
       if (machine.firstSeenAt() == 0) {
         machine.setFirstSeenAt(runtime.now());
       }
@@ -117,8 +117,8 @@
     if (machine.needsRegistration() && machine.machineType() != null) {
       register(machine);
     }
-    services.heartbeats().apply(machine, heartbeat);
-    recovery.heard(machine);
+    services.heartbeatProcessor().apply(machine, heartbeat);
+    recovery.onMachineHeard(machine);
   }
 
   private void register(Machine machine) {
@@ -133,10 +133,10 @@
             });
   }
 
-  private void answer(long exchange, Machine machine, Heartbeat heartbeat, List<Command> sent) {
+  private void answer(long exchange, Machine machine, Heartbeat heartbeat, List<Command> commands) {
     log(heartbeat, "renewed");
-    CommandLog.write(runtime, "answer", machine, heartbeat.agentEpoch(), term.token(), sent);
-    runtime.answer(exchange, OK, Command.answer(term.token(), sent));
+    CommandLog.write(runtime, "answer", machine, heartbeat.agentEpoch(), term.token(), commands);
+    runtime.answer(exchange, OK, Command.answer(term.token(), commands));
   }
 
   private void refuse(long exchange, Heartbeat heartbeat, String reason) {
--- a/src/main/java/org/snowturn/core/leader/JobWatch.java
+++ b/src/main/java/org/snowturn/core/leader/JobWatch.java
@@ -19,60 +19,60 @@
 /** Watches the job records of the state service and applies their changes to the term's jobs. */
 final class JobWatch {
   /** How long the state service holds a watch open while nothing changes. */
-  private static final int HOLD_MS = 10_000;
+  private static final int MAX_HOLD_MS = 10_000;
 
-  private static final int TIMEOUT_MS = 12_000;
-  private static final long RETRY_MS = 200;
+  private static final int REQUEST_TIMEOUT_MS = 12_000;
+  private static final long RETRY_DELAY_MS = 200;
   private static final int OK = 200;
 
   /** The revision from which on changes are wanted is no longer kept. */
-  private static final int COMPACTED = 410;
+  private static final int REVISION_COMPACTED = 410;
 
   private final CoreRuntime runtime;
   private final Term term;
   private final CancellationWatermark watermark;
   private final TaskAssignments assignments;
-  private boolean inFlight;
+  private boolean isRequestInFlight;
   private long nextRevision;
-  private long retryAt;
+  private long nextRequestAt;
 
-  JobWatch(LeaderDependencies node, Term term, TaskAssignments assignments) {
-    this.runtime = node.runtime();
-    this.watermark = node.watermark();
+  JobWatch(LeaderDependencies dependencies, Term term, TaskAssignments assignments) {
+    this.runtime = dependencies.runtime();
+    this.watermark = dependencies.watermark();
     this.term = term;
     this.assignments = assignments;
   }
 
   /** Sets the revision of the state service from which on changes are to be watched. */
-  void startAt(long revision) {
+  void startFrom(long revision) {
     nextRevision = revision;
   }
 
   /** Sends the next watch request if none is under way and it is time for it. */
   void tick() {
-    if (!inFlight && runtime.now() >= retryAt) {
+    if (!isRequestInFlight && runtime.now() >= nextRequestAt) {
       watch();
     }
   }
 
   private void watch() {
-    inFlight = true;
+    isRequestInFlight = true;
     long sentAt = runtime.now();
     runtime.watchState(
         RequestClass.WORK,
-        "/watch?prefix=" + StorageKeys.JOBS + "&since=" + nextRevision + "&hold_ms=" + HOLD_MS,
-        TIMEOUT_MS,
+        "/watch?prefix=" + StorageKeys.JOBS + "&since=" + nextRevision + "&hold_ms=" + MAX_HOLD_MS,
+        REQUEST_TIMEOUT_MS,
         (outcome, status, body) -> {
-          inFlight = false;
-          if (term.ended()) {
+          isRequestInFlight = false;
+          if (term.hasEnded()) {
             return;
           }
           if (outcome == Outcome.ANSWERED && status == OK) {
             apply(body, sentAt);
             return;
           }
-          retryAt = runtime.now() + RETRY_MS;
-          if (status == COMPACTED) {
+          nextRequestAt = runtime.now() + RETRY_DELAY_MS;
+          if (status == REVISION_COMPACTED) {
             readAll();
           }
         });
@@ -85,21 +85,21 @@
       watermark.read(sentAt);
       assignments.retryFinishing();
     } catch (MalformedException e) {
-      retryAt = runtime.now() + RETRY_MS;
+      nextRequestAt = runtime.now() + RETRY_DELAY_MS;
     }
   }
 
   /** Reads all jobs, since changes were missed. */
   private void readAll() {
-    inFlight = true;
-    new RangeReader(runtime, term::ended)
+    isRequestInFlight = true;
+    new RangeReader(runtime, term::hasEnded)
         .read(
             StorageKeys.JOBS,
             range -> {
-              if (term.ended()) {
+              if (term.hasEnded()) {
                 return;
               }
-              inFlight = false;
+              isRequestInFlight = false;
               nextRevision = range.epoch();
               range.entries().forEach(this::apply);
             });
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -23,7 +23,7 @@
   private static final long SPECULATION_INTERVAL_MS = 500;
 
   private final CoreRuntime runtime;
-  private final LeaderDependencies node;
+  private final LeaderDependencies dependencies;
   private final Term term;
   private final CommandDispatcher dispatcher;
   private final AssignmentServices services;
@@ -34,40 +34,42 @@
   private final HealthSweep healthSweep;
   private final HeartbeatHandler heartbeatHandler;
   private final JobWatch jobWatch;
-  private final ProgressPublisher progress;
-  private final ClusterSummary summary;
+  private final ProgressPublisher progressPublisher;
+  private final ClusterSummary clusterSummary;
   private final LeaderGauges gauges;
-  private boolean secondFormat;
-  private long sweepAt;
-  private long speculateAt;
+  private boolean isFormatMigrated;
+  private long nextSweepAt;
+  private long nextSpeculationAt;
 
   /** Begins the term that the node's election has just won, and starts to read the records. */
-  public Leader(LeaderDependencies node) {
-    this.node = node;
-    runtime = node.runtime();
-    term = new Term(node.election());
+  public Leader(LeaderDependencies dependencies) {
+    this.dependencies = dependencies;
+    runtime = dependencies.runtime();
+    term = new Term(dependencies.election());
     dispatcher = new CommandDispatcher(term);
-    services = AssignmentServices.create(node, term, this, this);
+    services = AssignmentServices.create(dependencies, term, this, this);
     assignments = services.assignments();
-    recovery = new LeaderRecovery(node, term, services, this::loadRestarts);
-    scheduling = SchedulingServices.create(node, term, services, recovery::mostHeard);
-    MachineSilence silence = new MachineSilence(node, scheduling.zoneOutages(), recovery);
-    reachability = new ReachabilityChecks(node, scheduling.autoscaler(), recovery, silence);
-    healthSweep = new HealthSweep(node, services, scheduling, recovery, reachability, silence);
-    heartbeatHandler = new HeartbeatHandler(node, term, services, recovery, reachability);
-    jobWatch = new JobWatch(node, term, assignments);
-    progress = new ProgressPublisher(node, assignments);
-    summary = new ClusterSummary(runtime, services, scheduling);
+    recovery = new LeaderRecovery(dependencies, term, services, this::loadRestartRecord);
+    scheduling =
+        SchedulingServices.create(dependencies, term, services, recovery::hasHeardMostMachines);
+    MachineSilence silence = new MachineSilence(dependencies, scheduling.zoneOutages(), recovery);
+    reachability = new ReachabilityChecks(dependencies, scheduling.autoscaler(), recovery, silence);
+    healthSweep =
+        new HealthSweep(dependencies, services, scheduling, recovery, reachability, silence);
+    heartbeatHandler = new HeartbeatHandler(dependencies, term, services, recovery, reachability);
+    jobWatch = new JobWatch(dependencies, term, assignments);
+    progressPublisher = new ProgressPublisher(dependencies, assignments);
+    clusterSummary = new ClusterSummary(runtime, services, scheduling);
     gauges =
         new LeaderGauges(services, scheduling, recovery, reachability, healthSweep, dispatcher);
-    scheduling.externallyManaged().load();
-    recovery.begin(this::loaded);
+    scheduling.externallyManagedMachines().load();
+    recovery.start(this::onRecordsLoaded);
   }
 
   /** All records are known: heartbeats that came meanwhile are applied at once. */
-  private void loaded(Map<Machine, Heartbeat> early) {
-    jobWatch.startAt(recovery.watchFrom());
-    early.forEach(
+  private void onRecordsLoaded(Map<Machine, Heartbeat> earlyHeartbeats) {
+    jobWatch.startFrom(recovery.jobWatchRevision());
+    earlyHeartbeats.forEach(
         (machine, heartbeat) -> {
           if (!machine.isTerminated()) {
             heartbeatHandler.apply(machine, heartbeat);
@@ -75,7 +77,7 @@
         });
   }
 
-  private void loadRestarts(String id, StateMessage.Entry entry) {
+  private void loadRestartRecord(String id, StateMessage.Entry entry) {
     Job job = assignments.job(id);
     if (job != null) {
       RestartRecords.load(job, entry.value());
@@ -84,7 +86,7 @@
   }
 
   /** A user was told, by whichever node, that the job is cancelled. */
-  public void cancellationConfirmed(String job) {
+  public void onCancellationConfirmed(String job) {
     assignments.registry().confirmCancellation(job);
   }
 
@@ -100,11 +102,11 @@
 
   /** Does what has become due. */
   public void tick() {
-    if (term.ended()) {
+    if (term.hasEnded()) {
       return;
     }
     recovery.tick();
-    if (!recovery.loaded()) {
+    if (!recovery.isLoaded()) {
       return;
     }
     jobWatch.tick();
@@ -112,49 +114,49 @@
       return;
     }
     long now = runtime.now();
-    if (now >= sweepAt) {
-      sweepAt = now + HealthSweep.INTERVAL_MS;
+    if (now >= nextSweepAt) {
+      nextSweepAt = now + HealthSweep.INTERVAL_MS;
       sweep();
     }
-    services.dependencies().step();
-    if (node.machineTypes().known() && assignments.consumeChanged()) {
+    services.dependencyGraph().step();
+    if (dependencies.machineTypes().known() && assignments.consumeChanged()) {
       schedule(now);
     }
-    summary.tick();
-    progress.tick();
+    clusterSummary.tick();
+    progressPublisher.tick();
     flush();
   }
 
   private void sweep() {
-    if (node.gate().open() && !secondFormat) {
-      secondFormat = !assignments.useSecondFormat();
+    if (dependencies.formatGate().open() && !isFormatMigrated) {
+      isFormatMigrated = !assignments.useSecondFormat();
     }
     String resignReason = healthSweep.sweep();
     if (resignReason != null) {
       term.resign(resignReason);
     }
     services.registry().writeChangedPages();
-    recovery.sweep();
+    recovery.dropTerminatingMachines();
     scheduling.autoscaler().tick();
     assignments.markChanged();
     assignments.retryFinishing();
   }
 
   private void schedule(long now) {
-    boolean room = scheduling.scheduler().schedule();
-    if (room && now >= speculateAt) {
-      speculateAt = now + SPECULATION_INTERVAL_MS;
+    boolean hasRoom = scheduling.scheduler().schedule();
+    if (hasRoom && now >= nextSpeculationAt) {
+      nextSpeculationAt = now + SPECULATION_INTERVAL_MS;
       scheduling.speculator().consider();
     }
   }
 
   /** Sends what has been decided. */
   public void flush() {
-    if (term.ended()) {
+    if (term.hasEnded()) {
       return;
     }
-    if (recovery.loaded()) {
-      services.dependencies().step();
+    if (recovery.isLoaded()) {
+      services.dependencyGraph().step();
     }
     services.writer().flush();
     dispatcher.flush();
@@ -165,12 +167,12 @@
    *
    * @param most how many at the most
    */
-  public List<String> sampleWorkerAddresses(int most) {
+  public List<String> sampleWorkerAddresses(int maxAddresses) {
     List<String> addresses = new ArrayList<>();
     List<Machine> all = services.machines().present();
-    int step = Math.max(1, all.size() / (2 * most));
+    int step = Math.max(1, all.size() / (2 * maxAddresses));
     int first = (int) (runtime.now() % step);
-    for (int i = first; i < all.size() && addresses.size() < most; i += step) {
+    for (int i = first; i < all.size() && addresses.size() < maxAddresses; i += step) {
       Machine machine = all.get(i);
       if (machine.addr() != null && machine.usable(runtime.now())) {
         addresses.add(machine.addr());
@@ -196,7 +198,7 @@
 
   @Override
   public boolean over() {
-    return term.ended();
+    return term.hasEnded();
   }
 
   @Override
@@ -206,7 +208,7 @@
 
   @Override
   public void leaderKeyLost() {
-    term.leaderKeyLost();
+    term.onLeaderKeyLost();
   }
 
   @Override
@@ -238,6 +240,6 @@
 
   @Override
   public void unanswered(Machine machine) {
-    reachability.messageUnanswered(machine);
+    reachability.onMessageUnanswered(machine);
   }
 }
--- a/src/main/java/org/snowturn/core/leader/LeaderDependencies.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderDependencies.java
@@ -27,7 +27,7 @@
     Election election,
     CancellationWatermark watermark,
     MachineTypes machineTypes,
-    FormatGate gate,
+    FormatGate formatGate,
     JobApi jobApi,
     ConnectivityMonitor connectivity,
-    DoubleUnaryOperator writeShare) {}
+    DoubleUnaryOperator leaderWriteRate) {}
--- a/src/main/java/org/snowturn/core/leader/LeaderGauges.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderGauges.java
@@ -34,7 +34,7 @@
     TaskCounts tasks = TaskCounts.of(assignments.jobs());
     Map<String, Double> gauges = new HashMap<>();
     gauges.put(
-        "snowturn.jobs.awaiting.dependencies", (double) services.dependencies().waitingJobs());
+        "snowturn.jobs.awaiting.dependencies", (double) services.dependencyGraph().waitingJobs());
     gauges.put("snowturn.jobs.live", (double) assignments.jobs().size());
     gauges.put("snowturn.tasks.waiting", (double) tasks.waiting());
     gauges.put("snowturn.tasks.assigned", (double) tasks.assigned());
@@ -42,13 +42,13 @@
     gauges.putAll(healthSweep.gauges());
     gauges.putAll(reachability.gauges());
     gauges.putAll(services.failureHandler().gauges());
-    gauges.putAll(services.guard().gauges());
+    gauges.putAll(services.attemptGuard().gauges());
     gauges.put("snowturn.speculative.restarts", (double) scheduling.speculator().restarts());
     gauges.put("snowturn.writes.waiting", (double) services.writer().queuedRecords());
     gauges.put("snowturn.placements", (double) assignments.placements());
     gauges.put(
         "snowturn.placements.evaluations", (double) scheduling.scheduler().machineEvaluations());
-    gauges.put("snowturn.command.queues.flushed", (double) dispatcher.flushes());
+    gauges.put("snowturn.command.queues.flushed", (double) dispatcher.flushCount());
     gauges.put("snowturn.starts.repeated", (double) services.heartbeatCommands().repeatedStarts());
     gauges.putAll(recovery.gauges());
     gauges.putAll(scheduling.scheduler().gauges());
--- a/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
@@ -20,18 +20,18 @@
  * may get work while others are still to be probed.
  */
 final class LeaderRecovery {
-  private final LeaderDependencies node;
+  private final LeaderDependencies dependencies;
   private final CoreRuntime runtime;
   private final Term term;
   private final TaskAssignments assignments;
   private final StoredRecordsLoader loader;
   private final RecoveryProber prober;
-  private final RecoveryProgress phases;
+  private final RecoveryProgress progress;
 
   /** The last heartbeat of each machine that came while the records were being read. */
-  private final Map<Machine, Heartbeat> early = new LinkedHashMap<>();
+  private final Map<Machine, Heartbeat> earlyHeartbeats = new LinkedHashMap<>();
 
-  private long watchFrom;
+  private long jobWatchRevision;
 
   /**
    * The recovery of a term that has just been won.
@@ -39,27 +39,27 @@
    * @param restarts takes a job's id and its stored counter of restarts
    */
   LeaderRecovery(
-      LeaderDependencies node,
+      LeaderDependencies dependencies,
       Term term,
       AssignmentServices services,
-      BiConsumer<String, StateMessage.Entry> restarts) {
-    this.node = node;
-    this.runtime = node.runtime();
+      BiConsumer<String, StateMessage.Entry> onRestartRecord) {
+    this.dependencies = dependencies;
+    this.runtime = dependencies.runtime();
     this.term = term;
     this.assignments = services.assignments();
-    this.loader = new StoredRecordsLoader(node, services, restarts);
+    this.loader = new StoredRecordsLoader(dependencies, services, onRestartRecord);
     this.prober = new RecoveryProber(runtime, services);
-    this.phases = new RecoveryProgress(runtime.now());
+    this.progress = new RecoveryProgress(runtime.now());
   }
 
   /** Whether all records are known, so that decisions may be made. */
-  boolean loaded() {
-    return phases.reached(RecoveryPhase.PROBING);
+  boolean isLoaded() {
+    return progress.reached(RecoveryPhase.PROBING);
   }
 
   /** The revision from which on changes of jobs are to be watched. */
-  long watchFrom() {
-    return watchFrom;
+  long jobWatchRevision() {
+    return jobWatchRevision;
   }
 
   /**
@@ -67,26 +67,26 @@
    *
    * @param whenLoaded takes the last heartbeat of each machine that came meanwhile
    */
-  void begin(Consumer<Map<Machine, Heartbeat>> whenLoaded) {
+  void start(Consumer<Map<Machine, Heartbeat>> onLoaded) {
     enter(RecoveryPhase.READING);
-    new StoredRecordsReader(node, term, records -> load(records, whenLoaded)).start();
+    new StoredRecordsReader(dependencies, term, records -> load(records, onLoaded)).start();
   }
 
   /** Keeps the newest heartbeat of a machine until the records are known. */
-  void keep(Machine machine, Heartbeat heartbeat) {
-    Heartbeat before = early.get(machine);
-    boolean older =
-        before != null
-            && (heartbeat.agentEpoch() < before.agentEpoch()
-                || (heartbeat.agentEpoch() == before.agentEpoch()
-                    && heartbeat.sequence() <= before.sequence()));
-    if (!older) {
-      early.put(machine, heartbeat);
+  void keepEarlyHeartbeat(Machine machine, Heartbeat heartbeat) {
+    Heartbeat previous = earlyHeartbeats.get(machine);
+    boolean isOlder =
+        previous != null
+            && (heartbeat.agentEpoch() < previous.agentEpoch()
+                || (heartbeat.agentEpoch() == previous.agentEpoch()
+                    && heartbeat.sequence() <= previous.sequence()));
+    if (!isOlder) {
+      earlyHeartbeats.put(machine, heartbeat);
     }
   }
 
-  private void load(StoredRecords records, Consumer<Map<Machine, Heartbeat>> whenLoaded) {
-    watchFrom = records.jobs().epoch();
+  private void load(StoredRecords records, Consumer<Map<Machine, Heartbeat>> onLoaded) {
+    jobWatchRevision = records.jobs().epoch();
     loader.load(records);
     enter(RecoveryPhase.PROBING);
     runtime
@@ -94,11 +94,11 @@
         .info(LogEvent.RECOVERY_COMPLETED)
         .with(LogField.JOBS, assignments.jobs().size())
         .with(LogField.TASKS_ASSIGNED, TaskCounts.of(assignments.jobs()).assigned())
-        .with(LogField.PHASES, phases.toString())
-        .with(LogField.RECORDS_UNREADABLE, loader.unreadable())
+        .with(LogField.PHASES, progress.toString())
+        .with(LogField.RECORDS_UNREADABLE, loader.unreadableCount())
         .write();
-    whenLoaded.accept(early);
-    early.clear();
+    onLoaded.accept(earlyHeartbeats);
+    earlyHeartbeats.clear();
     prober.start();
     assignments.retryFinishing();
   }
@@ -108,21 +108,22 @@
    * to be all the room there is may be a fiftieth of it: a replica that waits must not cost the
    * work of tasks on the few machines that were first to answer.
    */
-  boolean mostHeard() {
-    return phases.reached(RecoveryPhase.RECONCILED) || (loaded() && prober.mostHeard());
+  boolean hasHeardMostMachines() {
+    return progress.reached(RecoveryPhase.RECONCILED)
+        || (isLoaded() && prober.hasHeardMostMachines());
   }
 
   /** The machine has been heard, and whether it knows the present token. */
-  void heard(Machine machine) {
-    prober.anyHeard();
-    if (loaded()) {
-      prober.heard(machine);
+  void onMachineHeard(Machine machine) {
+    prober.onAnyMachineHeard();
+    if (isLoaded()) {
+      prober.onMachineHeard(machine);
     }
   }
 
   /** A message to the machine got no answer. */
-  void unanswered(Machine machine) {
-    prober.unanswered(machine);
+  void onMessageUnanswered(Machine machine) {
+    prober.onMessageUnanswered(machine);
   }
 
   /**
@@ -141,40 +142,40 @@
   /** Sends due probes and enters the next phase when its condition holds. */
   void tick() {
     prober.tick();
-    if (!loaded()) {
+    if (!isLoaded()) {
       return;
     }
-    prober.probe();
-    if (prober.unheard() == 0) {
+    prober.sendDueProbes();
+    if (prober.unheardCount() == 0) {
       enter(RecoveryPhase.RECONCILED);
       if (assignments.unconfirmedAdopted() == 0 && enter(RecoveryPhase.NORMAL)) {
         runtime
             .events()
             .info(LogEvent.RECONCILIATION_COMPLETED)
-            .with(LogField.PHASES, phases.toString())
-            .with(LogField.PROBES, prober.sent())
+            .with(LogField.PHASES, progress.toString())
+            .with(LogField.PROBES, prober.sentCount())
             .write();
       }
     }
   }
 
   /** Gives up on machines that are about to be terminated. */
-  void sweep() {
-    prober.dropTerminating();
+  void dropTerminatingMachines() {
+    prober.dropTerminatingMachines();
   }
 
   private boolean enter(RecoveryPhase phase) {
-    return phases.enter(phase, runtime.now());
+    return progress.enter(phase, runtime.now());
   }
 
   /** The gauges of the recovery by name. */
   Map<String, Double> gauges() {
     return Map.of(
-        "snowturn.term.phase", (double) phases.now().number(),
-        "snowturn.term.machines.unconfirmed", (double) prober.unheard(),
-        "snowturn.term.probes", (double) prober.sent(),
+        "snowturn.term.phase", (double) progress.now().number(),
+        "snowturn.term.machines.unconfirmed", (double) prober.unheardCount(),
+        "snowturn.term.probes", (double) prober.sentCount(),
         "snowturn.term.probes.window", (double) prober.window(),
         "snowturn.term.tasks.unconfirmed", (double) assignments.unconfirmedAdopted(),
-        "snowturn.records.unreadable", (double) loader.unreadable());
+        "snowturn.records.unreadable", (double) loader.unreadableCount());
   }
 }
--- a/src/main/java/org/snowturn/core/leader/MachineSilence.java
+++ b/src/main/java/org/snowturn/core/leader/MachineSilence.java
@@ -18,73 +18,74 @@
   private final ZoneOutages zoneOutages;
   private final LeaderRecovery recovery;
   private final WorkerSilence workerSilence;
-  private final long termBeganAt;
+  private final long termStartedAt;
 
-  MachineSilence(LeaderDependencies node, ZoneOutages zoneOutages, LeaderRecovery recovery) {
-    this.runtime = node.runtime();
-    this.settings = node.settings();
+  MachineSilence(
+      LeaderDependencies dependencies, ZoneOutages zoneOutages, LeaderRecovery recovery) {
+    this.runtime = dependencies.runtime();
+    this.settings = dependencies.settings();
     this.zoneOutages = zoneOutages;
     this.recovery = recovery;
     this.workerSilence = new WorkerSilence(HealthSweep.INTERVAL_MS, settings.workers().reportS());
-    this.termBeganAt = runtime.now();
+    this.termStartedAt = runtime.now();
   }
 
   /** Heard by this leader, or recorded by an earlier one. */
   static boolean hasBeenUp(Machine machine) {
-    return isHeard(machine) || machine.isRegistered();
+    return hasBeenHeard(machine) || machine.isRegistered();
   }
 
   /** Whether this leader has had a heartbeat of the machine. */
-  static boolean isHeard(Machine machine) {
+  static boolean hasBeenHeard(Machine machine) {
     return machine.lastHeartbeatAt() != MonotonicTime.NEVER;
   }
 
   /** A worker has sent a message to this node. */
-  void workerHeard() {
+  void onWorkerHeard() {
     workerSilence.heard();
   }
 
   /** A message to a worker got no answer. */
-  void workerUnanswered() {
+  void onMessageUnanswered() {
     workerSilence.unanswered();
   }
 
   /** How workers are heard by this node as a whole. */
-  WorkerSilence workers() {
+  WorkerSilence workerSilence() {
     return workerSilence;
   }
 
   /** Whether the term is older than this, in milliseconds. */
-  boolean termOlderThan(long ageMs) {
-    return runtime.now() - termBeganAt > ageMs;
+  boolean isTermOlderThan(long ageMs) {
+    return runtime.now() - termStartedAt > ageMs;
   }
 
   /** Whether workers have had the time to find this leader. */
-  boolean workersReassigned() {
-    return termOlderThan(HeartbeatProcessor.reassignmentMs(settings));
+  boolean isReassignmentPeriodOver() {
+    return isTermOlderThan(HeartbeatProcessor.reassignmentMs(settings));
   }
 
   /** Whether a machine that has been up should have been heard again by now. */
   boolean isSilent(Machine machine) {
-    return isHeard(machine)
+    return hasBeenHeard(machine)
         ? runtime.now() > machine.session.silentFrom()
-        : recovery.isUnresponsive(machine) || workersReassigned();
+        : recovery.isUnresponsive(machine) || isReassignmentPeriodOver();
   }
 
   /** Whether the silence of a machine that was heard is its own, so that it may be replaced. */
-  boolean mayReplace() {
-    return workersReassigned() && silenceIsTheirs();
+  boolean canReplaceHeard() {
+    return isReassignmentPeriodOver() && canTrustSilence();
   }
 
   /**
    * Whether a machine that this leader has not heard yet may be replaced: it left probes
    * unanswered, or is silent for longer than its way to a new leader takes.
    */
-  boolean mayReplaceUnheard(Machine machine) {
-    return (workersReassigned() || recovery.isUnresponsive(machine)) && silenceIsTheirs();
+  boolean canReplaceUnheard(Machine machine) {
+    return (isReassignmentPeriodOver() || recovery.isUnresponsive(machine)) && canTrustSilence();
   }
 
-  private boolean silenceIsTheirs() {
+  private boolean canTrustSilence() {
     return workerSilence.mayJudgeMachines(runtime.now()) && zoneOutages.isConnected();
   }
 }
--- a/src/main/java/org/snowturn/core/leader/ProgressPublisher.java
+++ b/src/main/java/org/snowturn/core/leader/ProgressPublisher.java
@@ -13,30 +13,30 @@
   private static final long INTERVAL_MS = 1_000;
 
   private final CoreRuntime runtime;
-  private final String node;
+  private final String nodeName;
   private final JobApi jobApi;
   private final TaskAssignments assignments;
-  private final Map<String, PeerMessage.JobProgress> published = new HashMap<>();
-  private long nextAt;
+  private final Map<String, PeerMessage.JobProgress> lastPublished = new HashMap<>();
+  private long nextPublishAt;
 
-  ProgressPublisher(LeaderDependencies node, TaskAssignments assignments) {
-    this.runtime = node.runtime();
-    this.node = node.settings().node();
-    this.jobApi = node.jobApi();
+  ProgressPublisher(LeaderDependencies dependencies, TaskAssignments assignments) {
+    this.runtime = dependencies.runtime();
+    this.nodeName = dependencies.settings().node();
+    this.jobApi = dependencies.jobApi();
     this.assignments = assignments;
   }
 
   /** Publishes what has changed since the last time, if it is time for it. */
   void tick() {
-    if (runtime.now() < nextAt) {
+    if (runtime.now() < nextPublishAt) {
       return;
     }
-    nextAt = runtime.now() + INTERVAL_MS;
-    published.keySet().removeIf(id -> assignments.job(id) == null);
+    nextPublishAt = runtime.now() + INTERVAL_MS;
+    lastPublished.keySet().removeIf(id -> assignments.job(id) == null);
     for (Job job : assignments.jobs()) {
       PeerMessage.JobProgress progress =
-          new PeerMessage.JobProgress(node, job.spec.id(), job.done(), job.running());
-      if (!progress.equals(published.put(job.spec.id(), progress))) {
+          new PeerMessage.JobProgress(nodeName, job.spec.id(), job.done(), job.running());
+      if (!progress.equals(lastPublished.put(job.spec.id(), progress))) {
         jobApi.onProgress(progress);
         runtime.broadcast(progress);
       }
--- a/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
+++ b/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
@@ -15,10 +15,10 @@
 /** Learns from heartbeats, replies and missing replies which machines receive messages. */
 final class ReachabilityChecks {
   /** So many messages of a machine may overtake one of its replies. */
-  private static final int MAX_OVERTAKEN = 10;
+  private static final int MAX_SEQUENCE_LAG = 10;
 
   /** A worker that has just been given the token sends another heartbeat within this time. */
-  private static final long NEXT_HEARTBEAT_MS = 1_500;
+  private static final long MAX_NEXT_HEARTBEAT_MS = 1_500;
 
   /** A machine that left a message unanswered gets no new work for so long, or until it reports. */
   private static final long BLOCKED_MS = 1_500;
@@ -28,20 +28,20 @@
   private final Autoscaler autoscaler;
   private final LeaderRecovery recovery;
   private final ConnectivityMonitor connectivity;
-  private final MachineSilence silence;
-  private long staleHeartbeats;
+  private final MachineSilence machineSilence;
+  private long staleHeartbeatCount;
 
   ReachabilityChecks(
-      LeaderDependencies node,
+      LeaderDependencies dependencies,
       Autoscaler autoscaler,
       LeaderRecovery recovery,
-      MachineSilence silence) {
-    this.runtime = node.runtime();
-    this.settings = node.settings();
-    this.connectivity = node.connectivity();
+      MachineSilence machineSilence) {
+    this.runtime = dependencies.runtime();
+    this.settings = dependencies.settings();
+    this.connectivity = dependencies.connectivity();
     this.autoscaler = autoscaler;
     this.recovery = recovery;
-    this.silence = silence;
+    this.machineSilence = machineSilence;
   }
 
   /**
@@ -49,21 +49,21 @@
    * given up. Whatever it is answered renews nothing.
    */
   boolean isStale(Machine machine, Heartbeat heartbeat) {
-    boolean stale =
+    boolean isStale =
         heartbeat.agentEpoch() < machine.epoch()
             || (heartbeat.agentEpoch() == machine.epoch()
                 && machine.reachability.isStale(heartbeat.sequence()));
-    staleHeartbeats += stale ? 1 : 0;
-    return stale;
+    staleHeartbeatCount += isStale ? 1 : 0;
+    return isStale;
   }
 
   /** A heartbeat has come that is not stale. */
-  void heartbeatReceived() {
-    silence.workerHeard();
+  void onHeartbeatReceived() {
+    machineSilence.onWorkerHeard();
   }
 
   /** That heartbeat was applied. */
-  void heartbeatApplied(Machine machine, Heartbeat heartbeat) {
+  void onHeartbeatApplied(Machine machine, Heartbeat heartbeat) {
     if (heartbeat.agentEpoch() == machine.epoch()) {
       machine.reachability.heartbeatReceived(
           heartbeat.sequence(), runtime.now(), HeartbeatProcessor.heartbeatDueMs(settings));
@@ -72,8 +72,8 @@
   }
 
   /** The machine has answered a message; the heartbeat in its reply has not been applied yet. */
-  void messageAnswered(Machine machine, Heartbeat heartbeat) {
-    silence.workerHeard();
+  void onMessageAnswered(Machine machine, Heartbeat heartbeat) {
+    machineSilence.onWorkerHeard();
     connectivity.workerHeard();
     machine.probeSettled();
     if (machine.reachability.replyShowsNewIncarnation(isOutdated(machine, heartbeat))) {
@@ -85,7 +85,7 @@
   private static boolean isOutdated(Machine machine, Heartbeat heartbeat) {
     return heartbeat.agentEpoch() < machine.epoch()
         || (heartbeat.agentEpoch() == machine.epoch()
-            && heartbeat.sequence() + MAX_OVERTAKEN < machine.session.heartbeatSeq());
+            && heartbeat.sequence() + MAX_SEQUENCE_LAG < machine.session.heartbeatSeq());
   }
 
   /**
@@ -94,11 +94,11 @@
    * the recovery, in its order.
    */
   void probeIfDue(Machine machine) {
-    boolean inTurn =
+    boolean canProbe =
         machine.session.isAcknowledged()
-            || (recovery.mostHeard()
-                && machine.reachability.answeredAgoMs(runtime.now()) > NEXT_HEARTBEAT_MS);
-    if (inTurn
+            || (recovery.hasHeardMostMachines()
+                && machine.reachability.answeredAgoMs(runtime.now()) > MAX_NEXT_HEARTBEAT_MS);
+    if (canProbe
         && machine.addr() != null
         && machine.commands().idle()
         && machine.reachability.claimProbe(runtime.now())) {
@@ -107,12 +107,12 @@
   }
 
   /** A message to the machine got no answer. */
-  void messageUnanswered(Machine machine) {
+  void onMessageUnanswered(Machine machine) {
     // Commands count as well as probes: a dead machine with free room is given new ones again and
     // again, and would never be probed.
     machine.setBlockedUntil(Math.max(machine.blockedUntil(), runtime.now() + BLOCKED_MS));
-    recovery.unanswered(machine);
-    silence.workerUnanswered();
+    recovery.onMessageUnanswered(machine);
+    machineSilence.onMessageUnanswered();
     if (machine.reachability.unansweredMessages() == Reachability.UNREACHABLE_AFTER) {
       runtime
           .events()
@@ -121,16 +121,18 @@
           .with(LogField.UNANSWERED, machine.reachability.unansweredMessages())
           .write();
     }
-    boolean silent = MachineSilence.hasBeenUp(machine) && silence.isSilent(machine);
-    if (machine.isProbing() || silent) {
-      suspect(machine);
+    boolean isSilent = MachineSilence.hasBeenUp(machine) && machineSilence.isSilent(machine);
+    if (machine.isProbing() || isSilent) {
+      suspectOrReplace(machine);
     }
   }
 
   /** A second failed probe of a machine that was heard replaces it. */
-  private void suspect(Machine machine) {
+  private void suspectOrReplace(Machine machine) {
     machine.probeSettled();
-    if (machine.isSuspected() && MachineSilence.isHeard(machine) && silence.mayReplace()) {
+    if (machine.isSuspected()
+        && MachineSilence.hasBeenHeard(machine)
+        && machineSilence.canReplaceHeard()) {
       autoscaler.terminate(machine, "silent");
     }
     machine.suspect();
@@ -138,6 +140,6 @@
 
   /** The gauges of these checks by name. */
   Map<String, Double> gauges() {
-    return Map.of("snowturn.heartbeats.late", (double) staleHeartbeats);
+    return Map.of("snowturn.heartbeats.late", (double) staleHeartbeatCount);
   }
 }
--- a/src/main/java/org/snowturn/core/leader/RecoveryProber.java
+++ b/src/main/java/org/snowturn/core/leader/RecoveryProber.java
@@ -15,13 +15,13 @@
  */
 final class RecoveryProber {
   /** After a probe without an answer, the same machine is probed again so much later. */
-  private static final long RETRY_MS = 500;
+  private static final long RETRY_DELAY_MS = 500;
 
   /** Silence since the first probe that may count as death, if other machines answer meanwhile. */
-  private static final long UNRESPONSIVE_MS = 3_500;
+  private static final long MIN_UNRESPONSIVE_MS = 3_500;
 
   /** A worker that has just been given the token sends another heartbeat within this time. */
-  private static final long NEXT_HEARTBEAT_MS = 1_200;
+  private static final long MAX_NEXT_HEARTBEAT_MS = 1_200;
 
   /** A tick that comes so late means that the node is behind with its work. */
   private static final long LATE_TICK_MS = 250;
@@ -30,13 +30,13 @@
   private static final long PROMPT_TICK_MS = 100;
 
   /** Within this time some machine is heard, unless none can be. */
-  private static final long OTHERS_HEARD_MS = 500;
+  private static final long OTHERS_HEARD_WINDOW_MS = 500;
 
   /** For so long after it was behind, a node trusts no silence. */
-  private static final long STEADY_MS = 1_000;
+  private static final long MIN_STEADY_MS = 1_000;
 
   /** All but one in so many machines are most. */
-  private static final int MOST_DIVISOR = 10;
+  private static final int MAX_UNHEARD_DIVISOR = 10;
 
   /** After so long, machines that have not been heard are not waited for. */
   private static final long MAX_WAIT_MS = 2_500;
@@ -50,8 +50,8 @@
   private final CoreRuntime runtime;
   private final MachineIndex machines;
   private final TaskAssignments assignments;
-  private final PacedProbes probes = new PacedProbes(RETRY_MS);
-  private int initiallyUnheard;
+  private final PacedProbes probes = new PacedProbes(RETRY_DELAY_MS);
+  private int initialUnheardCount;
   private long startedAt;
   private long lastHeardAt = MonotonicTime.NEVER;
   private long lastTickAt;
@@ -63,7 +63,7 @@
     this.machines = services.machines();
     this.assignments = services.assignments();
     this.lastTickAt = runtime.now();
-    this.lastLateTickAt = runtime.now() - STEADY_MS;
+    this.lastLateTickAt = runtime.now() - MIN_STEADY_MS;
   }
 
   /** Begins to probe all recorded machines that have not shown the token. */
@@ -82,13 +82,13 @@
     for (Machine machine : machines.present()) {
       if (machine.isRegistered() && !machine.session.isAcknowledged()) {
         boolean sendsHeartbeats = machine.lastHeartbeatAt() != MonotonicTime.NEVER;
-        long notBefore = sendsHeartbeats ? runtime.now() + NEXT_HEARTBEAT_MS : 0;
+        long notBefore = sendsHeartbeats ? runtime.now() + MAX_NEXT_HEARTBEAT_MS : 0;
         probes.add(machine.index, urgency(machine, replicaCpus, batchTaskCpus), notBefore);
       }
     }
-    initiallyUnheard = probes.unheard();
+    initialUnheardCount = probes.unheard();
     startedAt = runtime.now();
-    probe();
+    sendDueProbes();
   }
 
   /**
@@ -96,8 +96,8 @@
    * then room for waiting batch tasks: in this order the answers are worth most to users.
    */
   private int urgency(Machine machine, double replicaCpus, double batchTaskCpus) {
-    double free = machine.cpusFree();
-    if (free >= replicaCpus) {
+    double freeCpus = machine.cpusFree();
+    if (freeCpus >= replicaCpus) {
       return URGENCY_ROOM_FOR_REPLICAS;
     }
     boolean holdsReplica = false;
@@ -111,11 +111,11 @@
     if (holdsReplica) {
       return URGENCY_HOLDS_REPLICA;
     }
-    return free >= batchTaskCpus ? URGENCY_ROOM_FOR_BATCH : URGENCY_OTHER;
+    return freeCpus >= batchTaskCpus ? URGENCY_ROOM_FOR_BATCH : URGENCY_OTHER;
   }
 
   /** Sends the probes that are due. */
-  void probe() {
+  void sendDueProbes() {
     int next;
     while ((next = probes.next(runtime.now())) >= 0) {
       Machine machine = machines.get(next);
@@ -142,18 +142,18 @@
   }
 
   /** Some machine has been heard; called for every heartbeat, also before {@link #start()}. */
-  void anyHeard() {
+  void onAnyMachineHeard() {
     lastHeardAt = runtime.now();
   }
 
   /** This machine has been heard, with or without the present token. */
-  void heard(Machine machine) {
+  void onMachineHeard(Machine machine) {
     if (machine.session.isAcknowledged()) {
       probes.heard(machine.index, runtime.now());
-      probe();
+      sendDueProbes();
     } else {
       // It has the token from our answer now, and a higher token makes it report again at once.
-      probes.postpone(machine.index, runtime.now() + NEXT_HEARTBEAT_MS);
+      probes.postpone(machine.index, runtime.now() + MAX_NEXT_HEARTBEAT_MS);
     }
   }
 
@@ -162,13 +162,13 @@
    * the same time: else this node is cut off, and once it no longer is, the machines that are a
    * little later than others would be taken for dead.
    */
-  void unanswered(Machine machine) {
-    boolean othersHeard = runtime.now() - lastHeardAt < OTHERS_HEARD_MS;
+  void onMessageUnanswered(Machine machine) {
+    boolean othersHeard = runtime.now() - lastHeardAt < OTHERS_HEARD_WINDOW_MS;
     probes.unanswered(machine.index, runtime.now(), othersHeard);
   }
 
   /** Machines that have ended or are about to be terminated need not be probed. */
-  void dropTerminating() {
+  void dropTerminatingMachines() {
     for (Machine machine : machines.present()) {
       if (machine.isTerminating()) {
         probes.drop(machine.index);
@@ -177,8 +177,8 @@
   }
 
   /** Whether nearly all machines have been heard, or have had the time for it. */
-  boolean mostHeard() {
-    return probes.unheard() * MOST_DIVISOR <= initiallyUnheard
+  boolean hasHeardMostMachines() {
+    return probes.unheard() * MAX_UNHEARD_DIVISOR <= initialUnheardCount
         || runtime.now() - startedAt > MAX_WAIT_MS;
   }
 
@@ -187,8 +187,8 @@
    * this node kept up with its work. Whether the machine or the network is down, others judge.
    */
   boolean isUnresponsive(Machine machine) {
-    return runtime.now() - lastLateTickAt >= STEADY_MS
-        && probes.isUnresponsive(machine.index, UNRESPONSIVE_MS, runtime.now());
+    return runtime.now() - lastLateTickAt >= MIN_STEADY_MS
+        && probes.isUnresponsive(machine.index, MIN_UNRESPONSIVE_MS, runtime.now());
   }
 
   /** Whether the machine has left a probe unanswered and has not been heard since. */
@@ -197,12 +197,12 @@
   }
 
   /** How many machines have not been heard. */
-  int unheard() {
+  int unheardCount() {
     return probes.unheard();
   }
 
   /** How many probes have been sent. */
-  long sent() {
+  long sentCount() {
     return probes.sent();
   }
 
--- a/src/main/java/org/snowturn/core/leader/SchedulingServices.java
+++ b/src/main/java/org/snowturn/core/leader/SchedulingServices.java
@@ -16,7 +16,7 @@
 
 /** The parts of a term that choose machines for tasks and decide how many machines there are. */
 record SchedulingServices(
-    ExternallyManagedMachines externallyManaged,
+    ExternallyManagedMachines externallyManagedMachines,
     TaskScheduler scheduler,
     Speculator speculator,
     ZoneOutages zoneOutages,
@@ -28,15 +28,22 @@
    * @param mayPreempt whether enough machines are known for tasks to be stopped for others
    */
   static SchedulingServices create(
-      LeaderDependencies node, Term term, AssignmentServices services, BooleanSupplier mayPreempt) {
-    CoreRuntime runtime = node.runtime();
-    Settings settings = node.settings();
-    Tunables tunables = node.tunables();
-    ExternallyManagedMachines externallyManaged =
+      LeaderDependencies dependencies,
+      Term term,
+      AssignmentServices services,
+      BooleanSupplier isPreemptionAllowed) {
+    CoreRuntime runtime = dependencies.runtime();
+    Settings settings = dependencies.settings();
+    Tunables tunables = dependencies.tunables();
+    ExternallyManagedMachines externallyManagedMachines =
         new ExternallyManagedMachines(runtime, services.writer());
     ScalingPolicy scalingPolicy =
-        ScalingPolicy.of(settings, node.machineTypes()::quickestBootS, externallyManaged::present);
-    TaskScheduler scheduler = newScheduler(node, services, scalingPolicy, mayPreempt);
+        ScalingPolicy.of(
+            settings,
+            dependencies.machineTypes()::quickestBootS,
+            externallyManagedMachines::present);
+    TaskScheduler scheduler =
+        newScheduler(dependencies, services, scalingPolicy, isPreemptionAllowed);
     Speculator speculator =
         new Speculator(
             runtime,
@@ -45,7 +52,7 @@
             services.machines(),
             scheduler,
             services.writer(),
-            node.gate());
+            dependencies.formatGate());
     ZoneOutages zoneOutages = new ZoneOutages(services.machines().zoneCount());
     Autoscaler autoscaler =
         new Autoscaler(
@@ -53,35 +60,35 @@
                 runtime,
                 settings,
                 tunables,
-                node.machineTypes(),
+                dependencies.machineTypes(),
                 services.machines(),
                 services.assignments(),
-                services.heartbeats()),
+                services.heartbeatProcessor()),
             scheduler,
             scalingPolicy,
             zoneOutages,
-            externallyManaged,
+            externallyManagedMachines,
             services.preemptionRate(),
             term.token());
     return new SchedulingServices(
-        externallyManaged, scheduler, speculator, zoneOutages, autoscaler);
+        externallyManagedMachines, scheduler, speculator, zoneOutages, autoscaler);
   }
 
   private static TaskScheduler newScheduler(
-      LeaderDependencies node,
+      LeaderDependencies dependencies,
       AssignmentServices services,
       ScalingPolicy scalingPolicy,
-      BooleanSupplier mayPreempt) {
+      BooleanSupplier isPreemptionAllowed) {
     return new TaskScheduler(
-        node.runtime(),
-        node.settings(),
+        dependencies.runtime(),
+        dependencies.settings(),
         services.assignments(),
         services.machines(),
         new SchedulingPolicy(
-            new SchedulingOrder(node.settings(), node.tunables().urgentSlackS()),
+            new SchedulingOrder(dependencies.settings(), dependencies.tunables().urgentSlackS()),
             scalingPolicy::overprovisioning,
-            node.tunables().beginWithinS(),
-            mayPreempt),
+            dependencies.tunables().beginWithinS(),
+            isPreemptionAllowed),
         services.preemptionRate());
   }
 }
--- a/src/main/java/org/snowturn/core/leader/StoredRecords.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecords.java
@@ -9,10 +9,10 @@
  * @param jobsReadAt when the read of the jobs was sent, in milliseconds of the steady clock
  */
 record StoredRecords(
-    Range registry,
-    Range tasks,
+    Range registryPages,
+    Range secondFormatTasks,
     Range firstFormatTasks,
-    Range restarts,
+    Range restartRecords,
     Range submissionChunks,
     Range jobs,
     long jobsReadAt) {}
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
@@ -32,14 +32,14 @@
     void parse() throws MalformedException;
   }
 
-  private final LeaderDependencies node;
+  private final LeaderDependencies dependencies;
   private final CoreRuntime runtime;
   private final CancellationWatermark watermark;
   private final AssignmentServices services;
   private final TaskAssignments assignments;
-  private final BiConsumer<String, StateMessage.Entry> restarts;
-  private final Set<String> quarantined = new HashSet<>();
-  private long unreadable;
+  private final BiConsumer<String, StateMessage.Entry> onRestartRecord;
+  private final Set<String> quarantinedJobs = new HashSet<>();
+  private long unreadableCount;
 
   /**
    * Has loaded nothing yet.
@@ -47,41 +47,41 @@
    * @param restarts takes a job's id and its stored counter of restarts
    */
   StoredRecordsLoader(
-      LeaderDependencies node,
+      LeaderDependencies dependencies,
       AssignmentServices services,
-      BiConsumer<String, StateMessage.Entry> restarts) {
-    this.node = node;
-    this.runtime = node.runtime();
-    this.watermark = node.watermark();
+      BiConsumer<String, StateMessage.Entry> onRestartRecord) {
+    this.dependencies = dependencies;
+    this.runtime = dependencies.runtime();
+    this.watermark = dependencies.watermark();
     this.services = services;
     this.assignments = services.assignments();
-    this.restarts = restarts;
+    this.onRestartRecord = onRestartRecord;
   }
 
   /** How many records could not be read. */
-  long unreadable() {
-    return unreadable;
+  long unreadableCount() {
+    return unreadableCount;
   }
 
   /** Loads all records and sends the stops of cancelled tasks. */
   void load(StoredRecords records) {
-    for (StateMessage.Entry entry : records.registry().entries()) {
-      if (!load(entry, () -> services.registry().load(entry, this::initialize))) {
+    for (StateMessage.Entry entry : records.registryPages().entries()) {
+      if (!load(entry, () -> services.registry().load(entry, this::initializeMachine))) {
         assignments.registryIncomplete();
       }
     }
     loadJobs(records);
     List<StateMessage.Change> orphans = new ArrayList<>();
-    loadTasks(records.tasks(), StorageKeys.SECOND_FORMAT_TASKS, orphans);
+    loadTasks(records.secondFormatTasks(), StorageKeys.SECOND_FORMAT_TASKS, orphans);
     loadTasks(records.firstFormatTasks(), StorageKeys.TASKS, orphans);
-    quarantined.forEach(assignments.registry()::quarantine);
-    for (StateMessage.Entry entry : records.restarts().entries()) {
+    quarantinedJobs.forEach(assignments.registry()::quarantine);
+    for (StateMessage.Entry entry : records.restartRecords().entries()) {
       String job = entry.key().substring(StorageKeys.RESTARTS.length());
-      load(entry, () -> restarts.accept(job, entry));
+      load(entry, () -> onRestartRecord.accept(job, entry));
     }
     services.writer().deleteLater(List.of(), orphans);
     raiseAgentEpochs();
-    stopCancelled();
+    stopCancelledTasks();
     watermark.read(records.jobsReadAt());
   }
 
@@ -90,7 +90,7 @@
       parser.parse();
       return true;
     } catch (MalformedException | RuntimeException e) {
-      unreadable++;
+      unreadableCount++;
       runtime
           .events()
           .info(LogEvent.RECORD_UNREADABLE)
@@ -101,8 +101,8 @@
     }
   }
 
-  private void initialize(Machine machine) {
-    machine.setMachineType(node.machineTypes().get(machine.type()));
+  private void initializeMachine(Machine machine) {
+    machine.setMachineType(dependencies.machineTypes().get(machine.type()));
     machine.images.markStored();
     machine.session.setLastAnswerAt(Math.max(machine.session.lastAnswerAt(), runtime.now()));
     machine.setFirstSeenAt(runtime.now());
@@ -116,65 +116,68 @@
    */
   private void loadJobs(StoredRecords records) {
     List<StateMessage.Entry> chunks = records.submissionChunks().entries();
-    Map<String, String> texts = JobRecord.texts(chunks);
-    Set<String> used = new HashSet<>();
+    Map<String, String> chunkTexts = JobRecord.texts(chunks);
+    Set<String> usedChunkKeys = new HashSet<>();
     for (StateMessage.Entry entry : records.jobs().entries()) {
       String id = entry.key().substring(StorageKeys.JOBS.length());
-      boolean aborted = JobRecord.phaseOf(entry.value()) == JobStatus.Phase.ABORTED;
-      if (aborted) {
+      boolean isAborted = JobRecord.phaseOf(entry.value()) == JobStatus.Phase.ABORTED;
+      if (isAborted) {
         watermark.learn(id);
       }
-      boolean loaded = load(entry, () -> loadJob(id, entry, texts, used));
-      if (!loaded && !aborted) {
-        quarantined.add(id);
+      boolean isLoaded = load(entry, () -> loadJob(id, entry, chunkTexts, usedChunkKeys));
+      if (!isLoaded && !isAborted) {
+        quarantinedJobs.add(id);
         String prefix = StorageKeys.SUBMISSION_PARTS + id + "/";
         chunks.stream()
             .map(StateMessage.Entry::key)
             .filter(key -> key.startsWith(prefix))
-            .forEach(used::add);
+            .forEach(usedChunkKeys::add);
       }
     }
-    new SubmissionChunks(runtime, services.writer()).dropUnused(chunks, used);
+    new SubmissionChunks(runtime, services.writer()).dropUnused(chunks, usedChunkKeys);
   }
 
   private void loadJob(
-      String id, StateMessage.Entry entry, Map<String, String> texts, Set<String> used)
+      String id,
+      StateMessage.Entry entry,
+      Map<String, String> chunkTexts,
+      Set<String> usedChunkKeys)
       throws MalformedException {
     JobRecord stored = JobRecord.parse(entry.value());
-    List<String> keys = JobRecord.partKeys(id, stored.submission(), stored.parts());
-    used.addAll(keys);
-    if (stored.needsParts() && texts.keySet().containsAll(keys)) {
-      assignments.registry().addChunked(id, stored, entry.version(), texts);
+    List<String> chunkKeys = JobRecord.partKeys(id, stored.submission(), stored.parts());
+    usedChunkKeys.addAll(chunkKeys);
+    if (stored.needsParts() && chunkTexts.keySet().containsAll(chunkKeys)) {
+      assignments.registry().addChunked(id, stored, entry.version(), chunkTexts);
     } else {
       assignments.registry().add(id, stored, entry.version());
     }
   }
 
   private void loadTasks(Range range, String prefix, List<StateMessage.Change> orphans) {
-    boolean firstFormat = node.gate().open() && prefix.equals(StorageKeys.TASKS);
+    boolean isOlderFormat = dependencies.formatGate().open() && prefix.equals(StorageKeys.TASKS);
     for (StateMessage.Entry entry : range.entries()) {
-      String rest = entry.key().substring(prefix.length());
-      int slash = rest.lastIndexOf('/');
-      String id = slash < 0 ? rest : rest.substring(0, slash);
-      if (quarantined.contains(id)) {
+      String keySuffix = entry.key().substring(prefix.length());
+      int slash = keySuffix.lastIndexOf('/');
+      String id = slash < 0 ? keySuffix : keySuffix.substring(0, slash);
+      if (quarantinedJobs.contains(id)) {
         continue;
       }
       Job job = assignments.job(id);
-      boolean loaded =
+      boolean isLoaded =
           load(
               entry,
               () -> {
-                int chunk = Integer.parseInt(rest.substring(slash + 1));
+                int chunk = Integer.parseInt(keySuffix.substring(slash + 1));
                 if (job == null) {
                   orphans.add(StateMessage.Change.delete(entry.key()));
-                } else if (firstFormat) {
+                } else if (isOlderFormat) {
                   assignments.loadFirstFormatRecord(job, chunk, entry.value(), entry.version());
                 } else {
                   assignments.loadTaskRecord(job, chunk, entry.value(), entry.version());
                 }
               });
-      if (!loaded && job != null && !job.isCancellationRecorded()) {
-        quarantined.add(id);
+      if (!isLoaded && job != null && !job.isCancellationRecorded()) {
+        quarantinedJobs.add(id);
       }
     }
   }
@@ -190,17 +193,17 @@
   }
 
   /** With the agent epochs known, the stops go out with the first probes. */
-  private void stopCancelled() {
+  private void stopCancelledTasks() {
     int tasks = 0;
     for (Job job : assignments.jobs()) {
-      tasks += job.isCancelled() ? stopAll(job) : 0;
+      tasks += job.isCancelled() ? stopTasks(job) : 0;
     }
     if (tasks > 0) {
       runtime.events().info(LogEvent.CANCELLED_TASKS_RECOVERED).with(LogField.TASKS, tasks).write();
     }
   }
 
-  private int stopAll(Job job) {
+  private int stopTasks(Job job) {
     int stopped = 0;
     for (int task = 0; job.isCancelled() && job.assigned() > 0 && task < job.taskCount(); task++) {
       if (job.isAssigned(task)) {
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsReader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsReader.java
@@ -20,9 +20,9 @@
  */
 final class StoredRecordsReader {
   private final CoreRuntime runtime;
-  private final FormatGate gate;
+  private final FormatGate formatGate;
   private final Term term;
-  private final Consumer<StoredRecords> completed;
+  private final Consumer<StoredRecords> onComplete;
 
   /** The ranges by prefix; null for one that is still being read. */
   private final Map<String, Range> ranges = new LinkedHashMap<>();
@@ -34,18 +34,19 @@
    *
    * @param completed takes the records once all are read, unless the term has ended
    */
-  StoredRecordsReader(LeaderDependencies node, Term term, Consumer<StoredRecords> completed) {
-    this.runtime = node.runtime();
-    this.gate = node.gate();
+  StoredRecordsReader(
+      LeaderDependencies dependencies, Term term, Consumer<StoredRecords> onComplete) {
+    this.runtime = dependencies.runtime();
+    this.formatGate = dependencies.formatGate();
     this.term = term;
-    this.completed = completed;
+    this.onComplete = onComplete;
   }
 
   /** Starts to read. The gate comes first: it tells which format is to be written. */
   void start() {
-    gate.check(
+    formatGate.check(
         () -> {
-          if (!term.ended()) {
+          if (!term.hasEnded()) {
             readRanges();
           }
         });
@@ -64,19 +65,19 @@
         });
   }
 
-  private void read(String prefix, Runnable next) {
+  private void read(String prefix, Runnable onRead) {
     ranges.put(prefix, null);
     long sentAt = runtime.now();
-    new RangeReader(runtime, term::ended)
+    new RangeReader(runtime, term::hasEnded)
         .read(
             prefix,
             range -> {
-              if (term.ended()) {
+              if (term.hasEnded()) {
                 return;
               }
               log(prefix, range, sentAt);
               ranges.put(prefix, range);
-              next.run();
+              onRead.run();
               if (!ranges.containsValue(null)) {
                 complete();
               }
@@ -105,6 +106,6 @@
             ranges.get(StorageKeys.JOBS),
             jobsReadAt);
     ranges.clear();
-    completed.accept(records);
+    onComplete.accept(records);
   }
 }
--- a/src/main/java/org/snowturn/core/leader/Term.java
+++ b/src/main/java/org/snowturn/core/leader/Term.java
@@ -19,7 +19,7 @@
   }
 
   /** Whether the term is over for good. */
-  boolean ended() {
+  boolean hasEnded() {
     return ended;
   }
 
@@ -34,7 +34,7 @@
   }
 
   /** The state service has shown that the leader key belongs to another node. */
-  void leaderKeyLost() {
+  void onLeaderKeyLost() {
     if (!ended) {
       election.stepDown("the leader key is no longer ours");
     }
--- a/src/main/java/org/snowturn/daemon/Daemon.java
+++ b/src/main/java/org/snowturn/daemon/Daemon.java
@@ -97,7 +97,7 @@
     this.settings = settings;
     this.controller =
         new Controller(settings, tunables, UUID.randomUUID().toString(), beganNanos / 1_000_000);
-    controller.logDetails(LOG.isDebugEnabled());
+    controller.setDebugLogging(LOG.isDebugEnabled());
   }
 
   /** Starts serving; returns an exit status, or {@link #KEEPS_RUNNING}. */
@@ -205,7 +205,7 @@
 
   private void tick() {
     accept(new Input.Tick());
-    ready = controller.ready();
+    ready = controller.isReady();
     io.executeAfter(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
   }
 
@@ -313,7 +313,7 @@
       metrics.count("snowturn.calls.failed", reply.outcome().name().toLowerCase(Locale.ROOT));
       LOG.debug(
           "event=call_failed call={} outcome={} status={}",
-          reply.call(),
+          reply.callId(),
           reply.outcome(),
           reply.status());
     }
--- a/src/main/java/org/snowturn/peer/FieldCodec.java
+++ b/src/main/java/org/snowturn/peer/FieldCodec.java
@@ -41,7 +41,7 @@
     for (Map.Entry<String, LogPosition> position : positions.entrySet()) {
       out.writeUTF(position.getKey());
       out.writeUTF(position.getValue().incarnation());
-      out.writeLong(position.getValue().lastReceived());
+      out.writeLong(position.getValue().lastReceivedNumber());
     }
   }
 
--- a/src/main/java/org/snowturn/peer/MessageKind.java
+++ b/src/main/java/org/snowturn/peer/MessageKind.java
@@ -24,7 +24,7 @@
   STEP_DOWN(
       2,
       PeerMessage.StepDown.class,
-      (out, message) -> writeLeaseAndToken(out, message.lease(), message.token()),
+      (out, message) -> writeLeaseAndToken(out, message.leaseId(), message.token()),
       (from, in) -> new PeerMessage.StepDown(from, in.readLong(), in.readLong())),
   JOB_PROGRESS(
       3, PeerMessage.JobProgress.class, MessageKind::writeProgress, MessageKind::readProgress),
@@ -42,7 +42,7 @@
   WORKER_SAMPLE(
       7,
       PeerMessage.WorkerSample.class,
-      (out, message) -> FieldCodec.writeTexts(out, message.workers()),
+      (out, message) -> FieldCodec.writeTexts(out, message.addresses()),
       (from, in) -> new PeerMessage.WorkerSample(from, FieldCodec.readTexts(in))),
   RELAY_REQUEST(
       8,
@@ -66,7 +66,7 @@
   LEASE_HANDOVER(
       13,
       PeerMessage.LeaseHandover.class,
-      (out, message) -> writeLeaseAndToken(out, message.lease(), message.token()),
+      (out, message) -> writeLeaseAndToken(out, message.leaseId(), message.token()),
       (from, in) -> new PeerMessage.LeaseHandover(from, in.readLong(), in.readLong())),
   LEASE_ENDED(
       14,
@@ -155,7 +155,7 @@
       throws IOException {
     out.writeLong(message.requestId());
     out.writeLong(message.token());
-    out.writeBoolean(message.stateServiceTrouble());
+    out.writeBoolean(message.isStateServiceUnresponsive());
   }
 
   private static PeerMessage.PromiseRequest readPromiseRequest(String from, DataInputStream in)
@@ -256,9 +256,9 @@
     out.writeUTF(message.to());
     out.writeLong(message.requestId());
     out.writeUTF(message.incarnation());
-    out.writeLong(message.after());
-    out.writeLong(message.last());
-    out.writeLong(message.lastDropped());
+    out.writeLong(message.precedingNumber());
+    out.writeLong(message.lastNumber());
+    out.writeLong(message.lastDroppedNumber());
     out.writeLong(message.lastDroppedAgeMs());
     FieldCodec.writeTexts(out, message.jobs());
   }
--- a/src/main/java/org/snowturn/worker/WorkerClient.java
+++ b/src/main/java/org/snowturn/worker/WorkerClient.java
@@ -37,15 +37,15 @@
 
   /** Makes the call and hands in its reply. */
   public void call(Effect.Call call, Consumer<Input> reply) {
-    HttpCaller caller = callers.get(call.addr());
+    HttpCaller caller = callers.get(call.address());
     if (caller == null) {
-      caller = connectTo(call.addr());
+      caller = connectTo(call.address());
       if (caller == null) {
         reply.accept(new Input.Reply(call.id(), Outcome.REFUSED, 0, null));
         return;
       }
       keep(maxOpen.getAsInt() - 1);
-      callers.put(call.addr(), caller);
+      callers.put(call.address(), caller);
     }
     caller.call(call, reply);
   }
--- a/src/testbench/java/org/snowturn/simulation/BehaviorDigest.java
+++ b/src/testbench/java/org/snowturn/simulation/BehaviorDigest.java
@@ -48,7 +48,7 @@
   public void sent(long atMs, String node, Effect effect) {
     if (effect instanceof Effect.Call call) {
       calls++;
-      add(atMs, node, "call", call.target().name(), call.addr(), call.method(), call.path());
+      add(atMs, node, "call", call.target().name(), call.address(), call.method(), call.path());
       add(call.timeoutMs(), call.body());
     } else if (effect instanceof Effect.Answer answer) {
       answers++;
--- a/src/testbench/java/org/snowturn/simulation/ScenarioEvents.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioEvents.java
@@ -95,7 +95,7 @@
         "ready",
         (cluster, line) -> {
           boolean expected = line.word(SECOND).equals("yes");
-          if (cluster.node(line.word(FIRST)).core.ready() != expected) {
+          if (cluster.node(line.word(FIRST)).core.isReady() != expected) {
             cluster.invariants.report("ready", line.text());
           }
         });
--- a/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
@@ -427,7 +427,7 @@
           switch (call.target()) {
             case AUTHORITY, STATE, STATE_WATCH -> "state";
             case CLOUD -> "cloud";
-            default -> call.addr();
+            default -> call.address();
           };
       long late = call.target() == Effect.Target.WORKER ? lateCommandRepliesMs : 0;
       Reply back = (o, s, b) -> after(late, () -> send(to, name, () -> reply.on(o, s, b)));
@@ -458,7 +458,7 @@
     private Runnable deliverToWorker(Effect.Call call, Reply back) {
       long leftAt = now;
       return () -> {
-        SimulatedWorker worker = workers.get(call.addr());
+        SimulatedWorker worker = workers.get(call.address());
         if (call.path().equals("/status")) {
           if (worker != null) {
             worker.status(back);
