--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -21,15 +21,18 @@
 import org.snowturn.wire.Command;
 
 /**
- * A controller as a state machine: inputs with their time go in, effects come out. It does no I/O,
- * reads no clock and starts no thread, so that tests drive the very code that runs. One thread at a
- * time may call it.
+ * The state machine of one controller node: it takes inputs together with the current time and
+ * returns the effects to perform.
+ *
+ * <p>It does no I/O, reads no clock and starts no threads, so that tests run the same code as
+ * production. It is not thread-safe; callers must make sure that only one thread calls it at a
+ * time.
  */
 public final class Controller {
-  /** For so long after its authority has ended, a leader redirects workers to a peer. */
+  /** Time after a leader has lost its authority during which it redirects workers to a peer. */
   private static final long REDIRECT_WINDOW_MS = 3_000;
 
-  /** The HTTP status that sends a worker to another controller. */
+  /** HTTP status that sends a worker to another controller. */
   private static final int MISDIRECTED_REQUEST = 421;
 
   private final CoreRuntime runtime;
@@ -48,10 +51,11 @@
   private long lastAuthorityAt;
 
   /**
-   * A controller that has done nothing yet.
+   * Creates a controller that does not lead and has sent nothing.
    *
-   * @param incarnation a name that no other process of this node has had
-   * @param startedMs when the process began, in milliseconds of the steady clock
+   * @param incarnation a name that no other process of this node has used
+   * @param startedAtMs the time at which this process started, in milliseconds of the monotonic
+   *     clock
    */
   public Controller(Settings settings, Tunables tunables, String incarnation, long startedAtMs) {
     this.settings = settings;
@@ -106,7 +110,7 @@
     };
   }
 
-  /** The watermark of cancellations moves with what the cache of live jobs has read. */
+  /** Creates a listener that passes what the cache of live jobs reads to the watermark. */
   private LiveJobCache.Listener liveJobListener() {
     return new LiveJobCache.Listener() {
       @Override
@@ -127,16 +131,21 @@
     }
   }
 
-  /** Whether to write a line of the log for each task, heartbeat and answer as well. */
+  /**
+   * Turns the log lines for individual tasks, heartbeats and answers on or off.
+   *
+   * @param isEnabled whether these lines are written
+   */
   public void setDebugLogging(boolean isEnabled) {
     runtime.events().debug(isEnabled);
   }
 
   /**
-   * Takes one input and returns what is to be done.
+   * Handles one input and returns the effects to perform.
    *
-   * @param nowMs the steady clock
+   * @param nowMs the current time of the monotonic clock, in milliseconds
    * @param wallMs the time of day, in milliseconds since 1970
+   * @return the effects in the order in which they are to be performed
    */
   public List<Effect> handle(long nowMs, long wallMs, Input input) {
     runtime.setTime(nowMs, wallMs);
@@ -167,15 +176,18 @@
     }
   }
 
-  /** Whether this node may give commands now. */
+  /** Returns whether this node currently has the authority to command workers. */
   public boolean hasAuthority() {
     return election.hasAuthority();
   }
 
   /**
-   * Whether this node should get new users: not when it alone has lost the state service, nor when
-   * it hears no peer either, so that it cannot tell. In an outage, which all nodes share and tell
-   * each other of, they stay in place.
+   * Returns whether a load balancer should send users to this node.
+   *
+   * <p>A node that cannot reach the state service, directly or through a peer, is not ready if a
+   * peer reaches it, or if no peer is heard and so the state of the other nodes is unknown. If the
+   * peers report that they cannot reach it either, the state service is down for all nodes, and all
+   * of them stay ready. A node without peers is always ready.
    */
   public boolean isReady() {
     return election.stateServiceHealthy()
@@ -184,7 +196,7 @@
         || (connectivity.hearsPeers() && !election.peersReachStateService());
   }
 
-  /** Figures for operators. */
+  /** Returns the gauges of this node, by metric name. */
   public Map<String, Double> gauges() {
     Map<String, Double> gauges = new HashMap<>();
     gauges.put("snowturn.format.gate", formatGate.open() ? 1.0 : 0.0);
@@ -228,14 +240,15 @@
     }
   }
 
-  /** Starts or ends a term as the election has it. */
+  /** Starts or ends this node's term so that it matches the result of the election. */
   private void updateTerm() {
     if (leader != null && (!election.leading() || election.token() != leader.token())) {
       leader.end();
       leader = null;
     }
     if (leader == null && election.leading()) {
-      liveJobs.refresh(); // workers are answered as far as cancellations are known
+      // A leader may renew workers' leases only while its view of cancellations is recent.
+      liveJobs.refresh();
       leader =
           new Leader(
               new LeaderDependencies(
@@ -265,10 +278,15 @@
   }
 
   /**
-   * Where workers go from a leader that has lost its authority, and so most likely its links to the
-   * state service and to the peers, so that it does not know who leads now: to a node that does, at
-   * once, instead of to the next one a second later. Null once nobody may lead for longer: workers
-   * that all nodes redirect at once would be a flood.
+   * Returns the node to which a leader without authority redirects workers, or null for no
+   * redirect.
+   *
+   * <p>Such a leader has probably lost its links to the state service and to its peers, and does
+   * not know the new leader. A random peer probably does. Redirecting saves the worker the second
+   * that it waits before it tries the next node by itself.
+   *
+   * <p>If no node leads for longer than {@link #REDIRECT_WINDOW_MS}, redirects stop: otherwise all
+   * nodes would keep redirecting all workers to each other.
    */
   private String redirectTarget() {
     List<Settings.Peer> peers = settings.peers();
--- a/src/main/java/org/snowturn/core/Effect.java
+++ b/src/main/java/org/snowturn/core/Effect.java
@@ -2,23 +2,32 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Everything that a controller can ask of the world around it. */
+/** An action that a {@link Controller} asks the process around it to perform. */
 public sealed interface Effect {
-  /** Which part of the outside a call goes to. */
+  /** The service that a {@link Call} is sent to. */
   enum Target {
-    /** The state service, for what this node's authority rests on: before everything else. */
+    /**
+     * The state service, for the requests that keep this node's authority, such as lease renewals.
+     * They are sent before all other requests.
+     */
     AUTHORITY,
+    /** The state service, for reads and writes. */
     STATE,
+    /** The state service, for watch requests that it may hold open. */
     STATE_WATCH,
+    /** The cloud's API. */
     CLOUD,
+    /** A worker. */
     WORKER
   }
 
   /**
-   * A request to the outside; its reply comes as {@link Input.Reply}.
+   * An HTTP request to another service. Its reply arrives as {@link Input.Reply}.
    *
-   * @param addr the worker's address, or null
-   * @param body null for none
+   * @param id the call's id, which the reply repeats
+   * @param address the worker's IP address and port; null for the other targets
+   * @param body the JSON body; null for a request without a body
+   * @param timeoutMs the time in milliseconds after which the call fails without a reply
    */
   record Call(
       long id,
@@ -30,22 +39,33 @@
       int timeoutMs)
       implements Effect {}
 
-  /** An answer to an exchange; retryAfterS 0: none. */
+  /**
+   * The answer to an HTTP request that this node has received.
+   *
+   * @param exchange the id of the request's HTTP exchange, as given by its {@link Input}
+   * @param status the HTTP status
+   * @param body the JSON body; null for an answer without a body
+   * @param retryAfterS the value of the {@code Retry-After} header in seconds; 0 for no header
+   */
   record Answer(long exchange, int status, JsonNode body, int retryAfterS) implements Effect {}
 
-  /** A record for every peer. */
+  /** A message to all peers. */
   record Broadcast(PeerMessage message) implements Effect {}
 
-  /** How much an event matters to operators. */
+  /** The severity of a log event. */
   enum Severity {
-    /** A violated invariant: a fault of this program. */
+    /** A violated invariant, which means a bug in this program. */
     ERROR,
-    /** Rare enough for every log. */
+    /** An event that is rare enough to be logged always. */
     INFO,
-    /** One for each task, report or answer. */
+    /** An event about a single task, heartbeat or answer. */
     DEBUG
   }
 
-  /** A line of the log that programs can read: an event's name and its key=value fields. */
+  /**
+   * A structured line for the log.
+   *
+   * @param text the event's name and its fields, as {@code key=value} pairs
+   */
   record Event(Severity severity, String text) implements Effect {}
 }
--- a/src/main/java/org/snowturn/core/MonotonicTime.java
+++ b/src/main/java/org/snowturn/core/MonotonicTime.java
@@ -1,8 +1,11 @@
 package org.snowturn.core;
 
-/** Values of the core's clock, which counts milliseconds from an arbitrary moment. */
+/** Values of the monotonic clock, which counts milliseconds from an arbitrary point in time. */
 public final class MonotonicTime {
-  /** No such time; far in the past, but safe to subtract from. */
+  /**
+   * Marks an event that has not happened. The value lies far in the past, but subtracting it from
+   * any time does not overflow.
+   */
   public static final long NEVER = Long.MIN_VALUE / 4;
 
   private MonotonicTime() {}
--- a/src/main/java/org/snowturn/core/Outcome.java
+++ b/src/main/java/org/snowturn/core/Outcome.java
@@ -1,29 +1,29 @@
 package org.snowturn.core;
 
-/** What is known of a request to the outside. */
+/** The outcome of a request to another service, as far as this node can tell. */
 public enum Outcome {
-  /** Executed; the status and body say how. */
+  /** The service executed the request; the reply's status and body tell the result. */
   ANSWERED,
-  /** Certainly not executed. */
+  /** The request has not been executed and will not be. */
   REFUSED,
-  /** No usable reply: it may have been executed, or may be later. */
+  /** No usable reply arrived; the request may have been executed, or may still be later. */
   UNKNOWN;
 
   private static final int OK = 200;
   private static final int NOT_FOUND = 404;
   private static final int CONFLICT = 409;
 
-  /** Whether the request was executed and, by the HTTP status of its reply, succeeded. */
+  /** Returns whether the request was executed and its reply has the HTTP status 200. */
   public boolean isSuccess(int status) {
     return this == ANSWERED && status == OK;
   }
 
-  /** Whether the request was executed and what it names does not exist. */
+  /** Returns whether the request was executed and its target does not exist. */
   public boolean isNotFound(int status) {
     return this == ANSWERED && status == NOT_FOUND;
   }
 
-  /** Whether the request was executed and changed nothing, since a condition did not hold. */
+  /** Returns whether the request was executed and changed nothing because a condition failed. */
   public boolean isConflict(int status) {
     return this == ANSWERED && status == CONFLICT;
   }
--- a/src/main/java/org/snowturn/core/PeerMessage.java
+++ b/src/main/java/org/snowturn/core/PeerMessage.java
@@ -6,51 +6,83 @@
 import org.snowturn.core.admission.RateDemands;
 import org.snowturn.core.connectivity.Connectivity;
 
-/** What controllers tell each other; {@code from} is the sender's name. */
+/** A message between controllers. */
 public sealed interface PeerMessage {
-  /** The sender. */
+  /** Returns the name of the node that sent the message. */
   String from();
 
-  /** A node that does not lead says so, and whether the state service answers it. */
+  /**
+   * The sender's report that it does not lead.
+   *
+   * @param stateServiceAnswers whether the state service answers the sender
+   */
   record StandbyStatus(String from, boolean stateServiceAnswers) implements PeerMessage {}
 
   /**
-   * A leader asks for promises.
+   * A leader's request that its peers promise not to claim leadership.
    *
-   * @param stateServiceTrouble whether the state service has stopped answering the leader
+   * @param token the fencing token of the leader's term
+   * @param isStateServiceUnresponsive whether the state service has stopped answering the leader
    */
   record PromiseRequest(String from, long requestId, long token, boolean isStateServiceUnresponsive)
       implements PeerMessage {}
 
-  /** For this long from the arrival of the request on, the sender will not claim leadership. */
+  /**
+   * The sender's promise not to claim leadership for some time after it received a {@link
+   * PromiseRequest}.
+   *
+   * @param requestId the id of the request
+   * @param token the fencing token in the request
+   * @param durationMs the duration of the promise in milliseconds, from the arrival of the request
+   * @param stateServiceAnswers whether the state service answers the sender
+   */
   record Promise(
       String from, long requestId, long token, int durationMs, boolean stateServiceAnswers)
       implements PeerMessage {}
 
   /**
-   * The sender can no longer serve as leader; whoever reaches the state service may end its lease.
+   * A leader's announcement that it has resigned. Any peer that reaches the state service may
+   * revoke its lease.
+   *
+   * @param leaseId the id of the lease in the state service
+   * @param token the fencing token of the term that has ended
    */
   record StepDown(String from, long leaseId, long token) implements PeerMessage {}
 
   /**
-   * A leader that the state service does not answer asks those whom it does to end its lease. It
-   * goes on until one of them has: a state service that is out for all by then leaves it in place.
+   * A leader's request that a peer revoke its lease, sent when the state service answers that peer
+   * but not the leader. The leader stays in its term until a peer has revoked the lease. If the
+   * state service stops answering all nodes before that, the leader keeps its term.
+   *
+   * @param leaseId the id of the lease in the state service
+   * @param token the fencing token of the leader's term
    */
   record LeaseHandover(String from, long leaseId, long token) implements PeerMessage {}
 
-  /** The state service has ended the lease of this token at the sender's wish. */
+  /**
+   * The sender's confirmation that the state service has revoked a leader's lease at its request.
+   *
+   * @param token the fencing token of the leader's term
+   */
   record LeaseEnded(String from, long token) implements PeerMessage {}
 
-  /** What the sender reaches. */
+  /** The sender's report about which services it can reach. */
   record ConnectivityReport(String from, Connectivity connectivity) implements PeerMessage {}
 
-  /** Addresses of some workers that the sender, a leader, hears. */
+  /**
+   * A leader's sample of the workers that send it heartbeats. Peers probe them to find out whether
+   * they can reach workers.
+   *
+   * @param addresses IP address and port of each worker
+   */
   record WorkerSample(String from, List<String> addresses) implements PeerMessage {}
 
   /**
-   * Asks one peer to make a call to the state service, since the sender's own link to it is down.
+   * A request that one peer make a call to the state service, because the sender cannot reach it.
    *
-   * @param body null for none
+   * @param to the name of the peer; all others ignore the message
+   * @param body the JSON body of the call; null for a call without a body
+   * @param timeoutMs the timeout of the call in milliseconds
    */
   record RelayRequest(
       String from,
@@ -62,38 +94,61 @@
       int timeoutMs)
       implements PeerMessage {}
 
-  /** What came of the call that a {@link RelayRequest} with this id asked for. */
+  /**
+   * The result of the call that a {@link RelayRequest} asked for.
+   *
+   * @param to the name of the node that sent the request; all others ignore the message
+   * @param requestId the id of the request
+   * @param status the HTTP status; meaningful only for {@link Outcome#ANSWERED}
+   * @param body the JSON body of the reply; null if there is none
+   */
   record RelayReply(
       String from, String to, long requestId, Outcome outcome, int status, JsonNode body)
       implements PeerMessage {}
 
-  /** What the sender needs of the state service's rates. */
+  /** The sender's demand for a part of the state service's rate limits. */
   record RateDemandReport(String from, RateDemands.Demand demand) implements PeerMessage {}
 
-  /** How far a job is, for display. */
+  /**
+   * The progress of a job, which is only displayed to users.
+   *
+   * @param job the id of the job
+   * @param done the number of tasks that are done
+   * @param running the number of tasks that are running
+   */
   record JobProgress(String from, String job, int done, int running) implements PeerMessage {}
 
-  /** The last entry that the sender has received of the log of this incarnation of a peer. */
+  /**
+   * The position up to which the sender has received a peer's log of cancellations.
+   *
+   * @param incarnation the name of the peer's process that wrote the log
+   * @param lastReceivedNumber the number of the last entry that the sender has received
+   */
   record LogPosition(String incarnation, long lastReceivedNumber) {}
 
   /**
-   * Asks each peer for the cancellations that it has confirmed to users.
+   * A request to all peers for the cancellations that they have confirmed to users.
    *
-   * @param logPositions up to where the sender has received the logs of its peers, by their names
+   * @param logPositions the position up to which the sender has received each peer's log, by the
+   *     peer's name; peers whose log is unknown are absent
    */
   record CancellationsRequest(String from, long requestId, Map<String, LogPosition> logPositions)
       implements PeerMessage {}
 
   /**
-   * Cancellations that the sender has confirmed to users since its process began, in the order in
-   * which it did, numbered from 1.
+   * A part of the sender's log of the cancellations that its process has confirmed to users. The
+   * entries are numbered from 1 in the order of their confirmation.
    *
-   * @param requestId the request that this answers
-   * @param incarnation names the sender's process
-   * @param after the number of the entry before the first of {@code jobs}
-   * @param last the number of its last entry, as it answers
-   * @param lastDropped the number of the last entry that it no longer has; 0: it has all
-   * @param lastDroppedAgeMs how long ago it confirmed that one
+   * @param to the name of the node that sent the request; all others ignore the message
+   * @param requestId the id of the {@link CancellationsRequest}
+   * @param incarnation the name of the sender's process
+   * @param precedingNumber the number of the entry before the first one in {@code jobs}
+   * @param lastNumber the number of the last entry in the log at the time of the reply
+   * @param lastDroppedNumber the number of the last entry that the log has dropped; 0 if it still
+   *     has all entries
+   * @param lastDroppedAgeMs the time since the sender confirmed that entry, in milliseconds; 0 if
+   *     it still has all entries
+   * @param jobs the ids of the cancelled jobs, one for each entry
    */
   record CancellationsReply(
       String from,
@@ -106,7 +161,7 @@
       long lastDroppedAgeMs,
       List<String> jobs)
       implements PeerMessage {
-    /** Whether the numbers agree with each other. */
+    /** Returns whether the entry numbers and the number of jobs do not contradict each other. */
     public boolean isConsistent() {
       return lastDroppedNumber >= 0
           && lastDroppedAgeMs >= 0
--- a/src/main/java/org/snowturn/core/leader/AssignmentServices.java
+++ b/src/main/java/org/snowturn/core/leader/AssignmentServices.java
@@ -20,7 +20,21 @@
 import org.snowturn.core.storage.FormatGate;
 import org.snowturn.core.storage.RecordWriter;
 
-/** The parts of a term that know jobs, machines and which task is assigned where. */
+/**
+ * The services of one term that keep its jobs, its machines and the assignment of tasks to
+ * machines.
+ *
+ * @param machines all machines that this term knows
+ * @param writer writes the term's records to the state service
+ * @param attemptGuard decides whether an attempt has ended and whether a start may be sent
+ * @param assignments the jobs and the assignments of their tasks
+ * @param dependencyGraph the dependencies between jobs
+ * @param failureHandler attributes failures of tasks to jobs or to machines
+ * @param registry the stored registry of machines
+ * @param preemptionRate the rate at which the cloud preempts spot machines
+ * @param heartbeatProcessor applies heartbeats to the state of machines and tasks
+ * @param heartbeatCommands chooses the commands with which a heartbeat is answered
+ */
 record AssignmentServices(
     MachineIndex machines,
     RecordWriter writer,
@@ -34,10 +48,10 @@
     HeartbeatCommands heartbeatCommands) {
 
   /**
-   * Creates the parts, without any job or machine yet.
+   * Creates the services of a term, without any job or machine.
    *
-   * @param writerHost told of the fate of writes
-   * @param commandHost told of the fate of direct commands
+   * @param writerHost handles the results of writes
+   * @param commandHost handles the results of direct commands
    */
   static AssignmentServices create(
       LeaderDependencies dependencies,
--- a/src/main/java/org/snowturn/core/leader/ClusterSummary.java
+++ b/src/main/java/org/snowturn/core/leader/ClusterSummary.java
@@ -12,11 +12,11 @@
 import org.snowturn.core.model.TaskState;
 import org.snowturn.core.model.TaskStateCounts;
 
-/** Writes a line to the log now and then that tells how full the cluster is. */
+/** Writes a summary of jobs, tasks and machines to the log at regular intervals. */
 final class ClusterSummary {
   private static final long INTERVAL_MS = 10_000;
 
-  /** Machines of one kind. */
+  /** The machines of one kind, on-demand or spot, and their CPUs. */
   private static final class Capacity {
     private int up;
     private int down;
@@ -35,7 +35,7 @@
     this.scheduling = scheduling;
   }
 
-  /** Writes the line if it is time for it. */
+  /** Writes the summary if it is due. */
   void tick() {
     if (runtime.now() >= nextWriteAt) {
       nextWriteAt = runtime.now() + INTERVAL_MS;
--- a/src/main/java/org/snowturn/core/leader/CommandDispatcher.java
+++ b/src/main/java/org/snowturn/core/leader/CommandDispatcher.java
@@ -3,7 +3,10 @@
 import java.util.ArrayDeque;
 import org.snowturn.core.dispatch.CommandQueue;
 
-/** Sends what the machines' command queues hold; only queues with something to send are visited. */
+/**
+ * Flushes the command queues of machines. Only queues that have something to send are visited,
+ * since most machines have nothing.
+ */
 final class CommandDispatcher {
   private final Term term;
   private final ArrayDeque<CommandQueue> readyQueues = new ArrayDeque<>();
@@ -13,12 +16,19 @@
     this.term = term;
   }
 
-  /** This queue has something to send and has not been added since its last flush. */
+  /**
+   * Adds a queue that has something to send.
+   *
+   * @param queue a queue that has not been added since its last flush
+   */
   void add(CommandQueue queue) {
     readyQueues.add(queue);
   }
 
-  /** Flushes the queues that are ready now; those that become ready meanwhile wait. */
+  /**
+   * Flushes the queues that are ready when this is called. Queues that become ready during the
+   * flush wait for the next one.
+   */
   void flush() {
     for (int remaining = readyQueues.size(); remaining > 0 && term.hasAuthority(); remaining--) {
       flushCount++;
@@ -26,7 +36,7 @@
     }
   }
 
-  /** How many times a queue has been flushed in this term. */
+  /** Returns the number of queue flushes in this term. */
   long flushCount() {
     return flushCount;
   }
--- a/src/main/java/org/snowturn/core/leader/HealthSweep.java
+++ b/src/main/java/org/snowturn/core/leader/HealthSweep.java
@@ -12,21 +12,23 @@
 import org.snowturn.core.model.MachineIndex;
 
 /**
- * Checks the health of all machines at intervals: probes those that are silent, replaces those that
- * stay so, and notices when this node itself is cut off. It terminates machines, which is proof,
- * and probes; it never takes a task for ended.
+ * Checks the health of all machines at regular intervals: probes machines that are silent, replaces
+ * machines that stay silent, and detects when this node itself is cut off from the workers.
+ *
+ * <p>Silence alone never proves that a task has ended. The tasks of a silent machine are released
+ * only once its worker's lease has expired or the cloud has confirmed that the machine is deleted.
  */
 final class HealthSweep {
-  /** The time between two sweeps. */
+  /** Interval between two sweeps. */
   static final long INTERVAL_MS = 250;
 
-  /** Fewer silent machines than this do not mean that the node is cut off. */
+  /** Minimum number of silent machines for this node to count as cut off. */
   private static final int MIN_SILENT_MACHINES = 3;
 
-  /** The node is cut off where silent machines are more than so many times those heard. */
+  /** Silent machines for each heard one above which this node counts as cut off. */
   private static final int MIN_SILENT_PER_HEARD = 4;
 
-  /** Half a lease, for a lease in seconds. */
+  /** Half the length of a worker's lease in milliseconds, for each second of the lease. */
   private static final long HALF_LEASE_MS_PER_S = 500;
 
   private final LeaderDependencies dependencies;
@@ -39,13 +41,13 @@
   private final ReachabilityChecks reachability;
   private final MachineSilence machineSilence;
 
-  /** Machines that have been up, in the last sweep. */
+  /** Machines in the last sweep that have been up and are not being terminated. */
   private int lastMachineCount;
 
-  /** Machines that send heartbeats and left several messages unanswered, in the last sweep. */
+  /** Machines in the last sweep that send heartbeats but left several messages unanswered. */
   private int lastUnreachableCount;
 
-  /** Machines that answer messages and miss heartbeats, in the last sweep. */
+  /** Machines in the last sweep that answer messages but miss heartbeats. */
   private int lastMissingHeartbeatsCount;
 
   private int machineCount;
@@ -73,9 +75,10 @@
   }
 
   /**
-   * Checks all machines.
+   * Checks all machines once.
    *
-   * @return why this node should resign its leadership, or null
+   * @return the reason for which this node should resign its leadership, for the log; null if it
+   *     should not resign
    */
   String sweep() {
     if (isCutOffFromWorkers()) {
@@ -96,7 +99,9 @@
     lastMachineCount = machineCount;
     lastUnreachableCount = unreachableCount;
     lastMissingHeartbeatsCount = missingHeartbeatsCount;
-    return isCutOffFromMost() ? "most machines are out of reach" : null;
+    return isCutOffFromMost()
+        ? "most machines are silent and a peer may be able to reach them"
+        : null;
   }
 
   private void resetCounts() {
@@ -107,7 +112,7 @@
     silentCount = 0;
   }
 
-  /** Whether this node hears few of its machines while a peer might hear more. */
+  /** Returns whether this node hears few of its machines while a peer may hear more. */
   private boolean isCutOffFromMost() {
     return silentCount >= MIN_SILENT_MACHINES
         && heardCount * MIN_SILENT_PER_HEARD < silentCount
@@ -120,8 +125,9 @@
     machineCount += machine.isTerminating() ? 0 : 1;
     boolean isSilent = machineSilence.isSilent(machine);
     boolean isHeard = MachineSilence.hasBeenHeard(machine);
-    // Those that have not been heard yet count once they have left a probe unanswered: else the
-    // first that are probed often enough would be judged by the few that were heard.
+    // A machine that has not been heard yet counts as silent once it has missed one probe. If it
+    // counted only after several missed probes, the detection of zone outages would compare the
+    // first machines that are found unresponsive with only the few machines heard so far.
     boolean hasMissedProbe = !isHeard && recovery.hasMissedProbe(machine);
     if (isSilent || hasMissedProbe || isHeard) {
       scheduling.zoneOutages().count(machine, isSilent || hasMissedProbe);
@@ -133,7 +139,10 @@
     }
   }
 
-  /** A machine that an earlier leader recorded and this one has not heard, though it should. */
+  /**
+   * Removes or replaces a machine that an earlier leader recorded and this one has not heard in
+   * time.
+   */
   private void replaceUnheard(Machine machine) {
     if (machine.assigned.isEmpty()
         && machineSilence.isTermOlderThan(2 * HeartbeatProcessor.leaseExpiryMs(settings))
@@ -159,7 +168,7 @@
     }
   }
 
-  /** A machine whose heartbeats come, but which may not receive what it is sent. */
+  /** Probes or replaces a machine whose heartbeats arrive but which may receive no messages. */
   private void replaceUnreachable(Machine machine) {
     if (machine.isTerminating() || machine.reachability.proven()) {
       return;
@@ -170,18 +179,21 @@
     if (machine.reachability.isUnreachable(runtime.now(), unreachableLimitMs())
         && lastUnreachableCount * 2 < lastMachineCount
         && machineSilence.canReplaceHeard()) {
-      scheduling.autoscaler().terminate(machine, "reports, but receives nothing");
+      scheduling.autoscaler().terminate(machine, "sends heartbeats, but receives no messages");
     }
   }
 
-  /** How long a machine may receive nothing, or this node be unable to reach it. */
+  /**
+   * Returns the time in milliseconds after which a machine that has received no message is
+   * replaced.
+   */
   private long unreachableLimitMs() {
     return Math.max(
         HeartbeatProcessor.silenceLimitMs(settings),
         (long) (HALF_LEASE_MS_PER_S * settings.workers().leaseS()));
   }
 
-  /** A machine that answers messages, but whose own heartbeats do not come. */
+  /** Replaces a machine that answers messages but whose own heartbeats do not arrive. */
   private void replaceMissingHeartbeats(Machine machine) {
     boolean isOverdue =
         runtime.now() - HeartbeatProcessor.leaseExpiryMs(settings)
@@ -190,7 +202,9 @@
         && isOverdue
         && lastMissingHeartbeatsCount * 2 < lastMachineCount
         && machineSilence.canReplaceHeard()) {
-      scheduling.autoscaler().terminate(machine, "reaches no controller");
+      scheduling
+          .autoscaler()
+          .terminate(machine, "answers messages, but its heartbeats reach no controller");
     }
   }
 
@@ -200,7 +214,7 @@
     }
     if (runtime.now() > machine.preemptionAt()) {
       if (machineSilence.canReplaceHeard()) {
-        scheduling.autoscaler().terminate(machine, "taken back");
+        scheduling.autoscaler().terminate(machine, "silent after the end of its preemption notice");
       }
     } else if (machine.commands().idle()) {
       machine.probeSent();
@@ -208,7 +222,10 @@
     }
   }
 
-  /** Whether this node should resign since no worker reaches it and a peer is reached. */
+  /**
+   * Returns whether this node should resign because no worker reaches it while a peer may be able
+   * to serve workers.
+   */
   private boolean isCutOffFromWorkers() {
     WorkerSilence workers = machineSilence.workerSilence();
     workers.sweep(lastMachineCount, runtime.now());
@@ -218,7 +235,11 @@
     return workers.shouldHandOver(isUnheard, dependencies.connectivity().otherMayServe());
   }
 
-  /** Probes about so many machines from all over the cluster. */
+  /**
+   * Probes machines that are spread evenly over the cluster.
+   *
+   * @param size the approximate number of machines to probe; 0 for none
+   */
   private void probeSample(int size) {
     List<Machine> all = size == 0 ? List.of() : machines.present();
     for (int i = 0; i < all.size(); i += Math.max(1, all.size() / size)) {
@@ -229,7 +250,7 @@
     }
   }
 
-  /** The gauges of the last sweep by name. */
+  /** Returns the gauges of the last sweep, by metric name. */
   Map<String, Double> gauges() {
     return Map.of(
         "snowturn.machines.unreachable", (double) lastUnreachableCount,
--- a/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
+++ b/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
@@ -13,8 +13,8 @@
 import org.snowturn.wire.Heartbeat;
 
 /**
- * Accepts or refuses the heartbeats of workers and answers them. An answer with status 200 renews
- * the worker's lease.
+ * Accepts or refuses the heartbeats of workers and answers them. An answer with the HTTP status 200
+ * renews the worker's lease.
  */
 final class HeartbeatHandler {
   private static final int OK = 200;
@@ -45,7 +45,11 @@
     this.reachability = reachability;
   }
 
-  /** Handles a heartbeat that a worker has sent to this node. */
+  /**
+   * Handles a heartbeat that a worker has sent to this node.
+   *
+   * @param exchange the id of the HTTP exchange to answer
+   */
   void handle(long exchange, Heartbeat heartbeat) {
     if (!term.hasAuthority()) {
       refuse(exchange, heartbeat, "no_authority");
@@ -58,7 +62,7 @@
       machines.restore(machine);
     }
     if (machine.isTerminated() || heartbeat.agentEpoch() <= machine.session.endedEpoch()) {
-      // Terminated, or an agent epoch that has certainly ended: nothing may renew its lease.
+      // The machine is terminated or its agent epoch has ended, so its lease must not be renewed.
       refuse(exchange, heartbeat, "session_over");
     } else if (!recovery.isLoaded()) {
       recovery.keepEarlyHeartbeat(machine, heartbeat);
@@ -89,7 +93,7 @@
     answer(exchange, machine, heartbeat, answer.commands());
   }
 
-  /** Handles the heartbeat with which a worker has answered a direct message. */
+  /** Handles the heartbeat that a worker has sent in reply to a direct message. */
   void handleReply(Heartbeat heartbeat) {
     Machine machine = machines.find(heartbeat.machine());
     if (term.hasEnded() || !recovery.isLoaded() || machine == null || machine.isTerminated()) {
@@ -103,7 +107,7 @@
     }
   }
 
-  /** Applies what a machine reports to the term's state. */
+  /** Applies a heartbeat to the term's state, and registers its machine if that is needed. */
   void apply(Machine machine, Heartbeat heartbeat) {
     if (machine.addr() == null || machine.machineType() == null || !machine.isRegistered()) {
       services.heartbeatProcessor().describe(machine, heartbeat);
--- a/src/main/java/org/snowturn/core/leader/JobWatch.java
+++ b/src/main/java/org/snowturn/core/leader/JobWatch.java
@@ -16,16 +16,16 @@
 import org.snowturn.wire.MalformedException;
 import org.snowturn.wire.StateMessage;
 
-/** Watches the job records of the state service and applies their changes to the term's jobs. */
+/** Watches the job records in the state service and applies their changes to the term's jobs. */
 final class JobWatch {
-  /** How long the state service holds a watch open while nothing changes. */
+  /** Time for which the state service holds a watch request open while nothing changes. */
   private static final int MAX_HOLD_MS = 10_000;
 
   private static final int REQUEST_TIMEOUT_MS = 12_000;
   private static final long RETRY_DELAY_MS = 200;
   private static final int OK = 200;
 
-  /** The revision from which on changes are wanted is no longer kept. */
+  /** HTTP status for a watch that starts at a revision which the state service has discarded. */
   private static final int REVISION_COMPACTED = 410;
 
   private final CoreRuntime runtime;
@@ -43,12 +43,12 @@
     this.assignments = assignments;
   }
 
-  /** Sets the revision of the state service from which on changes are to be watched. */
+  /** Sets the revision of the state service from which changes are watched. */
   void startFrom(long revision) {
     nextRevision = revision;
   }
 
-  /** Sends the next watch request if none is under way and it is time for it. */
+  /** Sends the next watch request if none is in flight and the retry delay is over. */
   void tick() {
     if (!isRequestInFlight && runtime.now() >= nextRequestAt) {
       watch();
@@ -68,7 +68,7 @@
             return;
           }
           if (outcome == Outcome.ANSWERED && status == OK) {
-            apply(body, sentAt);
+            applyChanges(body, sentAt);
             return;
           }
           nextRequestAt = runtime.now() + RETRY_DELAY_MS;
@@ -78,9 +78,9 @@
         });
   }
 
-  private void apply(JsonNode body, long sentAt) {
+  private void applyChanges(JsonNode body, long sentAt) {
     try {
-      StateMessage.changes(body).forEach(this::apply);
+      StateMessage.changes(body).forEach(this::applyEntry);
       nextRevision = Math.max(nextRevision, StateMessage.revision(body));
       watermark.read(sentAt);
       assignments.retryFinishing();
@@ -89,7 +89,7 @@
     }
   }
 
-  /** Reads all jobs, since changes were missed. */
+  /** Reads all jobs again because some changes can no longer be watched. */
   private void readAll() {
     isRequestInFlight = true;
     new RangeReader(runtime, term::hasEnded)
@@ -101,11 +101,11 @@
               }
               isRequestInFlight = false;
               nextRevision = range.epoch();
-              range.entries().forEach(this::apply);
+              range.entries().forEach(this::applyEntry);
             });
   }
 
-  private void apply(StateMessage.Entry entry) {
+  private void applyEntry(StateMessage.Entry entry) {
     String id = entry.key().substring(StorageKeys.JOBS.length());
     Job known = assignments.job(id);
     if (entry.value() == null) {
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -16,8 +16,9 @@
 import org.snowturn.wire.StateMessage;
 
 /**
- * One term of leadership: composes the parts that act under one fencing token and runs them in
- * turn. A new term gets a new leader. Not thread-safe; owned by the controller's event loop.
+ * The leader of one term: creates the services that act under the term's fencing token and runs
+ * their periodic work. Each term has a new instance. Not thread-safe; owned by the controller's
+ * event loop.
  */
 public final class Leader implements RecordWriter.Host, CommandQueue.Host {
   private static final long SPECULATION_INTERVAL_MS = 500;
@@ -41,7 +42,10 @@
   private long nextSweepAt;
   private long nextSpeculationAt;
 
-  /** Begins the term that the node's election has just won, and starts to read the records. */
+  /**
+   * Creates the leader of the term that this node has just won, and starts to read the stored
+   * records.
+   */
   public Leader(LeaderDependencies dependencies) {
     this.dependencies = dependencies;
     runtime = dependencies.runtime();
@@ -66,7 +70,9 @@
     recovery.start(this::onRecordsLoaded);
   }
 
-  /** All records are known: heartbeats that came meanwhile are applied at once. */
+  /**
+   * Starts normal work once all records are read, by applying the heartbeats received meanwhile.
+   */
   private void onRecordsLoaded(Map<Machine, Heartbeat> earlyHeartbeats) {
     jobWatch.startFrom(recovery.jobWatchRevision());
     earlyHeartbeats.forEach(
@@ -85,22 +91,30 @@
     }
   }
 
-  /** A user was told, by whichever node, that the job is cancelled. */
+  /**
+   * Handles a cancellation that this node or a peer has confirmed to a user.
+   *
+   * @param job the id of the job
+   */
   public void onCancellationConfirmed(String job) {
     assignments.registry().confirmCancellation(job);
   }
 
-  /** Handles a heartbeat that a worker has sent to this node. */
+  /**
+   * Handles a heartbeat that a worker has sent to this node.
+   *
+   * @param exchange the id of the HTTP exchange to answer
+   */
   public void handleHeartbeat(long exchange, Heartbeat heartbeat) {
     heartbeatHandler.handle(exchange, heartbeat);
   }
 
-  /** Nothing of this term may act any more. */
+  /** Ends the term, after which none of its services acts any more. */
   public void end() {
     term.end();
   }
 
-  /** Does what has become due. */
+  /** Runs the periodic work that is due. */
   public void tick() {
     if (term.hasEnded()) {
       return;
@@ -150,7 +164,7 @@
     }
   }
 
-  /** Sends what has been decided. */
+  /** Sends the queued writes and commands. */
   public void flush() {
     if (term.hasEnded()) {
       return;
@@ -163,9 +177,9 @@
   }
 
   /**
-   * Addresses of some machines that can be reached, from all over the cluster.
+   * Returns the addresses of some usable machines that are spread evenly over the cluster.
    *
-   * @param most how many at the most
+   * @param maxAddresses the maximum number of addresses
    */
   public List<String> sampleWorkerAddresses(int maxAddresses) {
     List<String> addresses = new ArrayList<>();
@@ -181,12 +195,12 @@
     return addresses;
   }
 
-  /** How many changes a second this term has written lately. */
+  /** Returns the recent rate of this term's writes, in changed keys per second. */
   public double writesPerSecond() {
     return services.writer().writeRate();
   }
 
-  /** All gauges of the term by name. */
+  /** Returns all gauges of the term, by metric name. */
   public Map<String, Double> gauges() {
     return gauges.collect();
   }
--- a/src/main/java/org/snowturn/core/leader/LeaderDependencies.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderDependencies.java
@@ -12,13 +12,19 @@
 import org.snowturn.core.storage.FormatGate;
 
 /**
- * The services of a controller node that outlive a term of leadership; each new leader is given
- * them.
+ * The services of a controller node that outlive a term of leadership and are shared by its terms.
  *
- * @param watermark which cancellations this node knows
- * @param gate which stored format all nodes can read
- * @param jobApi takes the progress of jobs for users' polls on this node
- * @param writeShare how much of a wanted rate of writes, per second, the leader may use
+ * @param runtime collects effects and holds the current time
+ * @param settings the settings file
+ * @param tunables the tunable parameters
+ * @param election decides whether this node leads
+ * @param watermark tracks which cancellations this node knows
+ * @param machineTypes the catalog of machine types
+ * @param formatGate tells which stored format all nodes can read
+ * @param jobApi serves users' requests; receives the progress of jobs
+ * @param connectivity tracks which services this node and its peers can reach
+ * @param leaderWriteRate maps the write limit of all nodes to the part that the leader may use now,
+ *     both in changed keys per second
  */
 public record LeaderDependencies(
     CoreRuntime runtime,
--- a/src/main/java/org/snowturn/core/leader/LeaderGauges.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderGauges.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import org.snowturn.core.assignment.TaskAssignments;
 
-/** Collects the gauges of a term for the metrics page. */
+/** Collects the gauges of a term for the metrics endpoint. */
 final class LeaderGauges {
   private final AssignmentServices services;
   private final SchedulingServices scheduling;
@@ -28,7 +28,7 @@
     this.dispatcher = dispatcher;
   }
 
-  /** All gauges of the term by name. */
+  /** Returns all gauges of the term, by metric name. */
   Map<String, Double> collect() {
     TaskAssignments assignments = services.assignments();
     TaskCounts tasks = TaskCounts.of(assignments.jobs());
--- a/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
@@ -15,9 +15,11 @@
 import org.snowturn.wire.StateMessage;
 
 /**
- * The recovery of a new term: reads the records of earlier leaders, then probes the machines for
- * what of it still holds. Recovery never holds back a decision: a machine that has shown the token
- * may get work while others are still to be probed.
+ * The recovery of a new term: reads the records that earlier leaders have stored, then probes the
+ * recorded machines to find out which tasks they still run.
+ *
+ * <p>Scheduling starts as soon as the records are read. A machine that has acknowledged this term's
+ * token may get tasks while others are still being probed.
  */
 final class LeaderRecovery {
   private final LeaderDependencies dependencies;
@@ -28,15 +30,15 @@
   private final RecoveryProber prober;
   private final RecoveryProgress progress;
 
-  /** The last heartbeat of each machine that came while the records were being read. */
+  /** Newest heartbeat of each machine that arrived while the records were being read. */
   private final Map<Machine, Heartbeat> earlyHeartbeats = new LinkedHashMap<>();
 
   private long jobWatchRevision;
 
   /**
-   * The recovery of a term that has just been won.
+   * Creates the recovery of a term that this node has just won.
    *
-   * @param restarts takes a job's id and its stored counter of restarts
+   * @param onRestartRecord handles the stored restart counters of a job, given the job's id
    */
   LeaderRecovery(
       LeaderDependencies dependencies,
@@ -52,12 +54,12 @@
     this.progress = new RecoveryProgress(runtime.now());
   }
 
-  /** Whether all records are known, so that decisions may be made. */
+  /** Returns whether all records are read, so that tasks can be scheduled. */
   boolean isLoaded() {
     return progress.reached(RecoveryPhase.PROBING);
   }
 
-  /** The revision from which on changes of jobs are to be watched. */
+  /** Returns the revision of the state service from which changes of jobs are watched. */
   long jobWatchRevision() {
     return jobWatchRevision;
   }
@@ -65,14 +67,15 @@
   /**
    * Starts to read all records.
    *
-   * @param whenLoaded takes the last heartbeat of each machine that came meanwhile
+   * @param onLoaded runs once all records are read; receives the newest heartbeat of each machine
+   *     that arrived meanwhile
    */
   void start(Consumer<Map<Machine, Heartbeat>> onLoaded) {
     enter(RecoveryPhase.READING);
     new StoredRecordsReader(dependencies, term, records -> load(records, onLoaded)).start();
   }
 
-  /** Keeps the newest heartbeat of a machine until the records are known. */
+  /** Keeps the newest heartbeat of a machine until all records are read. */
   void keepEarlyHeartbeat(Machine machine, Heartbeat heartbeat) {
     Heartbeat previous = earlyHeartbeats.get(machine);
     boolean isOlder =
@@ -104,16 +107,18 @@
   }
 
   /**
-   * Whether nearly all machines have been heard, or have had the time for it. Until then what seems
-   * to be all the room there is may be a fiftieth of it: a replica that waits must not cost the
-   * work of tasks on the few machines that were first to answer.
+   * Returns whether nearly all machines have been heard, or have had enough time to be heard.
+   *
+   * <p>Until then the free room that is known may be only a fiftieth of the real one. Tasks on the
+   * few machines that answered first must not be preempted for a waiting replica that fits on
+   * another machine.
    */
   boolean hasHeardMostMachines() {
     return progress.reached(RecoveryPhase.RECONCILED)
         || (isLoaded() && prober.hasHeardMostMachines());
   }
 
-  /** The machine has been heard, and whether it knows the present token. */
+  /** Notes that a heartbeat of the machine has been applied. */
   void onMachineHeard(Machine machine) {
     prober.onAnyMachineHeard();
     if (isLoaded()) {
@@ -121,25 +126,25 @@
     }
   }
 
-  /** A message to the machine got no answer. */
+  /** Notes that a message to the machine got no answer. */
   void onMessageUnanswered(Machine machine) {
     prober.onMessageUnanswered(machine);
   }
 
   /**
-   * Whether the machine's silence counts: it was probed again and again and did not answer, while
-   * this node kept up with its work. Whether the machine or the network is down, others judge.
+   * Returns whether the machine left repeated probes unanswered while this node kept up with its
+   * work. The result does not tell whether the machine or the network is down.
    */
   boolean isUnresponsive(Machine machine) {
     return prober.isUnresponsive(machine);
   }
 
-  /** Whether the machine has left a probe unanswered and has not been heard since. */
+  /** Returns whether the machine has left a probe unanswered and has not been heard since. */
   boolean hasMissedProbe(Machine machine) {
     return prober.hasMissedProbe(machine);
   }
 
-  /** Sends due probes and enters the next phase when its condition holds. */
+  /** Sends the probes that are due, and enters the next phase when its condition holds. */
   void tick() {
     prober.tick();
     if (!isLoaded()) {
@@ -159,7 +164,7 @@
     }
   }
 
-  /** Gives up on machines that are about to be terminated. */
+  /** Stops probing the machines that are being terminated. */
   void dropTerminatingMachines() {
     prober.dropTerminatingMachines();
   }
@@ -168,7 +173,7 @@
     return progress.enter(phase, runtime.now());
   }
 
-  /** The gauges of the recovery by name. */
+  /** Returns the gauges of the recovery, by metric name. */
   Map<String, Double> gauges() {
     return Map.of(
         "snowturn.term.phase", (double) progress.now().number(),
--- a/src/main/java/org/snowturn/core/leader/MachineSilence.java
+++ b/src/main/java/org/snowturn/core/leader/MachineSilence.java
@@ -9,8 +9,8 @@
 import org.snowturn.core.model.Machine;
 
 /**
- * Judges the silence of machines: whether one should have been heard by now, and whether its
- * silence is its own rather than that of this node's network or of a whole zone.
+ * Decides whether a machine is silent, and whether its silence is caused by the machine itself
+ * rather than by this node's network or an outage of a whole zone.
  */
 final class MachineSilence {
   private final CoreRuntime runtime;
@@ -30,56 +30,56 @@
     this.termStartedAt = runtime.now();
   }
 
-  /** Heard by this leader, or recorded by an earlier one. */
+  /** Returns whether the machine was heard by this leader or recorded by an earlier one. */
   static boolean hasBeenUp(Machine machine) {
     return hasBeenHeard(machine) || machine.isRegistered();
   }
 
-  /** Whether this leader has had a heartbeat of the machine. */
+  /** Returns whether this leader has received a heartbeat of the machine. */
   static boolean hasBeenHeard(Machine machine) {
     return machine.lastHeartbeatAt() != MonotonicTime.NEVER;
   }
 
-  /** A worker has sent a message to this node. */
+  /** Notes that a worker has sent a heartbeat to this node or answered one of its messages. */
   void onWorkerHeard() {
     workerSilence.heard();
   }
 
-  /** A message to a worker got no answer. */
+  /** Notes that a message to a worker got no answer. */
   void onMessageUnanswered() {
     workerSilence.unanswered();
   }
 
-  /** How workers are heard by this node as a whole. */
+  /** Returns the detector that tells whether workers as a whole are silent towards this node. */
   WorkerSilence workerSilence() {
     return workerSilence;
   }
 
-  /** Whether the term is older than this, in milliseconds. */
+  /** Returns whether the term is older than the given age in milliseconds. */
   boolean isTermOlderThan(long ageMs) {
     return runtime.now() - termStartedAt > ageMs;
   }
 
-  /** Whether workers have had the time to find this leader. */
+  /** Returns whether workers have had enough time to find this leader. */
   boolean isReassignmentPeriodOver() {
     return isTermOlderThan(HeartbeatProcessor.reassignmentMs(settings));
   }
 
-  /** Whether a machine that has been up should have been heard again by now. */
+  /** Returns whether a machine that has been up has not been heard in time. */
   boolean isSilent(Machine machine) {
     return hasBeenHeard(machine)
         ? runtime.now() > machine.session.silentFrom()
         : recovery.isUnresponsive(machine) || isReassignmentPeriodOver();
   }
 
-  /** Whether the silence of a machine that was heard is its own, so that it may be replaced. */
+  /** Returns whether a machine that this leader has heard can be replaced for its silence. */
   boolean canReplaceHeard() {
     return isReassignmentPeriodOver() && canTrustSilence();
   }
 
   /**
-   * Whether a machine that this leader has not heard yet may be replaced: it left probes
-   * unanswered, or is silent for longer than its way to a new leader takes.
+   * Returns whether a machine that this leader has not heard yet can be replaced. It must have left
+   * repeated probes unanswered, or been silent for longer than a worker takes to find a new leader.
    */
   boolean canReplaceUnheard(Machine machine) {
     return (isReassignmentPeriodOver() || recovery.isUnresponsive(machine)) && canTrustSilence();
--- a/src/main/java/org/snowturn/core/leader/ProgressPublisher.java
+++ b/src/main/java/org/snowturn/core/leader/ProgressPublisher.java
@@ -8,7 +8,7 @@
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.model.Job;
 
-/** Tells the peers, which answer users' polls as well, how far each job has come. */
+/** Publishes the progress of each job to the peers, which answer users' polls as well. */
 final class ProgressPublisher {
   private static final long INTERVAL_MS = 1_000;
 
@@ -26,7 +26,7 @@
     this.assignments = assignments;
   }
 
-  /** Publishes what has changed since the last time, if it is time for it. */
+  /** Publishes the progress that has changed since the last time, if that is due. */
   void tick() {
     if (runtime.now() < nextPublishAt) {
       return;
--- a/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
+++ b/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
@@ -12,15 +12,21 @@
 import org.snowturn.core.model.Machine;
 import org.snowturn.wire.Heartbeat;
 
-/** Learns from heartbeats, replies and missing replies which machines receive messages. */
+/**
+ * Tracks by heartbeats, replies and missing replies which machines receive messages, and sends the
+ * probes that are needed to find out.
+ */
 final class ReachabilityChecks {
-  /** So many messages of a machine may overtake one of its replies. */
+  /**
+   * Maximum number of heartbeats of a machine that may overtake one of its replies on the way to
+   * this node.
+   */
   private static final int MAX_SEQUENCE_LAG = 10;
 
-  /** A worker that has just been given the token sends another heartbeat within this time. */
+  /** Maximum time until a worker that has just received a new token sends its next heartbeat. */
   private static final long MAX_NEXT_HEARTBEAT_MS = 1_500;
 
-  /** A machine that left a message unanswered gets no new work for so long, or until it reports. */
+  /** Time for which a machine gets no new tasks after it has left a message unanswered. */
   private static final long BLOCKED_MS = 1_500;
 
   private final CoreRuntime runtime;
@@ -45,8 +51,8 @@
   }
 
   /**
-   * Whether a heartbeat is older than one that has come already: a copy, or one that its worker has
-   * given up. Whatever it is answered renews nothing.
+   * Returns whether a heartbeat is not newer than one that has already arrived. It is then a copy,
+   * or its worker no longer waits for the answer, so an answer would not renew the lease.
    */
   boolean isStale(Machine machine, Heartbeat heartbeat) {
     boolean isStale =
@@ -57,12 +63,12 @@
     return isStale;
   }
 
-  /** A heartbeat has come that is not stale. */
+  /** Notes that a heartbeat has arrived that is not stale. */
   void onHeartbeatReceived() {
     machineSilence.onWorkerHeard();
   }
 
-  /** That heartbeat was applied. */
+  /** Updates the machine's reachability after its heartbeat has been applied. */
   void onHeartbeatApplied(Machine machine, Heartbeat heartbeat) {
     if (heartbeat.agentEpoch() == machine.epoch()) {
       machine.reachability.heartbeatReceived(
@@ -71,7 +77,11 @@
     probeIfDue(machine);
   }
 
-  /** The machine has answered a message; the heartbeat in its reply has not been applied yet. */
+  /**
+   * Handles the reply of a machine to a message.
+   *
+   * @param heartbeat the heartbeat in the reply, which has not been applied yet
+   */
   void onMessageAnswered(Machine machine, Heartbeat heartbeat) {
     machineSilence.onWorkerHeard();
     connectivity.workerHeard();
@@ -81,7 +91,10 @@
     }
   }
 
-  /** Whether a reply is older than what is known by more than what overtakes it on the way. */
+  /**
+   * Returns whether a reply is older than the newest heartbeat by more than heartbeats that
+   * overtook it can explain.
+   */
   private static boolean isOutdated(Machine machine, Heartbeat heartbeat) {
     return heartbeat.agentEpoch() < machine.epoch()
         || (heartbeat.agentEpoch() == machine.epoch()
@@ -89,9 +102,11 @@
   }
 
   /**
-   * Probes a machine that sends heartbeats, to see whether it receives anything. One that is new to
-   * this leader is given the time to come back with the token; those of a new leader are probed by
-   * the recovery, in its order.
+   * Probes a machine that sends heartbeats, to find out whether it receives messages.
+   *
+   * <p>A machine that has not acknowledged the token yet is first given the time to send its next
+   * heartbeat, which shows that it has received the token. Until most machines have been heard,
+   * such machines are probed only by the recovery, in the order of their urgency.
    */
   void probeIfDue(Machine machine) {
     boolean canProbe =
@@ -106,10 +121,10 @@
     }
   }
 
-  /** A message to the machine got no answer. */
+  /** Handles a message to the machine that got no answer. */
   void onMessageUnanswered(Machine machine) {
-    // Commands count as well as probes: a dead machine with free room is given new ones again and
-    // again, and would never be probed.
+    // Unanswered commands count like unanswered probes. A dead machine with free room keeps getting
+    // new commands, so its queue is never idle and it would never be probed.
     machine.setBlockedUntil(Math.max(machine.blockedUntil(), runtime.now() + BLOCKED_MS));
     recovery.onMessageUnanswered(machine);
     machineSilence.onMessageUnanswered();
@@ -127,7 +142,10 @@
     }
   }
 
-  /** A second failed probe of a machine that was heard replaces it. */
+  /**
+   * Marks a machine as suspected after an unanswered message. A machine that was suspected already
+   * and has been heard by this leader is replaced.
+   */
   private void suspectOrReplace(Machine machine) {
     machine.probeSettled();
     if (machine.isSuspected()
@@ -138,7 +156,7 @@
     machine.suspect();
   }
 
-  /** The gauges of these checks by name. */
+  /** Returns the gauges of these checks, by metric name. */
   Map<String, Double> gauges() {
     return Map.of("snowturn.heartbeats.late", (double) staleHeartbeatCount);
   }
--- a/src/main/java/org/snowturn/core/leader/RecoveryProber.java
+++ b/src/main/java/org/snowturn/core/leader/RecoveryProber.java
@@ -10,37 +10,45 @@
 import org.snowturn.core.recovery.PacedProbes;
 
 /**
- * Probes the machines that earlier terms recorded, a few at a time and the most useful first, until
- * each has shown this term's token.
+ * Probes the machines that earlier terms have recorded until each has acknowledged this term's
+ * token. Only a limited number of probes is in flight at a time, and the most urgent are sent
+ * first.
  */
 final class RecoveryProber {
-  /** After a probe without an answer, the same machine is probed again so much later. */
+  /** Delay after an unanswered probe before the same machine is probed again. */
   private static final long RETRY_DELAY_MS = 500;
 
-  /** Silence since the first probe that may count as death, if other machines answer meanwhile. */
+  /**
+   * Minimum time since the first probe before a silent machine can count as unresponsive, provided
+   * that other machines answer meanwhile.
+   */
   private static final long MIN_UNRESPONSIVE_MS = 3_500;
 
-  /** A worker that has just been given the token sends another heartbeat within this time. */
+  /** Maximum time until a worker that has just received a new token sends its next heartbeat. */
   private static final long MAX_NEXT_HEARTBEAT_MS = 1_200;
 
-  /** A tick that comes so late means that the node is behind with its work. */
+  /** Time between two ticks above which this node counts as behind with its work. */
   private static final long LATE_TICK_MS = 250;
 
-  /** Ticks that come this soon one after the other mean that it is not. */
+  /** Time between two ticks below which this node counts as keeping up with its work. */
   private static final long PROMPT_TICK_MS = 100;
 
-  /** Within this time some machine is heard, unless none can be. */
+  /**
+   * Maximum time since any machine was heard for an unanswered message to count against its own
+   * machine. If no machine is heard for longer, this node may be cut off.
+   */
   private static final long OTHERS_HEARD_WINDOW_MS = 500;
 
-  /** For so long after it was behind, a node trusts no silence. */
+  /** Time after a late tick during which this node does not count any machine as unresponsive. */
   private static final long MIN_STEADY_MS = 1_000;
 
-  /** All but one in so many machines are most. */
+  /** Most machines have been heard once at most one in this many is still unheard. */
   private static final int MAX_UNHEARD_DIVISOR = 10;
 
-  /** After so long, machines that have not been heard are not waited for. */
+  /** Maximum time to wait for machines that have not been heard. */
   private static final long MAX_WAIT_MS = 2_500;
 
+  // Urgencies of probes; the lowest value is probed first.
   private static final int URGENCY_ROOM_FOR_REPLICAS = 0;
   private static final int URGENCY_STOPS_TASK = 1;
   private static final int URGENCY_HOLDS_REPLICA = 2;
@@ -57,7 +65,7 @@
   private long lastTickAt;
   private long lastLateTickAt;
 
-  /** Probes nothing until {@link #start()}. */
+  /** Creates a prober that sends no probes until {@link #start()} is called. */
   RecoveryProber(CoreRuntime runtime, AssignmentServices services) {
     this.runtime = runtime;
     this.machines = services.machines();
@@ -66,7 +74,7 @@
     this.lastLateTickAt = runtime.now() - MIN_STEADY_MS;
   }
 
-  /** Begins to probe all recorded machines that have not shown the token. */
+  /** Starts to probe all recorded machines that have not acknowledged the token. */
   void start() {
     double replicaCpus = Double.MAX_VALUE;
     double batchTaskCpus = Double.MAX_VALUE;
@@ -92,8 +100,14 @@
   }
 
   /**
-   * Room for waiting replicas first, then machines that have something to stop or hold replicas,
-   * then room for waiting batch tasks: in this order the answers are worth most to users.
+   * Returns the urgency of probing a machine; smaller values are probed first.
+   *
+   * <p>Machines with room for a waiting replica come first, then machines with a task to stop, then
+   * machines that run replicas, then machines with room for a waiting batch task. Users gain most
+   * from the answers in this order.
+   *
+   * @param replicaCpus the CPUs of the smallest replica that waits for a machine
+   * @param batchTaskCpus the CPUs of the smallest batch task that waits for a machine
    */
   private int urgency(Machine machine, double replicaCpus, double batchTaskCpus) {
     double freeCpus = machine.cpusFree();
@@ -114,7 +128,7 @@
     return freeCpus >= batchTaskCpus ? URGENCY_ROOM_FOR_BATCH : URGENCY_OTHER;
   }
 
-  /** Sends the probes that are due. */
+  /** Sends the probes that are due, as far as the limit of probes in flight allows. */
   void sendDueProbes() {
     int next;
     while ((next = probes.next(runtime.now())) >= 0) {
@@ -129,7 +143,7 @@
     }
   }
 
-  /** Notes from the time between ticks whether this node keeps up with its work. */
+  /** Determines from the time between ticks whether this node keeps up with its work. */
   void tick() {
     long now = runtime.now();
     if (now - lastTickAt > LATE_TICK_MS) {
@@ -141,33 +155,35 @@
     lastTickAt = now;
   }
 
-  /** Some machine has been heard; called for every heartbeat, also before {@link #start()}. */
+  /** Notes that a heartbeat of any machine was applied, also before {@link #start()}. */
   void onAnyMachineHeard() {
     lastHeardAt = runtime.now();
   }
 
-  /** This machine has been heard, with or without the present token. */
+  /** Handles an applied heartbeat of a machine, whether or not it carried this term's token. */
   void onMachineHeard(Machine machine) {
     if (machine.session.isAcknowledged()) {
       probes.heard(machine.index, runtime.now());
       sendDueProbes();
     } else {
-      // It has the token from our answer now, and a higher token makes it report again at once.
+      // The answer gives it the new token, upon which a worker sends another heartbeat at once.
       probes.postpone(machine.index, runtime.now() + MAX_NEXT_HEARTBEAT_MS);
     }
   }
 
   /**
-   * A probe, or a command, got no answer. It tells of the machine only where others are heard at
-   * the same time: else this node is cut off, and once it no longer is, the machines that are a
-   * little later than others would be taken for dead.
+   * Handles a probe or command that got no answer.
+   *
+   * <p>It counts against the machine only if other machines were heard recently. Otherwise this
+   * node may be cut off, and after it is connected again, machines that answer a little later than
+   * others would be considered dead.
    */
   void onMessageUnanswered(Machine machine) {
     boolean othersHeard = runtime.now() - lastHeardAt < OTHERS_HEARD_WINDOW_MS;
     probes.unanswered(machine.index, runtime.now(), othersHeard);
   }
 
-  /** Machines that have ended or are about to be terminated need not be probed. */
+  /** Stops probing the machines that are being terminated. */
   void dropTerminatingMachines() {
     for (Machine machine : machines.present()) {
       if (machine.isTerminating()) {
@@ -176,37 +192,37 @@
     }
   }
 
-  /** Whether nearly all machines have been heard, or have had the time for it. */
+  /** Returns whether nearly all machines have been heard, or have had enough time to be heard. */
   boolean hasHeardMostMachines() {
     return probes.unheard() * MAX_UNHEARD_DIVISOR <= initialUnheardCount
         || runtime.now() - startedAt > MAX_WAIT_MS;
   }
 
   /**
-   * Whether the machine's silence counts: it was probed again and again and did not answer, while
-   * this node kept up with its work. Whether the machine or the network is down, others judge.
+   * Returns whether the machine left repeated probes unanswered while this node kept up with its
+   * work. The result does not tell whether the machine or the network is down.
    */
   boolean isUnresponsive(Machine machine) {
     return runtime.now() - lastLateTickAt >= MIN_STEADY_MS
         && probes.isUnresponsive(machine.index, MIN_UNRESPONSIVE_MS, runtime.now());
   }
 
-  /** Whether the machine has left a probe unanswered and has not been heard since. */
+  /** Returns whether the machine has left a probe unanswered and has not been heard since. */
   boolean hasMissedProbe(Machine machine) {
     return probes.hasMissed(machine.index);
   }
 
-  /** How many machines have not been heard. */
+  /** Returns the number of machines that have not been heard. */
   int unheardCount() {
     return probes.unheard();
   }
 
-  /** How many probes have been sent. */
+  /** Returns the number of probes that have been sent. */
   long sentCount() {
     return probes.sent();
   }
 
-  /** How many probes may be under way now. */
+  /** Returns the maximum number of probes that may be in flight now. */
   int window() {
     return probes.window();
   }
--- a/src/main/java/org/snowturn/core/leader/SchedulingServices.java
+++ b/src/main/java/org/snowturn/core/leader/SchedulingServices.java
@@ -14,7 +14,15 @@
 import org.snowturn.core.scheduling.Speculator;
 import org.snowturn.core.scheduling.TaskScheduler;
 
-/** The parts of a term that choose machines for tasks and decide how many machines there are. */
+/**
+ * The services of one term that choose machines for tasks and adjust the number of machines.
+ *
+ * @param externallyManagedMachines tells whether operators keep on-demand machines up themselves
+ * @param scheduler chooses machines for waiting tasks
+ * @param speculator restarts slow tasks on faster machines
+ * @param zoneOutages detects outages of whole zones
+ * @param autoscaler rents and terminates machines
+ */
 record SchedulingServices(
     ExternallyManagedMachines externallyManagedMachines,
     TaskScheduler scheduler,
@@ -23,9 +31,9 @@
     Autoscaler autoscaler) {
 
   /**
-   * Creates the parts; none acts yet.
+   * Creates the services of a term.
    *
-   * @param mayPreempt whether enough machines are known for tasks to be stopped for others
+   * @param isPreemptionAllowed whether enough machines have been heard for tasks to be preempted
    */
   static SchedulingServices create(
       LeaderDependencies dependencies,
--- a/src/main/java/org/snowturn/core/leader/StoredRecords.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecords.java
@@ -3,10 +3,17 @@
 import org.snowturn.core.storage.RangeReader.Range;
 
 /**
- * All records that earlier terms and users have stored, as read at the begin of a term.
+ * All records that earlier terms and users have stored, as read at the start of a term.
  *
- * @param submissionChunks read before the jobs, so that no accepted job lacks its chunks
- * @param jobsReadAt when the read of the jobs was sent, in milliseconds of the steady clock
+ * @param registryPages the pages of the machine registry
+ * @param secondFormatTasks the task records in the second format
+ * @param firstFormatTasks the task records in the first format
+ * @param restartRecords the counters of the speculative restarts of jobs
+ * @param submissionChunks the chunks of long submissions, which are read before the jobs so that no
+ *     accepted job lacks its chunks
+ * @param jobs the job records
+ * @param jobsReadAt the time at which the read of the jobs was sent, in milliseconds of the
+ *     monotonic clock
  */
 record StoredRecords(
     Range registryPages,
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
@@ -23,11 +23,11 @@
 import org.snowturn.wire.StateMessage;
 
 /**
- * Loads the stored records of earlier terms into this one. A record that cannot be read never ends
- * the recovery: it is logged and counted, and its job is quarantined as a whole.
+ * Loads the stored records of earlier terms into this one. An unreadable record does not stop the
+ * recovery: it is logged and counted, and its job is quarantined as a whole.
  */
 final class StoredRecordsLoader {
-  /** Parses and loads one record. */
+  /** An action that parses and loads one record. */
   private interface RecordParser {
     void parse() throws MalformedException;
   }
@@ -42,9 +42,9 @@
   private long unreadableCount;
 
   /**
-   * Has loaded nothing yet.
+   * Creates a loader for one term.
    *
-   * @param restarts takes a job's id and its stored counter of restarts
+   * @param onRestartRecord handles the stored restart counters of a job, given the job's id
    */
   StoredRecordsLoader(
       LeaderDependencies dependencies,
@@ -58,15 +58,15 @@
     this.onRestartRecord = onRestartRecord;
   }
 
-  /** How many records could not be read. */
+  /** Returns the number of records that could not be read. */
   long unreadableCount() {
     return unreadableCount;
   }
 
-  /** Loads all records and sends the stops of cancelled tasks. */
+  /** Loads all records and sends stop commands for the tasks of cancelled jobs. */
   void load(StoredRecords records) {
     for (StateMessage.Entry entry : records.registryPages().entries()) {
-      if (!load(entry, () -> services.registry().load(entry, this::initializeMachine))) {
+      if (!tryLoad(entry, () -> services.registry().load(entry, this::initializeMachine))) {
         assignments.registryIncomplete();
       }
     }
@@ -77,7 +77,7 @@
     quarantinedJobs.forEach(assignments.registry()::quarantine);
     for (StateMessage.Entry entry : records.restartRecords().entries()) {
       String job = entry.key().substring(StorageKeys.RESTARTS.length());
-      load(entry, () -> onRestartRecord.accept(job, entry));
+      tryLoad(entry, () -> onRestartRecord.accept(job, entry));
     }
     services.writer().deleteLater(List.of(), orphans);
     raiseAgentEpochs();
@@ -85,7 +85,8 @@
     watermark.read(records.jobsReadAt());
   }
 
-  private boolean load(StateMessage.Entry entry, RecordParser parser) {
+  /** Runs the parser of a record; logs and counts the record if it is unreadable. */
+  private boolean tryLoad(StateMessage.Entry entry, RecordParser parser) {
     try {
       parser.parse();
       return true;
@@ -110,9 +111,11 @@
   }
 
   /**
-   * Loads the jobs. One of which a record cannot be read is left alone as a whole: taken for
-   * smaller than it is, its tasks would be stopped, or started a second time. Of a cancelled one
-   * nothing is needed any more, whatever cannot be read.
+   * Loads the jobs.
+   *
+   * <p>A job with an unreadable record is quarantined as a whole. If only its readable records were
+   * loaded, some of its tasks would be stopped, or started a second time. A cancelled job needs
+   * none of its records, so an unreadable one does not quarantine it.
    */
   private void loadJobs(StoredRecords records) {
     List<StateMessage.Entry> chunks = records.submissionChunks().entries();
@@ -124,7 +127,7 @@
       if (isAborted) {
         watermark.learn(id);
       }
-      boolean isLoaded = load(entry, () -> loadJob(id, entry, chunkTexts, usedChunkKeys));
+      boolean isLoaded = tryLoad(entry, () -> loadJob(id, entry, chunkTexts, usedChunkKeys));
       if (!isLoaded && !isAborted) {
         quarantinedJobs.add(id);
         String prefix = StorageKeys.SUBMISSION_PARTS + id + "/";
@@ -164,7 +167,7 @@
       }
       Job job = assignments.job(id);
       boolean isLoaded =
-          load(
+          tryLoad(
               entry,
               () -> {
                 int chunk = Integer.parseInt(keySuffix.substring(slash + 1));
@@ -182,7 +185,7 @@
     }
   }
 
-  /** A machine's agent epoch is at least the newest in which a task was assigned to it. */
+  /** Raises each machine's agent epoch to the newest one in which a task was assigned to it. */
   private void raiseAgentEpochs() {
     for (Machine machine : services.machines().present()) {
       for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
@@ -192,7 +195,10 @@
     }
   }
 
-  /** With the agent epochs known, the stops go out with the first probes. */
+  /**
+   * Queues stop commands for the tasks of cancelled jobs. The agent epochs must be known by now, so
+   * that the commands are sent with the first probes.
+   */
   private void stopCancelledTasks() {
     int tasks = 0;
     for (Job job : assignments.jobs()) {
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsReader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsReader.java
@@ -12,11 +12,11 @@
 import org.snowturn.core.storage.StorageKeys;
 
 /**
- * Reads all stored records at the begin of a term.
+ * Reads all stored records at the start of a term.
  *
- * <p>What only leaders write cannot change any more, since the leader key is ours: those ranges are
- * read concurrently. Users' records go on changing: chunks of submissions are read before the jobs,
- * so that no accepted job lacks its chunks.
+ * <p>Records that only leaders write cannot change while this node owns the leader key, so their
+ * ranges are read concurrently. Records of users may still change: the chunks of submissions are
+ * read before the jobs, so that no accepted job lacks its chunks.
  */
 final class StoredRecordsReader {
   private final CoreRuntime runtime;
@@ -24,15 +24,15 @@
   private final Term term;
   private final Consumer<StoredRecords> onComplete;
 
-  /** The ranges by prefix; null for one that is still being read. */
+  /** Ranges by key prefix; null for a range that is still being read. */
   private final Map<String, Range> ranges = new LinkedHashMap<>();
 
   private long jobsReadAt;
 
   /**
-   * Has read nothing yet.
+   * Creates a reader for one term.
    *
-   * @param completed takes the records once all are read, unless the term has ended
+   * @param onComplete receives the records once all are read, unless the term has ended
    */
   StoredRecordsReader(
       LeaderDependencies dependencies, Term term, Consumer<StoredRecords> onComplete) {
@@ -42,7 +42,7 @@
     this.onComplete = onComplete;
   }
 
-  /** Starts to read. The gate comes first: it tells which format is to be written. */
+  /** Checks the format gate, which tells the format to write, and then reads all records. */
   void start() {
     formatGate.check(
         () -> {
--- a/src/main/java/org/snowturn/core/leader/TaskCounts.java
+++ b/src/main/java/org/snowturn/core/leader/TaskCounts.java
@@ -3,13 +3,13 @@
 import org.snowturn.core.model.Job;
 
 /**
- * How many tasks of all live jobs wait for a machine, and how many are assigned to one.
+ * The numbers of waiting and assigned tasks of some jobs.
  *
- * @param waiting tasks that could be assigned now if there were room
- * @param assigned tasks that are on a machine, or on their way to it
+ * @param waiting tasks that could be assigned now if a machine had room
+ * @param assigned tasks that are assigned to a machine, whether or not they have started there
  */
 record TaskCounts(int waiting, int assigned) {
-  /** Counts the tasks of these jobs. */
+  /** Returns the counts of the tasks of the given jobs. */
   static TaskCounts of(Iterable<Job> jobs) {
     int waiting = 0;
     int assigned = 0;
--- a/src/main/java/org/snowturn/core/leader/Term.java
+++ b/src/main/java/org/snowturn/core/leader/Term.java
@@ -2,45 +2,50 @@
 
 import org.snowturn.core.election.Election;
 
-/** One term of leadership: its fencing token, and whether this node may still act under it. */
+/** A term of leadership: its fencing token, and whether this node may still act under it. */
 final class Term {
   private final Election election;
   private final long token;
   private boolean ended;
 
-  /** The term that this node has just won. */
+  /** Creates the term that this node has just won. */
   Term(Election election) {
     this.election = election;
     this.token = election.token();
   }
 
+  /** Returns the fencing token of the term. */
   long token() {
     return token;
   }
 
-  /** Whether the term is over for good. */
+  /** Returns whether the term has ended, which is final. */
   boolean hasEnded() {
     return ended;
   }
 
-  /** Nothing of this term may act any more. */
+  /** Ends the term, after which none of its services acts any more. */
   void end() {
     ended = true;
   }
 
-  /** Whether this node holds the leader lease under this term's token. */
+  /** Returns whether this node currently has the authority to act under this term's token. */
   boolean hasAuthority() {
     return !ended && election.hasAuthority() && election.token() == token;
   }
 
-  /** The state service has shown that the leader key belongs to another node. */
+  /** Steps down because the leader key in the state service has another version than the token. */
   void onLeaderKeyLost() {
     if (!ended) {
-      election.stepDown("the leader key is no longer ours");
+      election.stepDown("the leader key no longer has the version of this term");
     }
   }
 
-  /** Leaves the leadership to a peer. */
+  /**
+   * Resigns the leadership so that a peer can take over at once.
+   *
+   * @param reason the reason for the log
+   */
   void resign(String reason) {
     election.resign(reason);
   }
--- a/src/main/java/org/snowturn/core/leader/package-info.java
+++ b/src/main/java/org/snowturn/core/leader/package-info.java
@@ -1,2 +1,2 @@
-/** One term of leadership, composed of the parts that know and decide. */
+/** One term of leadership: recovery, heartbeats, health checks, and the services it composes. */
 package org.snowturn.core.leader;
--- a/src/main/java/org/snowturn/core/package-info.java
+++ b/src/main/java/org/snowturn/core/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The controller as a state machine: inputs with their time go in, effects come out. No I/O, no
- * clock, no threads.
+ * The controller as a state machine: it takes inputs together with the current time and returns the
+ * effects to perform. It does no I/O, reads no clock and starts no threads.
  */
 package org.snowturn.core;
