--- a/src/main/java/org/snowturn/core/leader/AssignmentServices.java
+++ b/src/main/java/org/snowturn/core/leader/AssignmentServices.java
@@ -54,30 +54,25 @@
    * @param commandHost handles the results of direct commands
    */
   static AssignmentServices create(
-      LeaderDependencies dependencies,
+      LeaderDependencies shared,
       Term term,
       RecordWriter.Host writerHost,
       CommandQueue.Host commandHost) {
-    CoreRuntime runtime = dependencies.runtime();
-    FormatGate formatGate = dependencies.formatGate();
+    CoreRuntime runtime = shared.runtime();
+    FormatGate formatGate = shared.formatGate();
     MachineIndex machines =
         new MachineIndex(
-            dependencies.settings().zones(),
-            machine -> new CommandQueue(runtime, commandHost, machine));
+            shared.settings().zones(), machine -> new CommandQueue(runtime, commandHost, machine));
     RecordWriter writer =
-        new RecordWriter(runtime, writerHost, formatGate::limits, dependencies.leaderWriteRate());
-    KnownCancellations cancellations = knownCancellations(dependencies.watermark());
+        new RecordWriter(runtime, writerHost, formatGate::limits, shared.leaderWriteRate());
+    KnownCancellations cancellations = knownCancellations(shared.watermark());
     AttemptGuard attemptGuard =
         new AttemptGuard(
-            runtime,
-            machines,
-            term.token(),
-            HeartbeatProcessor.leaseExpiryMs(dependencies.settings()));
+            runtime, machines, term.token(), HeartbeatProcessor.leaseExpiryMs(shared.settings()));
     TaskAssignments assignments =
-        newAssignments(dependencies, machines, writer, attemptGuard, cancellations);
+        newAssignments(shared, machines, writer, attemptGuard, cancellations);
     DependencyGraph dependencyGraph = new DependencyGraph(runtime, formatGate, assignments, writer);
-    FailureHandler failureHandler =
-        new FailureHandler(runtime, dependencies.tunables().sickErrors());
+    FailureHandler failureHandler = new FailureHandler(runtime, shared.tunables().sickErrors());
     addJobListeners(assignments, dependencyGraph, failureHandler, cancellations);
     PreemptionRate preemptionRate = new PreemptionRate();
     return new AssignmentServices(
@@ -91,28 +86,28 @@
         preemptionRate,
         new HeartbeatProcessor(
             runtime,
-            dependencies.settings(),
+            shared.settings(),
             failureHandler,
             assignments,
             machines,
-            dependencies.machineTypes(),
+            shared.machineTypes(),
             preemptionRate,
             term.token()),
         new HeartbeatCommands(assignments, cancellations, term.token()));
   }
 
   private static TaskAssignments newAssignments(
-      LeaderDependencies dependencies,
+      LeaderDependencies shared,
       MachineIndex machines,
       RecordWriter writer,
       AttemptGuard attemptGuard,
       KnownCancellations cancellations) {
     return new TaskAssignments(
-        dependencies.runtime(),
-        dependencies.formatGate(),
+        shared.runtime(),
+        shared.formatGate(),
         writer,
         machines,
-        new Quota(dependencies.settings().teams()),
+        new Quota(shared.settings().teams()),
         cancellations,
         attemptGuard);
   }
--- a/src/main/java/org/snowturn/core/leader/HealthSweep.java
+++ b/src/main/java/org/snowturn/core/leader/HealthSweep.java
@@ -31,7 +31,7 @@
   /** Half the length of a worker's lease in milliseconds, for each second of the lease. */
   private static final long HALF_LEASE_MS_PER_S = 500;
 
-  private final LeaderDependencies dependencies;
+  private final LeaderDependencies shared;
   private final CoreRuntime runtime;
   private final Settings settings;
   private final MachineIndex machines;
@@ -57,15 +57,15 @@
   private int silentCount;
 
   HealthSweep(
-      LeaderDependencies dependencies,
+      LeaderDependencies shared,
       AssignmentServices services,
       SchedulingServices scheduling,
       LeaderRecovery recovery,
       ReachabilityChecks reachability,
       MachineSilence machineSilence) {
-    this.dependencies = dependencies;
-    this.runtime = dependencies.runtime();
-    this.settings = dependencies.settings();
+    this.shared = shared;
+    this.runtime = shared.runtime();
+    this.settings = shared.settings();
     this.machines = services.machines();
     this.services = services;
     this.scheduling = scheduling;
@@ -88,7 +88,7 @@
     scheduling.zoneOutages().reset();
     for (Machine machine : machines.present()) {
       if (machine.machineType() == null && machine.type() != null) {
-        machine.setMachineType(dependencies.machineTypes().get(machine.type()));
+        machine.setMachineType(shared.machineTypes().get(machine.type()));
       }
       services.heartbeatProcessor().leaseExpired(machine);
       if (MachineSilence.hasBeenUp(machine)) {
@@ -118,7 +118,7 @@
         && heardCount * MIN_SILENT_PER_HEARD < silentCount
         && machineSilence.isTermOlderThan(2 * HeartbeatProcessor.leaseExpiryMs(settings))
         && !settings.peers().isEmpty()
-        && dependencies.connectivity().otherMayServe();
+        && shared.connectivity().otherMayServe();
   }
 
   private void checkMachine(Machine machine) {
@@ -232,7 +232,7 @@
     boolean isReassignmentPeriodOver = machineSilence.isReassignmentPeriodOver();
     probeSample(isReassignmentPeriodOver ? 0 : workers.probesWanted());
     boolean isUnheard = workers.isolated(isReassignmentPeriodOver) && !settings.peers().isEmpty();
-    return workers.shouldHandOver(isUnheard, dependencies.connectivity().otherMayServe());
+    return workers.shouldHandOver(isUnheard, shared.connectivity().otherMayServe());
   }
 
   /**
--- a/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
+++ b/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
@@ -30,14 +30,14 @@
   private final ReachabilityChecks reachability;
 
   HeartbeatHandler(
-      LeaderDependencies dependencies,
+      LeaderDependencies shared,
       Term term,
       AssignmentServices services,
       LeaderRecovery recovery,
       ReachabilityChecks reachability) {
-    this.runtime = dependencies.runtime();
+    this.runtime = shared.runtime();
     this.term = term;
-    this.watermark = dependencies.watermark();
+    this.watermark = shared.watermark();
     this.services = services;
     this.machines = services.machines();
     this.heartbeatCommands = services.heartbeatCommands();
--- a/src/main/java/org/snowturn/core/leader/JobWatch.java
+++ b/src/main/java/org/snowturn/core/leader/JobWatch.java
@@ -36,9 +36,9 @@
   private long nextRevision;
   private long nextRequestAt;
 
-  JobWatch(LeaderDependencies dependencies, Term term, TaskAssignments assignments) {
-    this.runtime = dependencies.runtime();
-    this.watermark = dependencies.watermark();
+  JobWatch(LeaderDependencies shared, Term term, TaskAssignments assignments) {
+    this.runtime = shared.runtime();
+    this.watermark = shared.watermark();
     this.term = term;
     this.assignments = assignments;
   }
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -24,7 +24,7 @@
   private static final long SPECULATION_INTERVAL_MS = 500;
 
   private final CoreRuntime runtime;
-  private final LeaderDependencies dependencies;
+  private final LeaderDependencies shared;
   private final Term term;
   private final CommandDispatcher dispatcher;
   private final AssignmentServices services;
@@ -46,23 +46,21 @@
    * Creates the leader of the term that this node has just won, and starts to read the stored
    * records.
    */
-  public Leader(LeaderDependencies dependencies) {
-    this.dependencies = dependencies;
-    runtime = dependencies.runtime();
-    term = new Term(dependencies.election());
+  public Leader(LeaderDependencies shared) {
+    this.shared = shared;
+    runtime = shared.runtime();
+    term = new Term(shared.election());
     dispatcher = new CommandDispatcher(term);
-    services = AssignmentServices.create(dependencies, term, this, this);
+    services = AssignmentServices.create(shared, term, this, this);
     assignments = services.assignments();
-    recovery = new LeaderRecovery(dependencies, term, services, this::loadRestartRecord);
-    scheduling =
-        SchedulingServices.create(dependencies, term, services, recovery::hasHeardMostMachines);
-    MachineSilence silence = new MachineSilence(dependencies, scheduling.zoneOutages(), recovery);
-    reachability = new ReachabilityChecks(dependencies, scheduling.autoscaler(), recovery, silence);
-    healthSweep =
-        new HealthSweep(dependencies, services, scheduling, recovery, reachability, silence);
-    heartbeatHandler = new HeartbeatHandler(dependencies, term, services, recovery, reachability);
-    jobWatch = new JobWatch(dependencies, term, assignments);
-    progressPublisher = new ProgressPublisher(dependencies, assignments);
+    recovery = new LeaderRecovery(shared, term, services, this::loadRestartRecord);
+    scheduling = SchedulingServices.create(shared, term, services, recovery::hasHeardMostMachines);
+    MachineSilence silence = new MachineSilence(shared, scheduling.zoneOutages(), recovery);
+    reachability = new ReachabilityChecks(shared, scheduling.autoscaler(), recovery, silence);
+    healthSweep = new HealthSweep(shared, services, scheduling, recovery, reachability, silence);
+    heartbeatHandler = new HeartbeatHandler(shared, term, services, recovery, reachability);
+    jobWatch = new JobWatch(shared, term, assignments);
+    progressPublisher = new ProgressPublisher(shared, assignments);
     clusterSummary = new ClusterSummary(runtime, services, scheduling);
     gauges =
         new LeaderGauges(services, scheduling, recovery, reachability, healthSweep, dispatcher);
@@ -133,7 +131,7 @@
       sweep();
     }
     services.dependencyGraph().step();
-    if (dependencies.machineTypes().known() && assignments.consumeChanged()) {
+    if (shared.machineTypes().known() && assignments.consumeChanged()) {
       schedule(now);
     }
     clusterSummary.tick();
@@ -142,7 +140,7 @@
   }
 
   private void sweep() {
-    if (dependencies.formatGate().open() && !isFormatMigrated) {
+    if (shared.formatGate().open() && !isFormatMigrated) {
       isFormatMigrated = !assignments.useSecondFormat();
     }
     String resignReason = healthSweep.sweep();
--- a/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
@@ -22,7 +22,7 @@
  * token may get tasks while others are still being probed.
  */
 final class LeaderRecovery {
-  private final LeaderDependencies dependencies;
+  private final LeaderDependencies shared;
   private final CoreRuntime runtime;
   private final Term term;
   private final TaskAssignments assignments;
@@ -41,15 +41,15 @@
    * @param onRestartRecord handles the stored restart counters of a job, given the job's id
    */
   LeaderRecovery(
-      LeaderDependencies dependencies,
+      LeaderDependencies shared,
       Term term,
       AssignmentServices services,
       BiConsumer<String, StateMessage.Entry> onRestartRecord) {
-    this.dependencies = dependencies;
-    this.runtime = dependencies.runtime();
+    this.shared = shared;
+    this.runtime = shared.runtime();
     this.term = term;
     this.assignments = services.assignments();
-    this.loader = new StoredRecordsLoader(dependencies, services, onRestartRecord);
+    this.loader = new StoredRecordsLoader(shared, services, onRestartRecord);
     this.prober = new RecoveryProber(runtime, services);
     this.progress = new RecoveryProgress(runtime.now());
   }
@@ -72,7 +72,7 @@
    */
   void start(Consumer<Map<Machine, Heartbeat>> onLoaded) {
     enter(RecoveryPhase.READING);
-    new StoredRecordsReader(dependencies, term, records -> load(records, onLoaded)).start();
+    new StoredRecordsReader(shared, term, records -> load(records, onLoaded)).start();
   }
 
   /** Keeps the newest heartbeat of a machine until all records are read. */
--- a/src/main/java/org/snowturn/core/leader/MachineSilence.java
+++ b/src/main/java/org/snowturn/core/leader/MachineSilence.java
@@ -20,10 +20,9 @@
   private final WorkerSilence workerSilence;
   private final long termStartedAt;
 
-  MachineSilence(
-      LeaderDependencies dependencies, ZoneOutages zoneOutages, LeaderRecovery recovery) {
-    this.runtime = dependencies.runtime();
-    this.settings = dependencies.settings();
+  MachineSilence(LeaderDependencies shared, ZoneOutages zoneOutages, LeaderRecovery recovery) {
+    this.runtime = shared.runtime();
+    this.settings = shared.settings();
     this.zoneOutages = zoneOutages;
     this.recovery = recovery;
     this.workerSilence = new WorkerSilence(HealthSweep.INTERVAL_MS, settings.workers().reportS());
--- a/src/main/java/org/snowturn/core/leader/ProgressPublisher.java
+++ b/src/main/java/org/snowturn/core/leader/ProgressPublisher.java
@@ -19,10 +19,10 @@
   private final Map<String, PeerMessage.JobProgress> lastPublished = new HashMap<>();
   private long nextPublishAt;
 
-  ProgressPublisher(LeaderDependencies dependencies, TaskAssignments assignments) {
-    this.runtime = dependencies.runtime();
-    this.nodeName = dependencies.settings().node();
-    this.jobApi = dependencies.jobApi();
+  ProgressPublisher(LeaderDependencies shared, TaskAssignments assignments) {
+    this.runtime = shared.runtime();
+    this.nodeName = shared.settings().node();
+    this.jobApi = shared.jobApi();
     this.assignments = assignments;
   }
 
--- a/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
+++ b/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
@@ -38,13 +38,13 @@
   private long staleHeartbeatCount;
 
   ReachabilityChecks(
-      LeaderDependencies dependencies,
+      LeaderDependencies shared,
       Autoscaler autoscaler,
       LeaderRecovery recovery,
       MachineSilence machineSilence) {
-    this.runtime = dependencies.runtime();
-    this.settings = dependencies.settings();
-    this.connectivity = dependencies.connectivity();
+    this.runtime = shared.runtime();
+    this.settings = shared.settings();
+    this.connectivity = shared.connectivity();
     this.autoscaler = autoscaler;
     this.recovery = recovery;
     this.machineSilence = machineSilence;
--- a/src/main/java/org/snowturn/core/leader/SchedulingServices.java
+++ b/src/main/java/org/snowturn/core/leader/SchedulingServices.java
@@ -36,22 +36,18 @@
    * @param isPreemptionAllowed whether enough machines have been heard for tasks to be preempted
    */
   static SchedulingServices create(
-      LeaderDependencies dependencies,
+      LeaderDependencies shared,
       Term term,
       AssignmentServices services,
-      BooleanSupplier isPreemptionAllowed) {
-    CoreRuntime runtime = dependencies.runtime();
-    Settings settings = dependencies.settings();
-    Tunables tunables = dependencies.tunables();
-    ExternallyManagedMachines externallyManagedMachines =
+      BooleanSupplier canPreempt) {
+    CoreRuntime runtime = shared.runtime();
+    Settings settings = shared.settings();
+    Tunables tunables = shared.tunables();
+    ExternallyManagedMachines externalMachines =
         new ExternallyManagedMachines(runtime, services.writer());
     ScalingPolicy scalingPolicy =
-        ScalingPolicy.of(
-            settings,
-            dependencies.machineTypes()::quickestBootS,
-            externallyManagedMachines::present);
-    TaskScheduler scheduler =
-        newScheduler(dependencies, services, scalingPolicy, isPreemptionAllowed);
+        ScalingPolicy.of(settings, shared.machineTypes()::quickestBootS, externalMachines::present);
+    TaskScheduler scheduler = newScheduler(shared, services, scalingPolicy, canPreempt);
     Speculator speculator =
         new Speculator(
             runtime,
@@ -60,7 +56,7 @@
             services.machines(),
             scheduler,
             services.writer(),
-            dependencies.formatGate());
+            shared.formatGate());
     ZoneOutages zoneOutages = new ZoneOutages(services.machines().zoneCount());
     Autoscaler autoscaler =
         new Autoscaler(
@@ -68,35 +64,34 @@
                 runtime,
                 settings,
                 tunables,
-                dependencies.machineTypes(),
+                shared.machineTypes(),
                 services.machines(),
                 services.assignments(),
                 services.heartbeatProcessor()),
             scheduler,
             scalingPolicy,
             zoneOutages,
-            externallyManagedMachines,
+            externalMachines,
             services.preemptionRate(),
             term.token());
-    return new SchedulingServices(
-        externallyManagedMachines, scheduler, speculator, zoneOutages, autoscaler);
+    return new SchedulingServices(externalMachines, scheduler, speculator, zoneOutages, autoscaler);
   }
 
   private static TaskScheduler newScheduler(
-      LeaderDependencies dependencies,
+      LeaderDependencies shared,
       AssignmentServices services,
       ScalingPolicy scalingPolicy,
-      BooleanSupplier isPreemptionAllowed) {
+      BooleanSupplier canPreempt) {
     return new TaskScheduler(
-        dependencies.runtime(),
-        dependencies.settings(),
+        shared.runtime(),
+        shared.settings(),
         services.assignments(),
         services.machines(),
         new SchedulingPolicy(
-            new SchedulingOrder(dependencies.settings(), dependencies.tunables().urgentSlackS()),
+            new SchedulingOrder(shared.settings(), shared.tunables().urgentSlackS()),
             scalingPolicy::overprovisioning,
-            dependencies.tunables().beginWithinS(),
-            isPreemptionAllowed),
+            shared.tunables().beginWithinS(),
+            canPreempt),
         services.preemptionRate());
   }
 }
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
@@ -32,7 +32,7 @@
     void parse() throws MalformedException;
   }
 
-  private final LeaderDependencies dependencies;
+  private final LeaderDependencies shared;
   private final CoreRuntime runtime;
   private final CancellationWatermark watermark;
   private final AssignmentServices services;
@@ -47,12 +47,12 @@
    * @param onRestartRecord handles the stored restart counters of a job, given the job's id
    */
   StoredRecordsLoader(
-      LeaderDependencies dependencies,
+      LeaderDependencies shared,
       AssignmentServices services,
       BiConsumer<String, StateMessage.Entry> onRestartRecord) {
-    this.dependencies = dependencies;
-    this.runtime = dependencies.runtime();
-    this.watermark = dependencies.watermark();
+    this.shared = shared;
+    this.runtime = shared.runtime();
+    this.watermark = shared.watermark();
     this.services = services;
     this.assignments = services.assignments();
     this.onRestartRecord = onRestartRecord;
@@ -103,7 +103,7 @@
   }
 
   private void initializeMachine(Machine machine) {
-    machine.setMachineType(dependencies.machineTypes().get(machine.type()));
+    machine.setMachineType(shared.machineTypes().get(machine.type()));
     machine.images.markStored();
     machine.session.setLastAnswerAt(Math.max(machine.session.lastAnswerAt(), runtime.now()));
     machine.setFirstSeenAt(runtime.now());
@@ -157,7 +157,7 @@
   }
 
   private void loadTasks(Range range, String prefix, List<StateMessage.Change> orphans) {
-    boolean isOlderFormat = dependencies.formatGate().open() && prefix.equals(StorageKeys.TASKS);
+    boolean isOlderFormat = shared.formatGate().open() && prefix.equals(StorageKeys.TASKS);
     for (StateMessage.Entry entry : range.entries()) {
       String keySuffix = entry.key().substring(prefix.length());
       int slash = keySuffix.lastIndexOf('/');
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsReader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsReader.java
@@ -34,10 +34,9 @@
    *
    * @param onComplete receives the records once all are read, unless the term has ended
    */
-  StoredRecordsReader(
-      LeaderDependencies dependencies, Term term, Consumer<StoredRecords> onComplete) {
-    this.runtime = dependencies.runtime();
-    this.formatGate = dependencies.formatGate();
+  StoredRecordsReader(LeaderDependencies shared, Term term, Consumer<StoredRecords> onComplete) {
+    this.runtime = shared.runtime();
+    this.formatGate = shared.formatGate();
     this.term = term;
     this.onComplete = onComplete;
   }
