--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -182,12 +182,12 @@
   }
 
   /**
-   * Returns whether a load balancer should send users to this node.
+   * Returns whether a load balancer should send new users to this node.
    *
-   * <p>A node that cannot reach the state service, directly or through a peer, is not ready if a
-   * peer reaches it, or if no peer is heard and so the state of the other nodes is unknown. If the
-   * peers report that they cannot reach it either, the state service is down for all nodes, and all
-   * of them stay ready. A node without peers is always ready.
+   * <p>A node that can reach the state service, directly or through a peer, is ready, and so is a
+   * node without peers. Any other node is ready only while it hears its peers and none of them
+   * reaches the state service: the service is then down for all nodes, and moving users would not
+   * help. A node that hears no peer is not ready, since only its own link may be down.
    */
   public boolean isReady() {
     return election.stateServiceHealthy()
@@ -226,10 +226,10 @@
     if (leader != null) {
       leader.tick();
     }
-    boolean sampleDue = leader != null && connectivity.wantsSample();
+    boolean isSampleDue = leader != null && connectivity.wantsSample();
     connectivity.tick(
         leader != null,
-        sampleDue ? leader.sampleWorkerAddresses(ConnectivityMonitor.SAMPLE_SIZE) : List.of());
+        isSampleDue ? leader.sampleWorkerAddresses(ConnectivityMonitor.SAMPLE_SIZE) : List.of());
   }
 
   private void tickRateAllocation() {
@@ -247,7 +247,7 @@
       leader = null;
     }
     if (leader == null && election.leading()) {
-      // A leader may renew workers' leases only while its view of cancellations is recent.
+      // A leader may renew the leases of workers only while its view of cancellations is recent.
       liveJobs.refresh();
       leader =
           new Leader(
--- a/src/main/java/org/snowturn/core/PeerMessage.java
+++ b/src/main/java/org/snowturn/core/PeerMessage.java
@@ -51,8 +51,8 @@
 
   /**
    * A leader's request that a peer revoke its lease, sent when the state service answers that peer
-   * but not the leader. The leader stays in its term until a peer has revoked the lease. If the
-   * state service stops answering all nodes before that, the leader keeps its term.
+   * but not the leader. The leader goes on leading meanwhile. If the state service stops answering
+   * all nodes before a peer has revoked the lease, the lease stays in place.
    *
    * @param leaseId the id of the lease in the state service
    * @param token the fencing token of the leader's term
@@ -161,7 +161,7 @@
       long lastDroppedAgeMs,
       List<String> jobs)
       implements PeerMessage {
-    /** Returns whether the entry numbers and the number of jobs do not contradict each other. */
+    /** Returns whether the entry numbers are consistent with each other and with the jobs. */
     public boolean isConsistent() {
       return lastDroppedNumber >= 0
           && lastDroppedAgeMs >= 0
--- a/src/main/java/org/snowturn/core/leader/HealthSweep.java
+++ b/src/main/java/org/snowturn/core/leader/HealthSweep.java
@@ -25,10 +25,10 @@
   /** Minimum number of silent machines for this node to count as cut off. */
   private static final int MIN_SILENT_MACHINES = 3;
 
-  /** Silent machines for each heard one above which this node counts as cut off. */
+  /** Ratio of silent to heard machines above which this node counts as cut off. */
   private static final int MIN_SILENT_PER_HEARD = 4;
 
-  /** Half the length of a worker's lease in milliseconds, for each second of the lease. */
+  /** Factor that converts a lease's length in seconds to half that length in milliseconds. */
   private static final long HALF_LEASE_MS_PER_S = 500;
 
   private final LeaderDependencies shared;
@@ -50,6 +50,7 @@
   /** Machines in the last sweep that answer messages but miss heartbeats. */
   private int lastMissingHeartbeatsCount;
 
+  // Counts of the sweep in progress.
   private int machineCount;
   private int unreachableCount;
   private int missingHeartbeatsCount;
--- a/src/main/java/org/snowturn/core/leader/JobWatch.java
+++ b/src/main/java/org/snowturn/core/leader/JobWatch.java
@@ -107,14 +107,14 @@
 
   private void applyEntry(StateMessage.Entry entry) {
     String id = entry.key().substring(StorageKeys.JOBS.length());
-    Job known = assignments.job(id);
+    Job knownJob = assignments.job(id);
     if (entry.value() == null) {
-      if (known != null && entry.version() >= known.version()) {
+      if (knownJob != null && entry.version() >= knownJob.version()) {
         assignments.registry().remove(id);
       }
       return;
     }
-    if (known != null && known.version() >= entry.version()) {
+    if (knownJob != null && knownJob.version() >= entry.version()) {
       return;
     }
     if (JobRecord.phaseOf(entry.value()) == JobStatus.Phase.ABORTED) {
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -69,7 +69,8 @@
   }
 
   /**
-   * Starts normal work once all records are read, by applying the heartbeats received meanwhile.
+   * Applies the heartbeats that arrived while the records were being read, and sets where the job
+   * watch starts.
    */
   private void onRecordsLoaded(Map<Machine, Heartbeat> earlyHeartbeats) {
     jobWatch.startFrom(recovery.jobWatchRevision());
--- a/src/main/java/org/snowturn/core/leader/LeaderDependencies.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderDependencies.java
@@ -15,7 +15,7 @@
  * The services of a controller node that outlive a term of leadership and are shared by its terms.
  *
  * @param runtime collects effects and holds the current time
- * @param settings the settings file
+ * @param settings the settings of this node
  * @param tunables the tunable parameters
  * @param election decides whether this node leads
  * @param watermark tracks which cancellations this node knows
--- a/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
@@ -118,7 +118,7 @@
         || (isLoaded() && prober.hasHeardMostMachines());
   }
 
-  /** Notes that a heartbeat of the machine has been applied. */
+  /** Records that a heartbeat of the machine has been applied. */
   void onMachineHeard(Machine machine) {
     prober.onAnyMachineHeard();
     if (isLoaded()) {
@@ -126,7 +126,7 @@
     }
   }
 
-  /** Notes that a message to the machine got no answer. */
+  /** Records that a message to the machine got no answer. */
   void onMessageUnanswered(Machine machine) {
     prober.onMessageUnanswered(machine);
   }
--- a/src/main/java/org/snowturn/core/leader/MachineSilence.java
+++ b/src/main/java/org/snowturn/core/leader/MachineSilence.java
@@ -39,12 +39,12 @@
     return machine.lastHeartbeatAt() != MonotonicTime.NEVER;
   }
 
-  /** Notes that a worker has sent a heartbeat to this node or answered one of its messages. */
+  /** Records that a worker has sent a heartbeat to this node or answered one of its messages. */
   void onWorkerHeard() {
     workerSilence.heard();
   }
 
-  /** Notes that a message to a worker got no answer. */
+  /** Records that a message to a worker got no answer. */
   void onMessageUnanswered() {
     workerSilence.unanswered();
   }
@@ -71,7 +71,10 @@
         : recovery.isUnresponsive(machine) || isReassignmentPeriodOver();
   }
 
-  /** Returns whether a machine that this leader has heard can be replaced for its silence. */
+  /**
+   * Returns whether a fault of a machine that this leader has heard can be attributed to the
+   * machine itself, so that it can be replaced.
+   */
   boolean canReplaceHeard() {
     return isReassignmentPeriodOver() && canTrustSilence();
   }
@@ -84,6 +87,7 @@
     return (isReassignmentPeriodOver() || recovery.isUnresponsive(machine)) && canTrustSilence();
   }
 
+  /** Returns whether this node is connected well enough to attribute silence to single machines. */
   private boolean canTrustSilence() {
     return workerSilence.mayJudgeMachines(runtime.now()) && zoneOutages.isConnected();
   }
--- a/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
+++ b/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
@@ -26,7 +26,10 @@
   /** Maximum time until a worker that has just received a new token sends its next heartbeat. */
   private static final long MAX_NEXT_HEARTBEAT_MS = 1_500;
 
-  /** Time for which a machine gets no new tasks after it has left a message unanswered. */
+  /**
+   * Time for which a machine gets no new tasks after it has left a message unanswered, unless it
+   * sends a heartbeat before.
+   */
   private static final long BLOCKED_MS = 1_500;
 
   private final CoreRuntime runtime;
@@ -63,7 +66,7 @@
     return isStale;
   }
 
-  /** Notes that a heartbeat has arrived that is not stale. */
+  /** Records that a heartbeat has arrived that is not stale. */
   void onHeartbeatReceived() {
     machineSilence.onWorkerHeard();
   }
--- a/src/main/java/org/snowturn/core/leader/RecoveryProber.java
+++ b/src/main/java/org/snowturn/core/leader/RecoveryProber.java
@@ -34,8 +34,8 @@
   private static final long PROMPT_TICK_MS = 100;
 
   /**
-   * Maximum time since any machine was heard for an unanswered message to count against its own
-   * machine. If no machine is heard for longer, this node may be cut off.
+   * Maximum time since any machine was heard for an unanswered message to count against the machine
+   * it was sent to. If no machine is heard for longer, this node may be cut off.
    */
   private static final long OTHERS_HEARD_WINDOW_MS = 500;
 
@@ -155,7 +155,7 @@
     lastTickAt = now;
   }
 
-  /** Notes that a heartbeat of any machine was applied, also before {@link #start()}. */
+  /** Records that a heartbeat of any machine was applied, also before {@link #start()}. */
   void onAnyMachineHeard() {
     lastHeardAt = runtime.now();
   }
@@ -166,7 +166,8 @@
       probes.heard(machine.index, runtime.now());
       sendDueProbes();
     } else {
-      // The answer gives it the new token, upon which a worker sends another heartbeat at once.
+      // The answer carries the new token, and a worker that receives a higher token sends another
+      // heartbeat at once.
       probes.postpone(machine.index, runtime.now() + MAX_NEXT_HEARTBEAT_MS);
     }
   }
--- a/src/main/java/org/snowturn/core/leader/SchedulingServices.java
+++ b/src/main/java/org/snowturn/core/leader/SchedulingServices.java
@@ -33,7 +33,7 @@
   /**
    * Creates the services of a term.
    *
-   * @param isPreemptionAllowed whether enough machines have been heard for tasks to be preempted
+   * @param canPreempt whether enough machines have been heard for tasks to be preempted
    */
   static SchedulingServices create(
       LeaderDependencies shared,
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
@@ -24,7 +24,8 @@
 
 /**
  * Loads the stored records of earlier terms into this one. An unreadable record does not stop the
- * recovery: it is logged and counted, and its job is quarantined as a whole.
+ * recovery: it is logged and counted. If it belongs to a job or its tasks, the job is quarantined
+ * as a whole.
  */
 final class StoredRecordsLoader {
   /** An action that parses and loads one record. */
@@ -196,8 +197,9 @@
   }
 
   /**
-   * Queues stop commands for the tasks of cancelled jobs. The agent epochs must be known by now, so
-   * that the commands are sent with the first probes.
+   * Queues stop commands for the tasks of cancelled jobs, to be sent with the first probes. This
+   * must follow {@link #raiseAgentEpochs}: a stop is queued only for a task of its machine's newest
+   * agent epoch.
    */
   private void stopCancelledTasks() {
     int tasks = 0;
