--- a/src/main/java/org/snowturn/core/leader/ClusterSummary.java
+++ b/src/main/java/org/snowturn/core/leader/ClusterSummary.java
@@ -18,8 +18,8 @@
 
   /** The machines of one kind, on-demand or spot, and their CPUs. */
   private static final class Capacity {
-    private int up;
-    private int down;
+    private int upCount;
+    private int downCount;
     private double cpus;
     private double cpusUsed;
   }
@@ -76,20 +76,20 @@
     for (Machine machine : services.machines().present()) {
       Capacity capacity = machine.isSpot() ? spot : onDemand;
       if (machine.usable(runtime.now())) {
-        capacity.up++;
+        capacity.upCount++;
         capacity.cpus += machine.machineType().cpus();
         capacity.cpusUsed += machine.cpusUsed();
       } else {
-        capacity.down++;
+        capacity.downCount++;
         downReasons.merge(machine.whyNotUsable(runtime.now()), 1, Integer::sum);
       }
     }
-    line.with(LogField.ON_DEMAND_UP, onDemand.up)
-        .with(LogField.ON_DEMAND_DOWN, onDemand.down)
+    line.with(LogField.ON_DEMAND_UP, onDemand.upCount)
+        .with(LogField.ON_DEMAND_DOWN, onDemand.downCount)
         .with(LogField.ON_DEMAND_CPUS_USED, onDemand.cpusUsed)
         .with(LogField.ON_DEMAND_CPUS, onDemand.cpus)
-        .with(LogField.SPOT_UP, spot.up)
-        .with(LogField.SPOT_DOWN, spot.down)
+        .with(LogField.SPOT_UP, spot.upCount)
+        .with(LogField.SPOT_DOWN, spot.downCount)
         .with(LogField.SPOT_CPUS_USED, spot.cpusUsed)
         .with(LogField.SPOT_CPUS, spot.cpus)
         .with(LogField.DOWN_REASONS, downReasons.toString());
--- a/src/main/java/org/snowturn/core/leader/RecoveryProber.java
+++ b/src/main/java/org/snowturn/core/leader/RecoveryProber.java
@@ -76,22 +76,22 @@
 
   /** Starts to probe all recorded machines that have not acknowledged the token. */
   void start() {
-    double replicaCpus = Double.MAX_VALUE;
-    double batchTaskCpus = Double.MAX_VALUE;
+    double minReplicaCpus = Double.MAX_VALUE;
+    double minBatchTaskCpus = Double.MAX_VALUE;
     for (Job job : assignments.jobs()) {
       if (job.wantsRoom() && job.pending() > 0) {
         if (job.spec.service()) {
-          replicaCpus = Math.min(replicaCpus, job.spec.cpus());
+          minReplicaCpus = Math.min(minReplicaCpus, job.spec.cpus());
         } else {
-          batchTaskCpus = Math.min(batchTaskCpus, job.spec.cpus());
+          minBatchTaskCpus = Math.min(minBatchTaskCpus, job.spec.cpus());
         }
       }
     }
     for (Machine machine : machines.present()) {
       if (machine.isRegistered() && !machine.session.isAcknowledged()) {
         boolean sendsHeartbeats = machine.lastHeartbeatAt() != MonotonicTime.NEVER;
-        long notBefore = sendsHeartbeats ? runtime.now() + MAX_NEXT_HEARTBEAT_MS : 0;
-        probes.add(machine.index, urgency(machine, replicaCpus, batchTaskCpus), notBefore);
+        long notBeforeMs = sendsHeartbeats ? runtime.now() + MAX_NEXT_HEARTBEAT_MS : 0;
+        probes.add(machine.index, urgency(machine, minReplicaCpus, minBatchTaskCpus), notBeforeMs);
       }
     }
     initialUnheardCount = probes.unheard();
@@ -106,12 +106,12 @@
    * machines that run replicas, then machines with room for a waiting batch task. Users gain most
    * from the answers in this order.
    *
-   * @param replicaCpus the CPUs of the smallest replica that waits for a machine
-   * @param batchTaskCpus the CPUs of the smallest batch task that waits for a machine
+   * @param minReplicaCpus the CPUs of the smallest replica that waits for a machine
+   * @param minBatchTaskCpus the CPUs of the smallest batch task that waits for a machine
    */
-  private int urgency(Machine machine, double replicaCpus, double batchTaskCpus) {
+  private int urgency(Machine machine, double minReplicaCpus, double minBatchTaskCpus) {
     double freeCpus = machine.cpusFree();
-    if (freeCpus >= replicaCpus) {
+    if (freeCpus >= minReplicaCpus) {
       return URGENCY_ROOM_FOR_REPLICAS;
     }
     boolean holdsReplica = false;
@@ -125,7 +125,7 @@
     if (holdsReplica) {
       return URGENCY_HOLDS_REPLICA;
     }
-    return freeCpus >= batchTaskCpus ? URGENCY_ROOM_FOR_BATCH : URGENCY_OTHER;
+    return freeCpus >= minBatchTaskCpus ? URGENCY_ROOM_FOR_BATCH : URGENCY_OTHER;
   }
 
   /** Sends the probes that are due, as far as the limit of probes in flight allows. */
