--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -21,15 +21,18 @@
 import org.snowturn.wire.Command;
 
 /**
- * A controller as a state machine: inputs with their time go in, effects come out. It does no I/O,
- * reads no clock and starts no thread, so that tests drive the very code that runs. One thread at a
- * time may call it.
+ * The state machine of one controller node: it takes inputs together with the current time and
+ * returns the effects to perform.
+ *
+ * <p>It does no I/O, reads no clock and starts no threads, so that tests run the same code as
+ * production. It is not thread-safe; callers must make sure that only one thread calls it at a
+ * time.
  */
 public final class Controller {
-  /** For so long after its authority has ended, a leader redirects workers to a peer. */
-  private static final long REDIRECT_MS = 3_000;
+  /** Time after a leader has lost its authority during which it redirects workers to a peer. */
+  private static final long REDIRECT_WINDOW_MS = 3_000;
 
-  /** The HTTP status that sends a worker to another controller. */
+  /** HTTP status that sends a worker to another controller. */
   private static final int MISDIRECTED_REQUEST = 421;
 
   private final CoreRuntime runtime;
@@ -40,7 +43,7 @@
   private final JobApi jobApi;
   private final Election election;
   private final ConnectivityMonitor connectivity;
-  private final StateRequestRelay relay;
+  private final StateRequestRelay stateRequestRelay;
   private final RateAllocator rateAllocator;
   private final LiveJobCache liveJobs;
   private final CancellationWatermark watermark;
@@ -48,12 +51,13 @@
   private long lastAuthorityAt;
 
   /**
-   * A controller that has done nothing yet.
+   * Creates a controller that does not lead and has sent nothing.
    *
-   * @param incarnation a name that no other process of this node has had
-   * @param startedMs when the process began, in milliseconds of the steady clock
+   * @param incarnation a name that no other process of this node has used
+   * @param startedAtMs the time at which this process started, in milliseconds of the monotonic
+   *     clock
    */
-  public Controller(Settings settings, Tunables tunables, String incarnation, long startedMs) {
+  public Controller(Settings settings, Tunables tunables, String incarnation, long startedAtMs) {
     this.settings = settings;
     this.tunables = tunables;
     runtime = new CoreRuntime(incarnation.hashCode());
@@ -63,22 +67,26 @@
             settings.stateLimits().least(settings.nextStateLimits()).rps(),
             settings.stateLimits().least(settings.nextStateLimits()).writeRps(),
             runtime.random(),
-            startedMs);
+            startedAtMs);
     runtime.limitStateRequests(rateAllocator.budget());
     watermark = new CancellationWatermark(settings, runtime, incarnation);
     watermark.setListener(this::onCancellation);
-    liveJobs = new LiveJobCache(settings, runtime, cacheListener());
+    liveJobs = new LiveJobCache(settings, runtime, liveJobListener());
     machineTypes = new MachineTypes(runtime);
-    election = new Election(settings, tunables, runtime, watermark, incarnation, startedMs);
+    election = new Election(settings, tunables, runtime, watermark, incarnation, startedAtMs);
     formatGate = new FormatGate(settings, runtime);
     connectivity = new ConnectivityMonitor(settings, runtime, election::stateServiceAnsweredAt);
     election.deferClaimIf(connectivity::betterElsewhere);
-    relay =
+    stateRequestRelay =
         new StateRequestRelay(
             settings, runtime, connectivity, () -> connectivity.mine().stateService());
     JobApi.Services services =
         new JobApi.Services(
-            machineTypes, formatGate, relay, rateAllocator.admissionController(), liveJobs);
+            machineTypes,
+            formatGate,
+            stateRequestRelay,
+            rateAllocator.admissionController(),
+            liveJobs);
     jobApi =
         new JobApi(settings, runtime, services, election::isStateServiceHealthy, cancelledJobs());
   }
@@ -102,8 +110,8 @@
     };
   }
 
-  /** The watermark of cancellations moves with what the cache of live jobs has read. */
-  private LiveJobCache.Listener cacheListener() {
+  /** Creates a listener that passes what the cache of live jobs reads to the watermark. */
+  private LiveJobCache.Listener liveJobListener() {
     return new LiveJobCache.Listener() {
       @Override
       public void onCancelled(String job) {
@@ -119,26 +127,31 @@
 
   private void onCancellation(String job) {
     if (leader != null) {
-      leader.cancellationConfirmed(job);
+      leader.onCancellationConfirmed(job);
     }
   }
 
-  /** Whether to write a line of the log for each task, heartbeat and answer as well. */
-  public void logDetails(boolean on) {
-    runtime.events().debug(on);
+  /**
+   * Turns the log lines for individual tasks, heartbeats and answers on or off.
+   *
+   * @param isEnabled whether these lines are written
+   */
+  public void setDebugLogging(boolean isEnabled) {
+    runtime.events().debug(isEnabled);
   }
 
   /**
-   * Takes one input and returns what is to be done.
+   * Handles one input and returns the effects to perform.
    *
-   * @param nowMs the steady clock
+   * @param nowMs the current time of the monotonic clock, in milliseconds
    * @param wallMs the time of day, in milliseconds since 1970
+   * @return the effects in the order in which they are to be performed
    */
   public List<Effect> handle(long nowMs, long wallMs, Input input) {
     runtime.setTime(nowMs, wallMs);
     dispatch(input);
     runtime.rejectUnbudgeted();
-    followElection();
+    updateTerm();
     if (leader != null) {
       leader.flush();
     }
@@ -163,28 +176,31 @@
     }
   }
 
-  /** Whether this node may give commands now. */
+  /** Returns whether this node currently has the authority to command workers. */
   public boolean hasAuthority() {
     return election.hasAuthority();
   }
 
   /**
-   * Whether this node should get new users: not when it alone has lost the state service, nor when
-   * it hears no peer either, so that it cannot tell. In an outage, which all nodes share and tell
-   * each other of, they stay in place.
+   * Returns whether a load balancer should send new users to this node.
+   *
+   * <p>A node that can reach the state service, directly or through a peer, is ready, and so is a
+   * node without peers. Any other node is ready only while it hears its peers and none of them
+   * reaches the state service: the service is then down for all nodes, and moving users would not
+   * help. A node that hears no peer is not ready, since only its own link may be down.
    */
-  public boolean ready() {
+  public boolean isReady() {
     return election.isStateServiceHealthy()
-        || relay.possible()
+        || stateRequestRelay.possible()
         || settings.peers().isEmpty()
         || (connectivity.hearsPeers() && !election.canPeersReachStateService());
   }
 
-  /** Figures for operators. */
+  /** Returns the gauges of this node, by metric name. */
   public Map<String, Double> gauges() {
     Map<String, Double> gauges = new HashMap<>();
     gauges.put("snowturn.format.gate", formatGate.open() ? 1.0 : 0.0);
-    gauges.put("snowturn.state.requests.relayed", (double) relay.relayed());
+    gauges.put("snowturn.state.requests.relayed", (double) stateRequestRelay.relayed());
     gauges.putAll(connectivity.gauges());
     gauges.putAll(watermark.gauges());
     gauges.putAll(rateAllocator.gauges(runtime.now()));
@@ -205,15 +221,15 @@
     formatGate.tick();
     liveJobs.tick();
     tickRateAllocation();
-    followElection();
+    updateTerm();
     lastAuthorityAt = election.hasAuthority() ? runtime.now() : lastAuthorityAt;
     if (leader != null) {
       leader.tick();
     }
-    boolean sampleDue = leader != null && connectivity.wantsSample();
+    boolean isSampleDue = leader != null && connectivity.wantsSample();
     connectivity.tick(
         leader != null,
-        sampleDue ? leader.sampleWorkerAddresses(ConnectivityMonitor.SAMPLE_SIZE) : List.of());
+        isSampleDue ? leader.sampleWorkerAddresses(ConnectivityMonitor.SAMPLE_SIZE) : List.of());
   }
 
   private void tickRateAllocation() {
@@ -224,14 +240,15 @@
     }
   }
 
-  /** Starts or ends a term as the election has it. */
-  private void followElection() {
+  /** Starts or ends this node's term so that it matches the result of the election. */
+  private void updateTerm() {
     if (leader != null && (!election.isLeader() || election.token() != leader.token())) {
       leader.end();
       leader = null;
     }
     if (leader == null && election.isLeader()) {
-      liveJobs.requestValidation(); // workers are answered as far as cancellations are known
+      // A leader may renew the leases of workers only while its view of cancellations is recent.
+      liveJobs.requestValidation();
       leader =
           new Leader(
               new LeaderDependencies(
@@ -257,18 +274,23 @@
     runtime.answer(
         received.exchange(),
         MISDIRECTED_REQUEST,
-        Command.elsewhere(leader != null ? anyPeer() : election.leader()));
+        Command.elsewhere(leader != null ? redirectTarget() : election.leader()));
   }
 
   /**
-   * Where workers go from a leader that has lost its authority, and so most likely its links to the
-   * state service and to the peers, so that it does not know who leads now: to a node that does, at
-   * once, instead of to the next one a second later. Null once nobody may lead for longer: workers
-   * that all nodes redirect at once would be a flood.
+   * Returns the node to which a leader without authority redirects workers, or null for no
+   * redirect.
+   *
+   * <p>Such a leader has probably lost its links to the state service and to its peers, and does
+   * not know the new leader. A random peer probably does. Redirecting saves the worker the second
+   * that it waits before it tries the next node by itself.
+   *
+   * <p>If no node leads for longer than {@link #REDIRECT_WINDOW_MS}, redirects stop: otherwise all
+   * nodes would keep redirecting all workers to each other.
    */
-  private String anyPeer() {
+  private String redirectTarget() {
     List<Settings.Peer> peers = settings.peers();
-    if (runtime.now() - lastAuthorityAt > REDIRECT_MS) {
+    if (runtime.now() - lastAuthorityAt > REDIRECT_WINDOW_MS) {
       return null;
     }
     return peers.isEmpty() ? null : peers.get(runtime.random().nextInt(peers.size())).node();
@@ -284,9 +306,9 @@
     } else if (message instanceof PeerMessage.WorkerSample sample) {
       connectivity.onSample(sample);
     } else if (message instanceof PeerMessage.RelayRequest request) {
-      relay.onRequest(request);
+      stateRequestRelay.onRequest(request);
     } else if (message instanceof PeerMessage.RelayReply reply) {
-      relay.onReply(reply);
+      stateRequestRelay.onReply(reply);
     } else if (message instanceof PeerMessage.CancellationsRequest request) {
       watermark.onRequest(request);
     } else if (message instanceof PeerMessage.CancellationsReply reply) {
--- a/src/main/java/org/snowturn/core/api/ChunkedSubmission.java
+++ b/src/main/java/org/snowturn/core/api/ChunkedSubmission.java
@@ -79,7 +79,7 @@
             JobStatusReader.STATE_REQUEST_TIMEOUT_MS,
             (outcome, status, body) -> {
               try {
-                if (outcome.succeeded(status)) {
+                if (outcome.isSuccess(status)) {
                   StateMessage.entries(body).forEach(this::addStored);
                   if (!storedChunks.get(0)) {
                     // Without the first chunk, the others may be about to be removed.
@@ -125,7 +125,7 @@
             JobStatusReader.STATE_REQUEST_TIMEOUT_MS,
             (outcome, status, reply) -> {
               try {
-                if (outcome.succeeded(status)) {
+                if (outcome.isSuccess(status)) {
                   firstChunkVersion =
                       written.get(0) ? StateMessage.revision(reply) : firstChunkVersion;
                   storedChunks.or(written);
--- a/src/main/java/org/snowturn/core/api/JobStatusReader.java
+++ b/src/main/java/org/snowturn/core/api/JobStatusReader.java
@@ -127,11 +127,11 @@
         null,
         STATE_REQUEST_TIMEOUT_MS,
         (outcome, status, body) -> {
-          if (outcome.notFound(status)) {
+          if (outcome.isNotFound(status)) {
             onRecord.accept(null);
             return;
           }
-          if (outcome.succeeded(status)) {
+          if (outcome.isSuccess(status)) {
             try {
               onRecord.accept(StateMessage.entry(body));
               return;
--- a/src/main/java/org/snowturn/core/api/JobSubmission.java
+++ b/src/main/java/org/snowturn/core/api/JobSubmission.java
@@ -214,10 +214,10 @@
                 conditions, List.of(Change.put(StorageKeys.job(spec.id()), record))),
             JobStatusReader.STATE_REQUEST_TIMEOUT_MS,
             (outcome, status, reply) -> {
-              if (outcome.succeeded(status)) {
+              if (outcome.isSuccess(status)) {
                 statuses.addAccepted(spec.id(), spec.service());
                 responses.answerAccepted(exchange, spec.id());
-              } else if (outcome.conflict(status)) {
+              } else if (outcome.isConflict(status)) {
                 answerIfKnown(exchange, spec);
               } else {
                 if (status == TOO_MANY_REQUESTS) {
--- a/src/main/java/org/snowturn/core/api/LiveJobCache.java
+++ b/src/main/java/org/snowturn/core/api/LiveJobCache.java
@@ -172,7 +172,7 @@
         TIMEOUT_MS,
         (outcome, status, body) -> {
           isRequestOpen = false;
-          if (outcome.succeeded(status) && applyChanges(body)) {
+          if (outcome.isSuccess(status) && applyChanges(body)) {
             validatedAt = runtime.now();
             listener.onUpToDate(sentAt);
             backoff.reset();
--- a/src/main/java/org/snowturn/core/election/Campaign.java
+++ b/src/main/java/org/snowturn/core/election/Campaign.java
@@ -189,7 +189,7 @@
           if (state.role() != Role.FOLLOWER) {
             return;
           }
-          if (!outcome.succeeded(status)) {
+          if (!outcome.isSuccess(status)) {
             retryDiscovery();
             return;
           }
@@ -286,14 +286,14 @@
         lease.id(),
         (outcome, status, body) -> {
           requestOpen = false;
-          if (outcome.succeeded(status) && startTerm(body)) {
+          if (outcome.isSuccess(status) && startTerm(body)) {
             return;
           }
           if (outcome == Outcome.UNKNOWN) {
             // The claim may still be executed. It has no lasting effect once its lease is revoked.
             claimInDoubt = true;
             revokeAndDiscover(lease.id());
-          } else if (outcome.conflict(status)) {
+          } else if (outcome.isConflict(status)) {
             discoverNow(); // another node has written the leader key
           } else {
             retryDiscovery();
@@ -335,7 +335,7 @@
   private ReplyHandler retryOnFailure(BodyHandler onBody) {
     return (outcome, status, body) -> {
       requestOpen = false;
-      if (!outcome.succeeded(status)) {
+      if (!outcome.isSuccess(status)) {
         retryDiscovery();
         return;
       }
--- a/src/main/java/org/snowturn/core/election/CancellationLog.java
+++ b/src/main/java/org/snowturn/core/election/CancellationLog.java
@@ -87,7 +87,7 @@
       long nowMs) {
     trim(nowMs);
     boolean isSameLog = position != null && position.incarnation().equals(incarnation);
-    long received = isSameLog ? position.lastReceived() : 0;
+    long received = isSameLog ? position.lastReceivedNumber() : 0;
     long after = Math.max(lastDroppedNumber, Math.min(received, lastNumber));
     return new PeerMessage.CancellationsReply(
         from,
--- a/src/main/java/org/snowturn/core/election/Election.java
+++ b/src/main/java/org/snowturn/core/election/Election.java
@@ -188,8 +188,8 @@
    * has learned of a leader with a higher token.
    */
   private void onPromiseRequest(PeerMessage.PromiseRequest request) {
-    stateService.onPeerReport(request.from(), !request.stateServiceTrouble());
-    stateService.onLeaderReport(request.stateServiceTrouble());
+    stateService.onPeerReport(request.from(), !request.isStateServiceUnresponsive());
+    stateService.onLeaderReport(request.isStateServiceUnresponsive());
     boolean isOutdated = request.token() < state.highestToken();
     if (!state.isLeader() && !isOutdated) {
       state.setLeader(request.from());
--- a/src/main/java/org/snowturn/core/election/LeaseHandover.java
+++ b/src/main/java/org/snowturn/core/election/LeaseHandover.java
@@ -106,9 +106,9 @@
       return;
     }
     requests.revokeLease(
-        offer.lease(),
+        offer.leaseId(),
         (outcome, status, body) -> {
-          if (outcome.succeeded(status) || outcome.notFound(status)) {
+          if (outcome.isSuccess(status) || outcome.isNotFound(status)) {
             runtime.broadcast(new PeerMessage.LeaseEnded(node, offer.token()));
           }
         });
@@ -133,6 +133,6 @@
     if (stepDownMessage.token() >= state.highestToken()) {
       givenPromises.release();
     }
-    requests.revokeLease(stepDownMessage.lease());
+    requests.revokeLease(stepDownMessage.leaseId());
   }
 }
--- a/src/main/java/org/snowturn/core/election/LeaseRenewal.java
+++ b/src/main/java/org/snowturn/core/election/LeaseRenewal.java
@@ -69,13 +69,13 @@
   }
 
   private void onReply(long sentAt, Outcome outcome, int status) {
-    if (outcome.succeeded(status) && lease.isOffered()) {
+    if (outcome.isSuccess(status) && lease.isOffered()) {
       stepDown.resign("its lease was offered to peers while the state service did not answer");
-    } else if (outcome.succeeded(status)) {
+    } else if (outcome.isSuccess(status)) {
       lease.onRenewed(sentAt);
       stateService.onAnswer(sentAt);
       nextAt = sentAt + intervalMs();
-    } else if (outcome.notFound(status)) {
+    } else if (outcome.isNotFound(status)) {
       stepDown.stepDown("lease expired");
     } else {
       lease.onRenewalFailed(sentAt);
--- a/src/main/java/org/snowturn/core/election/PeerCancellations.java
+++ b/src/main/java/org/snowturn/core/election/PeerCancellations.java
@@ -50,8 +50,8 @@
     if (hasGapBefore(reply, readUntil, nowMs)) {
       return;
     }
-    lastReceived = Math.max(lastReceived, reply.after() + reply.jobs().size());
-    boolean isComplete = lastReceived >= reply.last() && readUntil >= firstReplyAt;
+    lastReceived = Math.max(lastReceived, reply.precedingNumber() + reply.jobs().size());
+    boolean isComplete = lastReceived >= reply.lastNumber() && readUntil >= firstReplyAt;
     if (requestSentAt != null && isComplete) {
       knownUntil = Math.max(knownUntil, requestSentAt);
     }
@@ -63,7 +63,7 @@
    */
   private boolean hasGapBefore(PeerMessage.CancellationsReply reply, long readUntil, long nowMs) {
     long droppedConfirmedAt = nowMs - ClockDrift.minElapsedMs((double) reply.lastDroppedAgeMs());
-    return reply.after() > lastReceived
-        && (reply.after() > reply.lastDropped() || readUntil < droppedConfirmedAt);
+    return reply.precedingNumber() > lastReceived
+        && (reply.precedingNumber() > reply.lastDroppedNumber() || readUntil < droppedConfirmedAt);
   }
 }
--- a/src/main/java/org/snowturn/core/election/StateServiceHealth.java
+++ b/src/main/java/org/snowturn/core/election/StateServiceHealth.java
@@ -135,7 +135,7 @@
         PROBE_TIMEOUT_MS,
         (outcome, status, body) -> {
           probeOpen = false;
-          if (outcome.succeeded(status) || outcome.notFound(status)) {
+          if (outcome.isSuccess(status) || outcome.isNotFound(status)) {
             onAnswer(sentAt);
           }
         });
--- a/src/main/java/org/snowturn/core/leader/AssignmentServices.java
+++ b/src/main/java/org/snowturn/core/leader/AssignmentServices.java
@@ -20,88 +20,104 @@
 import org.snowturn.core.storage.FormatGate;
 import org.snowturn.core.storage.RecordWriter;
 
-/** The parts of a term that know jobs, machines and which task is assigned where. */
+/**
+ * The services of one term that keep its jobs, its machines and the assignment of tasks to
+ * machines.
+ *
+ * @param machines all machines that this term knows
+ * @param writer writes the term's records to the state service
+ * @param attemptGuard decides whether an attempt has ended and whether a start may be sent
+ * @param assignments the jobs and the assignments of their tasks
+ * @param dependencyGraph the dependencies between jobs
+ * @param failureHandler attributes failures of tasks to jobs or to machines
+ * @param registry the stored registry of machines
+ * @param preemptionRate the rate at which the cloud preempts spot machines
+ * @param heartbeatProcessor applies heartbeats to the state of machines and tasks
+ * @param heartbeatCommands chooses the commands with which a heartbeat is answered
+ */
 record AssignmentServices(
     MachineIndex machines,
     RecordWriter writer,
-    AttemptGuard guard,
+    AttemptGuard attemptGuard,
     TaskAssignments assignments,
-    DependencyGraph dependencies,
+    DependencyGraph dependencyGraph,
     FailureHandler failureHandler,
     MachineRegistry registry,
     PreemptionRate preemptionRate,
-    HeartbeatProcessor heartbeats,
+    HeartbeatProcessor heartbeatProcessor,
     HeartbeatCommands heartbeatCommands) {
 
   /**
-   * Creates the parts, without any job or machine yet.
+   * Creates the services of a term, without any job or machine.
    *
-   * @param writerHost told of the fate of writes
-   * @param commandHost told of the fate of direct commands
+   * @param writerHost handles the results of writes
+   * @param commandHost handles the results of direct commands
    */
   static AssignmentServices create(
-      LeaderDependencies node,
+      LeaderDependencies shared,
       Term term,
       RecordWriter.Host writerHost,
       CommandQueue.Host commandHost) {
-    CoreRuntime runtime = node.runtime();
-    FormatGate gate = node.gate();
+    CoreRuntime runtime = shared.runtime();
+    FormatGate formatGate = shared.formatGate();
     MachineIndex machines =
         new MachineIndex(
-            node.settings().zones(), machine -> new CommandQueue(runtime, commandHost, machine));
-    RecordWriter writer = new RecordWriter(runtime, writerHost, gate::limits, node.writeShare());
-    KnownCancellations cancellations = cancellations(node.watermark());
-    AttemptGuard guard =
+            shared.settings().zones(), machine -> new CommandQueue(runtime, commandHost, machine));
+    RecordWriter writer =
+        new RecordWriter(runtime, writerHost, formatGate::limits, shared.leaderWriteRate());
+    KnownCancellations cancellations = knownCancellations(shared.watermark());
+    AttemptGuard attemptGuard =
         new AttemptGuard(
-            runtime, machines, term.token(), HeartbeatProcessor.leaseExpiryMs(node.settings()));
-    TaskAssignments assignments = newAssignments(node, machines, writer, guard, cancellations);
-    DependencyGraph dependencies = new DependencyGraph(runtime, gate, assignments, writer);
-    FailureHandler failureHandler = new FailureHandler(runtime, node.tunables().sickErrors());
-    listen(assignments, dependencies, failureHandler, cancellations);
+            runtime, machines, term.token(), HeartbeatProcessor.leaseExpiryMs(shared.settings()));
+    TaskAssignments assignments =
+        newAssignments(shared, machines, writer, attemptGuard, cancellations);
+    DependencyGraph dependencyGraph = new DependencyGraph(runtime, formatGate, assignments, writer);
+    FailureHandler failureHandler = new FailureHandler(runtime, shared.tunables().sickErrors());
+    addJobListeners(assignments, dependencyGraph, failureHandler, cancellations);
     PreemptionRate preemptionRate = new PreemptionRate();
     return new AssignmentServices(
         machines,
         writer,
-        guard,
+        attemptGuard,
         assignments,
-        dependencies,
+        dependencyGraph,
         failureHandler,
-        new MachineRegistry(runtime, writer, machines, gate),
+        new MachineRegistry(runtime, writer, machines, formatGate),
         preemptionRate,
         new HeartbeatProcessor(
             runtime,
-            node.settings(),
+            shared.settings(),
             failureHandler,
             assignments,
             machines,
-            node.machineTypes(),
+            shared.machineTypes(),
             preemptionRate,
             term.token()),
         new HeartbeatCommands(assignments, cancellations, term.token()));
   }
 
   private static TaskAssignments newAssignments(
-      LeaderDependencies node,
+      LeaderDependencies shared,
       MachineIndex machines,
       RecordWriter writer,
-      AttemptGuard guard,
+      AttemptGuard attemptGuard,
       KnownCancellations cancellations) {
     return new TaskAssignments(
-        node.runtime(),
-        node.gate(),
+        shared.runtime(),
+        shared.formatGate(),
         writer,
         machines,
-        new Quota(node.settings().teams()),
+        new Quota(shared.settings().teams()),
         cancellations,
-        guard);
+        attemptGuard);
   }
 
-  private static void listen(
+  private static void addJobListeners(
       TaskAssignments assignments,
-      DependencyGraph dependencies,
+      DependencyGraph dependencyGraph,
       FailureHandler failureHandler,
       KnownCancellations cancellations) {
-    assignments.registry().listen(dependencies);
+    assignments.registry().listen(dependencyGraph);
     assignments.registry().listen(failureHandler);
     assignments
         .registry()
@@ -116,7 +132,7 @@
             });
   }
 
-  private static KnownCancellations cancellations(CancellationWatermark watermark) {
+  private static KnownCancellations knownCancellations(CancellationWatermark watermark) {
     return new KnownCancellations() {
       @Override
       public boolean known(String job) {
--- a/src/main/java/org/snowturn/core/leader/ClusterSummary.java
+++ b/src/main/java/org/snowturn/core/leader/ClusterSummary.java
@@ -12,14 +12,14 @@
 import org.snowturn.core.model.TaskState;
 import org.snowturn.core.model.TaskStateCounts;
 
-/** Writes a line to the log now and then that tells how full the cluster is. */
+/** Writes a summary of jobs, tasks and machines to the log at regular intervals. */
 final class ClusterSummary {
   private static final long INTERVAL_MS = 10_000;
 
-  /** Machines of one kind. */
+  /** The machines of one kind, on-demand or spot, and their CPUs. */
   private static final class Capacity {
-    private int up;
-    private int down;
+    private int upCount;
+    private int downCount;
     private double cpus;
     private double cpusUsed;
   }
@@ -27,7 +27,7 @@
   private final CoreRuntime runtime;
   private final AssignmentServices services;
   private final SchedulingServices scheduling;
-  private long nextAt;
+  private long nextWriteAt;
 
   ClusterSummary(CoreRuntime runtime, AssignmentServices services, SchedulingServices scheduling) {
     this.runtime = runtime;
@@ -35,10 +35,10 @@
     this.scheduling = scheduling;
   }
 
-  /** Writes the line if it is time for it. */
+  /** Writes the summary if it is due. */
   void tick() {
-    if (runtime.now() >= nextAt) {
-      nextAt = runtime.now() + INTERVAL_MS;
+    if (runtime.now() >= nextWriteAt) {
+      nextWriteAt = runtime.now() + INTERVAL_MS;
       write();
     }
   }
@@ -60,7 +60,7 @@
       job.countStates(states);
     }
     line.with(LogField.JOBS, assignments.jobs().size())
-        .with(LogField.JOBS_AWAITING_DEPENDENCIES, services.dependencies().waitingJobs())
+        .with(LogField.JOBS_AWAITING_DEPENDENCIES, services.dependencyGraph().waitingJobs())
         .with(LogField.TASKS_WAITING, tasks.waiting())
         .with(LogField.TASKS_ASSIGNED, tasks.assigned())
         .with(LogField.TASKS_PLACING, states.of(TaskState.PLACING))
@@ -76,20 +76,20 @@
     for (Machine machine : services.machines().present()) {
       Capacity capacity = machine.isSpot() ? spot : onDemand;
       if (machine.usable(runtime.now())) {
-        capacity.up++;
+        capacity.upCount++;
         capacity.cpus += machine.machineType().cpus();
         capacity.cpusUsed += machine.cpusUsed();
       } else {
-        capacity.down++;
+        capacity.downCount++;
         downReasons.merge(machine.whyNotUsable(runtime.now()), 1, Integer::sum);
       }
     }
-    line.with(LogField.ON_DEMAND_UP, onDemand.up)
-        .with(LogField.ON_DEMAND_DOWN, onDemand.down)
+    line.with(LogField.ON_DEMAND_UP, onDemand.upCount)
+        .with(LogField.ON_DEMAND_DOWN, onDemand.downCount)
         .with(LogField.ON_DEMAND_CPUS_USED, onDemand.cpusUsed)
         .with(LogField.ON_DEMAND_CPUS, onDemand.cpus)
-        .with(LogField.SPOT_UP, spot.up)
-        .with(LogField.SPOT_DOWN, spot.down)
+        .with(LogField.SPOT_UP, spot.upCount)
+        .with(LogField.SPOT_DOWN, spot.downCount)
         .with(LogField.SPOT_CPUS_USED, spot.cpusUsed)
         .with(LogField.SPOT_CPUS, spot.cpus)
         .with(LogField.DOWN_REASONS, downReasons.toString());
--- a/src/main/java/org/snowturn/core/leader/HealthSweep.java
+++ b/src/main/java/org/snowturn/core/leader/HealthSweep.java
@@ -12,24 +12,26 @@
 import org.snowturn.core.model.MachineIndex;
 
 /**
- * Checks the health of all machines at intervals: probes those that are silent, replaces those that
- * stay so, and notices when this node itself is cut off. It terminates machines, which is proof,
- * and probes; it never takes a task for ended.
+ * Checks the health of all machines at regular intervals: probes machines that are silent, replaces
+ * machines that stay silent, and detects when this node itself is cut off from the workers.
+ *
+ * <p>Silence alone never proves that a task has ended. The tasks of a silent machine are released
+ * only once its worker's lease has expired or the cloud has confirmed that the machine is deleted.
  */
 final class HealthSweep {
-  /** The time between two sweeps. */
+  /** Interval between two sweeps. */
   static final long INTERVAL_MS = 250;
 
-  /** Fewer silent machines than this do not mean that the node is cut off. */
-  private static final int MIN_SILENT = 3;
+  /** Minimum number of silent machines for this node to count as cut off. */
+  private static final int MIN_SILENT_MACHINES = 3;
 
-  /** The node is cut off where silent machines are more than so many times those heard. */
-  private static final int CUT_OFF_RATIO = 4;
+  /** Ratio of silent to heard machines above which this node counts as cut off. */
+  private static final int MIN_SILENT_PER_HEARD = 4;
 
-  /** Half a lease, for a lease in seconds. */
+  /** Factor that converts a lease's length in seconds to half that length in milliseconds. */
   private static final long HALF_LEASE_MS_PER_S = 500;
 
-  private final LeaderDependencies node;
+  private final LeaderDependencies shared;
   private final CoreRuntime runtime;
   private final Settings settings;
   private final MachineIndex machines;
@@ -37,45 +39,47 @@
   private final SchedulingServices scheduling;
   private final LeaderRecovery recovery;
   private final ReachabilityChecks reachability;
-  private final MachineSilence silence;
+  private final MachineSilence machineSilence;
 
-  /** Machines that have been up, in the last sweep. */
-  private int total;
+  /** Machines in the last sweep that have been up and are not being terminated. */
+  private int lastMachineCount;
 
-  /** Machines that send heartbeats and left several messages unanswered, in the last sweep. */
-  private int unreachable;
+  /** Machines in the last sweep that send heartbeats but left several messages unanswered. */
+  private int lastUnreachableCount;
 
-  /** Machines that answer messages and miss heartbeats, in the last sweep. */
-  private int missingHeartbeats;
+  /** Machines in the last sweep that answer messages but miss heartbeats. */
+  private int lastMissingHeartbeatsCount;
 
-  private int countTotal;
-  private int countUnreachable;
-  private int countMissingHeartbeats;
-  private int countHeard;
-  private int countSilent;
+  // Counts of the sweep in progress.
+  private int machineCount;
+  private int unreachableCount;
+  private int missingHeartbeatsCount;
+  private int heardCount;
+  private int silentCount;
 
   HealthSweep(
-      LeaderDependencies node,
+      LeaderDependencies shared,
       AssignmentServices services,
       SchedulingServices scheduling,
       LeaderRecovery recovery,
       ReachabilityChecks reachability,
-      MachineSilence silence) {
-    this.node = node;
-    this.runtime = node.runtime();
-    this.settings = node.settings();
+      MachineSilence machineSilence) {
+    this.shared = shared;
+    this.runtime = shared.runtime();
+    this.settings = shared.settings();
     this.machines = services.machines();
     this.services = services;
     this.scheduling = scheduling;
     this.recovery = recovery;
     this.reachability = reachability;
-    this.silence = silence;
+    this.machineSilence = machineSilence;
   }
 
   /**
-   * Checks all machines.
+   * Checks all machines once.
    *
-   * @return why this node should resign its leadership, or null
+   * @return the reason for which this node should resign its leadership, for the log; null if it
+   *     should not resign
    */
   String sweep() {
     if (isCutOffFromWorkers()) {
@@ -85,73 +89,79 @@
     scheduling.zoneOutages().reset();
     for (Machine machine : machines.present()) {
       if (machine.machineType() == null && machine.type() != null) {
-        machine.setMachineType(node.machineTypes().get(machine.type()));
+        machine.setMachineType(shared.machineTypes().get(machine.type()));
       }
-      services.heartbeats().leaseExpired(machine);
+      services.heartbeatProcessor().leaseExpired(machine);
       if (MachineSilence.hasBeenUp(machine)) {
-        check(machine);
+        checkMachine(machine);
       }
     }
     scheduling.zoneOutages().evaluate();
-    total = countTotal;
-    unreachable = countUnreachable;
-    missingHeartbeats = countMissingHeartbeats;
-    return isCutOffFromMost() ? "most machines are out of reach" : null;
+    lastMachineCount = machineCount;
+    lastUnreachableCount = unreachableCount;
+    lastMissingHeartbeatsCount = missingHeartbeatsCount;
+    return isCutOffFromMost()
+        ? "most machines are silent and a peer may be able to reach them"
+        : null;
   }
 
   private void resetCounts() {
-    countTotal = 0;
-    countUnreachable = 0;
-    countMissingHeartbeats = 0;
-    countHeard = 0;
-    countSilent = 0;
+    machineCount = 0;
+    unreachableCount = 0;
+    missingHeartbeatsCount = 0;
+    heardCount = 0;
+    silentCount = 0;
   }
 
-  /** Whether this node hears few of its machines while a peer might hear more. */
+  /** Returns whether this node hears few of its machines while a peer may hear more. */
   private boolean isCutOffFromMost() {
-    return countSilent >= MIN_SILENT
-        && countHeard * CUT_OFF_RATIO < countSilent
-        && silence.termOlderThan(2 * HeartbeatProcessor.leaseExpiryMs(settings))
+    return silentCount >= MIN_SILENT_MACHINES
+        && heardCount * MIN_SILENT_PER_HEARD < silentCount
+        && machineSilence.isTermOlderThan(2 * HeartbeatProcessor.leaseExpiryMs(settings))
         && !settings.peers().isEmpty()
-        && node.connectivity().otherMayServe();
+        && shared.connectivity().otherMayServe();
   }
 
-  private void check(Machine machine) {
-    countTotal += machine.isTerminating() ? 0 : 1;
-    boolean silent = silence.isSilent(machine);
-    boolean heard = MachineSilence.isHeard(machine);
-    // Those that have not been heard yet count once they have left a probe unanswered: else the
-    // first that are probed often enough would be judged by the few that were heard.
-    boolean missedProbe = !heard && recovery.hasMissedProbe(machine);
-    if (silent || missedProbe || heard) {
-      scheduling.zoneOutages().count(machine, silent || missedProbe);
+  private void checkMachine(Machine machine) {
+    machineCount += machine.isTerminating() ? 0 : 1;
+    boolean isSilent = machineSilence.isSilent(machine);
+    boolean isHeard = MachineSilence.hasBeenHeard(machine);
+    // A machine that has not been heard yet counts as silent once it has missed one probe. If it
+    // counted only after several missed probes, the detection of zone outages would compare the
+    // first machines that are found unresponsive with only the few machines heard so far.
+    boolean hasMissedProbe = !isHeard && recovery.hasMissedProbe(machine);
+    if (isSilent || hasMissedProbe || isHeard) {
+      scheduling.zoneOutages().count(machine, isSilent || hasMissedProbe);
     }
-    if (heard) {
-      checkHeard(machine, silent);
-    } else if (silent) {
+    if (isHeard) {
+      checkHeard(machine, isSilent);
+    } else if (isSilent) {
       replaceUnheard(machine);
     }
   }
 
-  /** A machine that an earlier leader recorded and this one has not heard, though it should. */
+  /**
+   * Removes or replaces a machine that an earlier leader recorded and this one has not heard in
+   * time.
+   */
   private void replaceUnheard(Machine machine) {
     if (machine.assigned.isEmpty()
-        && silence.termOlderThan(2 * HeartbeatProcessor.leaseExpiryMs(settings))
+        && machineSilence.isTermOlderThan(2 * HeartbeatProcessor.leaseExpiryMs(settings))
         && machine.listedAt() == MonotonicTime.NEVER) {
       machines.remove(machine);
-    } else if (silence.mayReplaceUnheard(machine)) {
+    } else if (machineSilence.canReplaceUnheard(machine)) {
       scheduling.autoscaler().terminate(machine, "not heard of since the change of leader");
     }
   }
 
-  private void checkHeard(Machine machine, boolean silent) {
+  private void checkHeard(Machine machine, boolean isSilent) {
     boolean missesHeartbeats = machine.missesHeartbeats(runtime.now());
-    boolean lost = silent || missesHeartbeats;
-    countSilent += lost && !machine.isTerminating() ? 1 : 0;
-    countHeard += lost ? 0 : 1;
-    countMissingHeartbeats += missesHeartbeats && !silent ? 1 : 0;
+    boolean isLost = isSilent || missesHeartbeats;
+    silentCount += isLost && !machine.isTerminating() ? 1 : 0;
+    heardCount += isLost ? 0 : 1;
+    missingHeartbeatsCount += missesHeartbeats && !isSilent ? 1 : 0;
     services.failureHandler().review(machine);
-    if (silent) {
+    if (isSilent) {
       probeOrReplaceSilent(machine);
     } else {
       replaceUnreachable(machine);
@@ -159,38 +169,43 @@
     }
   }
 
-  /** A machine whose heartbeats come, but which may not receive what it is sent. */
+  /** Probes or replaces a machine whose heartbeats arrive but which may receive no messages. */
   private void replaceUnreachable(Machine machine) {
     if (machine.isTerminating() || machine.reachability.proven()) {
       return;
     }
     reachability.probeIfDue(machine);
-    countUnreachable +=
+    unreachableCount +=
         machine.reachability.unansweredMessages() >= Reachability.UNREACHABLE_AFTER ? 1 : 0;
     if (machine.reachability.isUnreachable(runtime.now(), unreachableLimitMs())
-        && unreachable * 2 < total
-        && silence.mayReplace()) {
-      scheduling.autoscaler().terminate(machine, "reports, but receives nothing");
+        && lastUnreachableCount * 2 < lastMachineCount
+        && machineSilence.canReplaceHeard()) {
+      scheduling.autoscaler().terminate(machine, "sends heartbeats, but receives no messages");
     }
   }
 
-  /** How long a machine may receive nothing, or this node be unable to reach it. */
+  /**
+   * Returns the time in milliseconds after which a machine that has received no message is
+   * replaced.
+   */
   private long unreachableLimitMs() {
     return Math.max(
         HeartbeatProcessor.silenceLimitMs(settings),
         (long) (HALF_LEASE_MS_PER_S * settings.workers().leaseS()));
   }
 
-  /** A machine that answers messages, but whose own heartbeats do not come. */
+  /** Replaces a machine that answers messages but whose own heartbeats do not arrive. */
   private void replaceMissingHeartbeats(Machine machine) {
-    boolean forLong =
+    boolean isOverdue =
         runtime.now() - HeartbeatProcessor.leaseExpiryMs(settings)
             > machine.session.heartbeatDueAt();
     if (!machine.isTerminating()
-        && forLong
-        && missingHeartbeats * 2 < total
-        && silence.mayReplace()) {
-      scheduling.autoscaler().terminate(machine, "reaches no controller");
+        && isOverdue
+        && lastMissingHeartbeatsCount * 2 < lastMachineCount
+        && machineSilence.canReplaceHeard()) {
+      scheduling
+          .autoscaler()
+          .terminate(machine, "answers messages, but its heartbeats reach no controller");
     }
   }
 
@@ -199,8 +214,8 @@
       return;
     }
     if (runtime.now() > machine.preemptionAt()) {
-      if (silence.mayReplace()) {
-        scheduling.autoscaler().terminate(machine, "taken back");
+      if (machineSilence.canReplaceHeard()) {
+        scheduling.autoscaler().terminate(machine, "silent after the end of its preemption notice");
       }
     } else if (machine.commands().idle()) {
       machine.probeSent();
@@ -208,17 +223,24 @@
     }
   }
 
-  /** Whether this node should resign since no worker reaches it and a peer is reached. */
+  /**
+   * Returns whether this node should resign because no worker reaches it while a peer may be able
+   * to serve workers.
+   */
   private boolean isCutOffFromWorkers() {
-    WorkerSilence workers = silence.workers();
-    workers.sweep(total, runtime.now());
-    boolean reassigned = silence.workersReassigned();
-    probeSample(reassigned ? 0 : workers.probesWanted());
-    boolean unheard = workers.isolated(reassigned) && !settings.peers().isEmpty();
-    return workers.shouldHandOver(unheard, node.connectivity().otherMayServe());
+    WorkerSilence workers = machineSilence.workerSilence();
+    workers.sweep(lastMachineCount, runtime.now());
+    boolean isReassignmentPeriodOver = machineSilence.isReassignmentPeriodOver();
+    probeSample(isReassignmentPeriodOver ? 0 : workers.probesWanted());
+    boolean isUnheard = workers.isolated(isReassignmentPeriodOver) && !settings.peers().isEmpty();
+    return workers.shouldHandOver(isUnheard, shared.connectivity().otherMayServe());
   }
 
-  /** Probes about so many machines from all over the cluster. */
+  /**
+   * Probes machines that are spread evenly over the cluster.
+   *
+   * @param size the approximate number of machines to probe; 0 for none
+   */
   private void probeSample(int size) {
     List<Machine> all = size == 0 ? List.of() : machines.present();
     for (int i = 0; i < all.size(); i += Math.max(1, all.size() / size)) {
@@ -229,10 +251,10 @@
     }
   }
 
-  /** The gauges of the last sweep by name. */
+  /** Returns the gauges of the last sweep, by metric name. */
   Map<String, Double> gauges() {
     return Map.of(
-        "snowturn.machines.unreachable", (double) unreachable,
-        "snowturn.machines.missing.heartbeats", (double) missingHeartbeats);
+        "snowturn.machines.unreachable", (double) lastUnreachableCount,
+        "snowturn.machines.missing.heartbeats", (double) lastMissingHeartbeatsCount);
   }
 }
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -16,14 +16,15 @@
 import org.snowturn.wire.StateMessage;
 
 /**
- * One term of leadership: composes the parts that act under one fencing token and runs them in
- * turn. A new term gets a new leader. Not thread-safe; owned by the controller's event loop.
+ * The leader of one term: creates the services that act under the term's fencing token and runs
+ * their periodic work. Each term has a new instance. Not thread-safe; owned by the controller's
+ * event loop.
  */
 public final class Leader implements RecordWriter.Host, CommandQueue.Host {
   private static final long SPECULATION_INTERVAL_MS = 500;
 
   private final CoreRuntime runtime;
-  private final LeaderDependencies node;
+  private final LeaderDependencies shared;
   private final Term term;
   private final CommandDispatcher dispatcher;
   private final AssignmentServices services;
@@ -34,40 +35,46 @@
   private final HealthSweep healthSweep;
   private final HeartbeatHandler heartbeatHandler;
   private final JobWatch jobWatch;
-  private final ProgressPublisher progress;
-  private final ClusterSummary summary;
+  private final ProgressPublisher progressPublisher;
+  private final ClusterSummary clusterSummary;
   private final LeaderGauges gauges;
-  private boolean secondFormat;
-  private long sweepAt;
-  private long speculateAt;
-
-  /** Begins the term that the node's election has just won, and starts to read the records. */
-  public Leader(LeaderDependencies node) {
-    this.node = node;
-    runtime = node.runtime();
-    term = new Term(node.election());
+  private boolean isFormatMigrated;
+  private long nextSweepAt;
+  private long nextSpeculationAt;
+
+  /**
+   * Creates the leader of the term that this node has just won, and starts to read the stored
+   * records.
+   */
+  public Leader(LeaderDependencies shared) {
+    this.shared = shared;
+    runtime = shared.runtime();
+    term = new Term(shared.election());
     dispatcher = new CommandDispatcher(term);
-    services = AssignmentServices.create(node, term, this, this);
+    services = AssignmentServices.create(shared, term, this, this);
     assignments = services.assignments();
-    recovery = new LeaderRecovery(node, term, services, this::loadRestarts);
-    scheduling = SchedulingServices.create(node, term, services, recovery::mostHeard);
-    MachineSilence silence = new MachineSilence(node, scheduling.zoneOutages(), recovery);
-    reachability = new ReachabilityChecks(node, scheduling.autoscaler(), recovery, silence);
-    healthSweep = new HealthSweep(node, services, scheduling, recovery, reachability, silence);
-    heartbeatHandler = new HeartbeatHandler(node, term, services, recovery, reachability);
-    jobWatch = new JobWatch(node, term, assignments);
-    progress = new ProgressPublisher(node, assignments);
-    summary = new ClusterSummary(runtime, services, scheduling);
+    recovery = new LeaderRecovery(shared, term, services, this::loadRestartRecord);
+    scheduling = SchedulingServices.create(shared, term, services, recovery::hasHeardMostMachines);
+    MachineSilence silence = new MachineSilence(shared, scheduling.zoneOutages(), recovery);
+    reachability = new ReachabilityChecks(shared, scheduling.autoscaler(), recovery, silence);
+    healthSweep = new HealthSweep(shared, services, scheduling, recovery, reachability, silence);
+    heartbeatHandler = new HeartbeatHandler(shared, term, services, recovery, reachability);
+    jobWatch = new JobWatch(shared, term, assignments);
+    progressPublisher = new ProgressPublisher(shared, assignments);
+    clusterSummary = new ClusterSummary(runtime, services, scheduling);
     gauges =
         new LeaderGauges(services, scheduling, recovery, reachability, healthSweep, dispatcher);
-    scheduling.externallyManaged().load();
-    recovery.begin(this::loaded);
+    scheduling.externallyManagedMachines().load();
+    recovery.start(this::onRecordsLoaded);
   }
 
-  /** All records are known: heartbeats that came meanwhile are applied at once. */
-  private void loaded(Map<Machine, Heartbeat> early) {
-    jobWatch.startAt(recovery.watchFrom());
-    early.forEach(
+  /**
+   * Applies the heartbeats that arrived while the records were being read, and sets where the job
+   * watch starts.
+   */
+  private void onRecordsLoaded(Map<Machine, Heartbeat> earlyHeartbeats) {
+    jobWatch.startFrom(recovery.jobWatchRevision());
+    earlyHeartbeats.forEach(
         (machine, heartbeat) -> {
           if (!machine.isTerminated()) {
             heartbeatHandler.apply(machine, heartbeat);
@@ -75,7 +82,7 @@
         });
   }
 
-  private void loadRestarts(String id, StateMessage.Entry entry) {
+  private void loadRestartRecord(String id, StateMessage.Entry entry) {
     Job job = assignments.job(id);
     if (job != null) {
       RestartRecords.load(job, entry.value());
@@ -83,28 +90,36 @@
     }
   }
 
-  /** A user was told, by whichever node, that the job is cancelled. */
-  public void cancellationConfirmed(String job) {
+  /**
+   * Handles a cancellation that this node or a peer has confirmed to a user.
+   *
+   * @param job the id of the job
+   */
+  public void onCancellationConfirmed(String job) {
     assignments.registry().confirmCancellation(job);
   }
 
-  /** Handles a heartbeat that a worker has sent to this node. */
+  /**
+   * Handles a heartbeat that a worker has sent to this node.
+   *
+   * @param exchange the id of the HTTP exchange to answer
+   */
   public void handleHeartbeat(long exchange, Heartbeat heartbeat) {
     heartbeatHandler.handle(exchange, heartbeat);
   }
 
-  /** Nothing of this term may act any more. */
+  /** Ends the term, after which none of its services acts any more. */
   public void end() {
     term.end();
   }
 
-  /** Does what has become due. */
+  /** Runs the periodic work that is due. */
   public void tick() {
-    if (term.ended()) {
+    if (term.hasEnded()) {
       return;
     }
     recovery.tick();
-    if (!recovery.loaded()) {
+    if (!recovery.isLoaded()) {
       return;
     }
     jobWatch.tick();
@@ -112,65 +127,65 @@
       return;
     }
     long now = runtime.now();
-    if (now >= sweepAt) {
-      sweepAt = now + HealthSweep.INTERVAL_MS;
+    if (now >= nextSweepAt) {
+      nextSweepAt = now + HealthSweep.INTERVAL_MS;
       sweep();
     }
-    services.dependencies().step();
-    if (node.machineTypes().known() && assignments.consumeChanged()) {
+    services.dependencyGraph().step();
+    if (shared.machineTypes().known() && assignments.consumeChanged()) {
       schedule(now);
     }
-    summary.tick();
-    progress.tick();
+    clusterSummary.tick();
+    progressPublisher.tick();
     flush();
   }
 
   private void sweep() {
-    if (node.gate().open() && !secondFormat) {
-      secondFormat = !assignments.useSecondFormat();
+    if (shared.formatGate().open() && !isFormatMigrated) {
+      isFormatMigrated = !assignments.useSecondFormat();
     }
     String resignReason = healthSweep.sweep();
     if (resignReason != null) {
       term.resign(resignReason);
     }
     services.registry().writeChangedPages();
-    recovery.sweep();
+    recovery.dropTerminatingMachines();
     scheduling.autoscaler().tick();
     assignments.markChanged();
     assignments.retryFinishing();
   }
 
   private void schedule(long now) {
-    boolean room = scheduling.scheduler().schedule();
-    if (room && now >= speculateAt) {
-      speculateAt = now + SPECULATION_INTERVAL_MS;
+    boolean hasRoom = scheduling.scheduler().schedule();
+    if (hasRoom && now >= nextSpeculationAt) {
+      nextSpeculationAt = now + SPECULATION_INTERVAL_MS;
       scheduling.speculator().consider();
     }
   }
 
-  /** Sends what has been decided. */
+  /** Sends the queued writes and commands. */
   public void flush() {
-    if (term.ended()) {
+    if (term.hasEnded()) {
       return;
     }
-    if (recovery.loaded()) {
-      services.dependencies().step();
+    if (recovery.isLoaded()) {
+      services.dependencyGraph().step();
     }
     services.writer().flush();
     dispatcher.flush();
   }
 
   /**
-   * Addresses of some machines that can be reached, from all over the cluster.
+   * Returns the addresses of some usable machines that are spread evenly over the cluster.
    *
-   * @param most how many at the most
+   * @param maxAddresses the maximum number of addresses
    */
-  public List<String> sampleWorkerAddresses(int most) {
+  public List<String> sampleWorkerAddresses(int maxAddresses) {
     List<String> addresses = new ArrayList<>();
     List<Machine> all = services.machines().present();
-    int step = Math.max(1, all.size() / (2 * most));
+    int step = Math.max(1, all.size() / (2 * maxAddresses));
     int first = (int) (runtime.now() % step);
-    for (int i = first; i < all.size() && addresses.size() < most; i += step) {
+    for (int i = first; i < all.size() && addresses.size() < maxAddresses; i += step) {
       Machine machine = all.get(i);
       if (machine.addr() != null && machine.usable(runtime.now())) {
         addresses.add(machine.addr());
@@ -179,12 +194,12 @@
     return addresses;
   }
 
-  /** How many changes a second this term has written lately. */
+  /** Returns the recent rate of this term's writes, in changed keys per second. */
   public double writesPerSecond() {
     return services.writer().writeRate();
   }
 
-  /** All gauges of the term by name. */
+  /** Returns all gauges of the term, by metric name. */
   public Map<String, Double> gauges() {
     return gauges.collect();
   }
@@ -196,7 +211,7 @@
 
   @Override
   public boolean over() {
-    return term.ended();
+    return term.hasEnded();
   }
 
   @Override
@@ -206,7 +221,7 @@
 
   @Override
   public void leaderKeyLost() {
-    term.leaderKeyLost();
+    term.onLeaderKeyLost();
   }
 
   @Override
@@ -238,6 +253,6 @@
 
   @Override
   public void unanswered(Machine machine) {
-    reachability.messageUnanswered(machine);
+    reachability.onMessageUnanswered(machine);
   }
 }
--- a/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
@@ -15,78 +15,81 @@
 import org.snowturn.wire.StateMessage;
 
 /**
- * The recovery of a new term: reads the records of earlier leaders, then probes the machines for
- * what of it still holds. Recovery never holds back a decision: a machine that has shown the token
- * may get work while others are still to be probed.
+ * The recovery of a new term: reads the records that earlier leaders have stored, then probes the
+ * recorded machines to find out which tasks they still run.
+ *
+ * <p>Scheduling starts as soon as the records are read. A machine that has acknowledged this term's
+ * token may get tasks while others are still being probed.
  */
 final class LeaderRecovery {
-  private final LeaderDependencies node;
+  private final LeaderDependencies shared;
   private final CoreRuntime runtime;
   private final Term term;
   private final TaskAssignments assignments;
   private final StoredRecordsLoader loader;
   private final RecoveryProber prober;
-  private final RecoveryProgress phases;
+  private final RecoveryProgress progress;
 
-  /** The last heartbeat of each machine that came while the records were being read. */
-  private final Map<Machine, Heartbeat> early = new LinkedHashMap<>();
+  /** Newest heartbeat of each machine that arrived while the records were being read. */
+  private final Map<Machine, Heartbeat> earlyHeartbeats = new LinkedHashMap<>();
 
-  private long watchFrom;
+  private long jobWatchRevision;
 
   /**
-   * The recovery of a term that has just been won.
+   * Creates the recovery of a term that this node has just won.
    *
-   * @param restarts takes a job's id and its stored counter of restarts
+   * @param onRestartRecord handles the stored restart counters of a job, given the job's id
    */
   LeaderRecovery(
-      LeaderDependencies node,
+      LeaderDependencies shared,
       Term term,
       AssignmentServices services,
-      BiConsumer<String, StateMessage.Entry> restarts) {
-    this.node = node;
-    this.runtime = node.runtime();
+      BiConsumer<String, StateMessage.Entry> onRestartRecord) {
+    this.shared = shared;
+    this.runtime = shared.runtime();
     this.term = term;
     this.assignments = services.assignments();
-    this.loader = new StoredRecordsLoader(node, services, restarts);
+    this.loader = new StoredRecordsLoader(shared, services, onRestartRecord);
     this.prober = new RecoveryProber(runtime, services);
-    this.phases = new RecoveryProgress(runtime.now());
+    this.progress = new RecoveryProgress(runtime.now());
   }
 
-  /** Whether all records are known, so that decisions may be made. */
-  boolean loaded() {
-    return phases.reached(RecoveryPhase.PROBING);
+  /** Returns whether all records are read, so that tasks can be scheduled. */
+  boolean isLoaded() {
+    return progress.reached(RecoveryPhase.PROBING);
   }
 
-  /** The revision from which on changes of jobs are to be watched. */
-  long watchFrom() {
-    return watchFrom;
+  /** Returns the revision of the state service from which changes of jobs are watched. */
+  long jobWatchRevision() {
+    return jobWatchRevision;
   }
 
   /**
    * Starts to read all records.
    *
-   * @param whenLoaded takes the last heartbeat of each machine that came meanwhile
+   * @param onLoaded runs once all records are read; receives the newest heartbeat of each machine
+   *     that arrived meanwhile
    */
-  void begin(Consumer<Map<Machine, Heartbeat>> whenLoaded) {
+  void start(Consumer<Map<Machine, Heartbeat>> onLoaded) {
     enter(RecoveryPhase.READING);
-    new StoredRecordsReader(node, term, records -> load(records, whenLoaded)).start();
+    new StoredRecordsReader(shared, term, records -> load(records, onLoaded)).start();
   }
 
-  /** Keeps the newest heartbeat of a machine until the records are known. */
-  void keep(Machine machine, Heartbeat heartbeat) {
-    Heartbeat before = early.get(machine);
-    boolean older =
-        before != null
-            && (heartbeat.agentEpoch() < before.agentEpoch()
-                || (heartbeat.agentEpoch() == before.agentEpoch()
-                    && heartbeat.sequence() <= before.sequence()));
-    if (!older) {
-      early.put(machine, heartbeat);
+  /** Keeps the newest heartbeat of a machine until all records are read. */
+  void keepEarlyHeartbeat(Machine machine, Heartbeat heartbeat) {
+    Heartbeat previous = earlyHeartbeats.get(machine);
+    boolean isOlder =
+        previous != null
+            && (heartbeat.agentEpoch() < previous.agentEpoch()
+                || (heartbeat.agentEpoch() == previous.agentEpoch()
+                    && heartbeat.sequence() <= previous.sequence()));
+    if (!isOlder) {
+      earlyHeartbeats.put(machine, heartbeat);
     }
   }
 
-  private void load(StoredRecords records, Consumer<Map<Machine, Heartbeat>> whenLoaded) {
-    watchFrom = records.jobs().epoch();
+  private void load(StoredRecords records, Consumer<Map<Machine, Heartbeat>> onLoaded) {
+    jobWatchRevision = records.jobs().epoch();
     loader.load(records);
     enter(RecoveryPhase.PROBING);
     runtime
@@ -94,87 +97,90 @@
         .info(LogEvent.RECOVERY_COMPLETED)
         .with(LogField.JOBS, assignments.jobs().size())
         .with(LogField.TASKS_ASSIGNED, TaskCounts.of(assignments.jobs()).assigned())
-        .with(LogField.PHASES, phases.toString())
-        .with(LogField.RECORDS_UNREADABLE, loader.unreadable())
+        .with(LogField.PHASES, progress.toString())
+        .with(LogField.RECORDS_UNREADABLE, loader.unreadableCount())
         .write();
-    whenLoaded.accept(early);
-    early.clear();
+    onLoaded.accept(earlyHeartbeats);
+    earlyHeartbeats.clear();
     prober.start();
     assignments.retryFinishing();
   }
 
   /**
-   * Whether nearly all machines have been heard, or have had the time for it. Until then what seems
-   * to be all the room there is may be a fiftieth of it: a replica that waits must not cost the
-   * work of tasks on the few machines that were first to answer.
+   * Returns whether nearly all machines have been heard, or have had enough time to be heard.
+   *
+   * <p>Until then the free room that is known may be only a fiftieth of the real one. Tasks on the
+   * few machines that answered first must not be preempted for a waiting replica that fits on
+   * another machine.
    */
-  boolean mostHeard() {
-    return phases.reached(RecoveryPhase.RECONCILED) || (loaded() && prober.mostHeard());
+  boolean hasHeardMostMachines() {
+    return progress.reached(RecoveryPhase.RECONCILED)
+        || (isLoaded() && prober.hasHeardMostMachines());
   }
 
-  /** The machine has been heard, and whether it knows the present token. */
-  void heard(Machine machine) {
-    prober.anyHeard();
-    if (loaded()) {
-      prober.heard(machine);
+  /** Records that a heartbeat of the machine has been applied. */
+  void onMachineHeard(Machine machine) {
+    prober.onAnyMachineHeard();
+    if (isLoaded()) {
+      prober.onMachineHeard(machine);
     }
   }
 
-  /** A message to the machine got no answer. */
-  void unanswered(Machine machine) {
-    prober.unanswered(machine);
+  /** Records that a message to the machine got no answer. */
+  void onMessageUnanswered(Machine machine) {
+    prober.onMessageUnanswered(machine);
   }
 
   /**
-   * Whether the machine's silence counts: it was probed again and again and did not answer, while
-   * this node kept up with its work. Whether the machine or the network is down, others judge.
+   * Returns whether the machine left repeated probes unanswered while this node kept up with its
+   * work. The result does not tell whether the machine or the network is down.
    */
   boolean isUnresponsive(Machine machine) {
     return prober.isUnresponsive(machine);
   }
 
-  /** Whether the machine has left a probe unanswered and has not been heard since. */
+  /** Returns whether the machine has left a probe unanswered and has not been heard since. */
   boolean hasMissedProbe(Machine machine) {
     return prober.hasMissedProbe(machine);
   }
 
-  /** Sends due probes and enters the next phase when its condition holds. */
+  /** Sends the probes that are due, and enters the next phase when its condition holds. */
   void tick() {
     prober.tick();
-    if (!loaded()) {
+    if (!isLoaded()) {
       return;
     }
-    prober.probe();
-    if (prober.unheard() == 0) {
+    prober.sendDueProbes();
+    if (prober.unheardCount() == 0) {
       enter(RecoveryPhase.RECONCILED);
       if (assignments.unconfirmedAdopted() == 0 && enter(RecoveryPhase.NORMAL)) {
         runtime
             .events()
             .info(LogEvent.RECONCILIATION_COMPLETED)
-            .with(LogField.PHASES, phases.toString())
-            .with(LogField.PROBES, prober.sent())
+            .with(LogField.PHASES, progress.toString())
+            .with(LogField.PROBES, prober.sentCount())
             .write();
       }
     }
   }
 
-  /** Gives up on machines that are about to be terminated. */
-  void sweep() {
-    prober.dropTerminating();
+  /** Stops probing the machines that are being terminated. */
+  void dropTerminatingMachines() {
+    prober.dropTerminatingMachines();
   }
 
   private boolean enter(RecoveryPhase phase) {
-    return phases.enter(phase, runtime.now());
+    return progress.enter(phase, runtime.now());
   }
 
-  /** The gauges of the recovery by name. */
+  /** Returns the gauges of the recovery, by metric name. */
   Map<String, Double> gauges() {
     return Map.of(
-        "snowturn.term.phase", (double) phases.now().number(),
-        "snowturn.term.machines.unconfirmed", (double) prober.unheard(),
-        "snowturn.term.probes", (double) prober.sent(),
+        "snowturn.term.phase", (double) progress.now().number(),
+        "snowturn.term.machines.unconfirmed", (double) prober.unheardCount(),
+        "snowturn.term.probes", (double) prober.sentCount(),
         "snowturn.term.probes.window", (double) prober.window(),
         "snowturn.term.tasks.unconfirmed", (double) assignments.unconfirmedAdopted(),
-        "snowturn.records.unreadable", (double) loader.unreadable());
+        "snowturn.records.unreadable", (double) loader.unreadableCount());
   }
 }
--- a/src/main/java/org/snowturn/core/leader/MachineSilence.java
+++ b/src/main/java/org/snowturn/core/leader/MachineSilence.java
@@ -9,8 +9,8 @@
 import org.snowturn.core.model.Machine;
 
 /**
- * Judges the silence of machines: whether one should have been heard by now, and whether its
- * silence is its own rather than that of this node's network or of a whole zone.
+ * Decides whether a machine is silent, and whether its silence is caused by the machine itself
+ * rather than by this node's network or an outage of a whole zone.
  */
 final class MachineSilence {
   private final CoreRuntime runtime;
@@ -18,73 +18,77 @@
   private final ZoneOutages zoneOutages;
   private final LeaderRecovery recovery;
   private final WorkerSilence workerSilence;
-  private final long termBeganAt;
+  private final long termStartedAt;
 
-  MachineSilence(LeaderDependencies node, ZoneOutages zoneOutages, LeaderRecovery recovery) {
-    this.runtime = node.runtime();
-    this.settings = node.settings();
+  MachineSilence(LeaderDependencies shared, ZoneOutages zoneOutages, LeaderRecovery recovery) {
+    this.runtime = shared.runtime();
+    this.settings = shared.settings();
     this.zoneOutages = zoneOutages;
     this.recovery = recovery;
     this.workerSilence = new WorkerSilence(HealthSweep.INTERVAL_MS, settings.workers().reportS());
-    this.termBeganAt = runtime.now();
+    this.termStartedAt = runtime.now();
   }
 
-  /** Heard by this leader, or recorded by an earlier one. */
+  /** Returns whether the machine was heard by this leader or recorded by an earlier one. */
   static boolean hasBeenUp(Machine machine) {
-    return isHeard(machine) || machine.isRegistered();
+    return hasBeenHeard(machine) || machine.isRegistered();
   }
 
-  /** Whether this leader has had a heartbeat of the machine. */
-  static boolean isHeard(Machine machine) {
+  /** Returns whether this leader has received a heartbeat of the machine. */
+  static boolean hasBeenHeard(Machine machine) {
     return machine.lastHeartbeatAt() != MonotonicTime.NEVER;
   }
 
-  /** A worker has sent a message to this node. */
-  void workerHeard() {
+  /** Records that a worker has sent a heartbeat to this node or answered one of its messages. */
+  void onWorkerHeard() {
     workerSilence.heard();
   }
 
-  /** A message to a worker got no answer. */
-  void workerUnanswered() {
+  /** Records that a message to a worker got no answer. */
+  void onMessageUnanswered() {
     workerSilence.unanswered();
   }
 
-  /** How workers are heard by this node as a whole. */
-  WorkerSilence workers() {
+  /** Returns the detector that tells whether workers as a whole are silent towards this node. */
+  WorkerSilence workerSilence() {
     return workerSilence;
   }
 
-  /** Whether the term is older than this, in milliseconds. */
-  boolean termOlderThan(long ageMs) {
-    return runtime.now() - termBeganAt > ageMs;
+  /** Returns whether the term is older than the given age in milliseconds. */
+  boolean isTermOlderThan(long ageMs) {
+    return runtime.now() - termStartedAt > ageMs;
   }
 
-  /** Whether workers have had the time to find this leader. */
-  boolean workersReassigned() {
-    return termOlderThan(HeartbeatProcessor.reassignmentMs(settings));
+  /** Returns whether workers have had enough time to find this leader. */
+  boolean isReassignmentPeriodOver() {
+    return isTermOlderThan(HeartbeatProcessor.reassignmentMs(settings));
   }
 
-  /** Whether a machine that has been up should have been heard again by now. */
+  /** Returns whether a machine that has been up has not been heard in time. */
   boolean isSilent(Machine machine) {
-    return isHeard(machine)
+    return hasBeenHeard(machine)
         ? runtime.now() > machine.session.silentFrom()
-        : recovery.isUnresponsive(machine) || workersReassigned();
+        : recovery.isUnresponsive(machine) || isReassignmentPeriodOver();
   }
 
-  /** Whether the silence of a machine that was heard is its own, so that it may be replaced. */
-  boolean mayReplace() {
-    return workersReassigned() && silenceIsTheirs();
+  /**
+   * Returns whether a fault of a machine that this leader has heard can be attributed to the
+   * machine itself, so that it can be replaced.
+   */
+  boolean canReplaceHeard() {
+    return isReassignmentPeriodOver() && canTrustSilence();
   }
 
   /**
-   * Whether a machine that this leader has not heard yet may be replaced: it left probes
-   * unanswered, or is silent for longer than its way to a new leader takes.
+   * Returns whether a machine that this leader has not heard yet can be replaced. It must have left
+   * repeated probes unanswered, or been silent for longer than a worker takes to find a new leader.
    */
-  boolean mayReplaceUnheard(Machine machine) {
-    return (workersReassigned() || recovery.isUnresponsive(machine)) && silenceIsTheirs();
+  boolean canReplaceUnheard(Machine machine) {
+    return (isReassignmentPeriodOver() || recovery.isUnresponsive(machine)) && canTrustSilence();
   }
 
-  private boolean silenceIsTheirs() {
+  /** Returns whether this node is connected well enough to attribute silence to single machines. */
+  private boolean canTrustSilence() {
     return workerSilence.mayJudgeMachines(runtime.now()) && zoneOutages.isConnected();
   }
 }
--- a/src/main/java/org/snowturn/core/leader/ProgressPublisher.java
+++ b/src/main/java/org/snowturn/core/leader/ProgressPublisher.java
@@ -8,35 +8,35 @@
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.model.Job;
 
-/** Tells the peers, which answer users' polls as well, how far each job has come. */
+/** Publishes the progress of each job to the peers, which answer users' polls as well. */
 final class ProgressPublisher {
   private static final long INTERVAL_MS = 1_000;
 
   private final CoreRuntime runtime;
-  private final String node;
+  private final String nodeName;
   private final JobApi jobApi;
   private final TaskAssignments assignments;
-  private final Map<String, PeerMessage.JobProgress> published = new HashMap<>();
-  private long nextAt;
+  private final Map<String, PeerMessage.JobProgress> lastPublished = new HashMap<>();
+  private long nextPublishAt;
 
-  ProgressPublisher(LeaderDependencies node, TaskAssignments assignments) {
-    this.runtime = node.runtime();
-    this.node = node.settings().node();
-    this.jobApi = node.jobApi();
+  ProgressPublisher(LeaderDependencies shared, TaskAssignments assignments) {
+    this.runtime = shared.runtime();
+    this.nodeName = shared.settings().node();
+    this.jobApi = shared.jobApi();
     this.assignments = assignments;
   }
 
-  /** Publishes what has changed since the last time, if it is time for it. */
+  /** Publishes the progress that has changed since the last time, if that is due. */
   void tick() {
-    if (runtime.now() < nextAt) {
+    if (runtime.now() < nextPublishAt) {
       return;
     }
-    nextAt = runtime.now() + INTERVAL_MS;
-    published.keySet().removeIf(id -> assignments.job(id) == null);
+    nextPublishAt = runtime.now() + INTERVAL_MS;
+    lastPublished.keySet().removeIf(id -> assignments.job(id) == null);
     for (Job job : assignments.jobs()) {
       PeerMessage.JobProgress progress =
-          new PeerMessage.JobProgress(node, job.spec.id(), job.done(), job.running());
-      if (!progress.equals(published.put(job.spec.id(), progress))) {
+          new PeerMessage.JobProgress(nodeName, job.spec.id(), job.done(), job.running());
+      if (!progress.equals(lastPublished.put(job.spec.id(), progress))) {
         jobApi.onProgress(progress);
         runtime.broadcast(progress);
       }
--- a/src/main/java/org/snowturn/core/leader/RecoveryProber.java
+++ b/src/main/java/org/snowturn/core/leader/RecoveryProber.java
@@ -10,37 +10,45 @@
 import org.snowturn.core.recovery.PacedProbes;
 
 /**
- * Probes the machines that earlier terms recorded, a few at a time and the most useful first, until
- * each has shown this term's token.
+ * Probes the machines that earlier terms have recorded until each has acknowledged this term's
+ * token. Only a limited number of probes is in flight at a time, and the most urgent are sent
+ * first.
  */
 final class RecoveryProber {
-  /** After a probe without an answer, the same machine is probed again so much later. */
-  private static final long RETRY_MS = 500;
+  /** Delay after an unanswered probe before the same machine is probed again. */
+  private static final long RETRY_DELAY_MS = 500;
 
-  /** Silence since the first probe that may count as death, if other machines answer meanwhile. */
-  private static final long UNRESPONSIVE_MS = 3_500;
+  /**
+   * Minimum time since the first probe before a silent machine can count as unresponsive, provided
+   * that other machines answer meanwhile.
+   */
+  private static final long MIN_UNRESPONSIVE_MS = 3_500;
 
-  /** A worker that has just been given the token sends another heartbeat within this time. */
-  private static final long NEXT_HEARTBEAT_MS = 1_200;
+  /** Maximum time until a worker that has just received a new token sends its next heartbeat. */
+  private static final long MAX_NEXT_HEARTBEAT_MS = 1_200;
 
-  /** A tick that comes so late means that the node is behind with its work. */
+  /** Time between two ticks above which this node counts as behind with its work. */
   private static final long LATE_TICK_MS = 250;
 
-  /** Ticks that come this soon one after the other mean that it is not. */
+  /** Time between two ticks below which this node counts as keeping up with its work. */
   private static final long PROMPT_TICK_MS = 100;
 
-  /** Within this time some machine is heard, unless none can be. */
-  private static final long OTHERS_HEARD_MS = 500;
+  /**
+   * Maximum time since any machine was heard for an unanswered message to count against the machine
+   * it was sent to. If no machine is heard for longer, this node may be cut off.
+   */
+  private static final long OTHERS_HEARD_WINDOW_MS = 500;
 
-  /** For so long after it was behind, a node trusts no silence. */
-  private static final long STEADY_MS = 1_000;
+  /** Time after a late tick during which this node does not count any machine as unresponsive. */
+  private static final long MIN_STEADY_MS = 1_000;
 
-  /** All but one in so many machines are most. */
-  private static final int MOST_DIVISOR = 10;
+  /** Most machines have been heard once at most one in this many is still unheard. */
+  private static final int MAX_UNHEARD_DIVISOR = 10;
 
-  /** After so long, machines that have not been heard are not waited for. */
+  /** Maximum time to wait for machines that have not been heard. */
   private static final long MAX_WAIT_MS = 2_500;
 
+  // Urgencies of probes; the lowest value is probed first.
   private static final int URGENCY_ROOM_FOR_REPLICAS = 0;
   private static final int URGENCY_STOPS_TASK = 1;
   private static final int URGENCY_HOLDS_REPLICA = 2;
@@ -50,54 +58,60 @@
   private final CoreRuntime runtime;
   private final MachineIndex machines;
   private final TaskAssignments assignments;
-  private final PacedProbes probes = new PacedProbes(RETRY_MS);
-  private int initiallyUnheard;
+  private final PacedProbes probes = new PacedProbes(RETRY_DELAY_MS);
+  private int initialUnheardCount;
   private long startedAt;
   private long lastHeardAt = MonotonicTime.NEVER;
   private long lastTickAt;
   private long lastLateTickAt;
 
-  /** Probes nothing until {@link #start()}. */
+  /** Creates a prober that sends no probes until {@link #start()} is called. */
   RecoveryProber(CoreRuntime runtime, AssignmentServices services) {
     this.runtime = runtime;
     this.machines = services.machines();
     this.assignments = services.assignments();
     this.lastTickAt = runtime.now();
-    this.lastLateTickAt = runtime.now() - STEADY_MS;
+    this.lastLateTickAt = runtime.now() - MIN_STEADY_MS;
   }
 
-  /** Begins to probe all recorded machines that have not shown the token. */
+  /** Starts to probe all recorded machines that have not acknowledged the token. */
   void start() {
-    double replicaCpus = Double.MAX_VALUE;
-    double batchTaskCpus = Double.MAX_VALUE;
+    double minReplicaCpus = Double.MAX_VALUE;
+    double minBatchTaskCpus = Double.MAX_VALUE;
     for (Job job : assignments.jobs()) {
       if (job.wantsRoom() && job.pending() > 0) {
         if (job.spec.service()) {
-          replicaCpus = Math.min(replicaCpus, job.spec.cpus());
+          minReplicaCpus = Math.min(minReplicaCpus, job.spec.cpus());
         } else {
-          batchTaskCpus = Math.min(batchTaskCpus, job.spec.cpus());
+          minBatchTaskCpus = Math.min(minBatchTaskCpus, job.spec.cpus());
         }
       }
     }
     for (Machine machine : machines.present()) {
       if (machine.isRegistered() && !machine.session.isAcknowledged()) {
         boolean sendsHeartbeats = machine.lastHeartbeatAt() != MonotonicTime.NEVER;
-        long notBefore = sendsHeartbeats ? runtime.now() + NEXT_HEARTBEAT_MS : 0;
-        probes.add(machine.index, urgency(machine, replicaCpus, batchTaskCpus), notBefore);
+        long notBeforeMs = sendsHeartbeats ? runtime.now() + MAX_NEXT_HEARTBEAT_MS : 0;
+        probes.add(machine.index, urgency(machine, minReplicaCpus, minBatchTaskCpus), notBeforeMs);
       }
     }
-    initiallyUnheard = probes.unheard();
+    initialUnheardCount = probes.unheard();
     startedAt = runtime.now();
-    probe();
+    sendDueProbes();
   }
 
   /**
-   * Room for waiting replicas first, then machines that have something to stop or hold replicas,
-   * then room for waiting batch tasks: in this order the answers are worth most to users.
+   * Returns the urgency of probing a machine; smaller values are probed first.
+   *
+   * <p>Machines with room for a waiting replica come first, then machines with a task to stop, then
+   * machines that run replicas, then machines with room for a waiting batch task. Users gain most
+   * from the answers in this order.
+   *
+   * @param minReplicaCpus the CPUs of the smallest replica that waits for a machine
+   * @param minBatchTaskCpus the CPUs of the smallest batch task that waits for a machine
    */
-  private int urgency(Machine machine, double replicaCpus, double batchTaskCpus) {
-    double free = machine.cpusFree();
-    if (free >= replicaCpus) {
+  private int urgency(Machine machine, double minReplicaCpus, double minBatchTaskCpus) {
+    double freeCpus = machine.cpusFree();
+    if (freeCpus >= minReplicaCpus) {
       return URGENCY_ROOM_FOR_REPLICAS;
     }
     boolean holdsReplica = false;
@@ -111,11 +125,11 @@
     if (holdsReplica) {
       return URGENCY_HOLDS_REPLICA;
     }
-    return free >= batchTaskCpus ? URGENCY_ROOM_FOR_BATCH : URGENCY_OTHER;
+    return freeCpus >= minBatchTaskCpus ? URGENCY_ROOM_FOR_BATCH : URGENCY_OTHER;
   }
 
-  /** Sends the probes that are due. */
-  void probe() {
+  /** Sends the probes that are due, as far as the limit of probes in flight allows. */
+  void sendDueProbes() {
     int next;
     while ((next = probes.next(runtime.now())) >= 0) {
       Machine machine = machines.get(next);
@@ -129,7 +143,7 @@
     }
   }
 
-  /** Notes from the time between ticks whether this node keeps up with its work. */
+  /** Determines from the time between ticks whether this node keeps up with its work. */
   void tick() {
     long now = runtime.now();
     if (now - lastTickAt > LATE_TICK_MS) {
@@ -141,34 +155,37 @@
     lastTickAt = now;
   }
 
-  /** Some machine has been heard; called for every heartbeat, also before {@link #start()}. */
-  void anyHeard() {
+  /** Records that a heartbeat of any machine was applied, also before {@link #start()}. */
+  void onAnyMachineHeard() {
     lastHeardAt = runtime.now();
   }
 
-  /** This machine has been heard, with or without the present token. */
-  void heard(Machine machine) {
+  /** Handles an applied heartbeat of a machine, whether or not it carried this term's token. */
+  void onMachineHeard(Machine machine) {
     if (machine.session.isAcknowledged()) {
       probes.heard(machine.index, runtime.now());
-      probe();
+      sendDueProbes();
     } else {
-      // It has the token from our answer now, and a higher token makes it report again at once.
-      probes.postpone(machine.index, runtime.now() + NEXT_HEARTBEAT_MS);
+      // The answer carries the new token, and a worker that receives a higher token sends another
+      // heartbeat at once.
+      probes.postpone(machine.index, runtime.now() + MAX_NEXT_HEARTBEAT_MS);
     }
   }
 
   /**
-   * A probe, or a command, got no answer. It tells of the machine only where others are heard at
-   * the same time: else this node is cut off, and once it no longer is, the machines that are a
-   * little later than others would be taken for dead.
+   * Handles a probe or command that got no answer.
+   *
+   * <p>It counts against the machine only if other machines were heard recently. Otherwise this
+   * node may be cut off, and after it is connected again, machines that answer a little later than
+   * others would be considered dead.
    */
-  void unanswered(Machine machine) {
-    boolean othersHeard = runtime.now() - lastHeardAt < OTHERS_HEARD_MS;
+  void onMessageUnanswered(Machine machine) {
+    boolean othersHeard = runtime.now() - lastHeardAt < OTHERS_HEARD_WINDOW_MS;
     probes.unanswered(machine.index, runtime.now(), othersHeard);
   }
 
-  /** Machines that have ended or are about to be terminated need not be probed. */
-  void dropTerminating() {
+  /** Stops probing the machines that are being terminated. */
+  void dropTerminatingMachines() {
     for (Machine machine : machines.present()) {
       if (machine.isTerminating()) {
         probes.drop(machine.index);
@@ -176,37 +193,37 @@
     }
   }
 
-  /** Whether nearly all machines have been heard, or have had the time for it. */
-  boolean mostHeard() {
-    return probes.unheard() * MOST_DIVISOR <= initiallyUnheard
+  /** Returns whether nearly all machines have been heard, or have had enough time to be heard. */
+  boolean hasHeardMostMachines() {
+    return probes.unheard() * MAX_UNHEARD_DIVISOR <= initialUnheardCount
         || runtime.now() - startedAt > MAX_WAIT_MS;
   }
 
   /**
-   * Whether the machine's silence counts: it was probed again and again and did not answer, while
-   * this node kept up with its work. Whether the machine or the network is down, others judge.
+   * Returns whether the machine left repeated probes unanswered while this node kept up with its
+   * work. The result does not tell whether the machine or the network is down.
    */
   boolean isUnresponsive(Machine machine) {
-    return runtime.now() - lastLateTickAt >= STEADY_MS
-        && probes.isUnresponsive(machine.index, UNRESPONSIVE_MS, runtime.now());
+    return runtime.now() - lastLateTickAt >= MIN_STEADY_MS
+        && probes.isUnresponsive(machine.index, MIN_UNRESPONSIVE_MS, runtime.now());
   }
 
-  /** Whether the machine has left a probe unanswered and has not been heard since. */
+  /** Returns whether the machine has left a probe unanswered and has not been heard since. */
   boolean hasMissedProbe(Machine machine) {
     return probes.hasMissed(machine.index);
   }
 
-  /** How many machines have not been heard. */
-  int unheard() {
+  /** Returns the number of machines that have not been heard. */
+  int unheardCount() {
     return probes.unheard();
   }
 
-  /** How many probes have been sent. */
-  long sent() {
+  /** Returns the number of probes that have been sent. */
+  long sentCount() {
     return probes.sent();
   }
 
-  /** How many probes may be under way now. */
+  /** Returns the maximum number of probes that may be in flight now. */
   int window() {
     return probes.window();
   }
--- a/src/main/java/org/snowturn/core/leader/SchedulingServices.java
+++ b/src/main/java/org/snowturn/core/leader/SchedulingServices.java
@@ -14,29 +14,40 @@
 import org.snowturn.core.scheduling.Speculator;
 import org.snowturn.core.scheduling.TaskScheduler;
 
-/** The parts of a term that choose machines for tasks and decide how many machines there are. */
+/**
+ * The services of one term that choose machines for tasks and adjust the number of machines.
+ *
+ * @param externallyManagedMachines tells whether operators keep on-demand machines up themselves
+ * @param scheduler chooses machines for waiting tasks
+ * @param speculator restarts slow tasks on faster machines
+ * @param zoneOutages detects outages of whole zones
+ * @param autoscaler rents and terminates machines
+ */
 record SchedulingServices(
-    ExternallyManagedMachines externallyManaged,
+    ExternallyManagedMachines externallyManagedMachines,
     TaskScheduler scheduler,
     Speculator speculator,
     ZoneOutages zoneOutages,
     Autoscaler autoscaler) {
 
   /**
-   * Creates the parts; none acts yet.
+   * Creates the services of a term.
    *
-   * @param mayPreempt whether enough machines are known for tasks to be stopped for others
+   * @param canPreempt whether enough machines have been heard for tasks to be preempted
    */
   static SchedulingServices create(
-      LeaderDependencies node, Term term, AssignmentServices services, BooleanSupplier mayPreempt) {
-    CoreRuntime runtime = node.runtime();
-    Settings settings = node.settings();
-    Tunables tunables = node.tunables();
-    ExternallyManagedMachines externallyManaged =
+      LeaderDependencies shared,
+      Term term,
+      AssignmentServices services,
+      BooleanSupplier canPreempt) {
+    CoreRuntime runtime = shared.runtime();
+    Settings settings = shared.settings();
+    Tunables tunables = shared.tunables();
+    ExternallyManagedMachines externalMachines =
         new ExternallyManagedMachines(runtime, services.writer());
     ScalingPolicy scalingPolicy =
-        ScalingPolicy.of(settings, node.machineTypes()::quickestBootS, externallyManaged::present);
-    TaskScheduler scheduler = newScheduler(node, services, scalingPolicy, mayPreempt);
+        ScalingPolicy.of(settings, shared.machineTypes()::quickestBootS, externalMachines::present);
+    TaskScheduler scheduler = newScheduler(shared, services, scalingPolicy, canPreempt);
     Speculator speculator =
         new Speculator(
             runtime,
@@ -45,7 +56,7 @@
             services.machines(),
             scheduler,
             services.writer(),
-            node.gate());
+            shared.formatGate());
     ZoneOutages zoneOutages = new ZoneOutages(services.machines().zoneCount());
     Autoscaler autoscaler =
         new Autoscaler(
@@ -53,35 +64,34 @@
                 runtime,
                 settings,
                 tunables,
-                node.machineTypes(),
+                shared.machineTypes(),
                 services.machines(),
                 services.assignments(),
-                services.heartbeats()),
+                services.heartbeatProcessor()),
             scheduler,
             scalingPolicy,
             zoneOutages,
-            externallyManaged,
+            externalMachines,
             services.preemptionRate(),
             term.token());
-    return new SchedulingServices(
-        externallyManaged, scheduler, speculator, zoneOutages, autoscaler);
+    return new SchedulingServices(externalMachines, scheduler, speculator, zoneOutages, autoscaler);
   }
 
   private static TaskScheduler newScheduler(
-      LeaderDependencies node,
+      LeaderDependencies shared,
       AssignmentServices services,
       ScalingPolicy scalingPolicy,
-      BooleanSupplier mayPreempt) {
+      BooleanSupplier canPreempt) {
     return new TaskScheduler(
-        node.runtime(),
-        node.settings(),
+        shared.runtime(),
+        shared.settings(),
         services.assignments(),
         services.machines(),
         new SchedulingPolicy(
-            new SchedulingOrder(node.settings(), node.tunables().urgentSlackS()),
+            new SchedulingOrder(shared.settings(), shared.tunables().urgentSlackS()),
             scalingPolicy::overprovisioning,
-            node.tunables().beginWithinS(),
-            mayPreempt),
+            shared.tunables().beginWithinS(),
+            canPreempt),
         services.preemptionRate());
   }
 }
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
@@ -23,74 +23,76 @@
 import org.snowturn.wire.StateMessage;
 
 /**
- * Loads the stored records of earlier terms into this one. A record that cannot be read never ends
- * the recovery: it is logged and counted, and its job is quarantined as a whole.
+ * Loads the stored records of earlier terms into this one. An unreadable record does not stop the
+ * recovery: it is logged and counted. If it belongs to a job or its tasks, the job is quarantined
+ * as a whole.
  */
 final class StoredRecordsLoader {
-  /** Parses and loads one record. */
+  /** An action that parses and loads one record. */
   private interface RecordParser {
     void parse() throws MalformedException;
   }
 
-  private final LeaderDependencies node;
+  private final LeaderDependencies shared;
   private final CoreRuntime runtime;
   private final CancellationWatermark watermark;
   private final AssignmentServices services;
   private final TaskAssignments assignments;
-  private final BiConsumer<String, StateMessage.Entry> restarts;
-  private final Set<String> quarantined = new HashSet<>();
-  private long unreadable;
+  private final BiConsumer<String, StateMessage.Entry> onRestartRecord;
+  private final Set<String> quarantinedJobs = new HashSet<>();
+  private long unreadableCount;
 
   /**
-   * Has loaded nothing yet.
+   * Creates a loader for one term.
    *
-   * @param restarts takes a job's id and its stored counter of restarts
+   * @param onRestartRecord handles the stored restart counters of a job, given the job's id
    */
   StoredRecordsLoader(
-      LeaderDependencies node,
+      LeaderDependencies shared,
       AssignmentServices services,
-      BiConsumer<String, StateMessage.Entry> restarts) {
-    this.node = node;
-    this.runtime = node.runtime();
-    this.watermark = node.watermark();
+      BiConsumer<String, StateMessage.Entry> onRestartRecord) {
+    this.shared = shared;
+    this.runtime = shared.runtime();
+    this.watermark = shared.watermark();
     this.services = services;
     this.assignments = services.assignments();
-    this.restarts = restarts;
+    this.onRestartRecord = onRestartRecord;
   }
 
-  /** How many records could not be read. */
-  long unreadable() {
-    return unreadable;
+  /** Returns the number of records that could not be read. */
+  long unreadableCount() {
+    return unreadableCount;
   }
 
-  /** Loads all records and sends the stops of cancelled tasks. */
+  /** Loads all records and sends stop commands for the tasks of cancelled jobs. */
   void load(StoredRecords records) {
-    for (StateMessage.Entry entry : records.registry().entries()) {
-      if (!load(entry, () -> services.registry().load(entry, this::initialize))) {
+    for (StateMessage.Entry entry : records.registryPages().entries()) {
+      if (!tryLoad(entry, () -> services.registry().load(entry, this::initializeMachine))) {
         assignments.registryIncomplete();
       }
     }
     loadJobs(records);
     List<StateMessage.Change> orphans = new ArrayList<>();
-    loadTasks(records.tasks(), StorageKeys.SECOND_FORMAT_TASKS, orphans);
+    loadTasks(records.secondFormatTasks(), StorageKeys.SECOND_FORMAT_TASKS, orphans);
     loadTasks(records.firstFormatTasks(), StorageKeys.TASKS, orphans);
-    quarantined.forEach(assignments.registry()::quarantine);
-    for (StateMessage.Entry entry : records.restarts().entries()) {
+    quarantinedJobs.forEach(assignments.registry()::quarantine);
+    for (StateMessage.Entry entry : records.restartRecords().entries()) {
       String job = entry.key().substring(StorageKeys.RESTARTS.length());
-      load(entry, () -> restarts.accept(job, entry));
+      tryLoad(entry, () -> onRestartRecord.accept(job, entry));
     }
     services.writer().deleteLater(List.of(), orphans);
     raiseAgentEpochs();
-    stopCancelled();
+    stopCancelledTasks();
     watermark.onLiveJobsRead(records.jobsReadAt());
   }
 
-  private boolean load(StateMessage.Entry entry, RecordParser parser) {
+  /** Runs the parser of a record; logs and counts the record if it is unreadable. */
+  private boolean tryLoad(StateMessage.Entry entry, RecordParser parser) {
     try {
       parser.parse();
       return true;
     } catch (MalformedException | RuntimeException e) {
-      unreadable++;
+      unreadableCount++;
       runtime
           .events()
           .info(LogEvent.RECORD_UNREADABLE)
@@ -101,8 +103,8 @@
     }
   }
 
-  private void initialize(Machine machine) {
-    machine.setMachineType(node.machineTypes().get(machine.type()));
+  private void initializeMachine(Machine machine) {
+    machine.setMachineType(shared.machineTypes().get(machine.type()));
     machine.images.markStored();
     machine.session.setLastAnswerAt(Math.max(machine.session.lastAnswerAt(), runtime.now()));
     machine.setFirstSeenAt(runtime.now());
@@ -110,76 +112,81 @@
   }
 
   /**
-   * Loads the jobs. One of which a record cannot be read is left alone as a whole: taken for
-   * smaller than it is, its tasks would be stopped, or started a second time. Of a cancelled one
-   * nothing is needed any more, whatever cannot be read.
+   * Loads the jobs.
+   *
+   * <p>A job with an unreadable record is quarantined as a whole. If only its readable records were
+   * loaded, some of its tasks would be stopped, or started a second time. A cancelled job needs
+   * none of its records, so an unreadable one does not quarantine it.
    */
   private void loadJobs(StoredRecords records) {
     List<StateMessage.Entry> chunks = records.submissionChunks().entries();
-    Map<String, String> texts = JobRecord.texts(chunks);
-    Set<String> used = new HashSet<>();
+    Map<String, String> chunkTexts = JobRecord.texts(chunks);
+    Set<String> usedChunkKeys = new HashSet<>();
     for (StateMessage.Entry entry : records.jobs().entries()) {
       String id = entry.key().substring(StorageKeys.JOBS.length());
-      boolean aborted = JobRecord.phaseOf(entry.value()) == JobStatus.Phase.ABORTED;
-      if (aborted) {
+      boolean isAborted = JobRecord.phaseOf(entry.value()) == JobStatus.Phase.ABORTED;
+      if (isAborted) {
         watermark.learn(id);
       }
-      boolean loaded = load(entry, () -> loadJob(id, entry, texts, used));
-      if (!loaded && !aborted) {
-        quarantined.add(id);
+      boolean isLoaded = tryLoad(entry, () -> loadJob(id, entry, chunkTexts, usedChunkKeys));
+      if (!isLoaded && !isAborted) {
+        quarantinedJobs.add(id);
         String prefix = StorageKeys.SUBMISSION_PARTS + id + "/";
         chunks.stream()
             .map(StateMessage.Entry::key)
             .filter(key -> key.startsWith(prefix))
-            .forEach(used::add);
+            .forEach(usedChunkKeys::add);
       }
     }
-    new SubmissionChunks(runtime, services.writer()).dropUnused(chunks, used);
+    new SubmissionChunks(runtime, services.writer()).dropUnused(chunks, usedChunkKeys);
   }
 
   private void loadJob(
-      String id, StateMessage.Entry entry, Map<String, String> texts, Set<String> used)
+      String id,
+      StateMessage.Entry entry,
+      Map<String, String> chunkTexts,
+      Set<String> usedChunkKeys)
       throws MalformedException {
     JobRecord stored = JobRecord.parse(entry.value());
-    List<String> keys = JobRecord.partKeys(id, stored.submission(), stored.parts());
-    used.addAll(keys);
-    if (stored.needsParts() && texts.keySet().containsAll(keys)) {
-      assignments.registry().addChunked(id, stored, entry.version(), texts);
+    List<String> chunkKeys = JobRecord.partKeys(id, stored.submission(), stored.parts());
+    usedChunkKeys.addAll(chunkKeys);
+    if (stored.needsParts() && chunkTexts.keySet().containsAll(chunkKeys)) {
+      assignments.registry().addChunked(id, stored, entry.version(), chunkTexts);
     } else {
       assignments.registry().add(id, stored, entry.version());
     }
   }
 
   private void loadTasks(Range range, String prefix, List<StateMessage.Change> orphans) {
-    boolean firstFormat = node.gate().open() && prefix.equals(StorageKeys.TASKS);
+    boolean isOlderFormat = shared.formatGate().open() && prefix.equals(StorageKeys.TASKS);
     for (StateMessage.Entry entry : range.entries()) {
-      String rest = entry.key().substring(prefix.length());
-      int slash = rest.lastIndexOf('/');
-      String id = slash < 0 ? rest : rest.substring(0, slash);
-      if (quarantined.contains(id)) {
+      String keySuffix = entry.key().substring(prefix.length());
+      int slash = keySuffix.lastIndexOf('/');
+      String id = slash < 0 ? keySuffix : keySuffix.substring(0, slash);
+      if (quarantinedJobs.contains(id)) {
         continue;
       }
       Job job = assignments.job(id);
-      boolean loaded =
-          load(
+      boolean isLoaded =
+          tryLoad(
               entry,
               () -> {
-                int chunk = Integer.parseInt(rest.substring(slash + 1));
+                int chunk = Integer.parseInt(keySuffix.substring(slash + 1));
                 if (job == null) {
                   orphans.add(StateMessage.Change.delete(entry.key()));
-                } else if (firstFormat) {
+                } else if (isOlderFormat) {
                   assignments.loadFirstFormatRecord(job, chunk, entry.value(), entry.version());
                 } else {
                   assignments.loadTaskRecord(job, chunk, entry.value(), entry.version());
                 }
               });
-      if (!loaded && job != null && !job.isCancellationRecorded()) {
-        quarantined.add(id);
+      if (!isLoaded && job != null && !job.isCancellationRecorded()) {
+        quarantinedJobs.add(id);
       }
     }
   }
 
-  /** A machine's agent epoch is at least the newest in which a task was assigned to it. */
+  /** Raises each machine's agent epoch to the newest one in which a task was assigned to it. */
   private void raiseAgentEpochs() {
     for (Machine machine : services.machines().present()) {
       for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
@@ -189,18 +196,22 @@
     }
   }
 
-  /** With the agent epochs known, the stops go out with the first probes. */
-  private void stopCancelled() {
+  /**
+   * Queues stop commands for the tasks of cancelled jobs, to be sent with the first probes. This
+   * must follow {@link #raiseAgentEpochs}: a stop is queued only for a task of its machine's newest
+   * agent epoch.
+   */
+  private void stopCancelledTasks() {
     int tasks = 0;
     for (Job job : assignments.jobs()) {
-      tasks += job.isCancelled() ? stopAll(job) : 0;
+      tasks += job.isCancelled() ? stopTasks(job) : 0;
     }
     if (tasks > 0) {
       runtime.events().info(LogEvent.CANCELLED_TASKS_RECOVERED).with(LogField.TASKS, tasks).write();
     }
   }
 
-  private int stopAll(Job job) {
+  private int stopTasks(Job job) {
     int stopped = 0;
     for (int task = 0; job.isCancelled() && job.assigned() > 0 && task < job.taskCount(); task++) {
       if (job.isAssigned(task)) {
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsReader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsReader.java
@@ -12,40 +12,40 @@
 import org.snowturn.core.storage.StorageKeys;
 
 /**
- * Reads all stored records at the begin of a term.
+ * Reads all stored records at the start of a term.
  *
- * <p>What only leaders write cannot change any more, since the leader key is ours: those ranges are
- * read concurrently. Users' records go on changing: chunks of submissions are read before the jobs,
- * so that no accepted job lacks its chunks.
+ * <p>Records that only leaders write cannot change while this node owns the leader key, so their
+ * ranges are read concurrently. Records of users may still change: the chunks of submissions are
+ * read before the jobs, so that no accepted job lacks its chunks.
  */
 final class StoredRecordsReader {
   private final CoreRuntime runtime;
-  private final FormatGate gate;
+  private final FormatGate formatGate;
   private final Term term;
-  private final Consumer<StoredRecords> completed;
+  private final Consumer<StoredRecords> onComplete;
 
-  /** The ranges by prefix; null for one that is still being read. */
+  /** Ranges by key prefix; null for a range that is still being read. */
   private final Map<String, Range> ranges = new LinkedHashMap<>();
 
   private long jobsReadAt;
 
   /**
-   * Has read nothing yet.
+   * Creates a reader for one term.
    *
-   * @param completed takes the records once all are read, unless the term has ended
+   * @param onComplete receives the records once all are read, unless the term has ended
    */
-  StoredRecordsReader(LeaderDependencies node, Term term, Consumer<StoredRecords> completed) {
-    this.runtime = node.runtime();
-    this.gate = node.gate();
+  StoredRecordsReader(LeaderDependencies shared, Term term, Consumer<StoredRecords> onComplete) {
+    this.runtime = shared.runtime();
+    this.formatGate = shared.formatGate();
     this.term = term;
-    this.completed = completed;
+    this.onComplete = onComplete;
   }
 
-  /** Starts to read. The gate comes first: it tells which format is to be written. */
+  /** Checks the format gate, which tells the format to write, and then reads all records. */
   void start() {
-    gate.check(
+    formatGate.check(
         () -> {
-          if (!term.ended()) {
+          if (!term.hasEnded()) {
             readRanges();
           }
         });
@@ -64,19 +64,19 @@
         });
   }
 
-  private void read(String prefix, Runnable next) {
+  private void read(String prefix, Runnable onRead) {
     ranges.put(prefix, null);
     long sentAt = runtime.now();
-    new RangeReader(runtime, term::ended)
+    new RangeReader(runtime, term::hasEnded)
         .read(
             prefix,
             range -> {
-              if (term.ended()) {
+              if (term.hasEnded()) {
                 return;
               }
               log(prefix, range, sentAt);
               ranges.put(prefix, range);
-              next.run();
+              onRead.run();
               if (!ranges.containsValue(null)) {
                 complete();
               }
@@ -105,6 +105,6 @@
             ranges.get(StorageKeys.JOBS),
             jobsReadAt);
     ranges.clear();
-    completed.accept(records);
+    onComplete.accept(records);
   }
 }
