--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -72,10 +72,13 @@
     election = new Election(settings, tunables, runtime, watermark, incarnation, startedMs);
     formatGate = new FormatGate(settings, runtime);
     connectivity = new ConnectivityMonitor(settings, runtime, election::stateServiceAnsweredAt);
-    election.deferIf(connectivity::betterElsewhere);
+    election.deferIf(connectivity::hasBetterPeer);
     relay =
         new StateRequestRelay(
-            settings, runtime, connectivity, () -> connectivity.mine().stateService());
+            settings,
+            runtime,
+            connectivity,
+            () -> connectivity.ownConnectivity().canReachStateService());
     JobApi.Services services =
         new JobApi.Services(
             machineTypes, formatGate, relay, rateAllocator.admissionController(), liveJobs);
@@ -175,16 +178,16 @@
    */
   public boolean ready() {
     return election.stateServiceHealthy()
-        || relay.possible()
+        || relay.canReachStateService()
         || settings.peers().isEmpty()
-        || (connectivity.hearsPeers() && !election.peersReachStateService());
+        || (connectivity.hasRecentPeerReport() && !election.peersReachStateService());
   }
 
   /** Figures for operators. */
   public Map<String, Double> gauges() {
     Map<String, Double> gauges = new HashMap<>();
     gauges.put("snowturn.format.gate", formatGate.open() ? 1.0 : 0.0);
-    gauges.put("snowturn.state.requests.relayed", (double) relay.relayed());
+    gauges.put("snowturn.state.requests.relayed", (double) relay.relayedRequests());
     gauges.putAll(connectivity.gauges());
     gauges.putAll(watermark.gauges());
     gauges.putAll(rateAllocator.gauges(runtime.now()));
@@ -210,7 +213,7 @@
     if (leader != null) {
       leader.tick();
     }
-    boolean sampleDue = leader != null && connectivity.wantsSample();
+    boolean sampleDue = leader != null && connectivity.isSampleDue();
     connectivity.tick(
         leader != null,
         sampleDue ? leader.sampleWorkerAddresses(ConnectivityMonitor.SAMPLE_SIZE) : List.of());
@@ -249,7 +252,7 @@
   }
 
   private void onHeartbeat(Input.HeartbeatReceived received) {
-    connectivity.workerHeard();
+    connectivity.onWorkerHeard();
     if (leader != null && election.hasAuthority()) {
       leader.handleHeartbeat(received.exchange(), received.heartbeat());
       return;
--- a/src/main/java/org/snowturn/core/api/JobApi.java
+++ b/src/main/java/org/snowturn/core/api/JobApi.java
@@ -47,7 +47,7 @@
             runtime,
             services.admission(),
             cancelled,
-            () -> stateHealthy.getAsBoolean() || relay.possible());
+            () -> stateHealthy.getAsBoolean() || relay.canReachStateService());
     reader =
         new JobStatusReader(runtime, relay, services.liveJobs(), cancelled, statuses, responses);
     SubmissionValidator validator = new SubmissionValidator(settings, services.machineTypes());
--- a/src/main/java/org/snowturn/core/api/JobStatusReader.java
+++ b/src/main/java/org/snowturn/core/api/JobStatusReader.java
@@ -58,7 +58,7 @@
     JobStatus known = statuses.finished(id);
     if (known != null) {
       then.accept(known);
-    } else if (liveJobs.known() && relay.direct()) {
+    } else if (liveJobs.known() && relay.hasDirectLink()) {
       liveJobs.whenFresh(() -> readFromCache(exchange, id, then), () -> responses.refuse(exchange));
     } else {
       readRecords(exchange, id, then);
--- a/src/main/java/org/snowturn/core/api/LiveJobCache.java
+++ b/src/main/java/org/snowturn/core/api/LiveJobCache.java
@@ -169,7 +169,7 @@
           }
           covered.addAll(waiting);
           waiting = covered;
-          nextAt = runtime.now() + backoff.next(runtime.retryAfterMs());
+          nextAt = runtime.now() + backoff.nextDelayMs(runtime.retryAfterMs());
         });
   }
 
--- a/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
+++ b/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
@@ -48,7 +48,7 @@
 
   /** Whether the evidence proves that a bound task's attempt has ended, or never began. */
   boolean hasEnded(Job job, int task, EndEvidence evidence) {
-    String objection = view(job, task).objection(evidence);
+    String objection = view(job, task).rejectionReason(evidence);
     if (objection != null) {
       invariants.violated(Invariant.END_IS_PROVEN, subject(job, task), evidence + ": " + objection);
       return false;
--- a/src/main/java/org/snowturn/core/assignment/FailureHandler.java
+++ b/src/main/java/org/snowturn/core/assignment/FailureHandler.java
@@ -46,7 +46,7 @@
           .with(LogField.MACHINE, machine.id)
           .write();
     }
-    attribution.succeeded(job.index, machine.index);
+    attribution.onTaskSucceeded(job.index, machine.index);
     job.failures.clearSuspicion();
     machine.failures.succeeded();
   }
@@ -61,12 +61,12 @@
         .with(LogField.MACHINE, machine.id)
         .write();
     if (job.done() > 0) {
-      attribution.proven(job.index); // also by what earlier leaders have recorded
+      attribution.markJobHealthy(job.index); // also by what earlier leaders have recorded
     }
-    attribution.failed(job.index, machine.index);
+    attribution.onTaskFailed(job.index, machine.index);
     job.failures.failed(task, machine.index);
-    machine.failures.failed(attribution.isHealthy(machine.index));
-    if (attribution.isSuspected(job.index)) {
+    machine.failures.failed(attribution.isMachineHealthy(machine.index));
+    if (attribution.isJobSuspected(job.index)) {
       suspect(job);
     }
     machine.failures.setUnexplained(attribution.unexplainedFailures(machine.index));
@@ -80,7 +80,7 @@
   }
 
   private void quarantineIfSick(Machine machine) {
-    if (!machine.isQuarantined() && attribution.isFaulty(machine.index)) {
+    if (!machine.isQuarantined() && attribution.isMachineFaulty(machine.index)) {
       machine.quarantine();
       quarantined++;
       runtime
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
@@ -93,7 +93,7 @@
       // Its record cannot be read, but users may have been told: what runs of it may be stopped.
       return cancellations.known(status.job()) ? stop(status) : null;
     }
-    return switch (Reconciliation.of(cases.listed(machine, heartbeat, status, job))) {
+    return switch (Reconciliation.decide(cases.listed(machine, heartbeat, status, job))) {
       case STOP -> here ? assignments.stopCommand(job, status.task()) : stop(status);
       case FORGET ->
           new Command(Command.Op.FORGET, status.job(), status.task(), status.attempt(), 0);
@@ -118,7 +118,7 @@
       Machine machine, Heartbeat heartbeat, Job job, int task, boolean newest, List<Command> out) {
     Verdict verdict =
         newest
-            ? Reconciliation.of(cases.unlisted(machine, heartbeat, job, task, true))
+            ? Reconciliation.decide(cases.unlisted(machine, heartbeat, job, task, true))
             : Verdict.WAIT;
     if (verdict == Verdict.RELEASE) {
       assignments.release(job, task, ReconciliationCases.notListed(heartbeat, job, task, true));
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
@@ -95,7 +95,7 @@
   /** A heartbeat is answered with what may renew the machine's lease. */
   public void leaseRenewed(Machine machine) {
     machine.session.setLastAnswerAt(runtime.now());
-    machine.reachability.heartbeatAnswered(runtime.now());
+    machine.reachability.onHeartbeatAnswered(runtime.now());
     machine.session.setHeartbeatDueAt(
         runtime.now() + silenceLimitMs(settings) + UNANSWERED_HEARTBEAT_MS);
   }
@@ -114,7 +114,7 @@
     machine.session.heartbeat(heartbeat.sequence(), runtime.now(), silenceLimitMs(settings));
     machine.clearSuspicion();
     boolean carriesToken = heartbeat.token() == token;
-    machine.reachability.heartbeatAccepted(carriesToken);
+    machine.reachability.onHeartbeatAccepted(carriesToken);
     if (carriesToken && !machine.session.isAcknowledged()) {
       machine.session.acknowledge();
       assignments.markChanged();
@@ -147,7 +147,7 @@
     machine.session.clearAcknowledgement();
     machine.startsInDoubt.clear();
     machine.commands().drop();
-    machine.reachability.newAgentEpoch(runtime.now());
+    machine.reachability.onNewAgentEpoch(runtime.now());
     endSessionsBefore(machine, epoch);
   }
 
@@ -181,7 +181,7 @@
         unaccounted += cases.isQuarantined(status) ? 1 : 0;
         continue;
       }
-      Verdict verdict = Reconciliation.of(cases.listed(machine, heartbeat, status, job));
+      Verdict verdict = Reconciliation.decide(cases.listed(machine, heartbeat, status, job));
       if (ReconciliationCases.here(machine, job, status)) {
         listed.add(Job.ref(job.index, status.task()));
         reportedTasks.seen(machine, job, status, verdict, heartbeat);
@@ -208,7 +208,7 @@
       Job job = assignments.job(ref);
       int task = TaskAssignments.task(ref);
       if (!listed.contains(ref)
-          && Reconciliation.of(cases.unlisted(machine, heartbeat, job, task, false))
+          && Reconciliation.decide(cases.unlisted(machine, heartbeat, job, task, false))
               == Verdict.RELEASE) {
         assignments.release(job, task, ReconciliationCases.notListed(heartbeat, job, task, false));
       }
--- a/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
+++ b/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
@@ -6,7 +6,7 @@
 import org.snowturn.core.model.Machine;
 import org.snowturn.core.model.TaskState;
 import org.snowturn.core.recovery.Reconciliation;
-import org.snowturn.core.recovery.Reconciliation.Seen;
+import org.snowturn.core.recovery.Reconciliation.Reported;
 import org.snowturn.core.recovery.Reconciliation.Stored;
 import org.snowturn.wire.Heartbeat;
 import org.snowturn.wire.TaskStatus;
@@ -45,10 +45,10 @@
         : job.adopted.get(task) ? Stored.INHERITED : Stored.STARTED;
   }
 
-  private static Reconciliation.AgentEpoch session(long reported, long placed) {
+  private static Reconciliation.EpochOrder session(long reported, long placed) {
     return reported == placed
-        ? Reconciliation.AgentEpoch.SAME
-        : reported > placed ? Reconciliation.AgentEpoch.LATER : Reconciliation.AgentEpoch.EARLIER;
+        ? Reconciliation.EpochOrder.SAME
+        : reported > placed ? Reconciliation.EpochOrder.LATER : Reconciliation.EpochOrder.EARLIER;
   }
 
   /**
@@ -75,10 +75,10 @@
 
   /** What the table is asked of a task that is on the report; {@code job} is null if unknown. */
   Reconciliation.Case listed(Machine machine, Heartbeat heartbeat, TaskStatus status, Job job) {
-    Seen seen =
+    Reported seen =
         status.state() != TaskStatus.State.ENDED
-            ? Seen.ALIVE
-            : status.exitReason() == TaskStatus.ExitReason.DONE ? Seen.DONE : Seen.ENDED;
+            ? Reported.ALIVE
+            : status.exitReason() == TaskStatus.ExitReason.DONE ? Reported.DONE : Reported.ENDED;
     boolean ours = heartbeat.token() == token;
     if (job != null && here(machine, job, status)) {
       return new Reconciliation.Case(
@@ -101,7 +101,7 @@
         !inDoubt(machine, status.attempt(), status.task())
             && assignments.forgettable(status.job(), status.task(), status.attempt());
     return new Reconciliation.Case(
-        stored, seen, Reconciliation.AgentEpoch.SAME, ours, false, settled);
+        stored, seen, Reconciliation.EpochOrder.SAME, ours, false, settled);
   }
 
   /**
@@ -113,7 +113,7 @@
       Machine machine, Heartbeat heartbeat, Job job, int task, boolean checkIn) {
     return new Reconciliation.Case(
         stored(job, task),
-        Seen.ABSENT,
+        Reported.ABSENT,
         session(heartbeat.agentEpoch(), job.epochOf(task)),
         heartbeat.token() == token,
         job.stopping.get(task),
--- a/src/main/java/org/snowturn/core/connectivity/ConnectivityMatrix.java
+++ b/src/main/java/org/snowturn/core/connectivity/ConnectivityMatrix.java
@@ -11,24 +11,24 @@
  */
 final class ConnectivityMatrix {
   /** Rows come every 300 ms; three may be lost. */
-  private static final long STALE_MS = 1_200;
+  private static final long MAX_ROW_AGE_MS = 1_200;
 
   /** What probes and reports take: only a greater difference between two nodes says anything. */
   private static final long REPORT_DELAY_MS = 400;
 
   private record Row(Connectivity connectivity, long receivedAt) {
-    boolean fresh(long nowMs) {
-      return nowMs - receivedAt <= STALE_MS;
+    boolean isFresh(long nowMs) {
+      return nowMs - receivedAt <= MAX_ROW_AGE_MS;
     }
 
-    boolean betterThan(Connectivity mine, long nowMs) {
-      if (!fresh(nowMs) || !connectivity.complete()) {
+    boolean isBetterThan(Connectivity own, long nowMs) {
+      if (!isFresh(nowMs) || !connectivity.canLead()) {
         return false;
       }
-      long workersMs = connectivity.workersMs() + (nowMs - receivedAt);
-      return !mine.stateService()
-          || mine.workersMs() == Connectivity.NEVER
-          || workersMs + REPORT_DELAY_MS < mine.workersMs();
+      long sinceWorkerHeardMs = connectivity.sinceWorkerHeardMs() + (nowMs - receivedAt);
+      return !own.canReachStateService()
+          || own.sinceWorkerHeardMs() == Connectivity.NEVER
+          || sinceWorkerHeardMs + REPORT_DELAY_MS < own.sinceWorkerHeardMs();
     }
   }
 
@@ -42,12 +42,12 @@
    */
   boolean update(String peer, Connectivity connectivity, long nowMs) {
     Row before = rows.put(peer, new Row(connectivity, nowMs));
-    return before == null || !before.connectivity.sameLinks(connectivity);
+    return before == null || !before.connectivity.hasSameLinks(connectivity);
   }
 
   /** Whether any peer has told lately what it reaches. */
-  boolean anyFresh(long nowMs) {
-    return rows.values().stream().anyMatch(row -> row.fresh(nowMs));
+  boolean hasFreshRow(long nowMs) {
+    return rows.values().stream().anyMatch(row -> row.isFresh(nowMs));
   }
 
   /**
@@ -55,9 +55,9 @@
    * have heard workers lately, it has to have heard them later, and by more than what probes and
    * reports take: in the first seconds of a cut, all rows still show what was before it.
    */
-  boolean anyBetterThan(Connectivity mine, long nowMs) {
+  boolean hasPeerBetterThan(Connectivity own, long nowMs) {
     for (Row row : rows.values()) {
-      if (row.betterThan(mine, nowMs)) {
+      if (row.isBetterThan(own, nowMs)) {
         return true;
       }
     }
@@ -69,9 +69,9 @@
     String found = null;
     for (Map.Entry<String, Row> entry : rows.entrySet()) {
       Connectivity connectivity = entry.getValue().connectivity;
-      if (entry.getValue().fresh(nowMs)
-          && connectivity.stateService()
-          && (found == null || connectivity.workers())) {
+      if (entry.getValue().isFresh(nowMs)
+          && connectivity.canReachStateService()
+          && (found == null || connectivity.canReachWorkers())) {
         found = entry.getKey();
       }
     }
@@ -79,11 +79,11 @@
   }
 
   /** What the peers reach whose rows say something now, by their names. */
-  Map<String, Connectivity> fresh(long nowMs) {
+  Map<String, Connectivity> freshRows(long nowMs) {
     Map<String, Connectivity> fresh = new TreeMap<>();
     rows.forEach(
         (peer, row) -> {
-          if (row.fresh(nowMs)) {
+          if (row.isFresh(nowMs)) {
             fresh.put(peer, row.connectivity);
           }
         });
--- a/src/main/java/org/snowturn/core/connectivity/ConnectivityMonitor.java
+++ b/src/main/java/org/snowturn/core/connectivity/ConnectivityMonitor.java
@@ -29,37 +29,38 @@
 
   private final Settings settings;
   private final CoreRuntime runtime;
-  private final LongSupplier stateServiceAnsweredAt;
+  private final LongSupplier lastStateRequestAnsweredAt;
   private final ConnectivityMatrix matrix = new ConnectivityMatrix();
   private List<String> sample = List.of();
-  private int probes;
-  private long workerHeardAt = MonotonicTime.NEVER;
+  private int probeCount;
+  private long lastWorkerHeardAt = MonotonicTime.NEVER;
   private long nextProbeAt;
   private long nextReportAt;
   private long nextSampleAt;
-  private Connectivity logged;
+  private Connectivity lastLogged;
 
   /**
    * Knows nothing yet.
    *
-   * @param stateServiceAnsweredAt when the last request that the state service answered was sent,
-   *     in milliseconds of the steady clock; {@link MonotonicTime#NEVER} if none was
+   * @param lastStateRequestAnsweredAt when the last request that the state service answered was
+   *     sent, in milliseconds of the steady clock; {@link MonotonicTime#NEVER} if none was
    */
   public ConnectivityMonitor(
-      Settings settings, CoreRuntime runtime, LongSupplier stateServiceAnsweredAt) {
+      Settings settings, CoreRuntime runtime, LongSupplier lastStateRequestAnsweredAt) {
     this.settings = settings;
     this.runtime = runtime;
-    this.stateServiceAnsweredAt = stateServiceAnsweredAt;
+    this.lastStateRequestAnsweredAt = lastStateRequestAnsweredAt;
   }
 
   /** A worker has sent a heartbeat here, or answered this node. */
-  public void workerHeard() {
-    workerHeardAt = runtime.now();
+  public void onWorkerHeard() {
+    lastWorkerHeardAt = runtime.now();
   }
 
   /** What this node reaches. */
-  public Connectivity mine() {
-    return new Connectivity(ageMs(stateServiceAnsweredAt.getAsLong()), ageMs(workerHeardAt));
+  public Connectivity ownConnectivity() {
+    return new Connectivity(
+        ageMs(lastStateRequestAnsweredAt.getAsLong()), ageMs(lastWorkerHeardAt));
   }
 
   private int ageMs(long at) {
@@ -69,18 +70,18 @@
   }
 
   /** Whether a peer could serve where this node cannot. */
-  public boolean betterElsewhere() {
-    return matrix.anyBetterThan(mine(), runtime.now());
+  public boolean hasBetterPeer() {
+    return matrix.hasPeerBetterThan(ownConnectivity(), runtime.now());
   }
 
   /** Whether a peer could serve where this node cannot, or no peer is heard, so that one may. */
-  public boolean otherMayServe() {
-    return betterElsewhere() || !hearsPeers();
+  public boolean canPeerServe() {
+    return hasBetterPeer() || !hasRecentPeerReport();
   }
 
   /** Whether any peer has told lately what it reaches. */
-  public boolean hearsPeers() {
-    return matrix.anyFresh(runtime.now());
+  public boolean hasRecentPeerReport() {
+    return matrix.hasFreshRow(runtime.now());
   }
 
   /** A peer that the state service answers; null if none is known. */
@@ -93,17 +94,17 @@
    *
    * @param workers addresses of some that a leader hears; empty on other nodes
    */
-  public void tick(boolean leading, List<String> workers) {
-    if (leading) {
+  public void tick(boolean isLeading, List<String> workers) {
+    if (isLeading) {
       sendSample(workers);
     } else {
       probeWorker();
     }
-    report();
+    broadcastReport();
   }
 
   private void sendSample(List<String> workers) {
-    if (!workers.isEmpty() && wantsSample()) {
+    if (!workers.isEmpty() && isSampleDue()) {
       nextSampleAt = runtime.now() + SAMPLE_INTERVAL_MS;
       sample = workers;
       runtime.broadcast(new PeerMessage.WorkerSample(settings.node(), workers));
@@ -115,7 +116,7 @@
       return;
     }
     nextProbeAt = runtime.now() + PROBE_INTERVAL_MS;
-    String address = sample.get(probes++ % sample.size());
+    String address = sample.get(probeCount++ % sample.size());
     runtime.call(
         Effect.Target.WORKER,
         address,
@@ -125,34 +126,34 @@
         PROBE_TIMEOUT_MS,
         (outcome, status, body) -> {
           if (outcome == Outcome.ANSWERED) {
-            workerHeard();
+            onWorkerHeard();
           }
         });
   }
 
-  private void report() {
+  private void broadcastReport() {
     if (runtime.now() < nextReportAt) {
       return;
     }
     nextReportAt = runtime.now() + REPORT_INTERVAL_MS;
-    Connectivity mine = mine();
-    if (logged == null || !logged.sameLinks(mine)) {
-      logged = mine;
-      log(settings.node(), mine);
+    Connectivity own = ownConnectivity();
+    if (lastLogged == null || !lastLogged.hasSameLinks(own)) {
+      lastLogged = own;
+      logConnectivity(settings.node(), own);
     }
-    runtime.broadcast(new PeerMessage.ConnectivityReport(settings.node(), mine));
+    runtime.broadcast(new PeerMessage.ConnectivityReport(settings.node(), own));
   }
 
   /** Whether it is time for a leader to name workers. */
-  public boolean wantsSample() {
+  public boolean isSampleDue() {
     return runtime.now() >= nextSampleAt;
   }
 
   /** A peer tells what it reaches. */
-  public void onReport(PeerMessage.ConnectivityReport report) {
-    if (isPeer(report.from())
-        && matrix.update(report.from(), report.connectivity(), runtime.now())) {
-      log(report.from(), report.connectivity());
+  public void onReport(PeerMessage.ConnectivityReport received) {
+    if (isPeer(received.from())
+        && matrix.update(received.from(), received.connectivity(), runtime.now())) {
+      logConnectivity(received.from(), received.connectivity());
     }
   }
 
@@ -168,13 +169,13 @@
     return settings.peers().stream().anyMatch(peer -> peer.node().equals(node));
   }
 
-  private void log(String node, Connectivity connectivity) {
+  private void logConnectivity(String node, Connectivity connectivity) {
     runtime
         .events()
         .info(LogEvent.CONNECTIVITY_CHANGED)
         .with(LogField.NODE, node)
-        .with(LogField.STATE_SERVICE, connectivity.stateService())
-        .with(LogField.WORKERS, connectivity.workers())
+        .with(LogField.STATE_SERVICE, connectivity.canReachStateService())
+        .with(LogField.WORKERS, connectivity.canReachWorkers())
         .write();
   }
 
@@ -182,9 +183,9 @@
   public Map<String, Double> gauges() {
     Map<String, Double> gauges = new HashMap<>();
     matrix
-        .fresh(runtime.now())
+        .freshRows(runtime.now())
         .forEach((node, connectivity) -> addGauges(gauges, node, connectivity));
-    addGauges(gauges, settings.node(), mine());
+    addGauges(gauges, settings.node(), ownConnectivity());
     return gauges;
   }
 
@@ -192,8 +193,9 @@
       Map<String, Double> gauges, String node, Connectivity connectivity) {
     gauges.put(
         "snowturn.connectivity.state{node=\"" + node + "\"}",
-        connectivity.stateService() ? 1.0 : 0.0);
+        connectivity.canReachStateService() ? 1.0 : 0.0);
     gauges.put(
-        "snowturn.connectivity.workers{node=\"" + node + "\"}", connectivity.workers() ? 1.0 : 0.0);
+        "snowturn.connectivity.workers{node=\"" + node + "\"}",
+        connectivity.canReachWorkers() ? 1.0 : 0.0);
   }
 }
--- a/src/main/java/org/snowturn/core/connectivity/StateRequestRelay.java
+++ b/src/main/java/org/snowturn/core/connectivity/StateRequestRelay.java
@@ -23,46 +23,46 @@
   private static final int MAX_BODY_BYTES = 3_000;
 
   /** So many may be open through peers, and from peers; the next is refused at once. */
-  private static final int MAX_OPEN = 200;
+  private static final int MAX_OPEN_REQUESTS = 200;
 
-  private static final int UNAVAILABLE = 503;
+  private static final int SERVICE_UNAVAILABLE = 503;
 
   private final Settings settings;
   private final CoreRuntime runtime;
   private final ConnectivityMonitor connectivity;
-  private final BooleanSupplier ownLink;
-  private final Map<Long, CoreRuntime.ReplyHandler> open = new HashMap<>();
-  private int openForPeers;
+  private final BooleanSupplier hasOwnLink;
+  private final Map<Long, CoreRuntime.ReplyHandler> openRequests = new HashMap<>();
+  private int openPeerRequests;
   private long lastRequestId;
-  private long relayed;
+  private long relayedRequests;
 
   /**
    * Relays nothing yet.
    *
-   * @param ownLink whether the state service answers this node
+   * @param hasOwnLink whether the state service answers this node
    */
   public StateRequestRelay(
       Settings settings,
       CoreRuntime runtime,
       ConnectivityMonitor connectivity,
-      BooleanSupplier ownLink) {
+      BooleanSupplier hasOwnLink) {
     this.settings = settings;
     this.runtime = runtime;
     this.connectivity = connectivity;
-    this.ownLink = ownLink;
+    this.hasOwnLink = hasOwnLink;
     // A peer may still be about to answer what the previous process of this node asked: restarted
     // within a fraction of a second, this one would take it for the answer to a request of its own.
     this.lastRequestId = runtime.random().nextLong() >>> 2;
   }
 
   /** Whether the state service answers this node itself. */
-  public boolean direct() {
-    return ownLink.getAsBoolean();
+  public boolean hasDirectLink() {
+    return hasOwnLink.getAsBoolean();
   }
 
   /** Whether there is any way to the state service. */
-  public boolean possible() {
-    return direct() || connectivity.peerWithStateService() != null;
+  public boolean canReachStateService() {
+    return hasDirectLink() || connectivity.peerWithStateService() != null;
   }
 
   /**
@@ -76,32 +76,32 @@
       String path,
       JsonNode body,
       int timeoutMs,
-      CoreRuntime.ReplyHandler then) {
-    String peer = direct() ? null : connectivity.peerWithStateService();
+      CoreRuntime.ReplyHandler onResult) {
+    String peer = hasDirectLink() ? null : connectivity.peerWithStateService();
     if (peer == null) {
-      runtime.callState(purpose, method, path, body, timeoutMs, then);
+      runtime.callState(purpose, method, path, body, timeoutMs, onResult);
       return;
     }
-    if (tooLong(body) || open.size() >= MAX_OPEN) {
-      then.on(Outcome.REFUSED, UNAVAILABLE, null);
+    if (isTooLong(body) || openRequests.size() >= MAX_OPEN_REQUESTS) {
+      onResult.on(Outcome.REFUSED, SERVICE_UNAVAILABLE, null);
       return;
     }
     long id = ++lastRequestId;
-    relayed++;
-    open.put(id, then);
+    relayedRequests++;
+    openRequests.put(id, onResult);
     runtime.broadcast(
         new PeerMessage.RelayRequest(settings.node(), peer, id, method, path, body, timeoutMs));
     runtime.schedule(timeoutMs, () -> complete(id, Outcome.UNKNOWN, 0, null));
   }
 
-  private static boolean tooLong(JsonNode body) {
+  private static boolean isTooLong(JsonNode body) {
     return body != null && Json.bytes(body).length > MAX_BODY_BYTES;
   }
 
   private void complete(long id, Outcome outcome, int status, JsonNode body) {
-    CoreRuntime.ReplyHandler then = open.remove(id);
-    if (then != null) {
-      then.on(outcome, status, body);
+    CoreRuntime.ReplyHandler onResult = openRequests.remove(id);
+    if (onResult != null) {
+      onResult.on(outcome, status, body);
     }
   }
 
@@ -110,11 +110,11 @@
     if (!request.to().equals(settings.node())) {
       return;
     }
-    if (!direct() || openForPeers >= MAX_OPEN) {
-      reply(request, Outcome.REFUSED, UNAVAILABLE, null);
+    if (!hasDirectLink() || openPeerRequests >= MAX_OPEN_REQUESTS) {
+      reply(request, Outcome.REFUSED, SERVICE_UNAVAILABLE, null);
       return;
     }
-    openForPeers++;
+    openPeerRequests++;
     runtime.callState(
         RequestClass.USERS,
         request.method(),
@@ -122,8 +122,8 @@
         request.body(),
         request.timeoutMs(),
         (outcome, status, body) -> {
-          openForPeers--;
-          boolean tooLong = tooLong(body);
+          openPeerRequests--;
+          boolean tooLong = isTooLong(body);
           reply(request, tooLong ? Outcome.UNKNOWN : outcome, status, tooLong ? null : body);
         });
   }
@@ -142,7 +142,7 @@
   }
 
   /** How many calls went through a peer. */
-  public long relayed() {
-    return relayed;
+  public long relayedRequests() {
+    return relayedRequests;
   }
 }
--- a/src/main/java/org/snowturn/core/dispatch/CommandQueue.java
+++ b/src/main/java/org/snowturn/core/dispatch/CommandQueue.java
@@ -195,7 +195,7 @@
     // What is refused at once says that there was no socket, here or there: not that nothing gets
     // in.
     if (runtime.now() - sentAt >= IN_VAIN_MS) {
-      machine.reachability.messageUnanswered(runtime.now());
+      machine.reachability.onMessageUnanswered(runtime.now());
     }
     host.unanswered(machine);
   }
--- a/src/main/java/org/snowturn/core/effects/CoreRuntime.java
+++ b/src/main/java/org/snowturn/core/effects/CoreRuntime.java
@@ -100,7 +100,7 @@
 
   /** While a failed reply is handled: repeats the call after the delay that is due. */
   public void retry(Backoff backoff, Runnable run) {
-    schedule(backoff.next(retryAfterMs), run);
+    schedule(backoff.nextDelayMs(retryAfterMs), run);
   }
 
   /** Runs something at the first tick after this delay, in milliseconds. */
--- a/src/main/java/org/snowturn/core/election/Campaign.java
+++ b/src/main/java/org/snowturn/core/election/Campaign.java
@@ -97,7 +97,7 @@
   void retryDiscovery() {
     state.discover();
     requestOpen = false;
-    nextAt = runtime.now() + backoff.next(runtime.retryAfterMs());
+    nextAt = runtime.now() + backoff.nextDelayMs(runtime.retryAfterMs());
   }
 
   private void discoverNow() {
--- a/src/main/java/org/snowturn/core/health/EndEvidence.java
+++ b/src/main/java/org/snowturn/core/health/EndEvidence.java
@@ -2,7 +2,7 @@
 
 /**
  * What is offered as proof that an attempt has ended without a result, or that it never began. No
- * task is queued again without one of these; {@link #objection} judges whether it holds.
+ * task is queued again without one of these; {@link #rejectionReason} judges whether it holds.
  */
 public abstract sealed class EndEvidence {
   private final String kind;
@@ -17,7 +17,7 @@
   }
 
   /** Why this does not prove that the attempt has ended; null if it does. */
-  abstract String objection(AttemptSnapshot attempt);
+  abstract String rejectionReason(AttemptSnapshot attempt);
 
   /** A heartbeat of the attempt's machine. */
   public abstract static sealed class Reported extends EndEvidence {
@@ -31,14 +31,14 @@
     }
 
     /** Why the heartbeat proves nothing of the attempt, whatever it says of it; null if it may. */
-    final String reportObjection(AttemptSnapshot attempt) {
+    final String reportRejectionReason(AttemptSnapshot attempt) {
       if (token != attempt.token()) {
         return "the report does not bear the present token";
       }
       if (agentEpoch != attempt.agentEpoch()) {
         return "the report is of another session";
       }
-      return attempt.durable() ? null : "no start has been sent that could be reported";
+      return attempt.placementDurable() ? null : "no start has been sent that could be reported";
     }
   }
 
@@ -55,39 +55,39 @@
     }
 
     @Override
-    String objection(AttemptSnapshot attempt) {
-      return reportObjection(attempt);
+    String rejectionReason(AttemptSnapshot attempt) {
+      return reportRejectionReason(attempt);
     }
   }
 
   /** A heartbeat of the attempt's machine does not list it. */
   public static final class NotListed extends Reported {
-    private final boolean ownHeartbeat;
+    private final boolean unsolicited;
 
     /**
      * Evidence from a heartbeat.
      *
      * @param token the highest token that the machine had seen when it sent the heartbeat
      * @param agentEpoch the machine's agent epoch at that time
-     * @param ownHeartbeat whether the machine sent it by itself and not in reply to a message, so
+     * @param unsolicited whether the machine sent it by itself and not in reply to a message, so
      *     that what earlier answers carried has been carried out or never will be
      */
-    public NotListed(long token, long agentEpoch, boolean ownHeartbeat) {
+    public NotListed(long token, long agentEpoch, boolean unsolicited) {
       super("not_listed", token, agentEpoch);
-      this.ownHeartbeat = ownHeartbeat;
+      this.unsolicited = unsolicited;
     }
 
     @Override
-    String objection(AttemptSnapshot attempt) {
-      String objection = reportObjection(attempt);
-      if (objection != null || attempt.inherited()) {
-        return objection;
+    String rejectionReason(AttemptSnapshot attempt) {
+      String reason = reportRejectionReason(attempt);
+      if (reason != null || attempt.inherited()) {
+        return reason;
       }
       // An attempt of this term is missing: that proves its end only once no start can arrive.
       if (!attempt.stopping()) {
         return "the start is repeated until the attempt is listed";
       }
-      return ownHeartbeat && !attempt.startInFlight() ? null : "a start of it may still arrive";
+      return unsolicited && !attempt.startInFlight() ? null : "a start of it may still arrive";
     }
   }
 
@@ -102,7 +102,7 @@
     }
 
     @Override
-    String objection(AttemptSnapshot attempt) {
+    String rejectionReason(AttemptSnapshot attempt) {
       return agentEpoch > attempt.agentEpoch() ? null : "the session is not later";
     }
   }
@@ -115,8 +115,8 @@
     }
 
     @Override
-    String objection(AttemptSnapshot attempt) {
-      boolean expired = attempt.nowMs() - attempt.leaseRenewedMs() >= attempt.leaseExpiryMs();
+    String rejectionReason(AttemptSnapshot attempt) {
+      boolean expired = attempt.nowMs() - attempt.leaseRenewedAt() >= attempt.leaseExpiryMs();
       return expired ? null : "the lease has not run out";
     }
   }
@@ -129,7 +129,7 @@
     }
 
     @Override
-    String objection(AttemptSnapshot attempt) {
+    String rejectionReason(AttemptSnapshot attempt) {
       return attempt.machineDeleted() ? null : "the deletion is not confirmed";
     }
   }
@@ -142,7 +142,7 @@
     }
 
     @Override
-    String objection(AttemptSnapshot attempt) {
+    String rejectionReason(AttemptSnapshot attempt) {
       return attempt.machineFailed() ? null : "the machine is not listed as failed";
     }
   }
@@ -155,8 +155,8 @@
     }
 
     @Override
-    String objection(AttemptSnapshot attempt) {
-      return attempt.durable() ? "a start may have been sent" : null;
+    String rejectionReason(AttemptSnapshot attempt) {
+      return attempt.placementDurable() ? "a start may have been sent" : null;
     }
   }
 }
--- a/src/main/java/org/snowturn/core/health/FailureAttribution.java
+++ b/src/main/java/org/snowturn/core/health/FailureAttribution.java
@@ -22,97 +22,99 @@
  */
 public final class FailureAttribution {
   /** Failures on so many healthy machines make a job suspected. */
-  private static final int MIN_HEALTHY_MACHINES = 2;
+  private static final int MIN_HEALTHY_MACHINES_TO_SUSPECT_JOB = 2;
 
   /** Failures on so many machines, whatever is known of them, make a job suspected. */
-  private static final int MIN_MACHINES = 4;
+  private static final int MIN_MACHINES_TO_SUSPECT_JOB = 4;
 
   /** So many machines are remembered for each job. */
-  private static final int MAX_REMEMBERED = 16;
+  private static final int MAX_MACHINES_PER_JOB = 16;
 
   /** What is known of a job. */
   private static final class JobHistory {
     private final IntHashSet failedMachines = new IntHashSet();
     private int failedHealthyMachines;
-    private boolean healthy;
-    private boolean suspected;
+    private boolean isHealthy;
+    private boolean isSuspected;
   }
 
   /** What is known of a machine. */
   private static final class MachineHistory {
     /** Failures of each job since the last success. */
-    private final Int2IntHashMap failures = new Int2IntHashMap(0);
+    private final Int2IntHashMap failuresByJob = new Int2IntHashMap(0);
 
     /** Failures since then of healthy jobs that are over. */
     private int failuresOfFinishedJobs;
 
-    private boolean healthy;
+    private boolean isHealthy;
   }
 
   private final Int2ObjectHashMap<JobHistory> jobs = new Int2ObjectHashMap<>();
   private final Int2ObjectHashMap<MachineHistory> machines = new Int2ObjectHashMap<>();
-  private final int faultyAfter;
+  private final int minFailuresOfFaultyMachine;
 
   /**
    * Knows of no failure yet.
    *
-   * @param faultyAfter so many failures of healthy jobs in a row make a machine faulty
+   * @param minFailuresOfFaultyMachine so many failures of healthy jobs in a row make a machine
+   *     faulty
    */
-  public FailureAttribution(int faultyAfter) {
-    this.faultyAfter = faultyAfter;
+  public FailureAttribution(int minFailuresOfFaultyMachine) {
+    this.minFailuresOfFaultyMachine = minFailuresOfFaultyMachine;
   }
 
-  private JobHistory job(int job) {
+  private JobHistory jobHistory(int job) {
     return jobs.computeIfAbsent(job, index -> new JobHistory());
   }
 
-  private MachineHistory machine(int machine) {
+  private MachineHistory machineHistory(int machine) {
     return machines.computeIfAbsent(machine, index -> new MachineHistory());
   }
 
   /** A task of the job has succeeded on the machine. */
-  public void succeeded(int job, int machine) {
-    proven(job);
-    MachineHistory history = machine(machine);
-    history.failures.clear();
+  public void onTaskSucceeded(int job, int machine) {
+    markJobHealthy(job);
+    MachineHistory history = machineHistory(machine);
+    history.failuresByJob.clear();
     history.failuresOfFinishedJobs = 0;
-    history.healthy = true;
+    history.isHealthy = true;
   }
 
   /** A task of the job is known to have succeeded somewhere. */
-  public void proven(int job) {
-    JobHistory history = job(job);
-    history.healthy = true;
-    history.suspected = false;
+  public void markJobHealthy(int job) {
+    JobHistory history = jobHistory(job);
+    history.isHealthy = true;
+    history.isSuspected = false;
   }
 
   /** A task of the job has failed on the machine. */
-  public void failed(int job, int machine) {
-    JobHistory jobHistory = job(job);
-    MachineHistory machineHistory = machine(machine);
-    machineHistory.failures.put(job, machineHistory.failures.get(job) + 1);
-    boolean first =
-        jobHistory.failedMachines.size() < MAX_REMEMBERED && jobHistory.failedMachines.add(machine);
-    if (jobHistory.healthy) {
-      machineHistory.healthy = false;
+  public void onTaskFailed(int job, int machine) {
+    JobHistory jobHistory = jobHistory(job);
+    MachineHistory machineHistory = machineHistory(machine);
+    machineHistory.failuresByJob.put(job, machineHistory.failuresByJob.get(job) + 1);
+    boolean isNewMachine =
+        jobHistory.failedMachines.size() < MAX_MACHINES_PER_JOB
+            && jobHistory.failedMachines.add(machine);
+    if (jobHistory.isHealthy) {
+      machineHistory.isHealthy = false;
       return;
     }
-    jobHistory.failedHealthyMachines += first && machineHistory.healthy ? 1 : 0;
-    jobHistory.suspected =
-        jobHistory.failedHealthyMachines >= MIN_HEALTHY_MACHINES
-            || jobHistory.failedMachines.size() >= MIN_MACHINES;
+    jobHistory.failedHealthyMachines += isNewMachine && machineHistory.isHealthy ? 1 : 0;
+    jobHistory.isSuspected =
+        jobHistory.failedHealthyMachines >= MIN_HEALTHY_MACHINES_TO_SUSPECT_JOB
+            || jobHistory.failedMachines.size() >= MIN_MACHINES_TO_SUSPECT_JOB;
   }
 
   /** Whether the job seems to fail wherever it runs. */
-  public boolean isSuspected(int job) {
+  public boolean isJobSuspected(int job) {
     JobHistory history = jobs.get(job);
-    return history != null && history.suspected;
+    return history != null && history.isSuspected;
   }
 
   /** Whether work has succeeded on the machine, and no healthy job has failed there since. */
-  public boolean isHealthy(int machine) {
+  public boolean isMachineHealthy(int machine) {
     MachineHistory history = machines.get(machine);
-    return history != null && history.healthy;
+    return history != null && history.isHealthy;
   }
 
   /** Failures there since the last success that no suspected job explains. */
@@ -126,11 +128,11 @@
       return 0;
     }
     int[] count = {machineHistory.failuresOfFinishedJobs};
-    machineHistory.failures.forEachInt(
+    machineHistory.failuresByJob.forEachInt(
         (job, failures) -> {
           JobHistory jobHistory = jobs.get(job);
           if (jobHistory != null
-              && (ofHealthyJobsOnly ? jobHistory.healthy : !jobHistory.suspected)) {
+              && (ofHealthyJobsOnly ? jobHistory.isHealthy : !jobHistory.isSuspected)) {
             count[0] += failures;
           }
         });
@@ -138,8 +140,8 @@
   }
 
   /** Whether whatever starts on the machine seems to fail. */
-  public boolean isFaulty(int machine) {
-    return countFailures(machine, true) >= faultyAfter;
+  public boolean isMachineFaulty(int machine) {
+    return countFailures(machine, true) >= minFailuresOfFaultyMachine;
   }
 
   /** The job is over. What it told of machines stays if it was healthy. */
@@ -151,8 +153,8 @@
     jobHistory.failedMachines.forEachInt(
         machine -> {
           MachineHistory machineHistory = machines.get(machine);
-          int failures = machineHistory == null ? 0 : machineHistory.failures.remove(job);
-          if (machineHistory != null && jobHistory.healthy) {
+          int failures = machineHistory == null ? 0 : machineHistory.failuresByJob.remove(job);
+          if (machineHistory != null && jobHistory.isHealthy) {
             machineHistory.failuresOfFinishedJobs += failures;
           }
         });
@@ -162,7 +164,7 @@
   public int suspectedJobs() {
     int count = 0;
     for (JobHistory history : jobs.values()) {
-      count += history.suspected ? 1 : 0;
+      count += history.isSuspected ? 1 : 0;
     }
     return count;
   }
--- a/src/main/java/org/snowturn/core/health/Reachability.java
+++ b/src/main/java/org/snowturn/core/health/Reachability.java
@@ -18,7 +18,7 @@
  */
 public final class Reachability {
   /** So many unanswered messages in a row, while its heartbeats come, are no accident. */
-  public static final int UNREACHABLE_AFTER = 3;
+  public static final int MIN_UNANSWERED_MESSAGES = 3;
 
   /**
    * A machine that is not proven is probed at once, then after delays that double up to a bound.
@@ -30,7 +30,7 @@
   private static final int MAX_PROBE_DOUBLINGS = 4;
 
   /** So many replies in a row that are older than what is known are no accident. */
-  private static final int NEW_INCARNATION_AFTER = 3;
+  private static final int MIN_OUTDATED_REPLIES = 3;
 
   /** Two heartbeats that come sooner after each other were held back together. */
   private static final long MIN_HEARTBEAT_GAP_MS = 400;
@@ -40,7 +40,7 @@
   private boolean proven;
 
   /** Whether its last heartbeat did not bear the present token. */
-  private boolean withoutToken;
+  private boolean lastHeartbeatLackedToken;
 
   private long unprovenSince = NEVER;
   private long heartbeatAnsweredAt = NEVER;
@@ -50,7 +50,7 @@
   private long highestSequence = -1;
 
   /** Whether it has shown that it receives, and nothing since speaks against it. */
-  public boolean proven() {
+  public boolean isProven() {
     return proven;
   }
 
@@ -63,11 +63,13 @@
    * Whether it sends heartbeats and yet has received nothing for so long, despite several probes.
    */
   public boolean isUnreachable(long nowMs, long limitMs) {
-    return !proven && unansweredMessages >= UNREACHABLE_AFTER && nowMs - unprovenSince >= limitMs;
+    return !proven
+        && unansweredMessages >= MIN_UNANSWERED_MESSAGES
+        && nowMs - unprovenSince >= limitMs;
   }
 
   /** A message got no answer: what came before proves nothing any more. */
-  public void messageUnanswered(long nowMs) {
+  public void onMessageUnanswered(long nowMs) {
     unansweredMessages++;
     revokeProof(nowMs);
   }
@@ -80,9 +82,9 @@
   }
 
   /** A later agent epoch of it was seen. It has received nothing for as long as a lease. */
-  public void newAgentEpoch(long nowMs) {
+  public void onNewAgentEpoch(long nowMs) {
     revokeProof(nowMs);
-    withoutToken = false;
+    lastHeartbeatLackedToken = false;
     highestSequence = -1;
   }
 
@@ -100,15 +102,15 @@
    * It has answered a message; tells whether it has come back as a new machine under its old name,
    * whose counts begin anew: nothing that it says would be accepted, nor its silence noticed.
    *
-   * @param outdated whether the reply is older than what is known of it
+   * @param isOutdated whether the reply is older than what is known of it
    */
-  public boolean replyShowsNewIncarnation(boolean outdated) {
-    outdatedReplies = outdated ? outdatedReplies + 1 : 0;
-    return outdatedReplies >= NEW_INCARNATION_AFTER;
+  public boolean detectNewIncarnation(boolean isOutdated) {
+    outdatedReplies = isOutdated ? outdatedReplies + 1 : 0;
+    return outdatedReplies >= MIN_OUTDATED_REPLIES;
   }
 
   /** It has received something. */
-  public void prove() {
+  public void markProven() {
     proven = true;
     unprovenSince = NEVER;
     unansweredMessages = 0;
@@ -117,14 +119,14 @@
   /**
    * A heartbeat of the present agent epoch was accepted.
    *
-   * @param token whether it bears the present token
+   * @param hasPresentToken whether it bears the present token
    */
-  public void heartbeatAccepted(boolean token) {
-    if (token && withoutToken) {
-      withoutToken = false;
-      prove();
+  public void onHeartbeatAccepted(boolean hasPresentToken) {
+    if (hasPresentToken && lastHeartbeatLackedToken) {
+      lastHeartbeatLackedToken = false;
+      markProven();
     }
-    withoutToken |= !token;
+    lastHeartbeatLackedToken |= !hasPresentToken;
   }
 
   /**
@@ -139,26 +141,27 @@
    * A heartbeat of the present agent epoch has come.
    *
    * @param sequence its sequence number
-   * @param dueMs within which a machine that was answered sends the next heartbeat
+   * @param nextHeartbeatWithinMs time within which a machine that was answered sends the next
+   *     heartbeat
    */
-  public void heartbeatReceived(long sequence, long nowMs, long dueMs) {
+  public void onHeartbeatReceived(long sequence, long nowMs, long nextHeartbeatWithinMs) {
     highestSequence = Math.max(highestSequence, sequence);
-    long sinceAnswer = nowMs - heartbeatAnsweredAt;
+    long sinceAnswerMs = nowMs - heartbeatAnsweredAt;
     if (!proven
         && heartbeatAnsweredAt != NEVER
-        && sinceAnswer >= MIN_HEARTBEAT_GAP_MS
-        && sinceAnswer <= dueMs) {
-      prove();
+        && sinceAnswerMs >= MIN_HEARTBEAT_GAP_MS
+        && sinceAnswerMs <= nextHeartbeatWithinMs) {
+      markProven();
     }
   }
 
   /** How long ago its last heartbeat since it was unproven was answered; 0 if none was. */
-  public long answeredAgoMs(long nowMs) {
+  public long sinceHeartbeatAnswerMs(long nowMs) {
     return heartbeatAnsweredAt == NEVER ? 0 : nowMs - heartbeatAnsweredAt;
   }
 
   /** That heartbeat is answered with what may renew its lease. */
-  public void heartbeatAnswered(long nowMs) {
+  public void onHeartbeatAnswered(long nowMs) {
     heartbeatAnsweredAt = nowMs;
   }
 }
--- a/src/main/java/org/snowturn/core/leader/HealthSweep.java
+++ b/src/main/java/org/snowturn/core/leader/HealthSweep.java
@@ -5,7 +5,7 @@
 import org.snowturn.config.Settings;
 import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.assignment.HeartbeatProcessor;
-import org.snowturn.core.connectivity.WorkerSilence;
+import org.snowturn.core.connectivity.WorkerSilenceDetector;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.health.Reachability;
 import org.snowturn.core.model.Machine;
@@ -113,7 +113,7 @@
         && countHeard * CUT_OFF_RATIO < countSilent
         && silence.termOlderThan(2 * HeartbeatProcessor.leaseExpiryMs(settings))
         && !settings.peers().isEmpty()
-        && node.connectivity().otherMayServe();
+        && node.connectivity().canPeerServe();
   }
 
   private void check(Machine machine) {
@@ -161,12 +161,12 @@
 
   /** A machine whose heartbeats come, but which may not receive what it is sent. */
   private void replaceUnreachable(Machine machine) {
-    if (machine.isTerminating() || machine.reachability.proven()) {
+    if (machine.isTerminating() || machine.reachability.isProven()) {
       return;
     }
     reachability.probeIfDue(machine);
     countUnreachable +=
-        machine.reachability.unansweredMessages() >= Reachability.UNREACHABLE_AFTER ? 1 : 0;
+        machine.reachability.unansweredMessages() >= Reachability.MIN_UNANSWERED_MESSAGES ? 1 : 0;
     if (machine.reachability.isUnreachable(runtime.now(), unreachableLimitMs())
         && unreachable * 2 < total
         && silence.mayReplace()) {
@@ -210,12 +210,12 @@
 
   /** Whether this node should resign since no worker reaches it and a peer is reached. */
   private boolean isCutOffFromWorkers() {
-    WorkerSilence workers = silence.workers();
-    workers.sweep(total, runtime.now());
+    WorkerSilenceDetector workers = silence.workers();
+    workers.endSweep(total, runtime.now());
     boolean reassigned = silence.workersReassigned();
-    probeSample(reassigned ? 0 : workers.probesWanted());
-    boolean unheard = workers.isolated(reassigned) && !settings.peers().isEmpty();
-    return workers.shouldHandOver(unheard, node.connectivity().otherMayServe());
+    probeSample(reassigned ? 0 : workers.probesNeeded());
+    boolean unheard = workers.isIsolated(reassigned) && !settings.peers().isEmpty();
+    return workers.countHandoverSweep(unheard, node.connectivity().canPeerServe());
   }
 
   /** Probes about so many machines from all over the cluster. */
--- a/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
+++ b/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
@@ -97,8 +97,8 @@
     }
     reachability.messageAnswered(machine, heartbeat);
     apply(machine, heartbeat);
-    if (!machine.reachability.proven()) {
-      machine.reachability.prove();
+    if (!machine.reachability.isProven()) {
+      machine.reachability.markProven();
       services.assignments().markChanged();
     }
   }
--- a/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
@@ -54,7 +54,7 @@
 
   /** Whether all records are known, so that decisions may be made. */
   boolean loaded() {
-    return phases.reached(RecoveryPhase.PROBING);
+    return phases.hasReached(RecoveryPhase.PROBING);
   }
 
   /** The revision from which on changes of jobs are to be watched. */
@@ -109,7 +109,7 @@
    * work of tasks on the few machines that were first to answer.
    */
   boolean mostHeard() {
-    return phases.reached(RecoveryPhase.RECONCILED) || (loaded() && prober.mostHeard());
+    return phases.hasReached(RecoveryPhase.RECONCILED) || (loaded() && prober.mostHeard());
   }
 
   /** The machine has been heard, and whether it knows the present token. */
@@ -170,7 +170,7 @@
   /** The gauges of the recovery by name. */
   Map<String, Double> gauges() {
     return Map.of(
-        "snowturn.term.phase", (double) phases.now().number(),
+        "snowturn.term.phase", (double) phases.phase().number(),
         "snowturn.term.machines.unconfirmed", (double) prober.unheard(),
         "snowturn.term.probes", (double) prober.sent(),
         "snowturn.term.probes.window", (double) prober.window(),
--- a/src/main/java/org/snowturn/core/leader/MachineSilence.java
+++ b/src/main/java/org/snowturn/core/leader/MachineSilence.java
@@ -4,7 +4,7 @@
 import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.assignment.HeartbeatProcessor;
 import org.snowturn.core.autoscaling.ZoneOutages;
-import org.snowturn.core.connectivity.WorkerSilence;
+import org.snowturn.core.connectivity.WorkerSilenceDetector;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.model.Machine;
 
@@ -17,7 +17,7 @@
   private final Settings settings;
   private final ZoneOutages zoneOutages;
   private final LeaderRecovery recovery;
-  private final WorkerSilence workerSilence;
+  private final WorkerSilenceDetector workerSilence;
   private final long termBeganAt;
 
   MachineSilence(LeaderDependencies node, ZoneOutages zoneOutages, LeaderRecovery recovery) {
@@ -25,7 +25,8 @@
     this.settings = node.settings();
     this.zoneOutages = zoneOutages;
     this.recovery = recovery;
-    this.workerSilence = new WorkerSilence(HealthSweep.INTERVAL_MS, settings.workers().reportS());
+    this.workerSilence =
+        new WorkerSilenceDetector(HealthSweep.INTERVAL_MS, settings.workers().reportS());
     this.termBeganAt = runtime.now();
   }
 
@@ -41,16 +42,16 @@
 
   /** A worker has sent a message to this node. */
   void workerHeard() {
-    workerSilence.heard();
+    workerSilence.onWorkerHeard();
   }
 
   /** A message to a worker got no answer. */
   void workerUnanswered() {
-    workerSilence.unanswered();
+    workerSilence.onMessageUnanswered();
   }
 
   /** How workers are heard by this node as a whole. */
-  WorkerSilence workers() {
+  WorkerSilenceDetector workers() {
     return workerSilence;
   }
 
@@ -85,6 +86,6 @@
   }
 
   private boolean silenceIsTheirs() {
-    return workerSilence.mayJudgeMachines(runtime.now()) && zoneOutages.isConnected();
+    return workerSilence.canTrustMachineSilence(runtime.now()) && zoneOutages.isConnected();
   }
 }
--- a/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
+++ b/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
@@ -65,7 +65,7 @@
   /** That heartbeat was applied. */
   void heartbeatApplied(Machine machine, Heartbeat heartbeat) {
     if (heartbeat.agentEpoch() == machine.epoch()) {
-      machine.reachability.heartbeatReceived(
+      machine.reachability.onHeartbeatReceived(
           heartbeat.sequence(), runtime.now(), HeartbeatProcessor.heartbeatDueMs(settings));
     }
     probeIfDue(machine);
@@ -74,9 +74,9 @@
   /** The machine has answered a message; the heartbeat in its reply has not been applied yet. */
   void messageAnswered(Machine machine, Heartbeat heartbeat) {
     silence.workerHeard();
-    connectivity.workerHeard();
+    connectivity.onWorkerHeard();
     machine.probeSettled();
-    if (machine.reachability.replyShowsNewIncarnation(isOutdated(machine, heartbeat))) {
+    if (machine.reachability.detectNewIncarnation(isOutdated(machine, heartbeat))) {
       autoscaler.terminate(machine, "has started anew");
     }
   }
@@ -97,7 +97,7 @@
     boolean inTurn =
         machine.session.isAcknowledged()
             || (recovery.mostHeard()
-                && machine.reachability.answeredAgoMs(runtime.now()) > NEXT_HEARTBEAT_MS);
+                && machine.reachability.sinceHeartbeatAnswerMs(runtime.now()) > NEXT_HEARTBEAT_MS);
     if (inTurn
         && machine.addr() != null
         && machine.commands().idle()
@@ -113,7 +113,7 @@
     machine.setBlockedUntil(Math.max(machine.blockedUntil(), runtime.now() + BLOCKED_MS));
     recovery.unanswered(machine);
     silence.workerUnanswered();
-    if (machine.reachability.unansweredMessages() == Reachability.UNREACHABLE_AFTER) {
+    if (machine.reachability.unansweredMessages() == Reachability.MIN_UNANSWERED_MESSAGES) {
       runtime
           .events()
           .info(LogEvent.MACHINE_UNREACHABLE)
--- a/src/main/java/org/snowturn/core/leader/RecoveryProber.java
+++ b/src/main/java/org/snowturn/core/leader/RecoveryProber.java
@@ -86,7 +86,7 @@
         probes.add(machine.index, urgency(machine, replicaCpus, batchTaskCpus), notBefore);
       }
     }
-    initiallyUnheard = probes.unheard();
+    initiallyUnheard = probes.unheardMachines();
     startedAt = runtime.now();
     probe();
   }
@@ -117,12 +117,12 @@
   /** Sends the probes that are due. */
   void probe() {
     int next;
-    while ((next = probes.next(runtime.now())) >= 0) {
+    while ((next = probes.nextMachine(runtime.now())) >= 0) {
       Machine machine = machines.get(next);
       if (machine.isTerminated() || machine.isTerminating()) {
-        probes.drop(next);
+        probes.remove(next);
       } else if (machine.addr() == null) {
-        probes.unanswered(next, runtime.now(), false);
+        probes.onUnanswered(next, runtime.now(), false);
       } else {
         machine.commands().probe();
       }
@@ -134,9 +134,9 @@
     long now = runtime.now();
     if (now - lastTickAt > LATE_TICK_MS) {
       lastLateTickAt = now;
-      probes.nodeLate(now);
+      probes.onNodeLate(now);
     } else if (now - lastTickAt < PROMPT_TICK_MS) {
-      probes.nodeOnTime();
+      probes.onNodeOnTime();
     }
     lastTickAt = now;
   }
@@ -149,7 +149,7 @@
   /** This machine has been heard, with or without the present token. */
   void heard(Machine machine) {
     if (machine.session.isAcknowledged()) {
-      probes.heard(machine.index, runtime.now());
+      probes.onHeard(machine.index, runtime.now());
       probe();
     } else {
       // It has the token from our answer now, and a higher token makes it report again at once.
@@ -164,21 +164,21 @@
    */
   void unanswered(Machine machine) {
     boolean othersHeard = runtime.now() - lastHeardAt < OTHERS_HEARD_MS;
-    probes.unanswered(machine.index, runtime.now(), othersHeard);
+    probes.onUnanswered(machine.index, runtime.now(), othersHeard);
   }
 
   /** Machines that have ended or are about to be terminated need not be probed. */
   void dropTerminating() {
     for (Machine machine : machines.present()) {
       if (machine.isTerminating()) {
-        probes.drop(machine.index);
+        probes.remove(machine.index);
       }
     }
   }
 
   /** Whether nearly all machines have been heard, or have had the time for it. */
   boolean mostHeard() {
-    return probes.unheard() * MOST_DIVISOR <= initiallyUnheard
+    return probes.unheardMachines() * MOST_DIVISOR <= initiallyUnheard
         || runtime.now() - startedAt > MAX_WAIT_MS;
   }
 
@@ -193,17 +193,17 @@
 
   /** Whether the machine has left a probe unanswered and has not been heard since. */
   boolean hasMissedProbe(Machine machine) {
-    return probes.hasMissed(machine.index);
+    return probes.hasMissedProbe(machine.index);
   }
 
   /** How many machines have not been heard. */
   int unheard() {
-    return probes.unheard();
+    return probes.unheardMachines();
   }
 
   /** How many probes have been sent. */
   long sent() {
-    return probes.sent();
+    return probes.sentCount();
   }
 
   /** How many probes may be under way now. */
--- a/src/main/java/org/snowturn/core/model/Machine.java
+++ b/src/main/java/org/snowturn/core/model/Machine.java
@@ -164,8 +164,8 @@
     if (!session.isAcknowledged()) {
       return "unacknowledged";
     }
-    if (!reachability.proven()) {
-      return reachability.unansweredMessages() >= Reachability.UNREACHABLE_AFTER
+    if (!reachability.isProven()) {
+      return reachability.unansweredMessages() >= Reachability.MIN_UNANSWERED_MESSAGES
           ? "unreachable"
           : "unproven";
     }
--- a/src/main/java/org/snowturn/core/recovery/Backoff.java
+++ b/src/main/java/org/snowturn/core/recovery/Backoff.java
@@ -14,7 +14,7 @@
   private final RandomGenerator random;
   private final long minMs;
   private final long maxMs;
-  private long nextMs;
+  private long upperBoundMs;
 
   /**
    * A sequence of delays that starts anew after each success.
@@ -29,7 +29,7 @@
     this.random = random;
     this.minMs = minMs;
     this.maxMs = maxMs;
-    this.nextMs = minMs;
+    this.upperBoundMs = minMs;
   }
 
   /**
@@ -37,16 +37,16 @@
    *
    * @param retryAfterMs what the other side asked for; 0 if it did not
    */
-  public long next(long retryAfterMs) {
-    long upper = nextMs;
-    nextMs = Math.min(maxMs, upper * 2);
-    long half = upper / 2;
-    long delay = upper - (long) (random.nextDouble() * half);
-    return Math.max(delay, retryAfterMs);
+  public long nextDelayMs(long retryAfterMs) {
+    long upperMs = upperBoundMs;
+    upperBoundMs = Math.min(maxMs, upperMs * 2);
+    long halfMs = upperMs / 2;
+    long delayMs = upperMs - (long) (random.nextDouble() * halfMs);
+    return Math.max(delayMs, retryAfterMs);
   }
 
   /** The last try went well. */
   public void reset() {
-    nextMs = minMs;
+    upperBoundMs = minMs;
   }
 }
--- a/src/main/java/org/snowturn/core/recovery/PacedProbes.java
+++ b/src/main/java/org/snowturn/core/recovery/PacedProbes.java
@@ -19,7 +19,7 @@
  */
 public final class PacedProbes {
   /** How many probes without a reply are needed before silence says anything. */
-  public static final int MIN_ATTEMPTS = 3;
+  public static final int MIN_UNANSWERED_PROBES = 3;
 
   private static final int INITIAL_WINDOW = 16;
   private static final int MIN_WINDOW = 4;
@@ -31,45 +31,45 @@
   private static final double SHRINK_FACTOR = 0.7;
 
   /** A reply within this time is prompt. */
-  private static final long PROMPT_MS = 120;
+  private static final long MAX_PROMPT_REPLY_MS = 120;
 
   /** A probe that has been open for so long no longer holds a place in the window. */
-  private static final long MAX_HOLD_MS = 300;
+  private static final long MAX_TIME_IN_WINDOW_MS = 300;
 
   /** Between two shrinks, so that one late moment counts once. */
-  private static final long SHRINK_INTERVAL_MS = 200;
+  private static final long MIN_SHRINK_INTERVAL_MS = 200;
 
   /** The probes of one machine. */
   private static final class Probe {
-    private final int id;
+    private final int machineId;
     private final int urgency;
     private int unanswered;
-    private long notBefore;
+    private long notBeforeMs;
     private long firstSentAt = Long.MAX_VALUE;
     private long sentAt;
-    private boolean open;
+    private boolean isOpen;
 
-    Probe(int id, int urgency, long notBefore) {
-      this.id = id;
+    Probe(int machineId, int urgency, long notBeforeMs) {
+      this.machineId = machineId;
       this.urgency = urgency;
-      this.notBefore = notBefore;
+      this.notBeforeMs = notBeforeMs;
     }
   }
 
   private final Int2ObjectHashMap<Probe> probes = new Int2ObjectHashMap<>();
   private final PriorityQueue<Probe> waiting =
       new PriorityQueue<>(
-          Comparator.<Probe>comparingLong(probe -> probe.notBefore)
+          Comparator.<Probe>comparingLong(probe -> probe.notBeforeMs)
               .thenComparingInt(probe -> probe.urgency)
-              .thenComparingInt(probe -> probe.id));
+              .thenComparingInt(probe -> probe.machineId));
 
   /** Those under way that hold a place in the window, the longest first. */
   private final ArrayDeque<Probe> inWindow = new ArrayDeque<>();
 
   private final long retryMs;
   private double window = INITIAL_WINDOW;
-  private long shrunkAt = Long.MIN_VALUE / 2;
-  private long sent;
+  private long lastShrunkAt = Long.MIN_VALUE / 2;
+  private long sentCount;
 
   /**
    * No machine is to be probed yet.
@@ -83,64 +83,64 @@
   /**
    * Adds a machine that is to be probed, unless it is already known.
    *
-   * @param id the machine's index
+   * @param machineId the machine's index
    * @param urgency smaller ones go first
    * @param notBeforeMs until then it is expected to be heard by itself
    */
-  public void add(int id, int urgency, long notBeforeMs) {
-    if (!probes.containsKey(id)) {
-      Probe probe = new Probe(id, urgency, notBeforeMs);
-      probes.put(id, probe);
+  public void add(int machineId, int urgency, long notBeforeMs) {
+    if (!probes.containsKey(machineId)) {
+      Probe probe = new Probe(machineId, urgency, notBeforeMs);
+      probes.put(machineId, probe);
       waiting.add(probe);
     }
   }
 
   /** The machine is expected to be heard by itself until then. */
-  public void postpone(int id, long notBeforeMs) {
-    Probe probe = probes.get(id);
-    if (probe != null && !probe.open && probe.notBefore < notBeforeMs) {
+  public void postpone(int machineId, long notBeforeMs) {
+    Probe probe = probes.get(machineId);
+    if (probe != null && !probe.isOpen && probe.notBeforeMs < notBeforeMs) {
       waiting.remove(probe);
-      probe.notBefore = notBeforeMs;
+      probe.notBeforeMs = notBeforeMs;
       waiting.add(probe);
     }
   }
 
   /** The machine that is to be probed now, or -1 if none is or the window is full. */
-  public int next(long nowMs) {
-    while (!inWindow.isEmpty() && nowMs - inWindow.peek().sentAt >= MAX_HOLD_MS) {
+  public int nextMachine(long nowMs) {
+    while (!inWindow.isEmpty() && nowMs - inWindow.peek().sentAt >= MAX_TIME_IN_WINDOW_MS) {
       release(inWindow.peek()); // dead, most likely: that is no sign of a node that is behind
     }
     if (inWindow.size() >= (int) window) {
       return -1;
     }
     Probe probe = waiting.peek();
-    if (probe == null || probe.notBefore > nowMs) {
+    if (probe == null || probe.notBeforeMs > nowMs) {
       return -1;
     }
     waiting.poll();
     probe.sentAt = nowMs;
     probe.firstSentAt = Math.min(probe.firstSentAt, nowMs);
-    probe.open = true;
-    sent++;
+    probe.isOpen = true;
+    sentCount++;
     inWindow.add(probe);
-    return probe.id;
+    return probe.machineId;
   }
 
   /** The machine has been heard, probed or not. */
-  public void heard(int id, long nowMs) {
-    Probe probe = probes.remove(id);
+  public void onHeard(int machineId, long nowMs) {
+    Probe probe = probes.remove(machineId);
     if (probe == null) {
       return;
     }
-    if (!probe.open) {
+    if (!probe.isOpen) {
       waiting.remove(probe);
       return;
     }
     if (release(probe)) {
-      if (nowMs - probe.sentAt <= PROMPT_MS) {
+      if (nowMs - probe.sentAt <= MAX_PROMPT_REPLY_MS) {
         window = Math.min(MAX_WINDOW, window + 1);
       } else {
-        shrink(nowMs);
+        shrinkWindow(nowMs);
       }
     }
   }
@@ -148,23 +148,23 @@
   /**
    * A probe got no reply: it is repeated later.
    *
-   * @param counts whether that says something of the machine
+   * @param countsAsSilence whether that says something of the machine
    */
-  public void unanswered(int id, long nowMs, boolean counts) {
-    Probe probe = probes.get(id);
-    if (probe == null || !probe.open) {
+  public void onUnanswered(int machineId, long nowMs, boolean countsAsSilence) {
+    Probe probe = probes.get(machineId);
+    if (probe == null || !probe.isOpen) {
       return;
     }
     release(probe);
-    probe.open = false;
-    probe.unanswered += counts ? 1 : 0;
-    probe.notBefore = nowMs + retryMs;
+    probe.isOpen = false;
+    probe.unanswered += countsAsSilence ? 1 : 0;
+    probe.notBeforeMs = nowMs + retryMs;
     waiting.add(probe);
   }
 
   /** The machine need not be probed any more. */
-  public void drop(int id) {
-    Probe probe = probes.remove(id);
+  public void remove(int machineId) {
+    Probe probe = probes.remove(machineId);
     if (probe != null) {
       waiting.remove(probe);
       release(probe);
@@ -172,44 +172,44 @@
   }
 
   /** The node itself is behind with its work. */
-  public void nodeLate(long nowMs) {
-    shrink(nowMs);
+  public void onNodeLate(long nowMs) {
+    shrinkWindow(nowMs);
   }
 
   /** The node keeps up with its work: it can bear more probes, though few are answered. */
-  public void nodeOnTime() {
+  public void onNodeOnTime() {
     if (window < MAX_WINDOW_WITHOUT_REPLIES) {
       window++;
     }
   }
 
   /**
-   * Whether the machine's silence says something: {@link #MIN_ATTEMPTS} probes got no reply, and
-   * the first was sent at least so long ago.
+   * Whether the machine's silence says something: {@link #MIN_UNANSWERED_PROBES} probes got no
+   * reply, and the first was sent at least so long ago.
    *
-   * @param sinceMs the time that must have passed since the first probe
+   * @param minSinceFirstProbeMs the time that must have passed since the first probe
    */
-  public boolean isUnresponsive(int id, long sinceMs, long nowMs) {
-    Probe probe = probes.get(id);
+  public boolean isUnresponsive(int machineId, long minSinceFirstProbeMs, long nowMs) {
+    Probe probe = probes.get(machineId);
     return probe != null
-        && probe.unanswered >= MIN_ATTEMPTS
-        && nowMs - probe.firstSentAt >= sinceMs;
+        && probe.unanswered >= MIN_UNANSWERED_PROBES
+        && nowMs - probe.firstSentAt >= minSinceFirstProbeMs;
   }
 
   /** Whether the machine has left a probe unanswered and has not been heard since. */
-  public boolean hasMissed(int id) {
-    Probe probe = probes.get(id);
+  public boolean hasMissedProbe(int machineId) {
+    Probe probe = probes.get(machineId);
     return probe != null && probe.unanswered > 0;
   }
 
   /** How many machines have not been heard. */
-  public int unheard() {
+  public int unheardMachines() {
     return probes.size();
   }
 
   /** How many probes have been sent. */
-  public long sent() {
-    return sent;
+  public long sentCount() {
+    return sentCount;
   }
 
   /** How many probes may be under way now. */
@@ -222,9 +222,9 @@
     return inWindow.remove(probe);
   }
 
-  private void shrink(long nowMs) {
-    if (nowMs - shrunkAt >= SHRINK_INTERVAL_MS) {
-      shrunkAt = nowMs;
+  private void shrinkWindow(long nowMs) {
+    if (nowMs - lastShrunkAt >= MIN_SHRINK_INTERVAL_MS) {
+      lastShrunkAt = nowMs;
       window = Math.max(MIN_WINDOW, window * SHRINK_FACTOR);
     }
   }
--- a/src/main/java/org/snowturn/core/recovery/Reconciliation.java
+++ b/src/main/java/org/snowturn/core/recovery/Reconciliation.java
@@ -28,13 +28,13 @@
     INHERITED;
 
     /** Whether this attempt may be on this machine. */
-    public boolean here() {
+    public boolean isPlacedHere() {
       return this == PLACING || this == STARTED || this == INHERITED;
     }
   }
 
   /** What the machine says of the attempt. */
-  public enum Seen {
+  public enum Reported {
     /** Not listed. */
     ABSENT,
     /** Fetching, running or saving. */
@@ -46,7 +46,7 @@
   }
 
   /** The report's session as against the one in which the attempt was placed. */
-  public enum AgentEpoch {
+  public enum EpochOrder {
     EARLIER,
     SAME,
     LATER
@@ -80,8 +80,8 @@
    */
   public record Case(
       Stored stored,
-      Seen seen,
-      AgentEpoch session,
+      Reported reported,
+      EpochOrder epochOrder,
       boolean presentToken,
       boolean stopping,
       boolean settled) {}
@@ -89,30 +89,30 @@
   private Reconciliation() {}
 
   /** The verdict for a case. */
-  public static Verdict of(Case attempt) {
-    if (!attempt.stored.here()) {
-      return notHere(attempt);
+  public static Verdict decide(Case attempt) {
+    if (!attempt.stored.isPlacedHere()) {
+      return decideNotPlacedHere(attempt);
     }
-    return switch (attempt.session) {
+    return switch (attempt.epochOrder) {
       case LATER -> Verdict.RELEASE;
       case EARLIER -> Verdict.WAIT;
       // What was not sent cannot be listed; if it seems to be, nothing is done about it.
-      case SAME -> attempt.stored == Stored.PLACING ? Verdict.WAIT : here(attempt);
+      case SAME -> attempt.stored == Stored.PLACING ? Verdict.WAIT : decidePlacedHere(attempt);
     };
   }
 
-  private static Verdict here(Case attempt) {
-    return switch (attempt.seen) {
+  private static Verdict decidePlacedHere(Case attempt) {
+    return switch (attempt.reported) {
       case ALIVE -> attempt.stopping ? Verdict.STOP : Verdict.KEEP;
       // Not only absence but also an end has to be told under this token: a report without it may
       // be older than what an earlier leader has done since.
       case DONE -> attempt.presentToken ? Verdict.COMPLETE : Verdict.WAIT;
       case ENDED -> attempt.presentToken ? Verdict.RELEASE : Verdict.WAIT;
-      case ABSENT -> absent(attempt);
+      case ABSENT -> decideNotListed(attempt);
     };
   }
 
-  private static Verdict absent(Case attempt) {
+  private static Verdict decideNotListed(Case attempt) {
     return switch (attempt.stored) {
       // One that is to stop is not started to be stopped, once no start of it can still arrive.
       case STARTED ->
@@ -124,21 +124,21 @@
     };
   }
 
-  private static Verdict notHere(Case attempt) {
-    return switch (attempt.seen) {
+  private static Verdict decideNotPlacedHere(Case attempt) {
+    return switch (attempt.reported) {
       case ABSENT -> Verdict.WAIT;
       case ALIVE -> Verdict.STOP;
       case DONE -> {
         if (attempt.stored == Stored.WAITING && attempt.presentToken) {
           yield Verdict.COMPLETE;
         }
-        yield forget(attempt);
+        yield decideForget(attempt);
       }
-      case ENDED -> forget(attempt);
+      case ENDED -> decideForget(attempt);
     };
   }
 
-  private static Verdict forget(Case attempt) {
+  private static Verdict decideForget(Case attempt) {
     return attempt.presentToken && attempt.settled ? Verdict.FORGET : Verdict.WAIT;
   }
 }
--- a/src/main/java/org/snowturn/core/recovery/RecoveryProgress.java
+++ b/src/main/java/org/snowturn/core/recovery/RecoveryProgress.java
@@ -5,11 +5,11 @@
 
 /** The phases of one term with the times at which they began; phases only go forward. */
 public final class RecoveryProgress {
-  private static final long NOT_YET = -1;
+  private static final long NOT_ENTERED = -1;
 
   private final long wonAt;
-  private final long[] began = new long[RecoveryPhase.values().length];
-  private RecoveryPhase now = RecoveryPhase.WON;
+  private final long[] phaseBeganAt = new long[RecoveryPhase.values().length];
+  private RecoveryPhase currentPhase = RecoveryPhase.WON;
 
   /**
    * A term that has just been won.
@@ -18,34 +18,34 @@
    */
   public RecoveryProgress(long nowMs) {
     wonAt = nowMs;
-    Arrays.fill(began, NOT_YET);
-    began[RecoveryPhase.WON.number()] = nowMs;
+    Arrays.fill(phaseBeganAt, NOT_ENTERED);
+    phaseBeganAt[RecoveryPhase.WON.number()] = nowMs;
   }
 
   /** The present phase. */
-  public RecoveryPhase now() {
-    return now;
+  public RecoveryPhase phase() {
+    return currentPhase;
   }
 
   /** Whether this phase has begun. */
-  public boolean reached(RecoveryPhase phase) {
-    return now.compareTo(phase) >= 0;
+  public boolean hasReached(RecoveryPhase phase) {
+    return currentPhase.compareTo(phase) >= 0;
   }
 
   /** Begins a phase if it is a later one; tells whether it did. */
   public boolean enter(RecoveryPhase phase, long nowMs) {
-    if (reached(phase)) {
+    if (hasReached(phase)) {
       return false;
     }
-    now = phase;
-    began[phase.number()] = nowMs;
+    currentPhase = phase;
+    phaseBeganAt[phase.number()] = nowMs;
     return true;
   }
 
   /** How long after the term was won the phase began, in milliseconds; -1 if it was not seen. */
-  public long afterMs(RecoveryPhase phase) {
-    long at = began[phase.number()];
-    return at == NOT_YET ? NOT_YET : at - wonAt;
+  public long sinceWonMs(RecoveryPhase phase) {
+    long beganAt = phaseBeganAt[phase.number()];
+    return beganAt == NOT_ENTERED ? NOT_ENTERED : beganAt - wonAt;
   }
 
   /** The phases so far for the log, such as "won 0 ms, reading 2 ms". */
@@ -53,9 +53,12 @@
   public String toString() {
     StringBuilder out = new StringBuilder();
     for (RecoveryPhase phase : RecoveryPhase.values()) {
-      if (afterMs(phase) != NOT_YET) {
+      if (sinceWonMs(phase) != NOT_ENTERED) {
         String name = phase.name().toLowerCase(Locale.ROOT);
-        out.append(out.length() == 0 ? "" : ", ").append(name).append(' ').append(afterMs(phase));
+        out.append(out.length() == 0 ? "" : ", ")
+            .append(name)
+            .append(' ')
+            .append(sinceWonMs(phase));
         out.append(" ms");
       }
     }
--- a/src/main/java/org/snowturn/peer/MessageKind.java
+++ b/src/main/java/org/snowturn/peer/MessageKind.java
@@ -179,8 +179,8 @@
 
   private static void writeConnectivity(
       DataOutputStream out, PeerMessage.ConnectivityReport message) throws IOException {
-    out.writeInt(message.connectivity().stateMs());
-    out.writeInt(message.connectivity().workersMs());
+    out.writeInt(message.connectivity().sinceStateAnswerMs());
+    out.writeInt(message.connectivity().sinceWorkerHeardMs());
   }
 
   private static PeerMessage.ConnectivityReport readConnectivity(String from, DataInputStream in)
--- a/src/test/java/org/snowturn/core/health/AttemptSnapshotTest.java
+++ b/src/test/java/org/snowturn/core/health/AttemptSnapshotTest.java
@@ -43,7 +43,7 @@
             failed,
             RENEWED,
             LEASE_EXPIRY_MS);
-    return attempt.objection(evidence) == null;
+    return attempt.rejectionReason(evidence) == null;
   }
 
   @Test
--- a/src/test/java/org/snowturn/core/health/FailureAttributionTest.java
+++ b/src/test/java/org/snowturn/core/health/FailureAttributionTest.java
@@ -89,14 +89,15 @@
 
     void check(FailureAttribution attribution) {
       for (int machine = world.sick; machine < world.machines; machine++) {
-        assertFalse(attribution.isFaulty(machine), "healthy machine " + machine + " condemned");
+        assertFalse(
+            attribution.isMachineFaulty(machine), "healthy machine " + machine + " condemned");
       }
       for (int machine = 0; machine < world.sick; machine++) {
         boolean faulty = healthyJobFailures[machine] >= FAULTY_AFTER;
-        assertEquals(faulty, attribution.isFaulty(machine), "faulty machine " + machine);
+        assertEquals(faulty, attribution.isMachineFaulty(machine), "faulty machine " + machine);
       }
       for (int job = 0; job < world.jobs; job++) {
-        boolean suspected = attribution.isSuspected(job);
+        boolean suspected = attribution.isJobSuspected(job);
         assertFalse(provenJobs.contains(job) && suspected, "healthy job " + job + " suspected");
         boolean fewFailures = failedMachines.get(job).size() < 4;
         assertTrue(job >= world.broken || fewFailures || suspected, "broken " + job);
@@ -112,10 +113,10 @@
       int job = run[0];
       int machine = run[1];
       if (world.fails(run)) {
-        attribution.failed(job, machine);
+        attribution.onTaskFailed(job, machine);
         expectation.failed(job, machine);
       } else {
-        attribution.succeeded(job, machine);
+        attribution.onTaskSucceeded(job, machine);
         expectation.succeeded(job, machine);
       }
       expectation.check(attribution);
@@ -126,12 +127,12 @@
   void whatAJobToldOfAMachineOutlivesIt() {
     FailureAttribution attribution = new FailureAttribution(FAULTY_AFTER);
     for (int job = 0; job < 3; job++) {
-      attribution.failed(job, 7);
-      attribution.succeeded(job, 8);
+      attribution.onTaskFailed(job, 7);
+      attribution.onTaskSucceeded(job, 8);
       attribution.forgetJob(job);
     }
-    assertTrue(attribution.isFaulty(7));
-    attribution.failed(5, 8);
+    assertTrue(attribution.isMachineFaulty(7));
+    attribution.onTaskFailed(5, 8);
     attribution.forgetJob(5); // cancelled: its user's mistake, perhaps
     assertEquals(0, attribution.unexplainedFailures(8));
   }
@@ -139,14 +140,14 @@
   @Test
   void twoSoundMachinesAreEnoughToSuspectAJob() {
     FailureAttribution attribution = new FailureAttribution(FAULTY_AFTER);
-    attribution.succeeded(1, 1);
-    attribution.succeeded(1, 2);
-    attribution.failed(2, 1);
-    attribution.failed(2, 1);
-    assertFalse(attribution.isSuspected(2));
-    attribution.failed(2, 2);
-    assertTrue(attribution.isSuspected(2));
-    attribution.succeeded(2, 3);
-    assertFalse(attribution.isSuspected(2));
+    attribution.onTaskSucceeded(1, 1);
+    attribution.onTaskSucceeded(1, 2);
+    attribution.onTaskFailed(2, 1);
+    attribution.onTaskFailed(2, 1);
+    assertFalse(attribution.isJobSuspected(2));
+    attribution.onTaskFailed(2, 2);
+    assertTrue(attribution.isJobSuspected(2));
+    attribution.onTaskSucceeded(2, 3);
+    assertFalse(attribution.isJobSuspected(2));
   }
 }
--- a/src/test/java/org/snowturn/core/health/ReachabilityTest.java
+++ b/src/test/java/org/snowturn/core/health/ReachabilityTest.java
@@ -18,33 +18,33 @@
   private long sequence;
 
   private void heartbeat(Reachability reachability, long at, boolean token) {
-    reachability.heartbeatAccepted(token);
-    reachability.heartbeatReceived(++sequence, at, DUE_MS);
-    reachability.heartbeatAnswered(at);
+    reachability.onHeartbeatAccepted(token);
+    reachability.onHeartbeatReceived(++sequence, at, DUE_MS);
+    reachability.onHeartbeatAnswered(at);
   }
 
   @Test
   void aLearntTokenProves() {
     Reachability reachability = new Reachability();
     heartbeat(reachability, 0, false);
-    assertFalse(reachability.proven());
+    assertFalse(reachability.isProven());
     heartbeat(reachability, 500, true);
-    assertTrue(reachability.proven());
+    assertTrue(reachability.isProven());
   }
 
   @Test
   void anUnansweredMessageIsDoubtUntilAnAnswerOrTwoReportsInTime() {
     Reachability reachability = new Reachability();
-    reachability.prove();
-    reachability.messageUnanswered(1_000);
-    assertFalse(reachability.proven());
-    reachability.prove();
-    assertTrue(reachability.proven());
-    reachability.messageUnanswered(5_000);
+    reachability.markProven();
+    reachability.onMessageUnanswered(1_000);
+    assertFalse(reachability.isProven());
+    reachability.markProven();
+    assertTrue(reachability.isProven());
+    reachability.onMessageUnanswered(5_000);
     heartbeat(reachability, 6_000, true);
-    assertFalse(reachability.proven());
+    assertFalse(reachability.isProven());
     heartbeat(reachability, 8_000, true);
-    assertTrue(reachability.proven());
+    assertTrue(reachability.isProven());
   }
 
   /** The next report of a worker without an answer comes after a time-out and a try elsewhere. */
@@ -52,8 +52,8 @@
   void aMachineThatReceivesNothingIsNeverProven(
       @ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 5) Integer> steps) {
     Reachability reachability = new Reachability();
-    reachability.prove();
-    reachability.messageUnanswered(0);
+    reachability.markProven();
+    reachability.onMessageUnanswered(0);
     long now = 0;
     long last = 0;
     for (int step : steps) {
@@ -64,14 +64,14 @@
           heartbeat(reachability, last, true);
         }
         case 2 -> heartbeat(reachability, last, true); // held back with the one before
-        case 3 -> reachability.messageUnanswered(now += 1_000);
-        case 4 -> reachability.newAgentEpoch(now);
+        case 3 -> reachability.onMessageUnanswered(now += 1_000);
+        case 4 -> reachability.onNewAgentEpoch(now);
         default -> assertTrue(reachability.claimProbe(now += 4_000));
       }
-      assertFalse(reachability.proven());
+      assertFalse(reachability.isProven());
     }
-    for (int i = 0; i < Reachability.UNREACHABLE_AFTER; i++) {
-      reachability.messageUnanswered(now);
+    for (int i = 0; i < Reachability.MIN_UNANSWERED_MESSAGES; i++) {
+      reachability.onMessageUnanswered(now);
     }
     assertTrue(reachability.isUnreachable(now + 20_000, 20_000));
   }
@@ -79,11 +79,11 @@
   @Test
   void aCopyIsLateAndANewSessionCountsAnew() {
     Reachability reachability = new Reachability();
-    reachability.heartbeatReceived(7, 0, DUE_MS);
+    reachability.onHeartbeatReceived(7, 0, DUE_MS);
     assertTrue(reachability.isStale(7));
     assertTrue(reachability.isStale(3));
     assertFalse(reachability.isStale(8));
-    reachability.newAgentEpoch(0);
+    reachability.onNewAgentEpoch(0);
     assertFalse(reachability.isStale(1));
   }
 
@@ -94,7 +94,7 @@
     for (long now = 0; now < 20_000; now += 250) {
       if (reachability.claimProbe(now)) {
         probes++;
-        reachability.messageUnanswered(now);
+        reachability.onMessageUnanswered(now);
       }
     }
     assertEquals(8, probes, 1);
--- a/src/test/java/org/snowturn/core/recovery/PacedProbesTest.java
+++ b/src/test/java/org/snowturn/core/recovery/PacedProbesTest.java
@@ -15,7 +15,7 @@
   private List<Integer> probedAt(long now) {
     List<Integer> out = new ArrayList<>();
     int id;
-    while ((id = probes.next(now)) >= 0) {
+    while ((id = probes.nextMachine(now)) >= 0) {
       out.add(id);
     }
     return out;
@@ -38,19 +38,19 @@
       probes.add(id, 0, 0);
     }
     List<Integer> asked = probedAt(0);
-    asked.forEach(id -> probes.heard(id, 10));
+    asked.forEach(id -> probes.onHeard(id, 10));
     assertEquals(32, probes.window());
-    probedAt(10).forEach(id -> probes.heard(id, 260));
+    probedAt(10).forEach(id -> probes.onHeard(id, 260));
     assertTrue(probes.window() < 32);
     int before = probes.window();
-    probes.nodeLate(1000);
+    probes.onNodeLate(1000);
     assertTrue(probes.window() < before);
     for (int i = 0; i < 100; i++) {
-      probes.nodeLate(2000 + 200L * i);
+      probes.onNodeLate(2000 + 200L * i);
     }
     assertEquals(4, probes.window());
     for (int i = 0; i < 100; i++) {
-      probes.nodeOnTime();
+      probes.onNodeOnTime();
     }
     assertEquals(64, probes.window());
   }
@@ -60,23 +60,23 @@
     probes.add(1, 0, 0);
     probes.add(2, 0, 0);
     probes.add(3, 0, 700);
-    probes.heard(1, 0);
+    probes.onHeard(1, 0);
     probes.postpone(2, 400);
     assertEquals(List.of(), probedAt(0));
     assertEquals(List.of(2), probedAt(400));
     assertEquals(List.of(3), probedAt(700));
-    assertEquals(2, probes.unheard());
-    assertEquals(2, probes.sent());
+    assertEquals(2, probes.unheardMachines());
+    assertEquals(2, probes.sentCount());
   }
 
   @Test
   void silenceCountsAfterThreeTriesAndSomeTime() {
     probes.add(7, 0, 0);
     long now = 0;
-    for (int i = 0; i < PacedProbes.MIN_ATTEMPTS; i++) {
+    for (int i = 0; i < PacedProbes.MIN_UNANSWERED_PROBES; i++) {
       assertEquals(List.of(7), probedAt(now));
       assertFalse(probes.isUnresponsive(7, 2000, now));
-      probes.unanswered(7, now + 1000, true);
+      probes.onUnanswered(7, now + 1000, true);
       now += 1500;
     }
     assertTrue(probes.isUnresponsive(7, 2000, now));
@@ -84,11 +84,11 @@
     probes.add(8, 0, now);
     for (int i = 0; i < 9; i++) {
       probedAt(now);
-      probes.unanswered(8, now, false);
+      probes.onUnanswered(8, now, false);
       now += 600;
     }
     assertFalse(probes.isUnresponsive(8, 2000, now));
-    probes.heard(7, now);
+    probes.onHeard(7, now);
     assertFalse(probes.isUnresponsive(7, 2000, now));
   }
 
@@ -107,13 +107,13 @@
     Backoff backoff = new Backoff(new SplittableRandom(7), 50, 800);
     long upper = 50;
     for (int i = 0; i < 10; i++) {
-      long delay = backoff.next(0);
+      long delay = backoff.nextDelayMs(0);
       assertTrue(delay > upper / 2 - 1 && delay <= upper, delay + " of " + upper);
       upper = Math.min(800, upper * 2);
     }
-    assertEquals(3000, backoff.next(3000));
+    assertEquals(3000, backoff.nextDelayMs(3000));
     backoff.reset();
-    assertTrue(backoff.next(0) <= 50);
+    assertTrue(backoff.nextDelayMs(0) <= 50);
   }
 
   @Test
@@ -122,8 +122,8 @@
     assertTrue(phases.enter(RecoveryPhase.PROBING, 350));
     assertFalse(phases.enter(RecoveryPhase.READING, 400));
     assertFalse(phases.enter(RecoveryPhase.PROBING, 500));
-    assertEquals(250, phases.afterMs(RecoveryPhase.PROBING));
-    assertEquals(-1, phases.afterMs(RecoveryPhase.READING));
+    assertEquals(250, phases.sinceWonMs(RecoveryPhase.PROBING));
+    assertEquals(-1, phases.sinceWonMs(RecoveryPhase.READING));
     assertEquals("won 0 ms, probing 250 ms", phases.toString());
   }
 }
--- a/src/test/java/org/snowturn/core/recovery/ReconciliationExplorer.java
+++ b/src/test/java/org/snowturn/core/recovery/ReconciliationExplorer.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Function;
-import org.snowturn.core.recovery.Reconciliation.AgentEpoch;
 import org.snowturn.core.recovery.Reconciliation.Case;
-import org.snowturn.core.recovery.Reconciliation.Seen;
+import org.snowturn.core.recovery.Reconciliation.EpochOrder;
+import org.snowturn.core.recovery.Reconciliation.Reported;
 import org.snowturn.core.recovery.Reconciliation.Stored;
 import org.snowturn.core.recovery.Reconciliation.Verdict;
 
@@ -234,7 +234,7 @@
     boolean sameSession = s[at(m, REPORT_SESSION)] == s[at(m, HEARD)];
     n[at(m, SHOWN)] = ours ? 1 : sameSession ? s[at(m, SHOWN)] : 0;
     n[at(m, HEARD)] = s[at(m, REPORT_SESSION)];
-    boolean here = s[AT] == m && Stored.values()[s[STORED]].here();
+    boolean here = s[AT] == m && Stored.values()[s[STORED]].isPlacedHere();
     if (here) {
       apply(n, verdict(n, m, s[ATTEMPT] - 1, ours));
     }
@@ -273,27 +273,27 @@
   /** Puts an attempt to the table, as the leader sees it with the report at hand. */
   private Verdict verdict(int[] n, int m, int attempt, boolean ours) {
     Stored now = Stored.values()[n[STORED]];
-    boolean here = now.here() && n[AT] == m && n[ATTEMPT] == attempt + 1;
-    Seen listed =
+    boolean here = now.isPlacedHere() && n[AT] == m && n[ATTEMPT] == attempt + 1;
+    Reported listed =
         switch (n[at(m, REPORT_TASKS + attempt)]) {
-          case ALIVE -> Seen.ALIVE;
-          case DONE -> Seen.DONE;
-          case ENDED -> Seen.ENDED;
-          default -> Seen.ABSENT;
+          case ALIVE -> Reported.ALIVE;
+          case DONE -> Reported.DONE;
+          case ENDED -> Reported.ENDED;
+          default -> Reported.ABSENT;
         };
-    AgentEpoch session =
+    EpochOrder session =
         n[at(m, REPORT_SESSION)] == n[IN_SESSION]
-            ? AgentEpoch.SAME
-            : n[at(m, REPORT_SESSION)] > n[IN_SESSION] ? AgentEpoch.LATER : AgentEpoch.EARLIER;
+            ? EpochOrder.SAME
+            : n[at(m, REPORT_SESSION)] > n[IN_SESSION] ? EpochOrder.LATER : EpochOrder.EARLIER;
     boolean settled =
         n[at(m, STARTS + attempt)] == 0
-            && (listed != Seen.ABSENT || n[at(m, REPORT_STARTS + attempt)] == 0);
-    Stored stored = here || !now.here() ? now : Stored.ELSEWHERE;
+            && (listed != Reported.ABSENT || n[at(m, REPORT_STARTS + attempt)] == 0);
+    Stored stored = here || !now.isPlacedHere() ? now : Stored.ELSEWHERE;
     return table.apply(
         new Case(
             stored,
             listed,
-            here ? session : AgentEpoch.SAME,
+            here ? session : EpochOrder.SAME,
             ours,
             here && n[STOPPING] == 1,
             settled));
--- a/src/test/java/org/snowturn/core/recovery/ReconciliationTest.java
+++ b/src/test/java/org/snowturn/core/recovery/ReconciliationTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.snowturn.core.recovery.Reconciliation.AgentEpoch;
 import org.snowturn.core.recovery.Reconciliation.Case;
-import org.snowturn.core.recovery.Reconciliation.Seen;
+import org.snowturn.core.recovery.Reconciliation.EpochOrder;
+import org.snowturn.core.recovery.Reconciliation.Reported;
 import org.snowturn.core.recovery.Reconciliation.Stored;
 import org.snowturn.core.recovery.Reconciliation.Verdict;
 
@@ -30,25 +30,25 @@
     "NOTHING,   WAIT    STOP FORGET   FORGET,  WAIT  STOP WAIT WAIT",
   })
   void sameSession(Stored stored, String ours, String others) {
-    for (Seen seen : Seen.values()) {
+    for (Reported seen : Reported.values()) {
       Verdict mine = verdicts(ours).get(seen);
       Verdict other = verdicts(others).get(seen);
-      assertEquals(mine, of(stored, seen, AgentEpoch.SAME, true, false, true), stored + " " + seen);
+      assertEquals(mine, of(stored, seen, EpochOrder.SAME, true, false, true), stored + " " + seen);
       assertEquals(
-          other, of(stored, seen, AgentEpoch.SAME, false, false, true), stored + " " + seen);
+          other, of(stored, seen, EpochOrder.SAME, false, false, true), stored + " " + seen);
     }
   }
 
   @Test
   void sessionsDecideOnlyAboutWhatWasPlacedThere() {
     for (Stored stored : Stored.values()) {
-      for (Seen seen : Seen.values()) {
+      for (Reported seen : Reported.values()) {
         for (boolean ours : new boolean[] {true, false}) {
-          Verdict same = of(stored, seen, AgentEpoch.SAME, ours, false, true);
-          Verdict later = of(stored, seen, AgentEpoch.LATER, ours, false, true);
-          Verdict earlier = of(stored, seen, AgentEpoch.EARLIER, ours, false, true);
-          assertEquals(stored.here() ? Verdict.RELEASE : same, later);
-          assertEquals(stored.here() ? Verdict.WAIT : same, earlier);
+          Verdict same = of(stored, seen, EpochOrder.SAME, ours, false, true);
+          Verdict later = of(stored, seen, EpochOrder.LATER, ours, false, true);
+          Verdict earlier = of(stored, seen, EpochOrder.EARLIER, ours, false, true);
+          assertEquals(stored.isPlacedHere() ? Verdict.RELEASE : same, later);
+          assertEquals(stored.isPlacedHere() ? Verdict.WAIT : same, earlier);
         }
       }
     }
@@ -57,10 +57,10 @@
   @Test
   void whatIsToStopIsStoppedWhileItLives() {
     for (Stored stored : new Stored[] {Stored.STARTED, Stored.INHERITED}) {
-      assertEquals(Verdict.STOP, of(stored, Seen.ALIVE, AgentEpoch.SAME, false, true, false));
+      assertEquals(Verdict.STOP, of(stored, Reported.ALIVE, EpochOrder.SAME, false, true, false));
       // An end is an end, whoever asked for it.
-      assertEquals(Verdict.RELEASE, of(stored, Seen.ENDED, AgentEpoch.SAME, true, true, false));
-      assertEquals(Verdict.COMPLETE, of(stored, Seen.DONE, AgentEpoch.SAME, true, true, false));
+      assertEquals(Verdict.RELEASE, of(stored, Reported.ENDED, EpochOrder.SAME, true, true, false));
+      assertEquals(Verdict.COMPLETE, of(stored, Reported.DONE, EpochOrder.SAME, true, true, false));
     }
   }
 
@@ -68,18 +68,18 @@
   @Test
   void whatIsToStopIsNotStartedToBeStoppedOnceNoStartOfItCanArrive() {
     assertEquals(
-        Verdict.RELEASE, of(Stored.STARTED, Seen.ABSENT, AgentEpoch.SAME, true, true, true));
+        Verdict.RELEASE, of(Stored.STARTED, Reported.ABSENT, EpochOrder.SAME, true, true, true));
     assertEquals(
-        Verdict.START, of(Stored.STARTED, Seen.ABSENT, AgentEpoch.SAME, false, true, true));
+        Verdict.START, of(Stored.STARTED, Reported.ABSENT, EpochOrder.SAME, false, true, true));
     assertEquals(
-        Verdict.START, of(Stored.STARTED, Seen.ABSENT, AgentEpoch.SAME, true, true, false));
+        Verdict.START, of(Stored.STARTED, Reported.ABSENT, EpochOrder.SAME, true, true, false));
   }
 
   @Test
   void nothingIsForgottenThatIsNotSettled() {
     for (Stored stored : Stored.values()) {
-      for (Seen seen : Seen.values()) {
-        for (AgentEpoch session : AgentEpoch.values()) {
+      for (Reported seen : Reported.values()) {
+        for (EpochOrder session : EpochOrder.values()) {
           assertNotEquals(Verdict.FORGET, of(stored, seen, session, true, false, false));
         }
       }
@@ -88,17 +88,17 @@
 
   private static Verdict of(
       Stored stored,
-      Seen seen,
-      AgentEpoch session,
+      Reported seen,
+      EpochOrder session,
       boolean ours,
       boolean stopping,
       boolean settled) {
-    return Reconciliation.of(new Case(stored, seen, session, ours, stopping, settled));
+    return Reconciliation.decide(new Case(stored, seen, session, ours, stopping, settled));
   }
 
   @Test
   void noOrderOfReportsLossesAndLateStartsRunsATaskTwice() {
-    ReconciliationExplorer explorer = new ReconciliationExplorer(Reconciliation::of);
+    ReconciliationExplorer explorer = new ReconciliationExplorer(Reconciliation::decide);
     assertNull(explorer.explore());
     assertTrue(explorer.states() > 20_000, "too few states to mean anything");
     assertTrue(explorer.finished() > 0, "the task is never done");
@@ -113,23 +113,24 @@
             c ->
                 switch (guard) {
                   case "token" ->
-                      Reconciliation.of(
-                          new Case(c.stored(), c.seen(), c.session(), true, c.stopping(), true));
+                      Reconciliation.decide(
+                          new Case(
+                              c.stored(), c.reported(), c.epochOrder(), true, c.stopping(), true));
                   case "own-start" ->
                       // Our own start may be executed late: that it is not listed proves nothing.
-                      Reconciliation.of(c) == Verdict.START && c.presentToken()
+                      Reconciliation.decide(c) == Verdict.START && c.presentToken()
                           ? Verdict.RELEASE
-                          : Reconciliation.of(c);
+                          : Reconciliation.decide(c);
                   case "stop-in-flight" ->
-                      c.stopping() && c.seen() == Seen.ABSENT
+                      c.stopping() && c.reported() == Reported.ABSENT
                           ? Verdict.RELEASE
-                          : Reconciliation.of(c);
+                          : Reconciliation.decide(c);
                   default ->
-                      Reconciliation.of(
+                      Reconciliation.decide(
                           new Case(
                               c.stored(),
-                              c.seen(),
-                              c.session(),
+                              c.reported(),
+                              c.epochOrder(),
                               c.presentToken(),
                               c.stopping(),
                               true));
@@ -137,12 +138,12 @@
     assertTrue(explorer.explore() != null, "no order breaks the rule without: " + guard);
   }
 
-  /** The verdicts of a row, in the order in which {@link Seen} stands. */
-  private static Map<Seen, Verdict> verdicts(String row) {
-    Map<Seen, Verdict> verdicts = new EnumMap<>(Seen.class);
+  /** The verdicts of a row, in the order in which {@link Reported} stands. */
+  private static Map<Reported, Verdict> verdicts(String row) {
+    Map<Reported, Verdict> verdicts = new EnumMap<>(Reported.class);
     String[] words = row.trim().split("\\s+", -1);
     int column = 0;
-    for (Seen seen : Seen.values()) {
+    for (Reported seen : Reported.values()) {
       verdicts.put(seen, Verdict.valueOf(words[column++]));
     }
     return verdicts;
