--- a/src/main/java/org/snowturn/core/connectivity/Connectivity.java
+++ b/src/main/java/org/snowturn/core/connectivity/Connectivity.java
@@ -1,38 +1,46 @@
 package org.snowturn.core.connectivity;
 
 /**
- * What one node reaches, by its own clock: how long ago it was answered, in milliseconds.
+ * Ages of the last contacts of one node with the state service and with workers, by the node's own
+ * clock.
  *
- * @param sinceStateAnswerMs since the state service answered a request, counted from its sending;
- *     {@link #NEVER} if it never has
- * @param sinceWorkerHeardMs since a worker was heard or answered; {@link #NEVER} if none ever was
+ * @param sinceStateAnswerMs milliseconds since the node sent the last request that the state
+ *     service answered; {@link #NEVER} if none was answered
+ * @param sinceWorkerHeardMs milliseconds since the node last received a heartbeat or an answer from
+ *     any worker; {@link #NEVER} if it received none
  */
 public record Connectivity(int sinceStateAnswerMs, int sinceWorkerHeardMs) {
-  /** Not yet. */
+  /** Age of a contact that has not happened yet. */
   public static final int NEVER = -1;
 
-  /** A working link is answered at least this often: probes go out every 700 ms. */
+  /**
+   * Maximum age of an answer of the state service at which the link to it counts as working. The
+   * state service is probed every 700 ms.
+   */
   private static final int MAX_STATE_ANSWER_AGE_MS = 1_500;
 
-  /** Workers are probed more often, but one of them that does not answer may be dead. */
+  /**
+   * Maximum age of a worker's message at which the links to workers count as working. Workers are
+   * probed more often than the state service, but a probed worker may be dead.
+   */
   private static final int MAX_WORKER_HEARD_AGE_MS = 3_000;
 
-  /** Whether the state service answers the node. */
+  /** Returns whether the state service answers the node. */
   public boolean canReachStateService() {
     return sinceStateAnswerMs != NEVER && sinceStateAnswerMs <= MAX_STATE_ANSWER_AGE_MS;
   }
 
-  /** Whether workers are in the node's reach. */
+  /** Returns whether the node receives messages from workers. */
   public boolean canReachWorkers() {
     return sinceWorkerHeardMs != NEVER && sinceWorkerHeardMs <= MAX_WORKER_HEARD_AGE_MS;
   }
 
-  /** Whether the node has what a leader needs. */
+  /** Returns whether the node reaches both the state service and workers, as a leader must. */
   public boolean canLead() {
     return canReachStateService() && canReachWorkers();
   }
 
-  /** Whether both reach the same at present. */
+  /** Returns whether both reach the same of the state service and workers. */
   boolean hasSameLinks(Connectivity other) {
     return canReachStateService() == other.canReachStateService()
         && canReachWorkers() == other.canReachWorkers();
--- a/src/main/java/org/snowturn/core/connectivity/ConnectivityMatrix.java
+++ b/src/main/java/org/snowturn/core/connectivity/ConnectivityMatrix.java
@@ -4,16 +4,19 @@
 import java.util.TreeMap;
 
 /**
- * Who reaches what, as far as this node has been told: a row for each peer. A row that has not been
- * renewed for a while says nothing, so a one-way link, a frozen peer or one of a version that tells
- * nothing counts as unknown. Nothing of it is a ground of authority: it only says who had better
- * claim leadership, and whom to ask for help.
+ * Connectivity of each peer by its own last report, one row per peer. A row expires if it is not
+ * renewed, so the connectivity of a peer behind a one-way link, of a frozen peer and of one whose
+ * version sends no reports is unknown. The matrix never grants authority: it only tells which node
+ * should claim leadership and which peer can relay requests.
  */
 final class ConnectivityMatrix {
-  /** Rows come every 300 ms; three may be lost. */
+  /** Maximum age of a row. Reports come every 300 ms, and three in a row may be lost. */
   private static final long MAX_ROW_AGE_MS = 1_200;
 
-  /** What probes and reports take: only a greater difference between two nodes says anything. */
+  /**
+   * Maximum delay of a contact time by probes and reports. A smaller difference between two nodes
+   * is not significant.
+   */
   private static final long REPORT_DELAY_MS = 400;
 
   private record Row(Connectivity connectivity, long receivedAt) {
@@ -35,25 +38,29 @@
   private final Map<String, Row> rows = new TreeMap<>();
 
   /**
-   * A peer has told what it reaches.
+   * Replaces the row of a peer.
    *
-   * @param nowMs this node's steady clock
-   * @return whether its links to the state service or to workers have come or gone
+   * @param peer name of the peer that sent the report
+   * @param nowMs the time on this node's monotonic clock, in milliseconds
+   * @return whether this is the peer's first row, or its links to the state service or to workers
+   *     have come up or gone down
    */
   boolean update(String peer, Connectivity connectivity, long nowMs) {
     Row before = rows.put(peer, new Row(connectivity, nowMs));
     return before == null || !before.connectivity.hasSameLinks(connectivity);
   }
 
-  /** Whether any peer has told lately what it reaches. */
+  /** Returns whether any peer has a row that has not expired. */
   boolean hasFreshRow(long nowMs) {
     return rows.values().stream().anyMatch(row -> row.isFresh(nowMs));
   }
 
   /**
-   * Whether a peer could serve where a node with this connectivity cannot, or hardly. Where both
-   * have heard workers lately, it has to have heard them later, and by more than what probes and
-   * reports take: in the first seconds of a cut, all rows still show what was before it.
+   * Returns whether a peer is better connected than a node with the given connectivity. The peer
+   * must reach both the state service and workers. If the node reaches the state service and has
+   * heard workers, the peer must have heard workers more recently by more than {@link
+   * #REPORT_DELAY_MS}: in the first seconds of a network partition all rows still show the state
+   * before it.
    */
   boolean hasPeerBetterThan(Connectivity own, long nowMs) {
     for (Row row : rows.values()) {
@@ -64,7 +71,10 @@
     return false;
   }
 
-  /** A peer that the state service answers, one with workers rather than without; or null. */
+  /**
+   * Returns the name of a peer that the state service answers, preferably one that reaches workers
+   * too; null if there is none.
+   */
   String peerWithStateService(long nowMs) {
     String found = null;
     for (Map.Entry<String, Row> entry : rows.entrySet()) {
@@ -78,7 +88,7 @@
     return found;
   }
 
-  /** What the peers reach whose rows say something now, by their names. */
+  /** Returns the connectivity of each peer whose row has not expired, by peer name. */
   Map<String, Connectivity> freshRows(long nowMs) {
     Map<String, Connectivity> fresh = new TreeMap<>();
     rows.forEach(
--- a/src/main/java/org/snowturn/core/connectivity/ConnectivityMonitor.java
+++ b/src/main/java/org/snowturn/core/connectivity/ConnectivityMonitor.java
@@ -14,12 +14,12 @@
 import org.snowturn.core.effects.LogField;
 
 /**
- * What this node reaches, and what its peers say that they reach. A node that does not lead hears
- * workers only when they look for a leader, so the leader names a few of them, which the others
- * probe regularly.
+ * Tracks the connectivity of this node and of its peers, and exchanges reports of it with them. A
+ * standby node receives messages from workers only while these look for a leader, so the leader
+ * sends a sample of worker addresses, which the standby nodes probe regularly.
  */
 public final class ConnectivityMonitor {
-  /** How many workers a sample names. */
+  /** Number of workers in a sample. */
   public static final int SAMPLE_SIZE = 6;
 
   private static final long SAMPLE_INTERVAL_MS = 3_000;
@@ -40,10 +40,11 @@
   private Connectivity lastLogged;
 
   /**
-   * Knows nothing yet.
+   * Creates a monitor without any contact or report.
    *
-   * @param lastStateRequestAnsweredAt when the last request that the state service answered was
-   *     sent, in milliseconds of the steady clock; {@link MonotonicTime#NEVER} if none was
+   * @param lastStateRequestAnsweredAt supplies the time at which this node sent the last request
+   *     that the state service answered, in milliseconds of the monotonic clock; {@link
+   *     MonotonicTime#NEVER} if none was answered
    */
   public ConnectivityMonitor(
       Settings settings, CoreRuntime runtime, LongSupplier lastStateRequestAnsweredAt) {
@@ -52,12 +53,12 @@
     this.lastStateRequestAnsweredAt = lastStateRequestAnsweredAt;
   }
 
-  /** A worker has sent a heartbeat here, or answered this node. */
+  /** Records that a worker sent a heartbeat to this node or answered it. */
   public void onWorkerHeard() {
     lastWorkerHeardAt = runtime.now();
   }
 
-  /** What this node reaches. */
+  /** Returns the connectivity of this node. */
   public Connectivity ownConnectivity() {
     return new Connectivity(
         ageMs(lastStateRequestAnsweredAt.getAsLong()), ageMs(lastWorkerHeardAt));
@@ -69,30 +70,36 @@
         : (int) Math.min(Integer.MAX_VALUE, runtime.now() - at);
   }
 
-  /** Whether a peer could serve where this node cannot. */
+  /** Returns whether a peer is better connected than this node. */
   public boolean hasBetterPeer() {
     return matrix.hasPeerBetterThan(ownConnectivity(), runtime.now());
   }
 
-  /** Whether a peer could serve where this node cannot, or no peer is heard, so that one may. */
+  /**
+   * Returns whether a peer may be better connected than this node: either a report shows it, or no
+   * peer has reported recently, so that it cannot be ruled out.
+   */
   public boolean canPeerServe() {
     return hasBetterPeer() || !hasRecentPeerReport();
   }
 
-  /** Whether any peer has told lately what it reaches. */
+  /** Returns whether any peer has reported its connectivity recently. */
   public boolean hasRecentPeerReport() {
     return matrix.hasFreshRow(runtime.now());
   }
 
-  /** A peer that the state service answers; null if none is known. */
+  /** Returns the name of a peer that the state service answers; null if none is known. */
   public String peerWithStateService() {
     return matrix.peerWithStateService(runtime.now());
   }
 
   /**
-   * Probes a worker and tells the peers what this node reaches, each if it is time.
+   * Does what is due: a leader broadcasts a sample of workers, a standby node probes one worker,
+   * and either reports its connectivity to the peers.
    *
-   * @param workers addresses of some that a leader hears; empty on other nodes
+   * @param isLeading whether this node is the leader
+   * @param workers addresses of workers that this leader hears; empty on other nodes and while no
+   *     sample is due
    */
   public void tick(boolean isLeading, List<String> workers) {
     if (isLeading) {
@@ -144,12 +151,12 @@
     runtime.broadcast(new PeerMessage.ConnectivityReport(settings.node(), own));
   }
 
-  /** Whether it is time for a leader to name workers. */
+  /** Returns whether the next sample of workers is due on a leader. */
   public boolean isSampleDue() {
     return runtime.now() >= nextSampleAt;
   }
 
-  /** A peer tells what it reaches. */
+  /** Handles a connectivity report; one from an unknown node is ignored. */
   public void onReport(PeerMessage.ConnectivityReport received) {
     if (isPeer(received.from())
         && matrix.update(received.from(), received.connectivity(), runtime.now())) {
@@ -157,7 +164,7 @@
     }
   }
 
-  /** A leader names workers to probe. */
+  /** Handles the workers that a leader asks to probe; a sample of an unknown node is ignored. */
   public void onSample(PeerMessage.WorkerSample received) {
     if (isPeer(received.from())) {
       List<String> workers = received.workers();
@@ -179,7 +186,11 @@
         .write();
   }
 
-  /** For each node, 1 where it reaches the state service and 1 where it reaches workers. */
+  /**
+   * Returns the gauges by name. For this node and each peer with a recent report there are two,
+   * which are 1 while the node reaches the state service and workers, respectively, and otherwise
+   * 0.
+   */
   public Map<String, Double> gauges() {
     Map<String, Double> gauges = new HashMap<>();
     matrix
--- a/src/main/java/org/snowturn/core/connectivity/StateRequestRelay.java
+++ b/src/main/java/org/snowturn/core/connectivity/StateRequestRelay.java
@@ -12,19 +12,28 @@
 import org.snowturn.wire.Json;
 
 /**
- * Users' requests to the state service, through a peer where this node's own link is down and the
- * peer's is not. One hop: a peer asks the state service itself or refuses.
+ * Sends users' requests to the state service through a peer while this node's own link to it is
+ * down and the peer's link is up. Requests take at most one hop: a peer calls the state service
+ * itself or refuses.
  *
- * <p>What a peer does not answer stays unknown, as if the state service had not answered; only what
- * the peer says was not executed counts as refused.
+ * <p>The outcome of a request that the peer does not answer is {@link Outcome#UNKNOWN}, as if the
+ * state service had not answered. It is {@link Outcome#REFUSED} only if the peer replies that the
+ * request was not executed, or if this node did not send it.
  */
 public final class StateRequestRelay {
-  /** A message must not be longer than what nodes of the previous version read. */
+  /**
+   * Maximum length of a relayed body, so that a message stays within the limit of nodes that run
+   * the previous version.
+   */
   private static final int MAX_BODY_BYTES = 3_000;
 
-  /** So many may be open through peers, and from peers; the next is refused at once. */
+  /**
+   * Maximum number of open requests in each direction: those sent to peers and those received from
+   * peers. Further ones are refused at once.
+   */
   private static final int MAX_OPEN_REQUESTS = 200;
 
+  /** HTTP status of a request that was not executed. */
   private static final int SERVICE_UNAVAILABLE = 503;
 
   private final Settings settings;
@@ -37,9 +46,10 @@
   private long relayedRequests;
 
   /**
-   * Relays nothing yet.
+   * Creates a relay without open requests.
    *
-   * @param hasOwnLink whether the state service answers this node
+   * @param connectivity chooses the peer that requests go through
+   * @param hasOwnLink supplies whether the state service answers this node
    */
   public StateRequestRelay(
       Settings settings,
@@ -50,25 +60,30 @@
     this.runtime = runtime;
     this.connectivity = connectivity;
     this.hasOwnLink = hasOwnLink;
-    // A peer may still be about to answer what the previous process of this node asked: restarted
-    // within a fraction of a second, this one would take it for the answer to a request of its own.
+    // Ids start at a random number: a peer may still answer a request of the previous process of
+    // this node, and after a restart within a fraction of a second its reply must not match a
+    // request of this process.
     this.lastRequestId = runtime.random().nextLong() >>> 2;
   }
 
-  /** Whether the state service answers this node itself. */
+  /** Returns whether the state service answers this node directly. */
   public boolean hasDirectLink() {
     return hasOwnLink.getAsBoolean();
   }
 
-  /** Whether there is any way to the state service. */
+  /** Returns whether the state service can be reached directly or through a peer. */
   public boolean canReachStateService() {
     return hasDirectLink() || connectivity.peerWithStateService() != null;
   }
 
   /**
-   * Makes one call to the state service, directly or through a peer.
+   * Makes one call to the state service. It goes through a peer if the direct link is down and a
+   * peer's link is up; otherwise it goes directly.
    *
-   * @param body null for none
+   * @param purpose request class that a direct call is counted in
+   * @param body body of the request; null for none
+   * @param timeoutMs time after which the outcome is {@link Outcome#UNKNOWN}, in milliseconds
+   * @param onResult handles the result
    */
   public void callState(
       RequestClass purpose,
@@ -105,7 +120,10 @@
     }
   }
 
-  /** A peer asks this node to make a call, which is not handed on any further. */
+  /**
+   * Handles a peer's request to call the state service. Without a direct link it is refused, never
+   * relayed further. Requests to other nodes are ignored.
+   */
   public void onRequest(PeerMessage.RelayRequest request) {
     if (!request.to().equals(settings.node())) {
       return;
@@ -134,14 +152,14 @@
             settings.node(), request.from(), request.requestId(), outcome, status, body));
   }
 
-  /** A peer tells what came of a call that it was asked to make. */
+  /** Handles the reply to a relayed request. Replies to other nodes are ignored. */
   public void onReply(PeerMessage.RelayReply reply) {
     if (reply.to().equals(settings.node())) {
       complete(reply.requestId(), reply.outcome(), reply.status(), reply.body());
     }
   }
 
-  /** How many calls went through a peer. */
+  /** Returns the number of requests sent through a peer since this process started. */
   public long relayedRequests() {
     return relayedRequests;
   }
--- a/src/main/java/org/snowturn/core/connectivity/WorkerSilenceDetector.java
+++ b/src/main/java/org/snowturn/core/connectivity/WorkerSilenceDetector.java
@@ -1,24 +1,31 @@
 package org.snowturn.core.connectivity;
 
 /**
- * Whether a leader is heard by workers at all. Heartbeats that stop altogether are the leader's own
- * trouble, and are known long before its machines, one after the other, would seem to have died and
- * be deleted. Counted in sweeps, not by the clock: a node that was paused has not listened
- * meanwhile.
+ * Detects that a leader receives no messages from any worker. In that case the leader's own network
+ * is the likely fault, and it has to be detected before the leader takes its machines for dead, one
+ * after the other, and deletes them. Silence is counted in health sweeps, not by the clock, since a
+ * node that was paused did not receive anything during the pause.
  */
 public final class WorkerSilenceDetector {
+  /** Minimum number of consecutive sweeps without any message that counts as silence. */
   private static final int MIN_SILENT_SWEEPS = 6;
 
-  /** So many messages that were due and did not come are no accident. */
+  /** Minimum number of missed messages that rules out a coincidence. */
   private static final int MIN_MISSED_MESSAGES = 15;
 
-  /** How many machines to probe for each missed message that makes the silence certain. */
+  /** Number of machines to probe for each unanswered probe that is needed. */
   private static final int PROBES_PER_MISSED_MESSAGE = 3;
 
-  /** Two in a row: at the end of a cut all links come back, but not in the same moment. */
+  /**
+   * Minimum number of consecutive sweeps before a handover. One is not enough, since the links do
+   * not all recover at the same moment when a network partition ends.
+   */
   private static final int MIN_HANDOVER_SWEEPS = 2;
 
-  /** After a silence, probes that it made fail time out, and workers come back. */
+  /**
+   * Time after a silence within which the probes that failed during it time out and workers
+   * reconnect.
+   */
   private static final long RECOVERY_PERIOD_MS = 2_500;
 
   private final long sweepIntervalMs;
@@ -32,31 +39,32 @@
   private long lastSilentAt;
 
   /**
-   * A leader that has just begun.
+   * Creates a detector for a leader whose term begins now.
    *
-   * @param sweepIntervalMs the time between two sweeps
-   * @param heartbeatIntervalS the interval of the workers' heartbeats
+   * @param sweepIntervalMs time between two health sweeps, in milliseconds
+   * @param heartbeatIntervalS time between two heartbeats of a worker, in seconds
    */
   public WorkerSilenceDetector(long sweepIntervalMs, double heartbeatIntervalS) {
     this.sweepIntervalMs = sweepIntervalMs;
     this.heartbeatIntervalS = heartbeatIntervalS;
   }
 
-  /** A worker has sent a heartbeat or answered. */
+  /** Records that a worker sent a heartbeat or answered. */
   public void onWorkerHeard() {
     isHeardSinceSweep = true;
   }
 
-  /** A probe or a command got no answer. */
+  /** Records that a probe or a command was not answered. */
   public void onMessageUnanswered() {
     unansweredMessages++;
   }
 
   /**
-   * Counts one sweep.
+   * Ends a sweep and updates whether the workers are silent.
    *
-   * @param machinesUp all that have been up: counted by those that are heard at present, a node
-   *     that no machine reaches any more would soon expect none to
+   * @param machinesUp number of machines that have been up, whether or not they are heard now. If
+   *     only those heard now counted, an isolated node would soon expect no messages.
+   * @param nowMs present time of the core's clock, in milliseconds
    */
   public void endSweep(int machinesUp, long nowMs) {
     silentSweeps = isHeardSinceSweep ? 0 : silentSweeps + 1;
@@ -72,16 +80,17 @@
   }
 
   /**
-   * Whether no worker reaches this node any more.
+   * Returns whether this node receives nothing from any worker.
    *
-   * @param hasReassignmentEnded whether workers have had the time to find this leader. Before, they
-   *     may still wait for an answer from the previous one, and only unanswered probes tell
+   * @param hasReassignmentEnded whether workers have had the time to find this leader. Until then
+   *     they may be waiting for an answer from the previous leader, so only unanswered probes and
+   *     commands count as evidence.
    */
   public boolean isIsolated(boolean hasReassignmentEnded) {
     return isSilent && (hasReassignmentEnded || unansweredMessages >= MIN_MISSED_MESSAGES);
   }
 
-  /** How many machines to probe now, so that it becomes clear whether any is reached; mostly 0. */
+  /** Returns the number of machines to probe now to confirm a silence; 0 if none is needed. */
   public int probesNeeded() {
     return isSilent
             && unansweredMessages < MIN_MISSED_MESSAGES
@@ -91,15 +100,22 @@
   }
 
   /**
-   * Whether workers are heard, and have been for a while. A leader that stays through a cut, since
-   * no peer is better placed, must not judge single machines meanwhile: the first to fall silent
-   * would be taken for dead while the others are not yet late.
+   * Returns whether the silence of a single machine says something about that machine, since there
+   * was no general silence for a while. A leader may stay in office through a network partition
+   * because no peer is better connected. If it assessed single machines then, it would take the
+   * first silent ones for dead while messages from the others are not yet overdue.
    */
   public boolean canTrustMachineSilence(long nowMs) {
     return !hasBeenSilent || nowMs - lastSilentAt > RECOVERY_PERIOD_MS;
   }
 
-  /** Counts a sweep; returns whether to leave leadership to a node that can serve. */
+  /**
+   * Counts one sweep towards a handover, or resets the count.
+   *
+   * @param isCutOff whether workers do not reach this node
+   * @param canPeerServe whether a peer may be better connected
+   * @return whether this node should resign so that a peer can lead
+   */
   public boolean countHandoverSweep(boolean isCutOff, boolean canPeerServe) {
     handoverSweeps = isCutOff && canPeerServe ? handoverSweeps + 1 : 0;
     return handoverSweeps >= MIN_HANDOVER_SWEEPS;
--- a/src/main/java/org/snowturn/core/connectivity/package-info.java
+++ b/src/main/java/org/snowturn/core/connectivity/package-info.java
@@ -1,2 +1,5 @@
-/** Which controller reaches what: state service, workers, peers. */
+/**
+ * Tracks which controllers reach the state service, workers and each other, and relays requests
+ * around a broken link.
+ */
 package org.snowturn.core.connectivity;
--- a/src/main/java/org/snowturn/core/health/AttemptSnapshot.java
+++ b/src/main/java/org/snowturn/core/health/AttemptSnapshot.java
@@ -1,20 +1,24 @@
 package org.snowturn.core.health;
 
 /**
- * What the leader holds of an attempt that may be on a machine, at the moment at which its end is
- * to be decided.
+ * State of an attempt that may be on a machine, as the leader knows it when it decides whether the
+ * attempt has ended.
  *
- * @param token the leader's token
- * @param nowMs the present time
- * @param agentEpoch the machine's agent epoch in which the attempt was placed
- * @param placementDurable whether its placement is durable, so that a start may have left
- * @param inherited whether an earlier leader placed it and it was not seen under this token
- * @param stopping whether it was told to stop
- * @param startInFlight whether a direct start of it got no answer and may still arrive
- * @param machineDeleted whether the cloud has confirmed the machine's deletion
+ * @param token fencing token of the leader
+ * @param nowMs present time of the core's clock, in milliseconds
+ * @param agentEpoch agent epoch of the machine in which the attempt was placed
+ * @param placementDurable whether the placement is durable, so that a start may have been sent
+ * @param inherited whether an earlier leader placed the attempt and no heartbeat under this
+ *     leader's token has listed it
+ * @param stopping whether the attempt is to be stopped
+ * @param startInFlight whether a start that was sent directly got no answer, so that it may still
+ *     arrive
+ * @param machineDeleted whether the cloud has confirmed the deletion of the machine
  * @param machineFailed whether the cloud lists the machine as failed
- * @param leaseRenewedAt when the machine's lease may last have been renewed, by any leader
- * @param leaseExpiryMs how long after that the lease has certainly expired
+ * @param leaseRenewedAt latest time at which any leader may have renewed the machine's lease, by
+ *     the core's clock
+ * @param leaseExpiryMs time after {@code leaseRenewedAt} after which the lease has certainly
+ *     expired, in milliseconds
  */
 public record AttemptSnapshot(
     long token,
@@ -29,7 +33,7 @@
     long leaseRenewedAt,
     long leaseExpiryMs) {
 
-  /** Why the evidence does not prove that the attempt has ended; null if it does. */
+  /** Returns why the evidence does not prove the end of the attempt; null if it proves it. */
   public String rejectionReason(EndEvidence evidence) {
     return evidence.rejectionReason(this);
   }
--- a/src/main/java/org/snowturn/core/health/EndEvidence.java
+++ b/src/main/java/org/snowturn/core/health/EndEvidence.java
@@ -1,8 +1,8 @@
 package org.snowturn.core.health;
 
 /**
- * What is offered as proof that an attempt has ended without a result, or that it never began. No
- * task is queued again without one of these; {@link #rejectionReason} judges whether it holds.
+ * Evidence that an attempt has ended without a result, or that it never began. A task is queued
+ * again only with such evidence, and only if {@link #rejectionReason} accepts it.
  */
 public abstract sealed class EndEvidence {
   private final String kind;
@@ -11,15 +11,15 @@
     this.kind = kind;
   }
 
-  /** The name of this kind of evidence in logs and metrics; it stays the same. */
+  /** Returns the name of this kind of evidence in logs and metrics, which must not change. */
   public final String kind() {
     return kind;
   }
 
-  /** Why this does not prove that the attempt has ended; null if it does. */
+  /** Returns why this does not prove the end of the attempt; null if it proves it. */
   abstract String rejectionReason(AttemptSnapshot attempt);
 
-  /** A heartbeat of the attempt's machine. */
+  /** Evidence from a heartbeat of the attempt's machine. */
   public abstract static sealed class Reported extends EndEvidence {
     private final long token;
     private final long agentEpoch;
@@ -30,25 +30,33 @@
       this.agentEpoch = agentEpoch;
     }
 
-    /** Why the heartbeat proves nothing of the attempt, whatever it says of it; null if it may. */
+    /**
+     * Returns why the heartbeat cannot prove the end of the attempt, regardless of its content;
+     * null if it can.
+     */
     final String reportRejectionReason(AttemptSnapshot attempt) {
       if (token != attempt.token()) {
-        return "the report does not bear the present token";
+        return "the heartbeat carries token " + token + " instead of " + attempt.token();
       }
       if (agentEpoch != attempt.agentEpoch()) {
-        return "the report is of another session";
+        return "the heartbeat is of agent epoch "
+            + agentEpoch
+            + ", but the attempt was placed in "
+            + attempt.agentEpoch();
       }
-      return attempt.placementDurable() ? null : "no start has been sent that could be reported";
+      return attempt.placementDurable()
+          ? null
+          : "its placement is not durable, so no start was sent";
     }
   }
 
-  /** A heartbeat of the attempt's machine lists it as ended. */
+  /** A heartbeat of the attempt's machine that lists the attempt as ended. */
   public static final class ReportedEnded extends Reported {
     /**
-     * Evidence from a heartbeat.
+     * Creates evidence from a heartbeat.
      *
-     * @param token the highest token that the machine had seen when it sent the heartbeat
-     * @param agentEpoch the machine's agent epoch at that time
+     * @param token highest token that the machine had seen when it sent the heartbeat
+     * @param agentEpoch agent epoch of the machine at that time
      */
     public ReportedEnded(long token, long agentEpoch) {
       super("reported_ended", token, agentEpoch);
@@ -60,17 +68,18 @@
     }
   }
 
-  /** A heartbeat of the attempt's machine does not list it. */
+  /** A heartbeat of the attempt's machine that does not list the attempt. */
   public static final class NotListed extends Reported {
     private final boolean unsolicited;
 
     /**
-     * Evidence from a heartbeat.
+     * Creates evidence from a heartbeat.
      *
-     * @param token the highest token that the machine had seen when it sent the heartbeat
-     * @param agentEpoch the machine's agent epoch at that time
-     * @param unsolicited whether the machine sent it by itself and not in reply to a message, so
-     *     that what earlier answers carried has been carried out or never will be
+     * @param token highest token that the machine had seen when it sent the heartbeat
+     * @param agentEpoch agent epoch of the machine at that time
+     * @param unsolicited whether the machine sent the heartbeat on its own schedule rather than in
+     *     reply to a message. Commands in answers to its earlier heartbeats have then been executed
+     *     or never will be.
      */
     public NotListed(long token, long agentEpoch, boolean unsolicited) {
       super("not_listed", token, agentEpoch);
@@ -83,19 +92,21 @@
       if (reason != null || attempt.inherited()) {
         return reason;
       }
-      // An attempt of this term is missing: that proves its end only once no start can arrive.
+      // The absence of an attempt of this term proves its end only once no start can arrive.
       if (!attempt.stopping()) {
-        return "the start is repeated until the attempt is listed";
+        return "it is not being stopped, so its start is repeated until it is listed";
       }
-      return unsolicited && !attempt.startInFlight() ? null : "a start of it may still arrive";
+      return unsolicited && !attempt.startInFlight()
+          ? null
+          : "a start that was sent earlier may still arrive";
     }
   }
 
-  /** The attempt's machine has sent a heartbeat of a later agent epoch. */
+  /** A heartbeat of the attempt's machine from a later agent epoch. */
   public static final class LaterAgentEpoch extends EndEvidence {
     private final long agentEpoch;
 
-    /** Evidence from a heartbeat of this agent epoch. */
+    /** Creates evidence from a heartbeat of the agent epoch. */
     public LaterAgentEpoch(long agentEpoch) {
       super("later_session");
       this.agentEpoch = agentEpoch;
@@ -103,13 +114,19 @@
 
     @Override
     String rejectionReason(AttemptSnapshot attempt) {
-      return agentEpoch > attempt.agentEpoch() ? null : "the session is not later";
+      return agentEpoch > attempt.agentEpoch()
+          ? null
+          : "agent epoch "
+              + agentEpoch
+              + " is not later than "
+              + attempt.agentEpoch()
+              + ", in which the attempt was placed";
     }
   }
 
-  /** The lease of the attempt's machine has expired. */
+  /** The expiry of the lease of the attempt's machine. */
   public static final class LeaseExpired extends EndEvidence {
-    /** Evidence from the clock. */
+    /** Creates evidence that is checked by the clock. */
     public LeaseExpired() {
       super("lease_lapsed");
     }
@@ -117,46 +134,50 @@
     @Override
     String rejectionReason(AttemptSnapshot attempt) {
       boolean expired = attempt.nowMs() - attempt.leaseRenewedAt() >= attempt.leaseExpiryMs();
-      return expired ? null : "the lease has not run out";
+      return expired ? null : "the machine's lease has not expired";
     }
   }
 
-  /** The cloud has confirmed that the machine is deleted. */
+  /** The cloud's confirmation that the attempt's machine is deleted. */
   public static final class MachineDeleted extends EndEvidence {
-    /** Evidence from the cloud. */
+    /** Creates evidence that is checked by the state of the machine in the cloud. */
     public MachineDeleted() {
       super("machine_deleted");
     }
 
     @Override
     String rejectionReason(AttemptSnapshot attempt) {
-      return attempt.machineDeleted() ? null : "the deletion is not confirmed";
+      return attempt.machineDeleted()
+          ? null
+          : "the cloud has not confirmed the deletion of the machine";
     }
   }
 
-  /** The cloud lists the machine as failed. */
+  /** The cloud's listing of the attempt's machine as failed. */
   public static final class MachineFailed extends EndEvidence {
-    /** Evidence from the cloud. */
+    /** Creates evidence that is checked by the state of the machine in the cloud. */
     public MachineFailed() {
       super("machine_failed");
     }
 
     @Override
     String rejectionReason(AttemptSnapshot attempt) {
-      return attempt.machineFailed() ? null : "the machine is not listed as failed";
+      return attempt.machineFailed() ? null : "the cloud does not list the machine as failed";
     }
   }
 
-  /** No start of the attempt has been decided yet, since its placement is not durable. */
+  /** The absence of any start of the attempt, since its placement is not durable yet. */
   public static final class NeverSent extends EndEvidence {
-    /** Evidence from the term's own records. */
+    /** Creates evidence that is checked by the leader's own records. */
     public NeverSent() {
       super("never_sent");
     }
 
     @Override
     String rejectionReason(AttemptSnapshot attempt) {
-      return attempt.placementDurable() ? "a start may have been sent" : null;
+      return attempt.placementDurable()
+          ? "its placement is durable, so a start may have been sent"
+          : null;
     }
   }
 }
--- a/src/main/java/org/snowturn/core/health/FailureAttribution.java
+++ b/src/main/java/org/snowturn/core/health/FailureAttribution.java
@@ -5,32 +5,34 @@
 import org.agrona.collections.IntHashSet;
 
 /**
- * Whose fault it is when a task fails: its job's, which was submitted with a mistake, or its
- * machine's. Each is judged by the other. A job any task of which has succeeded is healthy, for
- * good; a machine is healthy from a success there until a healthy job fails on it.
+ * Attributes failures of tasks to their job, which may have been submitted with a mistake, or to
+ * their machine, which may be faulty. A job becomes healthy with the first success of one of its
+ * tasks and stays so. A machine becomes healthy with a success of any task there and stays so until
+ * a task of a healthy job fails on it.
  *
  * <ul>
  *   <li>A job without any success is suspected once it has failed on two healthy machines, or on
- *       four of which nothing is known. It never is for good: one success clears it.
- *   <li>A machine is faulty once healthy jobs have failed there so often, without a success
- *       between. Failures of a job that is not known to be healthy wait: they count when it turns
- *       out to be. (Three unknown jobs on one machine are no proof: after a change of leader, all
- *       broken ones are tried anew at once.)
+ *       four machines of any kind. A later success clears it.
+ *   <li>A machine is faulty once tasks of healthy jobs have failed on it a given number of times
+ *       without a success in between. Failures of a job that is not known to be healthy count only
+ *       if the job turns out to be healthy later. Failures of several unknown jobs on one machine
+ *       prove nothing, since after a change of leader all broken jobs are tried again at once.
  * </ul>
  *
- * Jobs and machines are dense indices. What is kept is bounded by what has failed lately.
+ * <p>Jobs and machines are identified by dense indices. Memory is bounded by the jobs that are not
+ * over yet and the machines with recorded results.
  */
 public final class FailureAttribution {
-  /** Failures on so many healthy machines make a job suspected. */
+  /** Minimum number of healthy machines with failures at which a job is suspected. */
   private static final int MIN_HEALTHY_MACHINES_TO_SUSPECT_JOB = 2;
 
-  /** Failures on so many machines, whatever is known of them, make a job suspected. */
+  /** Minimum number of machines of any kind with failures at which a job is suspected. */
   private static final int MIN_MACHINES_TO_SUSPECT_JOB = 4;
 
-  /** So many machines are remembered for each job. */
+  /** Maximum number of machines with failures remembered per job. */
   private static final int MAX_MACHINES_PER_JOB = 16;
 
-  /** What is known of a job. */
+  /** Results of the tasks of one job. */
   private static final class JobHistory {
     private final IntHashSet failedMachines = new IntHashSet();
     private int failedHealthyMachines;
@@ -38,12 +40,12 @@
     private boolean isSuspected;
   }
 
-  /** What is known of a machine. */
+  /** Results of the tasks on one machine. */
   private static final class MachineHistory {
-    /** Failures of each job since the last success. */
+    /** Number of failures by job since the last success on the machine. */
     private final Int2IntHashMap failuresByJob = new Int2IntHashMap(0);
 
-    /** Failures since then of healthy jobs that are over. */
+    /** Number of failures of healthy jobs that are over, since the last success on the machine. */
     private int failuresOfFinishedJobs;
 
     private boolean isHealthy;
@@ -54,10 +56,10 @@
   private final int minFailuresOfFaultyMachine;
 
   /**
-   * Knows of no failure yet.
+   * Creates an attribution without any recorded result.
    *
-   * @param minFailuresOfFaultyMachine so many failures of healthy jobs in a row make a machine
-   *     faulty
+   * @param minFailuresOfFaultyMachine number of failures of healthy jobs without a success in
+   *     between at which a machine is faulty
    */
   public FailureAttribution(int minFailuresOfFaultyMachine) {
     this.minFailuresOfFaultyMachine = minFailuresOfFaultyMachine;
@@ -71,7 +73,7 @@
     return machines.computeIfAbsent(machine, index -> new MachineHistory());
   }
 
-  /** A task of the job has succeeded on the machine. */
+  /** Records that a task of the job succeeded on the machine. */
   public void onTaskSucceeded(int job, int machine) {
     markJobHealthy(job);
     MachineHistory history = machineHistory(machine);
@@ -80,14 +82,14 @@
     history.isHealthy = true;
   }
 
-  /** A task of the job is known to have succeeded somewhere. */
+  /** Records that a task of the job is known to have succeeded on some machine. */
   public void markJobHealthy(int job) {
     JobHistory history = jobHistory(job);
     history.isHealthy = true;
     history.isSuspected = false;
   }
 
-  /** A task of the job has failed on the machine. */
+  /** Records that a task of the job failed on the machine. */
   public void onTaskFailed(int job, int machine) {
     JobHistory jobHistory = jobHistory(job);
     MachineHistory machineHistory = machineHistory(machine);
@@ -105,19 +107,22 @@
             || jobHistory.failedMachines.size() >= MIN_MACHINES_TO_SUSPECT_JOB;
   }
 
-  /** Whether the job seems to fail wherever it runs. */
+  /** Returns whether the job seems to fail on any machine. */
   public boolean isJobSuspected(int job) {
     JobHistory history = jobs.get(job);
     return history != null && history.isSuspected;
   }
 
-  /** Whether work has succeeded on the machine, and no healthy job has failed there since. */
+  /** Returns whether a task has succeeded on the machine and no healthy job failed there since. */
   public boolean isMachineHealthy(int machine) {
     MachineHistory history = machines.get(machine);
     return history != null && history.isHealthy;
   }
 
-  /** Failures there since the last success that no suspected job explains. */
+  /**
+   * Returns the number of failures on the machine since the last success there, without those of
+   * suspected jobs.
+   */
   public int unexplainedFailures(int machine) {
     return countFailures(machine, false);
   }
@@ -139,12 +144,14 @@
     return count[0];
   }
 
-  /** Whether whatever starts on the machine seems to fail. */
+  /** Returns whether tasks of any job seem to fail on the machine. */
   public boolean isMachineFaulty(int machine) {
     return countFailures(machine, true) >= minFailuresOfFaultyMachine;
   }
 
-  /** The job is over. What it told of machines stays if it was healthy. */
+  /**
+   * Removes a job that is over. Its failures keep counting against the machines if it was healthy.
+   */
   public void forgetJob(int job) {
     JobHistory jobHistory = jobs.remove(job);
     if (jobHistory == null) {
@@ -160,7 +167,7 @@
         });
   }
 
-  /** How many jobs are suspected. */
+  /** Returns the number of suspected jobs. */
   public int suspectedJobs() {
     int count = 0;
     for (JobHistory history : jobs.values()) {
--- a/src/main/java/org/snowturn/core/health/Reachability.java
+++ b/src/main/java/org/snowturn/core/health/Reachability.java
@@ -1,27 +1,27 @@
 package org.snowturn.core.health;
 
 /**
- * Whether a machine receives what it is sent. Its heartbeats only tell what runs there: they may
- * get out while nothing gets in, and copies of them may come long after it has died. Only what
- * shows that something arrived counts:
+ * Tracks whether one machine receives the messages that are sent to it. Its heartbeats alone do not
+ * show that: they may be sent while nothing arrives at the machine, and copies of them may arrive
+ * long after its death. A machine is proven reachable by any of these:
  *
  * <ul>
- *   <li>it has answered a message,
- *   <li>it has learnt a token that it did not have before,
- *   <li>two of its heartbeats in a row have come here in their time, the first of which was
- *       answered: without the answer it would have gone to other nodes before.
+ *   <li>It answers a message.
+ *   <li>Its heartbeats carry the present token after one that did not.
+ *   <li>Two consecutive heartbeats arrive at this node on time, and the first was answered. Without
+ *       the answer, the machine would have tried other nodes in between.
  * </ul>
  *
- * Nothing new is placed on a machine that is not proven reachable, and nothing follows for what may
- * run there: that stays assigned until there is proof of its end. Times are milliseconds of the
- * steady clock.
+ * <p>A machine that is not proven reachable gets no new tasks. Its present tasks stay assigned to
+ * it until there is proof of their end. Times are in milliseconds of the core's clock.
  */
 public final class Reachability {
-  /** So many unanswered messages in a row, while its heartbeats come, are no accident. */
+  /** Minimum number of consecutive unanswered messages at which a machine may be unreachable. */
   public static final int MIN_UNANSWERED_MESSAGES = 3;
 
   /**
-   * A machine that is not proven is probed at once, then after delays that double up to a bound.
+   * Delay before the second probe of a machine that is not proven; the first is sent at once. The
+   * delay doubles with each unanswered message up to {@link #MAX_PROBE_DELAY_MS}.
    */
   private static final long MIN_PROBE_DELAY_MS = 500;
 
@@ -29,17 +29,22 @@
 
   private static final int MAX_PROBE_DOUBLINGS = 4;
 
-  /** So many replies in a row that are older than what is known are no accident. */
+  /**
+   * Minimum number of consecutive outdated replies at which a machine counts as a new incarnation.
+   */
   private static final int MIN_OUTDATED_REPLIES = 3;
 
-  /** Two heartbeats that come sooner after each other were held back together. */
+  /**
+   * Minimum time between two heartbeats that prove anything. Those that arrive closer together were
+   * delayed together on the way.
+   */
   private static final long MIN_HEARTBEAT_GAP_MS = 400;
 
   private static final long NEVER = Long.MIN_VALUE / 4;
 
   private boolean proven;
 
-  /** Whether its last heartbeat did not bear the present token. */
+  /** Whether the last accepted heartbeat did not carry the present token. */
   private boolean lastHeartbeatLackedToken;
 
   private long unprovenSince = NEVER;
@@ -49,18 +54,25 @@
   private long nextProbeAt = NEVER;
   private long highestSequence = -1;
 
-  /** Whether it has shown that it receives, and nothing since speaks against it. */
+  /**
+   * Returns whether the machine has shown that it receives messages, and no later event put that in
+   * doubt.
+   */
   public boolean isProven() {
     return proven;
   }
 
-  /** How many messages in a row got no answer. */
+  /** Returns the number of consecutive messages that were not answered. */
   public int unansweredMessages() {
     return unansweredMessages;
   }
 
   /**
-   * Whether it sends heartbeats and yet has received nothing for so long, despite several probes.
+   * Returns whether the machine has not been proven reachable for a given time, despite several
+   * messages.
+   *
+   * @param nowMs the present time
+   * @param limitMs minimum time since the proof was revoked
    */
   public boolean isUnreachable(long nowMs, long limitMs) {
     return !proven
@@ -68,27 +80,33 @@
         && nowMs - unprovenSince >= limitMs;
   }
 
-  /** A message got no answer: what came before proves nothing any more. */
+  /** Records that a message got no answer, which revokes the proof. */
   public void onMessageUnanswered(long nowMs) {
     unansweredMessages++;
     revokeProof(nowMs);
   }
 
-  /** What it has shown so far counts no more. */
+  /** Revokes the proof: the machine has to show again that it receives messages. */
   public void revokeProof(long nowMs) {
     unprovenSince = unprovenSince == NEVER ? nowMs : unprovenSince;
     proven = false;
     heartbeatAnsweredAt = NEVER;
   }
 
-  /** A later agent epoch of it was seen. It has received nothing for as long as a lease. */
+  /**
+   * Records that the machine has a later agent epoch. The machine may have received nothing for the
+   * length of a lease before.
+   */
   public void onNewAgentEpoch(long nowMs) {
     revokeProof(nowMs);
     lastHeartbeatLackedToken = false;
     highestSequence = -1;
   }
 
-  /** Whether to probe it now, so that it may show that it receives; if so, it counts as probed. */
+  /**
+   * Returns whether the machine is to be probed now. If so, the time of the next probe is set as if
+   * the probe was sent.
+   */
   public boolean claimProbe(long nowMs) {
     if (proven || nowMs < nextProbeAt) {
       return false;
@@ -99,17 +117,18 @@
   }
 
   /**
-   * It has answered a message; tells whether it has come back as a new machine under its old name,
-   * whose counts begin anew: nothing that it says would be accepted, nor its silence noticed.
+   * Records a reply and returns whether the machine is a new incarnation under the same name. The
+   * counters of a new incarnation start again, so its heartbeats would be taken for outdated and
+   * its silence would not be noticed.
    *
-   * @param isOutdated whether the reply is older than what is known of it
+   * @param isOutdated whether the reply is older than the newest known state of the machine
    */
   public boolean detectNewIncarnation(boolean isOutdated) {
     outdatedReplies = isOutdated ? outdatedReplies + 1 : 0;
     return outdatedReplies >= MIN_OUTDATED_REPLIES;
   }
 
-  /** It has received something. */
+  /** Records that the machine has received a message. */
   public void markProven() {
     proven = true;
     unprovenSince = NEVER;
@@ -117,9 +136,9 @@
   }
 
   /**
-   * A heartbeat of the present agent epoch was accepted.
+   * Records that a heartbeat of the present agent epoch was accepted.
    *
-   * @param hasPresentToken whether it bears the present token
+   * @param hasPresentToken whether the heartbeat carries the present token
    */
   public void onHeartbeatAccepted(boolean hasPresentToken) {
     if (hasPresentToken && lastHeartbeatLackedToken) {
@@ -130,19 +149,21 @@
   }
 
   /**
-   * Whether a heartbeat of the present agent epoch, by its sequence number, is a copy or was given
-   * up long ago.
+   * Returns whether a heartbeat of the present agent epoch is a copy, or one that its worker gave
+   * up before it sent a later one.
+   *
+   * @param sequence sequence number of the heartbeat
    */
   public boolean isStale(long sequence) {
     return sequence <= highestSequence;
   }
 
   /**
-   * A heartbeat of the present agent epoch has come.
+   * Records that a heartbeat of the present agent epoch arrived.
    *
-   * @param sequence its sequence number
-   * @param nextHeartbeatWithinMs time within which a machine that was answered sends the next
-   *     heartbeat
+   * @param sequence sequence number of the heartbeat
+   * @param nowMs the present time
+   * @param nextHeartbeatWithinMs maximum time from an answer to the next heartbeat
    */
   public void onHeartbeatReceived(long sequence, long nowMs, long nextHeartbeatWithinMs) {
     highestSequence = Math.max(highestSequence, sequence);
@@ -155,12 +176,15 @@
     }
   }
 
-  /** How long ago its last heartbeat since it was unproven was answered; 0 if none was. */
+  /**
+   * Returns the time since a heartbeat of the machine was last answered, in milliseconds; 0 if none
+   * was answered since the proof was last revoked.
+   */
   public long sinceHeartbeatAnswerMs(long nowMs) {
     return heartbeatAnsweredAt == NEVER ? 0 : nowMs - heartbeatAnsweredAt;
   }
 
-  /** That heartbeat is answered with what may renew its lease. */
+  /** Records that a heartbeat is answered in a way that may renew the lease of the machine. */
   public void onHeartbeatAnswered(long nowMs) {
     heartbeatAnsweredAt = nowMs;
   }
--- a/src/main/java/org/snowturn/core/health/package-info.java
+++ b/src/main/java/org/snowturn/core/health/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Evidence about machines and attempts: what proves an end, who receives messages, whose failure it
- * is.
+ * Evidence about machines and attempts: whether an attempt has ended, whether a machine receives
+ * messages, and whether a job or a machine is at fault for a failed task.
  */
 package org.snowturn.core.health;
--- a/src/main/java/org/snowturn/core/recovery/Backoff.java
+++ b/src/main/java/org/snowturn/core/recovery/Backoff.java
@@ -3,12 +3,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When to repeat a call that failed: at twice the interval each time, up to a bound, with a part of
- * it drawn at random, so that nodes that failed together do not come back together. What the other
- * side asked for by Retry-After is kept where it is longer.
+ * Exponential backoff with jitter for failed calls. The upper bound of the delay doubles with each
+ * failure up to a maximum, and each delay is drawn from the upper half of the range below it, so
+ * that nodes that failed together do not retry together. A longer Retry-After of the other side
+ * takes precedence.
  *
- * <p>A library such as resilience4j or Failsafe brings its own clock and threads; the core has
- * neither, and needs only the next delay.
+ * <p>Libraries such as resilience4j or Failsafe bring their own clock and threads. The core has
+ * neither and needs only the next delay.
  */
 public final class Backoff {
   private final RandomGenerator random;
@@ -17,14 +18,20 @@
   private long upperBoundMs;
 
   /**
-   * A sequence of delays that starts anew after each success.
+   * Creates a backoff whose next delay is the first of the sequence.
    *
-   * @param minMs the first delay's upper end
-   * @param maxMs what no delay of our own exceeds
+   * @param random source of the jitter
+   * @param minMs upper bound of the first delay, in milliseconds; at least 1
+   * @param maxMs maximum upper bound, in milliseconds; at least {@code minMs}. Only a Retry-After
+   *     can be longer.
    */
   public Backoff(RandomGenerator random, long minMs, long maxMs) {
     if (minMs < 1 || maxMs < minMs) {
-      throw new IllegalArgumentException("delays from " + minMs + " to " + maxMs + " ms");
+      throw new IllegalArgumentException(
+          "backoff delays must satisfy 1 <= minMs <= maxMs, but minMs is "
+              + minMs
+              + " and maxMs is "
+              + maxMs);
     }
     this.random = random;
     this.minMs = minMs;
@@ -33,9 +40,9 @@
   }
 
   /**
-   * The delay in milliseconds before the next try.
+   * Returns the delay before the next attempt, in milliseconds, and doubles the upper bound.
    *
-   * @param retryAfterMs what the other side asked for; 0 if it did not
+   * @param retryAfterMs minimum delay that the other side requested, in milliseconds; 0 if none
    */
   public long nextDelayMs(long retryAfterMs) {
     long upperMs = upperBoundMs;
@@ -45,7 +52,7 @@
     return Math.max(delayMs, retryAfterMs);
   }
 
-  /** The last try went well. */
+  /** Restarts the sequence of delays after a successful attempt. */
   public void reset() {
     upperBoundMs = minMs;
   }
--- a/src/main/java/org/snowturn/core/recovery/PacedProbes.java
+++ b/src/main/java/org/snowturn/core/recovery/PacedProbes.java
@@ -6,40 +6,41 @@
 import org.agrona.collections.Int2ObjectHashMap;
 
 /**
- * Which machines a new leader probes next, and how many at a time.
+ * Decides which machines a new leader probes next, and limits how many probes are in flight.
  *
- * <p>All at once, a thousand probes, their replies and the workers that then find the new leader
- * would stand before everything else that the node has to do, the renewal of its own lease
- * included. So only a window of probes is under way, as in congestion control: it grows by one with
- * each prompt reply and shrinks when replies are late or when the node itself runs late. A probe
- * without a reply does not hold its place in the window for long, since many machines may be dead.
+ * <p>If a thousand machines were probed at once, the probes, their replies and the heartbeats of
+ * workers that then find the new leader would delay all other work of the node, including the
+ * renewal of its own lease. The number of probes in flight is therefore limited by a window, as in
+ * congestion control. The window grows by one with each prompt reply and shrinks when replies are
+ * late or the node itself is behind with its work. A probe without a reply leaves the window soon,
+ * since many machines may be dead.
  *
  * <p>A machine that is heard without a probe is not probed. One that does not reply is probed
- * again. Times are milliseconds of the steady clock.
+ * again. Times are in milliseconds of the core's clock.
  */
 public final class PacedProbes {
-  /** How many probes without a reply are needed before silence says anything. */
+  /** Minimum number of unanswered probes at which a machine counts as unresponsive. */
   public static final int MIN_UNANSWERED_PROBES = 3;
 
   private static final int INITIAL_WINDOW = 16;
   private static final int MIN_WINDOW = 4;
 
-  /** As far as the window grows without replies, so that hundreds of dead are found together. */
+  /** Maximum window reached without replies, large enough to detect hundreds of dead machines. */
   private static final int MAX_WINDOW_WITHOUT_REPLIES = 64;
 
   private static final int MAX_WINDOW = 256;
   private static final double SHRINK_FACTOR = 0.7;
 
-  /** A reply within this time is prompt. */
+  /** Maximum time to a reply that counts as prompt. */
   private static final long MAX_PROMPT_REPLY_MS = 120;
 
-  /** A probe that has been open for so long no longer holds a place in the window. */
+  /** Time after which a probe without a reply leaves the window. */
   private static final long MAX_TIME_IN_WINDOW_MS = 300;
 
-  /** Between two shrinks, so that one late moment counts once. */
+  /** Minimum time between two shrinks, so that one delay of the node counts only once. */
   private static final long MIN_SHRINK_INTERVAL_MS = 200;
 
-  /** The probes of one machine. */
+  /** State of the probes of one machine. */
   private static final class Probe {
     private final int machineId;
     private final int urgency;
@@ -63,7 +64,7 @@
               .thenComparingInt(probe -> probe.urgency)
               .thenComparingInt(probe -> probe.machineId));
 
-  /** Those under way that hold a place in the window, the longest first. */
+  /** Probes in flight that hold a place in the window, the oldest first. */
   private final ArrayDeque<Probe> inWindow = new ArrayDeque<>();
 
   private final long retryMs;
@@ -72,20 +73,22 @@
   private long sentCount;
 
   /**
-   * No machine is to be probed yet.
+   * Creates a pacer without machines to probe.
    *
-   * @param retryMs how long after a probe that got no reply the next one is sent
+   * @param retryMs delay before a machine that left a probe unanswered is probed again, in
+   *     milliseconds
    */
   public PacedProbes(long retryMs) {
     this.retryMs = retryMs;
   }
 
   /**
-   * Adds a machine that is to be probed, unless it is already known.
+   * Adds a machine to probe, unless it has been added already.
    *
-   * @param machineId the machine's index
-   * @param urgency smaller ones go first
-   * @param notBeforeMs until then it is expected to be heard by itself
+   * @param machineId index of the machine
+   * @param urgency rank of the machine; machines with lower values are probed first
+   * @param notBeforeMs earliest time of the first probe; the machine is expected to send a
+   *     heartbeat before
    */
   public void add(int machineId, int urgency, long notBeforeMs) {
     if (!probes.containsKey(machineId)) {
@@ -95,7 +98,13 @@
     }
   }
 
-  /** The machine is expected to be heard by itself until then. */
+  /**
+   * Postpones the probe of a machine that waits for one.
+   *
+   * @param machineId index of the machine
+   * @param notBeforeMs earliest time of the probe; the machine is expected to send a heartbeat
+   *     before
+   */
   public void postpone(int machineId, long notBeforeMs) {
     Probe probe = probes.get(machineId);
     if (probe != null && !probe.isOpen && probe.notBeforeMs < notBeforeMs) {
@@ -105,10 +114,13 @@
     }
   }
 
-  /** The machine that is to be probed now, or -1 if none is or the window is full. */
+  /**
+   * Returns the index of the machine to probe now, and counts the probe as sent; -1 if no probe is
+   * due or the window is full.
+   */
   public int nextMachine(long nowMs) {
     while (!inWindow.isEmpty() && nowMs - inWindow.peek().sentAt >= MAX_TIME_IN_WINDOW_MS) {
-      release(inWindow.peek()); // dead, most likely: that is no sign of a node that is behind
+      release(inWindow.peek()); // most likely dead, so the window does not shrink
     }
     if (inWindow.size() >= (int) window) {
       return -1;
@@ -126,7 +138,10 @@
     return probe.machineId;
   }
 
-  /** The machine has been heard, probed or not. */
+  /**
+   * Handles a message of a machine, which is not probed any more. If it was a reply to a probe, the
+   * window is adjusted.
+   */
   public void onHeard(int machineId, long nowMs) {
     Probe probe = probes.remove(machineId);
     if (probe == null) {
@@ -146,9 +161,11 @@
   }
 
   /**
-   * A probe got no reply: it is repeated later.
+   * Handles a probe without a reply, which is repeated later.
    *
-   * @param countsAsSilence whether that says something of the machine
+   * @param machineId index of the machine
+   * @param nowMs the present time
+   * @param countsAsSilence whether the missing reply may be due to the machine
    */
   public void onUnanswered(int machineId, long nowMs, boolean countsAsSilence) {
     Probe probe = probes.get(machineId);
@@ -162,7 +179,7 @@
     waiting.add(probe);
   }
 
-  /** The machine need not be probed any more. */
+  /** Removes a machine that need not be probed any more. */
   public void remove(int machineId) {
     Probe probe = probes.remove(machineId);
     if (probe != null) {
@@ -171,12 +188,15 @@
     }
   }
 
-  /** The node itself is behind with its work. */
+  /** Shrinks the window since this node is behind with its work. */
   public void onNodeLate(long nowMs) {
     shrinkWindow(nowMs);
   }
 
-  /** The node keeps up with its work: it can bear more probes, though few are answered. */
+  /**
+   * Grows the window since this node keeps up with its work, even if few probes are answered, up to
+   * {@link #MAX_WINDOW_WITHOUT_REPLIES}.
+   */
   public void onNodeOnTime() {
     if (window < MAX_WINDOW_WITHOUT_REPLIES) {
       window++;
@@ -184,10 +204,12 @@
   }
 
   /**
-   * Whether the machine's silence says something: {@link #MIN_UNANSWERED_PROBES} probes got no
-   * reply, and the first was sent at least so long ago.
+   * Returns whether the machine is unresponsive: at least {@link #MIN_UNANSWERED_PROBES} probes got
+   * no reply, and the first was sent long enough ago.
    *
-   * @param minSinceFirstProbeMs the time that must have passed since the first probe
+   * @param machineId index of the machine
+   * @param minSinceFirstProbeMs minimum time since the first probe
+   * @param nowMs the present time
    */
   public boolean isUnresponsive(int machineId, long minSinceFirstProbeMs, long nowMs) {
     Probe probe = probes.get(machineId);
@@ -196,28 +218,28 @@
         && nowMs - probe.firstSentAt >= minSinceFirstProbeMs;
   }
 
-  /** Whether the machine has left a probe unanswered and has not been heard since. */
+  /** Returns whether the machine left a probe unanswered and has not been heard since. */
   public boolean hasMissedProbe(int machineId) {
     Probe probe = probes.get(machineId);
     return probe != null && probe.unanswered > 0;
   }
 
-  /** How many machines have not been heard. */
+  /** Returns the number of machines that have not been heard. */
   public int unheardMachines() {
     return probes.size();
   }
 
-  /** How many probes have been sent. */
+  /** Returns the number of probes sent. */
   public long sentCount() {
     return sentCount;
   }
 
-  /** How many probes may be under way now. */
+  /** Returns the present maximum number of probes in flight. */
   public int window() {
     return (int) window;
   }
 
-  /** Gives back the probe's place in the window; false if it had none any more. */
+  /** Removes the probe from the window; returns whether it was still there. */
   private boolean release(Probe probe) {
     return inWindow.remove(probe);
   }
--- a/src/main/java/org/snowturn/core/recovery/Reconciliation.java
+++ b/src/main/java/org/snowturn/core/recovery/Reconciliation.java
@@ -1,82 +1,91 @@
 package org.snowturn.core.recovery;
 
 /**
- * What follows from what is stored of a task's attempt and what its machine reports of it. This is
- * the table of docs/recovery.md; it decides and acts on nothing.
+ * Decision table that compares the stored state of a task's attempt with the report of its machine.
+ * It is the table of docs/recovery.md. It only returns verdicts; the callers act on them.
  *
- * <p>Only the newest report of a machine is put to it. Two things decide how much a report proves.
- * Its token: after a machine has shown the present one, no start of an earlier leader can be
- * executed there any more. Its session: what was placed in an earlier session of the machine has
- * ended with it.
+ * <p>Callers pass only the newest report of a machine. Two properties of a report decide how much
+ * it proves. Its token: once a machine has reported the present token, it no longer executes starts
+ * of earlier leaders. Its agent epoch: attempts that were placed in an earlier agent epoch of the
+ * machine ended with that epoch.
  */
 public final class Reconciliation {
-  /** What the stored records, and this term's own placements, say of the attempt. */
+  /** State of the attempt by the stored records and the placements of this term. */
   public enum Stored {
-    /** No live job of this name: never accepted, over, or cancelled and done with. */
+    /**
+     * No live job has this name: it was never accepted, is over, or its cancellation is complete.
+     */
     NOTHING,
-    /** The job lives and this task waits for a machine. */
+    /** The job is live and the task waits for a machine. */
     WAITING,
-    /** The task has another attempt or machine, or its job is cancelled and needs no result. */
+    /**
+     * The task is placed with another attempt or on another machine, or its job is cancelled and
+     * needs no result.
+     */
     ELSEWHERE,
-    /** The task's result is known. */
+    /** The result of the task is known. */
     FINISHED,
-    /** Placed here in this term; the placement is not durable, so no start has been sent. */
+    /** Placed here in this term. The placement is not durable yet, so no start has been sent. */
     PLACING,
-    /** Started here under this token, or seen here under it. */
+    /** Started here under this term's token, or reported here under it. */
     STARTED,
-    /** Placed here by an earlier leader and not yet seen under this token. */
+    /** Placed here by an earlier leader and not yet reported under this term's token. */
     INHERITED;
 
-    /** Whether this attempt may be on this machine. */
+    /** Returns whether the attempt is placed on this machine, so that it may run there. */
     public boolean isPlacedHere() {
       return this == PLACING || this == STARTED || this == INHERITED;
     }
   }
 
-  /** What the machine says of the attempt. */
+  /** State of the attempt by the report of the machine. */
   public enum Reported {
     /** Not listed. */
     ABSENT,
     /** Fetching, running or saving. */
     ALIVE,
-    /** Ended with its result. */
+    /** Ended with a result. */
     DONE,
-    /** Ended without: stopped, failed or refused. */
+    /** Ended without a result: stopped, failed or refused. */
     ENDED
   }
 
-  /** The report's session as against the one in which the attempt was placed. */
+  /** Agent epoch of the report relative to the one in which the attempt was placed. */
   public enum EpochOrder {
     EARLIER,
     SAME,
     LATER
   }
 
-  /** What is to be done. */
+  /** Decision on an attempt. */
   public enum Verdict {
-    /** It is where it should be. */
+    /** Leave the attempt as it is: it runs where it is placed. */
     KEEP,
-    /** Nothing is proven yet. */
+    /** Do nothing yet: the report proves nothing. */
     WAIT,
-    /** Send the start again: it may have been lost, and is harmless if not. */
+    /** Send the start again, since it may have been lost. A repeated start is harmless. */
     START,
-    /** Tell the machine to stop it. */
+    /** Tell the machine to stop the attempt. */
     STOP,
-    /** It has certainly ended without a result: the task waits again. */
+    /** Queue the task again: the attempt has certainly ended without a result. */
     RELEASE,
-    /** The task is done. */
+    /** Record the task as done. */
     COMPLETE,
-    /** The machine need not list it any more. */
+    /** Tell the machine to stop listing the attempt. */
     FORGET
   }
 
   /**
-   * One attempt on one machine.
+   * Input of the decision: one attempt on one machine.
    *
-   * @param presentToken whether the report bears the present token
-   * @param stopping whether the attempt has been told to stop, or is to be
-   * @param settled whether nothing of the attempt is needed or in flight any more: its result, if
-   *     any, is durable, and no start of it may still arrive
+   * @param stored state of the attempt by the records
+   * @param reported state of the attempt by the report
+   * @param epochOrder agent epoch of the report relative to that of the placement; used only if the
+   *     attempt is placed on this machine
+   * @param presentToken whether the report carries the present token
+   * @param stopping whether the attempt has been told to stop or is to be told
+   * @param settled whether the result of the attempt, if any, is durable and no start of it can
+   *     still arrive
    */
   public record Case(
       Stored stored,
@@ -88,7 +97,7 @@
 
   private Reconciliation() {}
 
-  /** The verdict for a case. */
+  /** Returns the verdict for an attempt. */
   public static Verdict decide(Case attempt) {
     if (!attempt.stored.isPlacedHere()) {
       return decideNotPlacedHere(attempt);
@@ -96,7 +105,7 @@
     return switch (attempt.epochOrder) {
       case LATER -> Verdict.RELEASE;
       case EARLIER -> Verdict.WAIT;
-      // What was not sent cannot be listed; if it seems to be, nothing is done about it.
+      // No start has been sent, so the attempt cannot be listed. A report of it is ignored.
       case SAME -> attempt.stored == Stored.PLACING ? Verdict.WAIT : decidePlacedHere(attempt);
     };
   }
@@ -104,8 +113,8 @@
   private static Verdict decidePlacedHere(Case attempt) {
     return switch (attempt.reported) {
       case ALIVE -> attempt.stopping ? Verdict.STOP : Verdict.KEEP;
-      // Not only absence but also an end has to be told under this token: a report without it may
-      // be older than what an earlier leader has done since.
+      // An end has to be reported under the present token, like absence: a report without it may
+      // be older than commands that an earlier leader has sent since.
       case DONE -> attempt.presentToken ? Verdict.COMPLETE : Verdict.WAIT;
       case ENDED -> attempt.presentToken ? Verdict.RELEASE : Verdict.WAIT;
       case ABSENT -> decideNotListed(attempt);
@@ -114,7 +123,8 @@
 
   private static Verdict decideNotListed(Case attempt) {
     return switch (attempt.stored) {
-      // One that is to stop is not started to be stopped, once no start of it can still arrive.
+      // An attempt that is to stop is released once no start of it can still arrive, rather than
+      // started only to be stopped.
       case STARTED ->
           attempt.stopping && attempt.presentToken && attempt.settled
               ? Verdict.RELEASE
--- a/src/main/java/org/snowturn/core/recovery/RecoveryPhase.java
+++ b/src/main/java/org/snowturn/core/recovery/RecoveryPhase.java
@@ -1,16 +1,22 @@
 package org.snowturn.core.recovery;
 
-/** How far a term of leadership is on its way from nothing to the ordinary path. */
+/** Phases of the recovery of cluster state at the beginning of a leader's term, in order. */
 public enum RecoveryPhase {
-  /** The token is ours; nothing is known yet, so nothing may be decided. */
+  /** This node holds the fencing token. No records are read yet, so no decisions are made. */
   WON(0),
-  /** The stored records are being read. Workers are answered, so that their leases go on. */
+  /** The stored records are being read. Workers are answered so that their leases are renewed. */
   READING(1),
-  /** All records are known. Machines that have shown the token may get work; others are asked. */
+  /**
+   * All records are read. Machines that have acknowledged the token may get tasks; the others are
+   * probed.
+   */
   PROBING(2),
-  /** Every machine of the records has shown the token, has ended, or is known not to answer. */
+  /**
+   * Every recorded machine has acknowledged the token, has ended, or is being terminated since it
+   * does not answer.
+   */
   RECONCILED(3),
-  /** The fate of every task that an earlier leader started is known. */
+  /** Every task that an earlier leader started is confirmed to be running or to have ended. */
   NORMAL(4);
 
   private final int number;
@@ -19,7 +25,7 @@
     this.number = number;
   }
 
-  /** From 0 on in the order of the phases, as in the metrics. */
+  /** Returns the number of the phase in metrics; phases are numbered from 0 in their order. */
   public int number() {
     return number;
   }
--- a/src/main/java/org/snowturn/core/recovery/RecoveryProgress.java
+++ b/src/main/java/org/snowturn/core/recovery/RecoveryProgress.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.Locale;
 
-/** The phases of one term with the times at which they began; phases only go forward. */
+/** Recovery phases of one term with the times at which they began. Phases only advance. */
 public final class RecoveryProgress {
   private static final long NOT_ENTERED = -1;
 
@@ -12,9 +12,9 @@
   private RecoveryPhase currentPhase = RecoveryPhase.WON;
 
   /**
-   * A term that has just been won.
+   * Creates the progress of a term that begins now, in {@link RecoveryPhase#WON}.
    *
-   * @param nowMs the steady time in milliseconds, as in all of the core
+   * @param nowMs present time of the core's clock, in milliseconds
    */
   public RecoveryProgress(long nowMs) {
     wonAt = nowMs;
@@ -22,17 +22,23 @@
     phaseBeganAt[RecoveryPhase.WON.number()] = nowMs;
   }
 
-  /** The present phase. */
+  /** Returns the current phase. */
   public RecoveryPhase phase() {
     return currentPhase;
   }
 
-  /** Whether this phase has begun. */
+  /** Returns whether the phase has begun or was skipped for a later one. */
   public boolean hasReached(RecoveryPhase phase) {
     return currentPhase.compareTo(phase) >= 0;
   }
 
-  /** Begins a phase if it is a later one; tells whether it did. */
+  /**
+   * Enters a phase if it is later than the current one.
+   *
+   * @param phase the phase to enter
+   * @param nowMs present time of the core's clock, in milliseconds
+   * @return whether the phase was entered
+   */
   public boolean enter(RecoveryPhase phase, long nowMs) {
     if (hasReached(phase)) {
       return false;
@@ -42,13 +48,16 @@
     return true;
   }
 
-  /** How long after the term was won the phase began, in milliseconds; -1 if it was not seen. */
+  /**
+   * Returns the time from the beginning of the term to that of the phase, in milliseconds; -1 if
+   * the phase was not entered.
+   */
   public long sinceWonMs(RecoveryPhase phase) {
     long beganAt = phaseBeganAt[phase.number()];
     return beganAt == NOT_ENTERED ? NOT_ENTERED : beganAt - wonAt;
   }
 
-  /** The phases so far for the log, such as "won 0 ms, reading 2 ms". */
+  /** Returns the phases entered so far for the log, such as "won 0 ms, reading 2 ms". */
   @Override
   public String toString() {
     StringBuilder out = new StringBuilder();
