--- a/src/test/java/org/snowturn/core/connectivity/StateRequestRelayTest.java
+++ b/src/test/java/org/snowturn/core/connectivity/StateRequestRelayTest.java
@@ -16,17 +16,17 @@
 
 /** What a peer answers to a previous process of a node. */
 class StateRequestRelayTest {
-  private final List<Integer> answers = new ArrayList<>();
+  private final List<Integer> statuses = new ArrayList<>();
 
   /** A process of node "a" asks its peer once; returns what it sent. */
-  private PeerMessage.RelayRequest ask(StateRequestRelay relay, CoreRuntime runtime) {
+  private PeerMessage.RelayRequest sendRequest(StateRequestRelay relay, CoreRuntime runtime) {
     relay.callState(
         RequestClass.USERS,
         "GET",
         "/kv/j/x",
         null,
         1000,
-        (outcome, status, body) -> answers.add(status));
+        (outcome, status, body) -> statuses.add(status));
     for (Effect effect : runtime.drainEffects()) {
       if (effect instanceof Effect.Broadcast broadcast
           && broadcast.message() instanceof PeerMessage.RelayRequest request) {
@@ -45,19 +45,20 @@
   }
 
   @Test
-  void aReplyToThePreviousProcessIsNotTakenForOneToThisOne() {
-    CoreRuntime first = new CoreRuntime("life-1".hashCode());
-    PeerMessage.RelayRequest former = ask(newProcess(first), first);
-    CoreRuntime second = new CoreRuntime("life-2".hashCode());
-    StateRequestRelay relay = newProcess(second);
-    PeerMessage.RelayRequest mine = ask(relay, second);
+  void replyToPreviousProcessIsIgnored() {
+    CoreRuntime previousRuntime = new CoreRuntime("life-1".hashCode());
+    PeerMessage.RelayRequest previousRequest =
+        sendRequest(newProcess(previousRuntime), previousRuntime);
+    CoreRuntime currentRuntime = new CoreRuntime("life-2".hashCode());
+    StateRequestRelay relay = newProcess(currentRuntime);
+    PeerMessage.RelayRequest currentRequest = sendRequest(relay, currentRuntime);
     relay.onReply(
         new PeerMessage.RelayReply(
-            "b", "a", former.requestId(), Outcome.ANSWERED, 404, Json.object()));
-    assertTrue(answers.isEmpty(), "the previous process's 404 was taken: " + answers);
+            "b", "a", previousRequest.requestId(), Outcome.ANSWERED, 404, Json.object()));
+    assertTrue(statuses.isEmpty(), "the previous process's 404 was taken: " + statuses);
     relay.onReply(
         new PeerMessage.RelayReply(
-            "b", "a", mine.requestId(), Outcome.ANSWERED, 200, Json.object()));
-    assertEquals(List.of(200), answers);
+            "b", "a", currentRequest.requestId(), Outcome.ANSWERED, 200, Json.object()));
+    assertEquals(List.of(200), statuses);
   }
 }
--- a/src/test/java/org/snowturn/core/health/AttemptSnapshotTest.java
+++ b/src/test/java/org/snowturn/core/health/AttemptSnapshotTest.java
@@ -18,10 +18,10 @@
 class AttemptSnapshotTest {
   private static final long TOKEN = 9;
   private static final long AGENT_EPOCH = 4;
-  private static final long RENEWED = 1_000;
+  private static final long LEASE_RENEWED_AT = 1_000;
   private static final long LEASE_EXPIRY_MS = 10_000;
 
-  private long now = RENEWED;
+  private long now = LEASE_RENEWED_AT;
   private boolean durable = true;
   private boolean inherited;
   private boolean stopping;
@@ -41,13 +41,13 @@
             startInFlight,
             deleted,
             failed,
-            RENEWED,
+            LEASE_RENEWED_AT,
             LEASE_EXPIRY_MS);
     return attempt.rejectionReason(evidence) == null;
   }
 
   @Test
-  void aReportedEndCountsUnderThePresentTokenAndInItsSessionOnly() {
+  void reportedEndNeedsPresentTokenSameAgentEpochAndDurablePlacement() {
     assertEquals(true, proves(new ReportedEnded(TOKEN, AGENT_EPOCH)));
     assertEquals(false, proves(new ReportedEnded(TOKEN - 1, AGENT_EPOCH)));
     assertEquals(false, proves(new ReportedEnded(TOKEN, AGENT_EPOCH + 1)));
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void absenceProvesTheEndOfWhatAnEarlierLeaderPlaced() {
+  void absenceProvesEndOfInheritedAttempt() {
     assertEquals(false, proves(new NotListed(TOKEN, AGENT_EPOCH, true)));
     inherited = true;
     assertEquals(true, proves(new NotListed(TOKEN, AGENT_EPOCH, false)));
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void absenceProvesTheEndOfOurOwnOnlyOnceNoStartOfItCanArrive() {
+  void absenceProvesEndOfOwnAttemptOnlyOnceNoStartCanArrive() {
     stopping = true;
     assertEquals(true, proves(new NotListed(TOKEN, AGENT_EPOCH, true)));
     assertEquals(false, proves(new NotListed(TOKEN, AGENT_EPOCH, false)));
@@ -74,15 +74,15 @@
   }
 
   @Test
-  void aLeaseHasRunOutNotBeforeItsLastMoment() {
-    now = RENEWED + LEASE_EXPIRY_MS - 1;
+  void leaseExpiresExactlyAtItsExpiryTime() {
+    now = LEASE_RENEWED_AT + LEASE_EXPIRY_MS - 1;
     assertEquals(false, proves(new LeaseExpired()));
-    now = RENEWED + LEASE_EXPIRY_MS;
+    now = LEASE_RENEWED_AT + LEASE_EXPIRY_MS;
     assertEquals(true, proves(new LeaseExpired()));
   }
 
   @Test
-  void theCloudHasToHaveSaidSo() {
+  void cloudEvidenceNeedsConfirmationByTheCloud() {
     assertEquals(false, proves(new MachineDeleted()));
     assertEquals(false, proves(new MachineFailed()));
     deleted = true;
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void whatMayHaveBeenSentIsNotCalledNeverSent() {
+  void durablePlacementMayHaveBeenSent() {
     assertEquals(false, proves(new NeverSent()));
     durable = false;
     assertEquals(true, proves(new NeverSent()));
@@ -100,15 +100,15 @@
 
   /** Only a later session, a lapse or the cloud ends anything while another token is shown. */
   @Property
-  void withoutThePresentTokenNoReportOfTheSameSessionProvesAnything(
-      @ForAll @LongRange(min = 0, max = TOKEN - 1) long shown,
+  void reportWithOlderTokenProvesNothingWithinItsAgentEpoch(
+      @ForAll @LongRange(min = 0, max = TOKEN - 1) long reportedToken,
       @ForAll boolean wasInherited,
       @ForAll boolean wasStopping,
-      @ForAll boolean ownHeartbeat) {
+      @ForAll boolean unsolicited) {
     inherited = wasInherited;
     stopping = wasStopping;
-    assertEquals(false, proves(new NotListed(shown, AGENT_EPOCH, ownHeartbeat)));
-    assertEquals(false, proves(new ReportedEnded(shown, AGENT_EPOCH)));
+    assertEquals(false, proves(new NotListed(reportedToken, AGENT_EPOCH, unsolicited)));
+    assertEquals(false, proves(new ReportedEnded(reportedToken, AGENT_EPOCH)));
     assertEquals(false, proves(new LaterAgentEpoch(AGENT_EPOCH)));
     assertEquals(true, proves(new LaterAgentEpoch(AGENT_EPOCH + 1)));
   }
--- a/src/test/java/org/snowturn/core/health/FailureAttributionTest.java
+++ b/src/test/java/org/snowturn/core/health/FailureAttributionTest.java
@@ -18,24 +18,24 @@
 
 /** Jobs and machines judged by each other, in any order of what happens. */
 class FailureAttributionTest {
-  private static final int FAULTY_AFTER = 3;
+  private static final int MIN_FAILURES = 3;
 
   /** Jobs and machines below these numbers are broken and sick; both may be none or half of all. */
-  record World(int jobs, int broken, int machines, int sick, List<int[]> runs) {
+  record Cluster(int jobs, int brokenJobs, int machines, int faultyMachines, List<int[]> runs) {
     boolean fails(int[] run) {
-      return run[0] < broken || run[1] < sick;
+      return run[0] < brokenJobs || run[1] < faultyMachines;
     }
   }
 
   @Provide
-  Arbitrary<World> worlds() {
+  Arbitrary<Cluster> worlds() {
     return Combinators.combine(
             Arbitraries.integers().between(2, 8),
             Arbitraries.integers().between(0, 4),
             Arbitraries.integers().between(2, 12),
             Arbitraries.integers().between(0, 6))
         .flatAs(
-            (jobs, broken, machines, sick) ->
+            (jobs, brokenJobs, machines, faultyMachines) ->
                 Combinators.combine(
                         Arbitraries.integers().between(0, jobs - 1),
                         Arbitraries.integers().between(0, machines - 1))
@@ -45,87 +45,87 @@
                     .ofMaxSize(200)
                     .map(
                         runs ->
-                            new World(
+                            new Cluster(
                                 jobs,
-                                Math.min(broken, jobs / 2),
+                                Math.min(brokenJobs, jobs / 2),
                                 machines,
-                                Math.min(sick, machines / 2),
+                                Math.min(faultyMachines, machines / 2),
                                 runs)));
   }
 
   /** What the attribution should find, from all that has happened. */
   private static final class Expectation {
-    private final World world;
-    private final Set<Integer> provenJobs = new HashSet<>();
+    private final Cluster cluster;
+    private final Set<Integer> healthyJobs = new HashSet<>();
     private final int[] healthyJobFailures;
-    private final int[][] unprovenFailures;
+    private final int[][] undecidedFailures;
     private final List<Set<Integer>> failedMachines;
 
-    Expectation(World world) {
-      this.world = world;
-      healthyJobFailures = new int[world.machines];
-      unprovenFailures = new int[world.machines][world.jobs];
+    Expectation(Cluster cluster) {
+      this.cluster = cluster;
+      healthyJobFailures = new int[cluster.machines];
+      undecidedFailures = new int[cluster.machines][cluster.jobs];
       failedMachines =
-          IntStream.range(0, world.jobs).<Set<Integer>>mapToObj(job -> new HashSet<>()).toList();
+          IntStream.range(0, cluster.jobs).<Set<Integer>>mapToObj(job -> new HashSet<>()).toList();
     }
 
-    void failed(int job, int machine) {
+    void onTaskFailed(int job, int machine) {
       failedMachines.get(job).add(machine);
-      if (provenJobs.contains(job)) {
+      if (healthyJobs.contains(job)) {
         healthyJobFailures[machine]++;
       } else {
-        unprovenFailures[machine][job]++;
+        undecidedFailures[machine][job]++;
       }
     }
 
-    void succeeded(int job, int machine) {
-      provenJobs.add(job);
-      for (int other = 0; other < world.machines; other++) {
-        healthyJobFailures[other] += unprovenFailures[other][job];
-        unprovenFailures[other][job] = 0;
+    void onTaskSucceeded(int job, int machine) {
+      healthyJobs.add(job);
+      for (int other = 0; other < cluster.machines; other++) {
+        healthyJobFailures[other] += undecidedFailures[other][job];
+        undecidedFailures[other][job] = 0;
       }
       healthyJobFailures[machine] = 0;
     }
 
-    void check(FailureAttribution attribution) {
-      for (int machine = world.sick; machine < world.machines; machine++) {
+    void verify(FailureAttribution attribution) {
+      for (int machine = cluster.faultyMachines; machine < cluster.machines; machine++) {
         assertFalse(
             attribution.isMachineFaulty(machine), "healthy machine " + machine + " condemned");
       }
-      for (int machine = 0; machine < world.sick; machine++) {
-        boolean faulty = healthyJobFailures[machine] >= FAULTY_AFTER;
+      for (int machine = 0; machine < cluster.faultyMachines; machine++) {
+        boolean faulty = healthyJobFailures[machine] >= MIN_FAILURES;
         assertEquals(faulty, attribution.isMachineFaulty(machine), "faulty machine " + machine);
       }
-      for (int job = 0; job < world.jobs; job++) {
+      for (int job = 0; job < cluster.jobs; job++) {
         boolean suspected = attribution.isJobSuspected(job);
-        assertFalse(provenJobs.contains(job) && suspected, "healthy job " + job + " suspected");
-        boolean fewFailures = failedMachines.get(job).size() < 4;
-        assertTrue(job >= world.broken || fewFailures || suspected, "broken " + job);
+        assertFalse(healthyJobs.contains(job) && suspected, "healthy job " + job + " suspected");
+        boolean failedOnFewMachines = failedMachines.get(job).size() < 4;
+        assertTrue(job >= cluster.brokenJobs || failedOnFewMachines || suspected, "broken " + job);
       }
     }
   }
 
   @Property(tries = 400, seed = "32")
-  void noSoundMachineIsCondemnedAndNoSoundJobStaysSuspect(@ForAll("worlds") World world) {
-    FailureAttribution attribution = new FailureAttribution(FAULTY_AFTER);
-    Expectation expectation = new Expectation(world);
-    for (int[] run : world.runs) {
+  void healthyMachinesAndJobsAreNeverBlamed(@ForAll("worlds") Cluster cluster) {
+    FailureAttribution attribution = new FailureAttribution(MIN_FAILURES);
+    Expectation expectation = new Expectation(cluster);
+    for (int[] run : cluster.runs) {
       int job = run[0];
       int machine = run[1];
-      if (world.fails(run)) {
+      if (cluster.fails(run)) {
         attribution.onTaskFailed(job, machine);
-        expectation.failed(job, machine);
+        expectation.onTaskFailed(job, machine);
       } else {
         attribution.onTaskSucceeded(job, machine);
-        expectation.succeeded(job, machine);
+        expectation.onTaskSucceeded(job, machine);
       }
-      expectation.check(attribution);
+      expectation.verify(attribution);
     }
   }
 
   @Test
-  void whatAJobToldOfAMachineOutlivesIt() {
-    FailureAttribution attribution = new FailureAttribution(FAULTY_AFTER);
+  void failuresOfHealthyJobCountAfterTheJobIsOver() {
+    FailureAttribution attribution = new FailureAttribution(MIN_FAILURES);
     for (int job = 0; job < 3; job++) {
       attribution.onTaskFailed(job, 7);
       attribution.onTaskSucceeded(job, 8);
@@ -138,8 +138,8 @@
   }
 
   @Test
-  void twoSoundMachinesAreEnoughToSuspectAJob() {
-    FailureAttribution attribution = new FailureAttribution(FAULTY_AFTER);
+  void jobIsSuspectedAfterFailuresOnTwoHealthyMachines() {
+    FailureAttribution attribution = new FailureAttribution(MIN_FAILURES);
     attribution.onTaskSucceeded(1, 1);
     attribution.onTaskSucceeded(1, 2);
     attribution.onTaskFailed(2, 1);
--- a/src/test/java/org/snowturn/core/health/ReachabilityTest.java
+++ b/src/test/java/org/snowturn/core/health/ReachabilityTest.java
@@ -13,27 +13,27 @@
 
 /** What shows that a machine receives, and what does not. */
 class ReachabilityTest {
-  private static final long DUE_MS = 4_900;
+  private static final long NEXT_HEARTBEAT_WITHIN_MS = 4_900;
 
   private long sequence;
 
-  private void heartbeat(Reachability reachability, long at, boolean token) {
-    reachability.onHeartbeatAccepted(token);
-    reachability.onHeartbeatReceived(++sequence, at, DUE_MS);
+  private void sendHeartbeat(Reachability reachability, long at, boolean hasPresentToken) {
+    reachability.onHeartbeatAccepted(hasPresentToken);
+    reachability.onHeartbeatReceived(++sequence, at, NEXT_HEARTBEAT_WITHIN_MS);
     reachability.onHeartbeatAnswered(at);
   }
 
   @Test
-  void aLearntTokenProves() {
+  void newlyReportedTokenProvesReachability() {
     Reachability reachability = new Reachability();
-    heartbeat(reachability, 0, false);
+    sendHeartbeat(reachability, 0, false);
     assertFalse(reachability.isProven());
-    heartbeat(reachability, 500, true);
+    sendHeartbeat(reachability, 500, true);
     assertTrue(reachability.isProven());
   }
 
   @Test
-  void anUnansweredMessageIsDoubtUntilAnAnswerOrTwoReportsInTime() {
+  void unansweredMessageRevokesProofUntilReplyOrTwoTimelyHeartbeats() {
     Reachability reachability = new Reachability();
     reachability.markProven();
     reachability.onMessageUnanswered(1_000);
@@ -41,29 +41,30 @@
     reachability.markProven();
     assertTrue(reachability.isProven());
     reachability.onMessageUnanswered(5_000);
-    heartbeat(reachability, 6_000, true);
+    sendHeartbeat(reachability, 6_000, true);
     assertFalse(reachability.isProven());
-    heartbeat(reachability, 8_000, true);
+    sendHeartbeat(reachability, 8_000, true);
     assertTrue(reachability.isProven());
   }
 
   /** The next report of a worker without an answer comes after a time-out and a try elsewhere. */
   @Property(tries = 300, seed = "31")
-  void aMachineThatReceivesNothingIsNeverProven(
+  void machineThatReceivesNothingIsNeverProven(
       @ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 5) Integer> steps) {
     Reachability reachability = new Reachability();
     reachability.markProven();
     reachability.onMessageUnanswered(0);
     long now = 0;
-    long last = 0;
+    long lastHeartbeatAt = 0;
     for (int step : steps) {
       switch (step) {
         case 0, 1 -> {
           now += 5_000 + step * 1_000;
-          last = now;
-          heartbeat(reachability, last, true);
+          lastHeartbeatAt = now;
+          sendHeartbeat(reachability, lastHeartbeatAt, true);
         }
-        case 2 -> heartbeat(reachability, last, true); // held back with the one before
+        case 2 ->
+            sendHeartbeat(reachability, lastHeartbeatAt, true); // held back with the one before
         case 3 -> reachability.onMessageUnanswered(now += 1_000);
         case 4 -> reachability.onNewAgentEpoch(now);
         default -> assertTrue(reachability.claimProbe(now += 4_000));
@@ -77,9 +78,9 @@
   }
 
   @Test
-  void aCopyIsLateAndANewSessionCountsAnew() {
+  void heartbeatCopyIsStaleUntilNewAgentEpoch() {
     Reachability reachability = new Reachability();
-    reachability.onHeartbeatReceived(7, 0, DUE_MS);
+    reachability.onHeartbeatReceived(7, 0, NEXT_HEARTBEAT_WITHIN_MS);
     assertTrue(reachability.isStale(7));
     assertTrue(reachability.isStale(3));
     assertFalse(reachability.isStale(8));
@@ -88,7 +89,7 @@
   }
 
   @Test
-  void whoDoesNotAnswerIsAskedEverLater() {
+  void probeDelayGrowsWithUnansweredProbes() {
     Reachability reachability = new Reachability();
     int probes = 0;
     for (long now = 0; now < 20_000; now += 250) {
--- a/src/test/java/org/snowturn/core/recovery/PacedProbesTest.java
+++ b/src/test/java/org/snowturn/core/recovery/PacedProbesTest.java
@@ -12,39 +12,39 @@
 class PacedProbesTest {
   private final PacedProbes probes = new PacedProbes(500);
 
-  private List<Integer> probedAt(long now) {
-    List<Integer> out = new ArrayList<>();
+  private List<Integer> sendProbes(long now) {
+    List<Integer> probed = new ArrayList<>();
     int id;
     while ((id = probes.nextMachine(now)) >= 0) {
-      out.add(id);
+      probed.add(id);
     }
-    return out;
+    return probed;
   }
 
   @Test
-  void theMostUrgentGoFirstAndOnlyAWindowAtATime() {
+  void mostUrgentMachinesAreProbedFirstWithinTheWindow() {
     for (int id = 0; id < 1000; id++) {
       probes.add(id, id % 5, 0);
     }
-    List<Integer> first = probedAt(0);
+    List<Integer> first = sendProbes(0);
     assertEquals(16, first.size());
     assertTrue(first.stream().allMatch(id -> id % 5 == 0));
-    assertEquals(List.of(), probedAt(1));
+    assertEquals(List.of(), sendProbes(1));
   }
 
   @Test
-  void theWindowGrowsWithPromptAnswersAndShrinksWithLateOnes() {
+  void windowGrowsWithPromptRepliesAndShrinksWithLateOnes() {
     for (int id = 0; id < 1000; id++) {
       probes.add(id, 0, 0);
     }
-    List<Integer> asked = probedAt(0);
-    asked.forEach(id -> probes.onHeard(id, 10));
+    List<Integer> probed = sendProbes(0);
+    probed.forEach(id -> probes.onHeard(id, 10));
     assertEquals(32, probes.window());
-    probedAt(10).forEach(id -> probes.onHeard(id, 260));
+    sendProbes(10).forEach(id -> probes.onHeard(id, 260));
     assertTrue(probes.window() < 32);
-    int before = probes.window();
+    int windowBefore = probes.window();
     probes.onNodeLate(1000);
-    assertTrue(probes.window() < before);
+    assertTrue(probes.window() < windowBefore);
     for (int i = 0; i < 100; i++) {
       probes.onNodeLate(2000 + 200L * i);
     }
@@ -56,25 +56,25 @@
   }
 
   @Test
-  void whoIsHeardIsNotAskedAndWhoIsExpectedIsAskedLater() {
+  void heardMachineIsNotProbedAndPostponedMachineIsProbedLater() {
     probes.add(1, 0, 0);
     probes.add(2, 0, 0);
     probes.add(3, 0, 700);
     probes.onHeard(1, 0);
     probes.postpone(2, 400);
-    assertEquals(List.of(), probedAt(0));
-    assertEquals(List.of(2), probedAt(400));
-    assertEquals(List.of(3), probedAt(700));
+    assertEquals(List.of(), sendProbes(0));
+    assertEquals(List.of(2), sendProbes(400));
+    assertEquals(List.of(3), sendProbes(700));
     assertEquals(2, probes.unheardMachines());
     assertEquals(2, probes.sentCount());
   }
 
   @Test
-  void silenceCountsAfterThreeTriesAndSomeTime() {
+  void machineIsUnresponsiveAfterThreeProbesAndMinimumTime() {
     probes.add(7, 0, 0);
     long now = 0;
     for (int i = 0; i < PacedProbes.MIN_UNANSWERED_PROBES; i++) {
-      assertEquals(List.of(7), probedAt(now));
+      assertEquals(List.of(7), sendProbes(now));
       assertFalse(probes.isUnresponsive(7, 2000, now));
       probes.onUnanswered(7, now + 1000, true);
       now += 1500;
@@ -83,7 +83,7 @@
     assertFalse(probes.isUnresponsive(7, 60_000, now));
     probes.add(8, 0, now);
     for (int i = 0; i < 9; i++) {
-      probedAt(now);
+      sendProbes(now);
       probes.onUnanswered(8, now, false);
       now += 600;
     }
@@ -93,17 +93,17 @@
   }
 
   @Test
-  void theDeadDoNotHoldTheWindowForLong() {
+  void deadMachinesLeaveTheWindowSoon() {
     for (int id = 0; id < 64; id++) {
       probes.add(id, 0, 0);
     }
-    assertEquals(16, probedAt(0).size());
-    assertEquals(16, probedAt(300).size());
-    assertEquals(16, probedAt(600).size());
+    assertEquals(16, sendProbes(0).size());
+    assertEquals(16, sendProbes(300).size());
+    assertEquals(16, sendProbes(600).size());
   }
 
   @Test
-  void delaysDoubleUpToABoundWithAPartDrawnAndKeepWhatTheOtherSideAsks() {
+  void backoffDoublesWithJitterUpToMaximumAndHonorsRetryAfter() {
     Backoff backoff = new Backoff(new SplittableRandom(7), 50, 800);
     long upper = 50;
     for (int i = 0; i < 10; i++) {
@@ -117,7 +117,7 @@
   }
 
   @Test
-  void phasesOnlyGoForward() {
+  void recoveryPhasesOnlyAdvance() {
     RecoveryProgress phases = new RecoveryProgress(100);
     assertTrue(phases.enter(RecoveryPhase.PROBING, 350));
     assertFalse(phases.enter(RecoveryPhase.READING, 400));
--- a/src/test/java/org/snowturn/core/recovery/ReconciliationExplorer.java
+++ b/src/test/java/org/snowturn/core/recovery/ReconciliationExplorer.java
@@ -26,7 +26,7 @@
   private static final int ATTEMPTS = 3;
 
   // On the machine, and in a report of it, for each attempt.
-  private static final int UNKNOWN = 0;
+  private static final int NOT_LISTED = 0;
   private static final int ALIVE = 1;
   private static final int DONE = 2;
   private static final int ENDED = 3;
@@ -34,268 +34,294 @@
   // Layout: the leader's view, then per machine: session, token, attempts, direct starts in flight
   // (with their session), an answer under way, a report under way.
   private static final int STORED = 0;
-  private static final int AT = 1;
+  private static final int PLACED_ON = 1;
   private static final int ATTEMPT = 2;
-  private static final int IN_SESSION = 3;
+  private static final int PLACED_IN_EPOCH = 3;
   private static final int STOPPING = 4;
-  private static final int FIRST = 5;
-  private static final int SESSION = 0;
+  private static final int FIRST_MACHINE = 5;
+  private static final int EPOCH = 0;
   private static final int TOKEN = 1;
-  private static final int TASKS = 2;
-  private static final int STARTS = TASKS + ATTEMPTS;
-  private static final int ANSWER = STARTS + ATTEMPTS;
+  private static final int ATTEMPT_STATES = 2;
+  private static final int STARTS_IN_FLIGHT = ATTEMPT_STATES + ATTEMPTS;
+  private static final int ANSWER = STARTS_IN_FLIGHT + ATTEMPTS;
   private static final int REPORT = ANSWER + 2;
-  private static final int REPORT_SESSION = REPORT + 1;
+  private static final int REPORT_EPOCH = REPORT + 1;
   private static final int REPORT_TOKEN = REPORT + 2;
-  private static final int REPORT_TASKS = REPORT + 3;
+  private static final int REPORT_ATTEMPT_STATES = REPORT + 3;
 
   /**
    * Whether a direct start was in flight when the report left, or was carried out since. Its answer
    * is a newer message, so the leader knows that such a report tells nothing of it.
    */
-  private static final int REPORT_STARTS = REPORT_TASKS + ATTEMPTS;
+  private static final int REPORT_STARTS_IN_FLIGHT = REPORT_ATTEMPT_STATES + ATTEMPTS;
 
   /** The leader's: newest session heard, and whether it was heard there under the new token. */
-  private static final int HEARD = REPORT_STARTS + ATTEMPTS;
+  private static final int LAST_HEARD_EPOCH = REPORT_STARTS_IN_FLIGHT + ATTEMPTS;
 
-  private static final int SHOWN = HEARD + 1;
-  private static final int SIZE = SHOWN + 1;
+  private static final int TOKEN_ACKNOWLEDGED = LAST_HEARD_EPOCH + 1;
+  private static final int MACHINE_SIZE = TOKEN_ACKNOWLEDGED + 1;
 
   private static final int NEW_TOKEN = 2;
 
-  private final Function<Case, Verdict> table;
-  private final Set<String> seen = new HashSet<>();
-  private final ArrayDeque<int[]> open = new ArrayDeque<>();
-  private int finished;
-  private String broken;
+  private final Function<Case, Verdict> decisionTable;
+  private final Set<String> visited = new HashSet<>();
+  private final ArrayDeque<int[]> frontier = new ArrayDeque<>();
+  private int finishedStates;
+  private String violation;
 
-  ReconciliationExplorer(Function<Case, Verdict> table) {
-    this.table = table;
+  ReconciliationExplorer(Function<Case, Verdict> decisionTable) {
+    this.decisionTable = decisionTable;
   }
 
-  int states() {
-    return seen.size();
+  int visitedStates() {
+    return visited.size();
   }
 
-  int finished() {
-    return finished;
+  int finishedStates() {
+    return finishedStates;
   }
 
   /** The first state in which a rule is broken, or null if there is none. */
-  String explore() {
-    int[] start = new int[FIRST + MACHINES * SIZE];
+  String findViolation() {
+    int[] start = new int[FIRST_MACHINE + MACHINES * MACHINE_SIZE];
     start[STORED] = Stored.INHERITED.ordinal();
     start[ATTEMPT] = 1;
-    start[IN_SESSION] = 1;
-    for (int m = 0; m < MACHINES; m++) {
-      start[at(m, SESSION)] = 1;
-      start[at(m, TOKEN)] = 1;
-      start[at(m, HEARD)] = 1;
+    start[PLACED_IN_EPOCH] = 1;
+    for (int machine = 0; machine < MACHINES; machine++) {
+      start[index(machine, EPOCH)] = 1;
+      start[index(machine, TOKEN)] = 1;
+      start[index(machine, LAST_HEARD_EPOCH)] = 1;
     }
-    start[at(0, STARTS)] = 1; // the old leader's direct start is still on its way
+    start[index(0, STARTS_IN_FLIGHT)] = 1; // the old leader's direct start is still on its way
     visit(start);
-    while (!open.isEmpty() && broken == null) {
-      int[] s = open.poll();
-      for (int m = 0; m < MACHINES; m++) {
-        machine(s, m);
-        leader(s, m);
+    while (!frontier.isEmpty() && violation == null) {
+      int[] state = frontier.poll();
+      for (int machine = 0; machine < MACHINES; machine++) {
+        stepMachine(state, machine);
+        stepLeader(state, machine);
       }
     }
-    return broken;
+    return violation;
   }
 
-  private static int at(int machine, int what) {
-    return FIRST + machine * SIZE + what;
+  private static int index(int machine, int field) {
+    return FIRST_MACHINE + machine * MACHINE_SIZE + field;
   }
 
-  private void visit(int[] s) {
-    if (!seen.add(Arrays.toString(s))) {
+  private void visit(int[] state) {
+    if (!visited.add(Arrays.toString(state))) {
       return;
     }
-    int alive = 0;
-    for (int m = 0; m < MACHINES; m++) {
-      for (int a = 0; a < ATTEMPTS; a++) {
-        alive += s[at(m, TASKS + a)] == ALIVE ? 1 : 0;
+    int aliveAttempts = 0;
+    for (int machine = 0; machine < MACHINES; machine++) {
+      for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
+        aliveAttempts += state[index(machine, ATTEMPT_STATES + attempt)] == ALIVE ? 1 : 0;
       }
     }
-    if (alive > 1) {
-      broken = "ran twice: " + Arrays.toString(s);
+    if (aliveAttempts > 1) {
+      violation = "ran twice: " + Arrays.toString(state);
     }
-    finished += s[STORED] == Stored.FINISHED.ordinal() ? 1 : 0;
-    open.add(s);
+    finishedStates += state[STORED] == Stored.FINISHED.ordinal() ? 1 : 0;
+    frontier.add(state);
   }
 
   /** What can happen on a machine by itself, or to messages on their way to it. */
-  private void machine(int[] s, int m) {
-    for (int a = 0; a < ATTEMPTS; a++) {
-      if (s[at(m, TASKS + a)] == ALIVE) {
+  private void stepMachine(int[] state, int machine) {
+    for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
+      if (state[index(machine, ATTEMPT_STATES + attempt)] == ALIVE) {
         for (int end : new int[] {DONE, ENDED}) {
-          int[] n = s.clone();
-          n[at(m, TASKS + a)] = end;
-          visit(n);
+          int[] next = state.clone();
+          next[index(machine, ATTEMPT_STATES + attempt)] = end;
+          visit(next);
         }
       }
-      int session = s[at(m, STARTS + a)];
-      if (session > 0) {
-        int[] lost = s.clone();
-        lost[at(m, STARTS + a)] = 0;
+      int epoch = state[index(machine, STARTS_IN_FLIGHT + attempt)];
+      if (epoch > 0) {
+        int[] lost = state.clone();
+        lost[index(machine, STARTS_IN_FLIGHT + attempt)] = 0;
         visit(lost);
-        int[] n = lost.clone();
-        int token = a == 0 ? 1 : NEW_TOKEN;
-        if (session == s[at(m, SESSION)] && token >= s[at(m, TOKEN)]) {
-          n[at(m, TOKEN)] = token;
-          n[at(m, REPORT_STARTS + a)] = 1; // its answer overtakes a report that is under way
-          start(n, m, a);
-          visit(n);
+        int[] next = lost.clone();
+        int token = attempt == 0 ? 1 : NEW_TOKEN;
+        if (epoch == state[index(machine, EPOCH)] && token >= state[index(machine, TOKEN)]) {
+          next[index(machine, TOKEN)] = token;
+          next[index(machine, REPORT_STARTS_IN_FLIGHT + attempt)] =
+              1; // its answer overtakes a report that is under way
+          startAttempt(next, machine, attempt);
+          visit(next);
           // Late copies: the message may be there once more.
-          int[] again = n.clone();
-          again[at(m, STARTS + a)] = session;
-          visit(again);
+          int[] duplicated = next.clone();
+          duplicated[index(machine, STARTS_IN_FLIGHT + attempt)] = epoch;
+          visit(duplicated);
         }
       }
     }
-    if (s[at(m, SESSION)] == 1) {
-      int[] n = s.clone();
-      n[at(m, SESSION)] = 2;
-      Arrays.fill(n, at(m, TASKS), at(m, TASKS + ATTEMPTS), UNKNOWN);
-      n[at(m, ANSWER)] = 0;
-      visit(n);
+    if (state[index(machine, EPOCH)] == 1) {
+      int[] next = state.clone();
+      next[index(machine, EPOCH)] = 2;
+      Arrays.fill(
+          next,
+          index(machine, ATTEMPT_STATES),
+          index(machine, ATTEMPT_STATES + ATTEMPTS),
+          NOT_LISTED);
+      next[index(machine, ANSWER)] = 0;
+      visit(next);
     }
-    if (s[at(m, REPORT)] == 0 && s[at(m, ANSWER)] == 0) {
-      int[] n = s.clone();
-      n[at(m, REPORT)] = 1;
-      n[at(m, REPORT_SESSION)] = s[at(m, SESSION)];
-      n[at(m, REPORT_TOKEN)] = s[at(m, TOKEN)];
-      System.arraycopy(s, at(m, TASKS), n, at(m, REPORT_TASKS), ATTEMPTS);
-      System.arraycopy(s, at(m, STARTS), n, at(m, REPORT_STARTS), ATTEMPTS);
-      visit(n);
+    if (state[index(machine, REPORT)] == 0 && state[index(machine, ANSWER)] == 0) {
+      int[] next = state.clone();
+      next[index(machine, REPORT)] = 1;
+      next[index(machine, REPORT_EPOCH)] = state[index(machine, EPOCH)];
+      next[index(machine, REPORT_TOKEN)] = state[index(machine, TOKEN)];
+      System.arraycopy(
+          state,
+          index(machine, ATTEMPT_STATES),
+          next,
+          index(machine, REPORT_ATTEMPT_STATES),
+          ATTEMPTS);
+      System.arraycopy(
+          state,
+          index(machine, STARTS_IN_FLIGHT),
+          next,
+          index(machine, REPORT_STARTS_IN_FLIGHT),
+          ATTEMPTS);
+      visit(next);
     }
-    if (s[at(m, ANSWER)] > 0) {
-      int[] lost = s.clone();
-      lost[at(m, ANSWER)] = 0;
+    if (state[index(machine, ANSWER)] > 0) {
+      int[] lost = state.clone();
+      lost[index(machine, ANSWER)] = 0;
       visit(lost);
-      if (s[at(m, REPORT_SESSION)] != s[at(m, SESSION)]) {
+      if (state[index(machine, REPORT_EPOCH)] != state[index(machine, EPOCH)]) {
         return; // answers to reports of an earlier session are dropped
       }
-      int[] n = lost.clone();
-      n[at(m, TOKEN)] = NEW_TOKEN;
-      int order = s[at(m, ANSWER)] - 1;
-      int attempt = s[at(m, ANSWER + 1)];
-      if (order == Verdict.START.ordinal()) {
-        start(n, m, attempt);
-      } else if (order == Verdict.STOP.ordinal() && n[at(m, TASKS + attempt)] == ALIVE) {
-        n[at(m, TASKS + attempt)] = ENDED;
-      } else if (order == Verdict.FORGET.ordinal() && n[at(m, TASKS + attempt)] > ALIVE) {
-        n[at(m, TASKS + attempt)] = UNKNOWN;
+      int[] next = lost.clone();
+      next[index(machine, TOKEN)] = NEW_TOKEN;
+      int command = state[index(machine, ANSWER)] - 1;
+      int commandAttempt = state[index(machine, ANSWER + 1)];
+      if (command == Verdict.START.ordinal()) {
+        startAttempt(next, machine, commandAttempt);
+      } else if (command == Verdict.STOP.ordinal()
+          && next[index(machine, ATTEMPT_STATES + commandAttempt)] == ALIVE) {
+        next[index(machine, ATTEMPT_STATES + commandAttempt)] = ENDED;
+      } else if (command == Verdict.FORGET.ordinal()
+          && next[index(machine, ATTEMPT_STATES + commandAttempt)] > ALIVE) {
+        next[index(machine, ATTEMPT_STATES + commandAttempt)] = NOT_LISTED;
       }
-      visit(n);
+      visit(next);
     }
   }
 
-  private static void start(int[] n, int m, int attempt) {
-    if (n[at(m, TASKS + attempt)] != UNKNOWN) {
+  private static void startAttempt(int[] next, int machine, int attempt) {
+    if (next[index(machine, ATTEMPT_STATES + attempt)] != NOT_LISTED) {
       return;
     }
     boolean busy = false;
-    for (int a = 0; a < ATTEMPTS; a++) {
-      busy |= n[at(m, TASKS + a)] == ALIVE;
+    for (int other = 0; other < ATTEMPTS; other++) {
+      busy |= next[index(machine, ATTEMPT_STATES + other)] == ALIVE;
     }
-    n[at(m, TASKS + attempt)] = busy ? ENDED : ALIVE;
+    next[index(machine, ATTEMPT_STATES + attempt)] = busy ? ENDED : ALIVE;
   }
 
   /** What the leader does: takes a machine's report, places the task there, learns of an end. */
-  private void leader(int[] s, int m) {
-    boolean waiting = s[STORED] == Stored.WAITING.ordinal();
-    if (waiting && s[at(m, SHOWN)] == 1 && s[ATTEMPT] < ATTEMPTS) {
-      int[] n = s.clone();
-      n[STORED] = Stored.STARTED.ordinal();
-      n[AT] = m;
-      n[ATTEMPT] = s[ATTEMPT] + 1;
-      n[IN_SESSION] = s[at(m, HEARD)];
-      n[STOPPING] = 0;
-      n[at(m, STARTS + n[ATTEMPT] - 1)] = n[IN_SESSION];
-      visit(n);
+  private void stepLeader(int[] state, int machine) {
+    boolean isWaiting = state[STORED] == Stored.WAITING.ordinal();
+    if (isWaiting && state[index(machine, TOKEN_ACKNOWLEDGED)] == 1 && state[ATTEMPT] < ATTEMPTS) {
+      int[] next = state.clone();
+      next[STORED] = Stored.STARTED.ordinal();
+      next[PLACED_ON] = machine;
+      next[ATTEMPT] = state[ATTEMPT] + 1;
+      next[PLACED_IN_EPOCH] = state[index(machine, LAST_HEARD_EPOCH)];
+      next[STOPPING] = 0;
+      next[index(machine, STARTS_IN_FLIGHT + next[ATTEMPT] - 1)] = next[PLACED_IN_EPOCH];
+      visit(next);
     }
-    if (s[STORED] == Stored.STARTED.ordinal() && s[STOPPING] == 0) {
-      int[] n = s.clone();
-      n[STOPPING] = 1;
-      visit(n);
+    if (state[STORED] == Stored.STARTED.ordinal() && state[STOPPING] == 0) {
+      int[] next = state.clone();
+      next[STOPPING] = 1;
+      visit(next);
     }
-    if (s[at(m, REPORT)] == 0) {
+    if (state[index(machine, REPORT)] == 0) {
       return;
     }
-    int[] n = s.clone();
-    n[at(m, REPORT)] = 0;
-    if (s[at(m, REPORT_SESSION)] < s[at(m, HEARD)]) {
-      visit(n); // older than what is known
+    int[] next = state.clone();
+    next[index(machine, REPORT)] = 0;
+    if (state[index(machine, REPORT_EPOCH)] < state[index(machine, LAST_HEARD_EPOCH)]) {
+      visit(next); // older than what is known
       return;
     }
-    boolean ours = s[at(m, REPORT_TOKEN)] == NEW_TOKEN;
-    boolean sameSession = s[at(m, REPORT_SESSION)] == s[at(m, HEARD)];
-    n[at(m, SHOWN)] = ours ? 1 : sameSession ? s[at(m, SHOWN)] : 0;
-    n[at(m, HEARD)] = s[at(m, REPORT_SESSION)];
-    boolean here = s[AT] == m && Stored.values()[s[STORED]].isPlacedHere();
-    if (here) {
-      apply(n, verdict(n, m, s[ATTEMPT] - 1, ours));
+    boolean hasPresentToken = state[index(machine, REPORT_TOKEN)] == NEW_TOKEN;
+    boolean isSameEpoch =
+        state[index(machine, REPORT_EPOCH)] == state[index(machine, LAST_HEARD_EPOCH)];
+    next[index(machine, TOKEN_ACKNOWLEDGED)] =
+        hasPresentToken ? 1 : isSameEpoch ? state[index(machine, TOKEN_ACKNOWLEDGED)] : 0;
+    next[index(machine, LAST_HEARD_EPOCH)] = state[index(machine, REPORT_EPOCH)];
+    boolean isPlacedHere =
+        state[PLACED_ON] == machine && Stored.values()[state[STORED]].isPlacedHere();
+    if (isPlacedHere) {
+      apply(next, verdict(next, machine, state[ATTEMPT] - 1, hasPresentToken));
     }
-    for (int a = 0; a < ATTEMPTS; a++) {
-      if (s[at(m, REPORT_TASKS + a)] == DONE && verdict(n, m, a, ours) == Verdict.COMPLETE) {
-        n[STORED] = Stored.FINISHED.ordinal();
+    for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
+      if (state[index(machine, REPORT_ATTEMPT_STATES + attempt)] == DONE
+          && verdict(next, machine, attempt, hasPresentToken) == Verdict.COMPLETE) {
+        next[STORED] = Stored.FINISHED.ordinal();
       }
     }
     // The answer carries the token and one order; which one is left open, so all are tried.
     List<int[]> answers = new ArrayList<>();
-    for (int a = 0; a < ATTEMPTS; a++) {
-      Verdict v = verdict(n, m, a, ours);
-      boolean order = v == Verdict.START || v == Verdict.STOP || v == Verdict.FORGET;
-      boolean present = s[at(m, REPORT_TASKS + a)] != UNKNOWN;
-      if (order && (present || v == Verdict.START)) {
-        answers.add(new int[] {v.ordinal(), a});
+    for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
+      Verdict verdict = verdict(next, machine, attempt, hasPresentToken);
+      boolean isCommand =
+          verdict == Verdict.START || verdict == Verdict.STOP || verdict == Verdict.FORGET;
+      boolean isListed = state[index(machine, REPORT_ATTEMPT_STATES + attempt)] != NOT_LISTED;
+      if (isCommand && (isListed || verdict == Verdict.START)) {
+        answers.add(new int[] {verdict.ordinal(), attempt});
       }
     }
     answers.add(new int[] {Verdict.KEEP.ordinal(), 0});
     for (int[] answer : answers) {
-      int[] next = n.clone();
-      next[at(m, ANSWER)] = answer[0] + 1;
-      next[at(m, ANSWER + 1)] = answer[1];
-      visit(next);
+      int[] answered = next.clone();
+      answered[index(machine, ANSWER)] = answer[0] + 1;
+      answered[index(machine, ANSWER + 1)] = answer[1];
+      visit(answered);
     }
   }
 
-  private static void apply(int[] n, Verdict verdict) {
+  private static void apply(int[] next, Verdict verdict) {
     if (verdict == Verdict.RELEASE) {
-      n[STORED] = Stored.WAITING.ordinal();
+      next[STORED] = Stored.WAITING.ordinal();
     } else if (verdict == Verdict.COMPLETE) {
-      n[STORED] = Stored.FINISHED.ordinal();
+      next[STORED] = Stored.FINISHED.ordinal();
     }
   }
 
   /** Puts an attempt to the table, as the leader sees it with the report at hand. */
-  private Verdict verdict(int[] n, int m, int attempt, boolean ours) {
-    Stored now = Stored.values()[n[STORED]];
-    boolean here = now.isPlacedHere() && n[AT] == m && n[ATTEMPT] == attempt + 1;
-    Reported listed =
-        switch (n[at(m, REPORT_TASKS + attempt)]) {
+  private Verdict verdict(int[] state, int machine, int attempt, boolean hasPresentToken) {
+    Stored current = Stored.values()[state[STORED]];
+    boolean isPlacedHere =
+        current.isPlacedHere() && state[PLACED_ON] == machine && state[ATTEMPT] == attempt + 1;
+    Reported reported =
+        switch (state[index(machine, REPORT_ATTEMPT_STATES + attempt)]) {
           case ALIVE -> Reported.ALIVE;
           case DONE -> Reported.DONE;
           case ENDED -> Reported.ENDED;
           default -> Reported.ABSENT;
         };
-    EpochOrder session =
-        n[at(m, REPORT_SESSION)] == n[IN_SESSION]
+    EpochOrder epochOrder =
+        state[index(machine, REPORT_EPOCH)] == state[PLACED_IN_EPOCH]
             ? EpochOrder.SAME
-            : n[at(m, REPORT_SESSION)] > n[IN_SESSION] ? EpochOrder.LATER : EpochOrder.EARLIER;
+            : state[index(machine, REPORT_EPOCH)] > state[PLACED_IN_EPOCH]
+                ? EpochOrder.LATER
+                : EpochOrder.EARLIER;
     boolean settled =
-        n[at(m, STARTS + attempt)] == 0
-            && (listed != Reported.ABSENT || n[at(m, REPORT_STARTS + attempt)] == 0);
-    Stored stored = here || !now.isPlacedHere() ? now : Stored.ELSEWHERE;
-    return table.apply(
+        state[index(machine, STARTS_IN_FLIGHT + attempt)] == 0
+            && (reported != Reported.ABSENT
+                || state[index(machine, REPORT_STARTS_IN_FLIGHT + attempt)] == 0);
+    Stored stored = isPlacedHere || !current.isPlacedHere() ? current : Stored.ELSEWHERE;
+    return decisionTable.apply(
         new Case(
             stored,
-            listed,
-            here ? session : EpochOrder.SAME,
-            ours,
-            here && n[STOPPING] == 1,
+            reported,
+            isPlacedHere ? epochOrder : EpochOrder.SAME,
+            hasPresentToken,
+            isPlacedHere && state[STOPPING] == 1,
             settled));
   }
 }
--- a/src/test/java/org/snowturn/core/recovery/ReconciliationTest.java
+++ b/src/test/java/org/snowturn/core/recovery/ReconciliationTest.java
@@ -29,24 +29,30 @@
     "FINISHED,  WAIT    STOP FORGET   FORGET,  WAIT  STOP WAIT WAIT",
     "NOTHING,   WAIT    STOP FORGET   FORGET,  WAIT  STOP WAIT WAIT",
   })
-  void sameSession(Stored stored, String ours, String others) {
-    for (Reported seen : Reported.values()) {
-      Verdict mine = verdicts(ours).get(seen);
-      Verdict other = verdicts(others).get(seen);
-      assertEquals(mine, of(stored, seen, EpochOrder.SAME, true, false, true), stored + " " + seen);
+  void verdictsWithinOneAgentEpoch(Stored stored, String withPresentToken, String withOtherToken) {
+    for (Reported reported : Reported.values()) {
+      Verdict expectedWithPresentToken = parseVerdicts(withPresentToken).get(reported);
+      Verdict expectedWithOtherToken = parseVerdicts(withOtherToken).get(reported);
       assertEquals(
-          other, of(stored, seen, EpochOrder.SAME, false, false, true), stored + " " + seen);
+          expectedWithPresentToken,
+          decide(stored, reported, EpochOrder.SAME, true, false, true),
+          stored + " " + reported);
+      assertEquals(
+          expectedWithOtherToken,
+          decide(stored, reported, EpochOrder.SAME, false, false, true),
+          stored + " " + reported);
     }
   }
 
   @Test
-  void sessionsDecideOnlyAboutWhatWasPlacedThere() {
+  void agentEpochMattersOnlyForAttemptsPlacedOnTheMachine() {
     for (Stored stored : Stored.values()) {
-      for (Reported seen : Reported.values()) {
-        for (boolean ours : new boolean[] {true, false}) {
-          Verdict same = of(stored, seen, EpochOrder.SAME, ours, false, true);
-          Verdict later = of(stored, seen, EpochOrder.LATER, ours, false, true);
-          Verdict earlier = of(stored, seen, EpochOrder.EARLIER, ours, false, true);
+      for (Reported reported : Reported.values()) {
+        for (boolean hasPresentToken : new boolean[] {true, false}) {
+          Verdict same = decide(stored, reported, EpochOrder.SAME, hasPresentToken, false, true);
+          Verdict later = decide(stored, reported, EpochOrder.LATER, hasPresentToken, false, true);
+          Verdict earlier =
+              decide(stored, reported, EpochOrder.EARLIER, hasPresentToken, false, true);
           assertEquals(stored.isPlacedHere() ? Verdict.RELEASE : same, later);
           assertEquals(stored.isPlacedHere() ? Verdict.WAIT : same, earlier);
         }
@@ -55,96 +61,106 @@
   }
 
   @Test
-  void whatIsToStopIsStoppedWhileItLives() {
+  void stoppingAttemptIsStoppedWhileAlive() {
     for (Stored stored : new Stored[] {Stored.STARTED, Stored.INHERITED}) {
-      assertEquals(Verdict.STOP, of(stored, Reported.ALIVE, EpochOrder.SAME, false, true, false));
+      assertEquals(
+          Verdict.STOP, decide(stored, Reported.ALIVE, EpochOrder.SAME, false, true, false));
       // An end is an end, whoever asked for it.
-      assertEquals(Verdict.RELEASE, of(stored, Reported.ENDED, EpochOrder.SAME, true, true, false));
-      assertEquals(Verdict.COMPLETE, of(stored, Reported.DONE, EpochOrder.SAME, true, true, false));
+      assertEquals(
+          Verdict.RELEASE, decide(stored, Reported.ENDED, EpochOrder.SAME, true, true, false));
+      assertEquals(
+          Verdict.COMPLETE, decide(stored, Reported.DONE, EpochOrder.SAME, true, true, false));
     }
   }
 
   /** Its user may have been told that the job is cancelled: from then on no start may be sent. */
   @Test
-  void whatIsToStopIsNotStartedToBeStoppedOnceNoStartOfItCanArrive() {
+  void stoppingAttemptIsReleasedOnceNoStartCanArrive() {
     assertEquals(
-        Verdict.RELEASE, of(Stored.STARTED, Reported.ABSENT, EpochOrder.SAME, true, true, true));
+        Verdict.RELEASE,
+        decide(Stored.STARTED, Reported.ABSENT, EpochOrder.SAME, true, true, true));
     assertEquals(
-        Verdict.START, of(Stored.STARTED, Reported.ABSENT, EpochOrder.SAME, false, true, true));
+        Verdict.START, decide(Stored.STARTED, Reported.ABSENT, EpochOrder.SAME, false, true, true));
     assertEquals(
-        Verdict.START, of(Stored.STARTED, Reported.ABSENT, EpochOrder.SAME, true, true, false));
+        Verdict.START, decide(Stored.STARTED, Reported.ABSENT, EpochOrder.SAME, true, true, false));
   }
 
   @Test
-  void nothingIsForgottenThatIsNotSettled() {
+  void unsettledAttemptIsNeverForgotten() {
     for (Stored stored : Stored.values()) {
-      for (Reported seen : Reported.values()) {
-        for (EpochOrder session : EpochOrder.values()) {
-          assertNotEquals(Verdict.FORGET, of(stored, seen, session, true, false, false));
+      for (Reported reported : Reported.values()) {
+        for (EpochOrder epochOrder : EpochOrder.values()) {
+          assertNotEquals(Verdict.FORGET, decide(stored, reported, epochOrder, true, false, false));
         }
       }
     }
   }
 
-  private static Verdict of(
+  private static Verdict decide(
       Stored stored,
-      Reported seen,
-      EpochOrder session,
-      boolean ours,
+      Reported reported,
+      EpochOrder epochOrder,
+      boolean hasPresentToken,
       boolean stopping,
       boolean settled) {
-    return Reconciliation.decide(new Case(stored, seen, session, ours, stopping, settled));
+    return Reconciliation.decide(
+        new Case(stored, reported, epochOrder, hasPresentToken, stopping, settled));
   }
 
   @Test
-  void noOrderOfReportsLossesAndLateStartsRunsATaskTwice() {
+  void noOrderOfEventsRunsATaskTwice() {
     ReconciliationExplorer explorer = new ReconciliationExplorer(Reconciliation::decide);
-    assertNull(explorer.explore());
-    assertTrue(explorer.states() > 20_000, "too few states to mean anything");
-    assertTrue(explorer.finished() > 0, "the task is never done");
+    assertNull(explorer.findViolation());
+    assertTrue(explorer.visitedStates() > 20_000, "too few states to mean anything");
+    assertTrue(explorer.finishedStates() > 0, "the task is never done");
   }
 
   /** Without the guard the explorer must find an order in which the task runs twice. */
   @ParameterizedTest
   @CsvSource({"token", "own-start", "in-flight", "stop-in-flight"})
-  void eachGuardMatters(String guard) {
+  void removingAnyGuardLetsATaskRunTwice(String guard) {
     ReconciliationExplorer explorer =
         new ReconciliationExplorer(
-            c ->
+            attempt ->
                 switch (guard) {
                   case "token" ->
                       Reconciliation.decide(
                           new Case(
-                              c.stored(), c.reported(), c.epochOrder(), true, c.stopping(), true));
+                              attempt.stored(),
+                              attempt.reported(),
+                              attempt.epochOrder(),
+                              true,
+                              attempt.stopping(),
+                              true));
                   case "own-start" ->
                       // Our own start may be executed late: that it is not listed proves nothing.
-                      Reconciliation.decide(c) == Verdict.START && c.presentToken()
+                      Reconciliation.decide(attempt) == Verdict.START && attempt.presentToken()
                           ? Verdict.RELEASE
-                          : Reconciliation.decide(c);
+                          : Reconciliation.decide(attempt);
                   case "stop-in-flight" ->
-                      c.stopping() && c.reported() == Reported.ABSENT
+                      attempt.stopping() && attempt.reported() == Reported.ABSENT
                           ? Verdict.RELEASE
-                          : Reconciliation.decide(c);
+                          : Reconciliation.decide(attempt);
                   default ->
                       Reconciliation.decide(
                           new Case(
-                              c.stored(),
-                              c.reported(),
-                              c.epochOrder(),
-                              c.presentToken(),
-                              c.stopping(),
+                              attempt.stored(),
+                              attempt.reported(),
+                              attempt.epochOrder(),
+                              attempt.presentToken(),
+                              attempt.stopping(),
                               true));
                 });
-    assertTrue(explorer.explore() != null, "no order breaks the rule without: " + guard);
+    assertTrue(explorer.findViolation() != null, "no order breaks the rule without: " + guard);
   }
 
   /** The verdicts of a row, in the order in which {@link Reported} stands. */
-  private static Map<Reported, Verdict> verdicts(String row) {
+  private static Map<Reported, Verdict> parseVerdicts(String row) {
     Map<Reported, Verdict> verdicts = new EnumMap<>(Reported.class);
     String[] words = row.trim().split("\\s+", -1);
     int column = 0;
-    for (Reported seen : Reported.values()) {
-      verdicts.put(seen, Verdict.valueOf(words[column++]));
+    for (Reported reported : Reported.values()) {
+      verdicts.put(reported, Verdict.valueOf(words[column++]));
     }
     return verdicts;
   }
