--- a/src/test/java/org/snowturn/core/connectivity/StateRequestRelayTest.java
+++ b/src/test/java/org/snowturn/core/connectivity/StateRequestRelayTest.java
@@ -14,11 +14,14 @@
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.wire.Json;
 
-/** What a peer answers to a previous process of a node. */
+/**
+ * A reply to a request of the previous process of a node must not complete a request of the present
+ * process. After a quick restart the peer may still send such a reply.
+ */
 class StateRequestRelayTest {
   private final List<Integer> statuses = new ArrayList<>();
 
-  /** A process of node "a" asks its peer once; returns what it sent. */
+  /** Makes one call through the peer and returns the relay request that was sent to it. */
   private PeerMessage.RelayRequest sendRequest(StateRequestRelay relay, CoreRuntime runtime) {
     relay.callState(
         RequestClass.USERS,
@@ -33,7 +36,7 @@
         return request;
       }
     }
-    throw new AssertionError("nothing was relayed");
+    throw new AssertionError("no RelayRequest was broadcast");
   }
 
   private static StateRequestRelay newProcess(CoreRuntime runtime) {
@@ -55,7 +58,9 @@
     relay.onReply(
         new PeerMessage.RelayReply(
             "b", "a", previousRequest.requestId(), Outcome.ANSWERED, 404, Json.object()));
-    assertTrue(statuses.isEmpty(), "the previous process's 404 was taken: " + statuses);
+    assertTrue(
+        statuses.isEmpty(),
+        "a reply to the previous process completed a request with status " + statuses);
     relay.onReply(
         new PeerMessage.RelayReply(
             "b", "a", currentRequest.requestId(), Outcome.ANSWERED, 200, Json.object()));
--- a/src/test/java/org/snowturn/core/health/AttemptSnapshotTest.java
+++ b/src/test/java/org/snowturn/core/health/AttemptSnapshotTest.java
@@ -14,7 +14,7 @@
 import org.snowturn.core.health.EndEvidence.NotListed;
 import org.snowturn.core.health.EndEvidence.ReportedEnded;
 
-/** Which evidence proves an attempt's end, and that nothing weaker does. */
+/** Checks which evidence proves the end of an attempt, and that weaker evidence is rejected. */
 class AttemptSnapshotTest {
   private static final long TOKEN = 9;
   private static final long AGENT_EPOCH = 4;
@@ -98,7 +98,10 @@
     assertEquals(true, proves(new NeverSent()));
   }
 
-  /** Only a later session, a lapse or the cloud ends anything while another token is shown. */
+  /**
+   * While the machine reports an older token, only a later agent epoch, the expiry of the lease or
+   * the cloud proves an end.
+   */
   @Property
   void reportWithOlderTokenProvesNothingWithinItsAgentEpoch(
       @ForAll @LongRange(min = 0, max = TOKEN - 1) long reportedToken,
--- a/src/test/java/org/snowturn/core/health/FailureAttributionTest.java
+++ b/src/test/java/org/snowturn/core/health/FailureAttributionTest.java
@@ -16,11 +16,17 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** Jobs and machines judged by each other, in any order of what happens. */
+/** Checks that failures are attributed to broken jobs and faulty machines in any order of runs. */
 class FailureAttributionTest {
   private static final int MIN_FAILURES = 3;
 
-  /** Jobs and machines below these numbers are broken and sick; both may be none or half of all. */
+  /**
+   * Jobs and machines with the runs of tasks on them. The first {@code brokenJobs} jobs fail
+   * everywhere, and every job fails on the first {@code faultyMachines} machines. Either may be
+   * none or up to half of all.
+   *
+   * @param runs index of the job and index of the machine of each run, in order
+   */
   record Cluster(int jobs, int brokenJobs, int machines, int faultyMachines, List<int[]> runs) {
     boolean fails(int[] run) {
       return run[0] < brokenJobs || run[1] < faultyMachines;
@@ -28,7 +34,7 @@
   }
 
   @Provide
-  Arbitrary<Cluster> worlds() {
+  Arbitrary<Cluster> clusters() {
     return Combinators.combine(
             Arbitraries.integers().between(2, 8),
             Arbitraries.integers().between(0, 4),
@@ -53,7 +59,7 @@
                                 runs)));
   }
 
-  /** What the attribution should find, from all that has happened. */
+  /** Expected attribution, computed from the results of all runs so far. */
   private static final class Expectation {
     private final Cluster cluster;
     private final Set<Integer> healthyJobs = new HashSet<>();
@@ -90,23 +96,26 @@
     void verify(FailureAttribution attribution) {
       for (int machine = cluster.faultyMachines; machine < cluster.machines; machine++) {
         assertFalse(
-            attribution.isMachineFaulty(machine), "healthy machine " + machine + " condemned");
+            attribution.isMachineFaulty(machine), "healthy machine " + machine + " is faulty");
       }
       for (int machine = 0; machine < cluster.faultyMachines; machine++) {
         boolean faulty = healthyJobFailures[machine] >= MIN_FAILURES;
-        assertEquals(faulty, attribution.isMachineFaulty(machine), "faulty machine " + machine);
+        assertEquals(
+            faulty, attribution.isMachineFaulty(machine), "machine " + machine + " is faulty");
       }
       for (int job = 0; job < cluster.jobs; job++) {
         boolean suspected = attribution.isJobSuspected(job);
-        assertFalse(healthyJobs.contains(job) && suspected, "healthy job " + job + " suspected");
+        assertFalse(healthyJobs.contains(job) && suspected, "healthy job " + job + " is suspected");
         boolean failedOnFewMachines = failedMachines.get(job).size() < 4;
-        assertTrue(job >= cluster.brokenJobs || failedOnFewMachines || suspected, "broken " + job);
+        assertTrue(
+            job >= cluster.brokenJobs || failedOnFewMachines || suspected,
+            "broken job " + job + " is not suspected");
       }
     }
   }
 
   @Property(tries = 400, seed = "32")
-  void healthyMachinesAndJobsAreNeverBlamed(@ForAll("worlds") Cluster cluster) {
+  void healthyMachinesAndJobsAreNeverBlamed(@ForAll("clusters") Cluster cluster) {
     FailureAttribution attribution = new FailureAttribution(MIN_FAILURES);
     Expectation expectation = new Expectation(cluster);
     for (int[] run : cluster.runs) {
@@ -133,7 +142,7 @@
     }
     assertTrue(attribution.isMachineFaulty(7));
     attribution.onTaskFailed(5, 8);
-    attribution.forgetJob(5); // cancelled: its user's mistake, perhaps
+    attribution.forgetJob(5); // it was cancelled and never succeeded, so it may have been at fault
     assertEquals(0, attribution.unexplainedFailures(8));
   }
 
--- a/src/test/java/org/snowturn/core/health/ReachabilityTest.java
+++ b/src/test/java/org/snowturn/core/health/ReachabilityTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** What shows that a machine receives, and what does not. */
+/** Checks which events prove that a machine receives messages. */
 class ReachabilityTest {
   private static final long NEXT_HEARTBEAT_WITHIN_MS = 4_900;
 
@@ -47,7 +47,10 @@
     assertTrue(reachability.isProven());
   }
 
-  /** The next report of a worker without an answer comes after a time-out and a try elsewhere. */
+  /**
+   * A worker whose heartbeat is not answered sends the next one to this node only after a timeout
+   * and an attempt at another node. Such late heartbeats must not prove reachability.
+   */
   @Property(tries = 300, seed = "31")
   void machineThatReceivesNothingIsNeverProven(
       @ForAll @Size(min = 1, max = 60) List<@IntRange(min = 0, max = 5) Integer> steps) {
@@ -64,7 +67,8 @@
           sendHeartbeat(reachability, lastHeartbeatAt, true);
         }
         case 2 ->
-            sendHeartbeat(reachability, lastHeartbeatAt, true); // held back with the one before
+            sendHeartbeat(
+                reachability, lastHeartbeatAt, true); // delayed together with the previous one
         case 3 -> reachability.onMessageUnanswered(now += 1_000);
         case 4 -> reachability.onNewAgentEpoch(now);
         default -> assertTrue(reachability.claimProbe(now += 4_000));
--- a/src/test/java/org/snowturn/core/recovery/PacedProbesTest.java
+++ b/src/test/java/org/snowturn/core/recovery/PacedProbesTest.java
@@ -9,6 +9,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Checks the pacing of probes, and the retry delays and phases of a recovery. Too many probes in
+ * flight would delay the renewal of the leader's own lease.
+ */
 class PacedProbesTest {
   private final PacedProbes probes = new PacedProbes(500);
 
--- a/src/test/java/org/snowturn/core/recovery/ReconciliationExplorer.java
+++ b/src/test/java/org/snowturn/core/recovery/ReconciliationExplorer.java
@@ -14,54 +14,69 @@
 import org.snowturn.core.recovery.Reconciliation.Verdict;
 
 /**
- * All orders of events around one task after a change of leader: two machines, the old leader's
- * attempt (1), whose start may still be on its way, and up to two attempts of the new one (2, 3).
- * Reports and commands may come late or never; a session may end at any time.
+ * Explores all orders of events around one task after a change of leader. There are two machines,
+ * attempt 1 of the previous leader, whose start may still be in flight, and up to two attempts of
+ * the new leader (2 and 3). Reports and commands may be delayed or lost, and the agent epoch of a
+ * machine may end at any time.
  *
- * <p>A state is a row of small numbers, so that a set can hold very many.
+ * <p>A state is an array of small numbers, so that a set can hold very many states. Attempts are
+ * indexed from 0 within an array and numbered from 1 in {@link #ATTEMPT}.
  */
-@SuppressWarnings("EnumOrdinal") // a state is packed into small numbers
+@SuppressWarnings("EnumOrdinal") // a state is an array of small numbers
 final class ReconciliationExplorer {
   private static final int MACHINES = 2;
   private static final int ATTEMPTS = 3;
 
-  // On the machine, and in a report of it, for each attempt.
+  // States of an attempt on a machine and in its reports.
   private static final int NOT_LISTED = 0;
   private static final int ALIVE = 1;
   private static final int DONE = 2;
   private static final int ENDED = 3;
 
-  // Layout: the leader's view, then per machine: session, token, attempts, direct starts in flight
-  // (with their session), an answer under way, a report under way.
+  // Fields of the leader: stored state of the task, machine, attempt and agent epoch of its
+  // placement, and whether the attempt is to stop. The fields of the machines follow.
   private static final int STORED = 0;
   private static final int PLACED_ON = 1;
   private static final int ATTEMPT = 2;
   private static final int PLACED_IN_EPOCH = 3;
   private static final int STOPPING = 4;
   private static final int FIRST_MACHINE = 5;
+
+  // Fields of each machine: agent epoch, token, states of the attempts, direct starts in flight
+  // (the
+  // agent epoch that each is meant for, or 0), the answer in flight (a command as the ordinal of
+  // its
+  // verdict plus 1, or 0, and the attempt), and the report in flight.
   private static final int EPOCH = 0;
   private static final int TOKEN = 1;
   private static final int ATTEMPT_STATES = 2;
   private static final int STARTS_IN_FLIGHT = ATTEMPT_STATES + ATTEMPTS;
   private static final int ANSWER = STARTS_IN_FLIGHT + ATTEMPTS;
-  private static final int REPORT = ANSWER + 2;
+  private static final int ANSWER_ATTEMPT = ANSWER + 1;
+  private static final int REPORT = ANSWER_ATTEMPT + 1;
   private static final int REPORT_EPOCH = REPORT + 1;
   private static final int REPORT_TOKEN = REPORT + 2;
   private static final int REPORT_ATTEMPT_STATES = REPORT + 3;
 
   /**
-   * Whether a direct start was in flight when the report left, or was carried out since. Its answer
-   * is a newer message, so the leader knows that such a report tells nothing of it.
+   * Whether a direct start was in flight when the report was sent, or was executed since. The
+   * answer to the start is newer than the report, so the leader knows that the report does not
+   * cover it.
    */
   private static final int REPORT_STARTS_IN_FLIGHT = REPORT_ATTEMPT_STATES + ATTEMPTS;
 
-  /** The leader's: newest session heard, and whether it was heard there under the new token. */
+  /** Newest agent epoch of the machine that the leader has heard. */
   private static final int LAST_HEARD_EPOCH = REPORT_STARTS_IN_FLIGHT + ATTEMPTS;
 
+  /** Whether the leader has heard that epoch under the new token. */
   private static final int TOKEN_ACKNOWLEDGED = LAST_HEARD_EPOCH + 1;
+
   private static final int MACHINE_SIZE = TOKEN_ACKNOWLEDGED + 1;
 
+  private static final int OLD_TOKEN = 1;
   private static final int NEW_TOKEN = 2;
+  private static final int FIRST_EPOCH = 1;
+  private static final int LAST_EPOCH = 2;
 
   private final Function<Case, Verdict> decisionTable;
   private final Set<String> visited = new HashSet<>();
@@ -81,18 +96,18 @@
     return finishedStates;
   }
 
-  /** The first state in which a rule is broken, or null if there is none. */
+  /** Returns the first state in which two attempts are alive; null if there is none. */
   String findViolation() {
     int[] start = new int[FIRST_MACHINE + MACHINES * MACHINE_SIZE];
     start[STORED] = Stored.INHERITED.ordinal();
     start[ATTEMPT] = 1;
-    start[PLACED_IN_EPOCH] = 1;
+    start[PLACED_IN_EPOCH] = FIRST_EPOCH;
     for (int machine = 0; machine < MACHINES; machine++) {
-      start[index(machine, EPOCH)] = 1;
-      start[index(machine, TOKEN)] = 1;
-      start[index(machine, LAST_HEARD_EPOCH)] = 1;
+      start[index(machine, EPOCH)] = FIRST_EPOCH;
+      start[index(machine, TOKEN)] = OLD_TOKEN;
+      start[index(machine, LAST_HEARD_EPOCH)] = FIRST_EPOCH;
     }
-    start[index(0, STARTS_IN_FLIGHT)] = 1; // the old leader's direct start is still on its way
+    start[index(0, STARTS_IN_FLIGHT)] = FIRST_EPOCH; // the previous leader's direct start
     visit(start);
     while (!frontier.isEmpty() && violation == null) {
       int[] state = frontier.poll();
@@ -119,13 +134,13 @@
       }
     }
     if (aliveAttempts > 1) {
-      violation = "ran twice: " + Arrays.toString(state);
+      violation = "two attempts are alive in state " + Arrays.toString(state);
     }
     finishedStates += state[STORED] == Stored.FINISHED.ordinal() ? 1 : 0;
     frontier.add(state);
   }
 
-  /** What can happen on a machine by itself, or to messages on their way to it. */
+  /** Visits the states after each event on a machine or to a message in flight to it. */
   private void stepMachine(int[] state, int machine) {
     for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
       if (state[index(machine, ATTEMPT_STATES + attempt)] == ALIVE) {
@@ -141,23 +156,23 @@
         lost[index(machine, STARTS_IN_FLIGHT + attempt)] = 0;
         visit(lost);
         int[] next = lost.clone();
-        int token = attempt == 0 ? 1 : NEW_TOKEN;
+        int token = attempt == 0 ? OLD_TOKEN : NEW_TOKEN;
         if (epoch == state[index(machine, EPOCH)] && token >= state[index(machine, TOKEN)]) {
           next[index(machine, TOKEN)] = token;
-          next[index(machine, REPORT_STARTS_IN_FLIGHT + attempt)] =
-              1; // its answer overtakes a report that is under way
+          // The answer to the start overtakes a report in flight.
+          next[index(machine, REPORT_STARTS_IN_FLIGHT + attempt)] = 1;
           startAttempt(next, machine, attempt);
           visit(next);
-          // Late copies: the message may be there once more.
+          // A copy of the start may arrive later.
           int[] duplicated = next.clone();
           duplicated[index(machine, STARTS_IN_FLIGHT + attempt)] = epoch;
           visit(duplicated);
         }
       }
     }
-    if (state[index(machine, EPOCH)] == 1) {
+    if (state[index(machine, EPOCH)] == FIRST_EPOCH) {
       int[] next = state.clone();
-      next[index(machine, EPOCH)] = 2;
+      next[index(machine, EPOCH)] = LAST_EPOCH;
       Arrays.fill(
           next,
           index(machine, ATTEMPT_STATES),
@@ -190,12 +205,12 @@
       lost[index(machine, ANSWER)] = 0;
       visit(lost);
       if (state[index(machine, REPORT_EPOCH)] != state[index(machine, EPOCH)]) {
-        return; // answers to reports of an earlier session are dropped
+        return; // the machine drops answers to reports of an earlier agent epoch
       }
       int[] next = lost.clone();
       next[index(machine, TOKEN)] = NEW_TOKEN;
       int command = state[index(machine, ANSWER)] - 1;
-      int commandAttempt = state[index(machine, ANSWER + 1)];
+      int commandAttempt = state[index(machine, ANSWER_ATTEMPT)];
       if (command == Verdict.START.ordinal()) {
         startAttempt(next, machine, commandAttempt);
       } else if (command == Verdict.STOP.ordinal()
@@ -220,7 +235,10 @@
     next[index(machine, ATTEMPT_STATES + attempt)] = busy ? ENDED : ALIVE;
   }
 
-  /** What the leader does: takes a machine's report, places the task there, learns of an end. */
+  /**
+   * Visits the states after each action of the leader: it places the task on the machine, decides
+   * to stop it, or handles the report of the machine.
+   */
   private void stepLeader(int[] state, int machine) {
     boolean isWaiting = state[STORED] == Stored.WAITING.ordinal();
     if (isWaiting && state[index(machine, TOKEN_ACKNOWLEDGED)] == 1 && state[ATTEMPT] < ATTEMPTS) {
@@ -244,7 +262,7 @@
     int[] next = state.clone();
     next[index(machine, REPORT)] = 0;
     if (state[index(machine, REPORT_EPOCH)] < state[index(machine, LAST_HEARD_EPOCH)]) {
-      visit(next); // older than what is known
+      visit(next); // older than the newest report
       return;
     }
     boolean hasPresentToken = state[index(machine, REPORT_TOKEN)] == NEW_TOKEN;
@@ -264,7 +282,7 @@
         next[STORED] = Stored.FINISHED.ordinal();
       }
     }
-    // The answer carries the token and one order; which one is left open, so all are tried.
+    // The answer carries the token and at most one command. All possible commands are tried.
     List<int[]> answers = new ArrayList<>();
     for (int attempt = 0; attempt < ATTEMPTS; attempt++) {
       Verdict verdict = verdict(next, machine, attempt, hasPresentToken);
@@ -279,7 +297,7 @@
     for (int[] answer : answers) {
       int[] answered = next.clone();
       answered[index(machine, ANSWER)] = answer[0] + 1;
-      answered[index(machine, ANSWER + 1)] = answer[1];
+      answered[index(machine, ANSWER_ATTEMPT)] = answer[1];
       visit(answered);
     }
   }
@@ -292,7 +310,7 @@
     }
   }
 
-  /** Puts an attempt to the table, as the leader sees it with the report at hand. */
+  /** Returns the verdict of the table for an attempt, by the report of the machine. */
   private Verdict verdict(int[] state, int machine, int attempt, boolean hasPresentToken) {
     Stored current = Stored.values()[state[STORED]];
     boolean isPlacedHere =
--- a/src/test/java/org/snowturn/core/recovery/ReconciliationTest.java
+++ b/src/test/java/org/snowturn/core/recovery/ReconciliationTest.java
@@ -16,9 +16,14 @@
 import org.snowturn.core.recovery.Reconciliation.Stored;
 import org.snowturn.core.recovery.Reconciliation.Verdict;
 
-/** The table cell by cell, and what it leads to over all orders of events. */
+/**
+ * Checks each cell of the decision table, and that no order of events runs a task twice with it.
+ */
 class ReconciliationTest {
-  /** Verdicts for a report of the same session: absent, alive, done, ended; ours, then not. */
+  /**
+   * Verdicts for a report of the agent epoch of the placement, in the order absent, alive, done,
+   * ended; first for reports with the present token, then for others.
+   */
   @ParameterizedTest
   @CsvSource({
     "PLACING,   WAIT    WAIT WAIT     WAIT,    WAIT  WAIT WAIT WAIT",
@@ -65,7 +70,7 @@
     for (Stored stored : new Stored[] {Stored.STARTED, Stored.INHERITED}) {
       assertEquals(
           Verdict.STOP, decide(stored, Reported.ALIVE, EpochOrder.SAME, false, true, false));
-      // An end is an end, whoever asked for it.
+      // The verdict on an end does not depend on whether a stop was requested.
       assertEquals(
           Verdict.RELEASE, decide(stored, Reported.ENDED, EpochOrder.SAME, true, true, false));
       assertEquals(
@@ -73,7 +78,10 @@
     }
   }
 
-  /** Its user may have been told that the job is cancelled: from then on no start may be sent. */
+  /**
+   * Once the user has been told that the job is cancelled, no start may be sent. A start that was
+   * repeated for an attempt that is to stop would break that.
+   */
   @Test
   void stoppingAttemptIsReleasedOnceNoStartCanArrive() {
     assertEquals(
@@ -111,11 +119,13 @@
   void noOrderOfEventsRunsATaskTwice() {
     ReconciliationExplorer explorer = new ReconciliationExplorer(Reconciliation::decide);
     assertNull(explorer.findViolation());
-    assertTrue(explorer.visitedStates() > 20_000, "too few states to mean anything");
-    assertTrue(explorer.finishedStates() > 0, "the task is never done");
+    assertTrue(
+        explorer.visitedStates() > 20_000,
+        "only " + explorer.visitedStates() + " states explored, expected more than 20000");
+    assertTrue(explorer.finishedStates() > 0, "no explored state has the task finished");
   }
 
-  /** Without the guard the explorer must find an order in which the task runs twice. */
+  /** The explorer finds an order of events that runs the task twice if a guard is missing. */
   @ParameterizedTest
   @CsvSource({"token", "own-start", "in-flight", "stop-in-flight"})
   void removingAnyGuardLetsATaskRunTwice(String guard) {
@@ -133,7 +143,9 @@
                               attempt.stopping(),
                               true));
                   case "own-start" ->
-                      // Our own start may be executed late: that it is not listed proves nothing.
+                      // A start of this term may be executed late, so absence from the report
+                      // proves
+                      // nothing.
                       Reconciliation.decide(attempt) == Verdict.START && attempt.presentToken()
                           ? Verdict.RELEASE
                           : Reconciliation.decide(attempt);
@@ -151,10 +163,12 @@
                               attempt.stopping(),
                               true));
                 });
-    assertTrue(explorer.findViolation() != null, "no order breaks the rule without: " + guard);
+    assertTrue(
+        explorer.findViolation() != null,
+        "no order of events runs the task twice without the guard " + guard);
   }
 
-  /** The verdicts of a row, in the order in which {@link Reported} stands. */
+  /** Returns the verdicts of a row by reported state, in the order of {@link Reported}. */
   private static Map<Reported, Verdict> parseVerdicts(String row) {
     Map<Reported, Verdict> verdicts = new EnumMap<>(Reported.class);
     String[] words = row.trim().split("\\s+", -1);
