--- a/src/main/java/org/snowturn/core/connectivity/Connectivity.java
+++ b/src/main/java/org/snowturn/core/connectivity/Connectivity.java
@@ -40,7 +40,10 @@
     return canReachStateService() && canReachWorkers();
   }
 
-  /** Returns whether both reach the same of the state service and workers. */
+  /**
+   * Returns whether the links to the state service and to workers are in the same state, working or
+   * not, as those of the other connectivity.
+   */
   boolean hasSameLinks(Connectivity other) {
     return canReachStateService() == other.canReachStateService()
         && canReachWorkers() == other.canReachWorkers();
--- a/src/main/java/org/snowturn/core/connectivity/ConnectivityMatrix.java
+++ b/src/main/java/org/snowturn/core/connectivity/ConnectivityMatrix.java
@@ -14,10 +14,10 @@
   private static final long MAX_ROW_AGE_MS = 1_200;
 
   /**
-   * Maximum delay of a contact time by probes and reports. A smaller difference between two nodes
-   * is not significant.
+   * Maximum delay that probes and reports add to the age of a contact. A smaller difference between
+   * two nodes is not significant.
    */
-  private static final long REPORT_DELAY_MS = 400;
+  private static final long MAX_REPORT_DELAY_MS = 400;
 
   private record Row(Connectivity connectivity, long receivedAt) {
     boolean isFresh(long nowMs) {
@@ -31,7 +31,7 @@
       long sinceWorkerHeardMs = connectivity.sinceWorkerHeardMs() + (nowMs - receivedAt);
       return !own.canReachStateService()
           || own.sinceWorkerHeardMs() == Connectivity.NEVER
-          || sinceWorkerHeardMs + REPORT_DELAY_MS < own.sinceWorkerHeardMs();
+          || sinceWorkerHeardMs + MAX_REPORT_DELAY_MS < own.sinceWorkerHeardMs();
     }
   }
 
@@ -41,7 +41,8 @@
    * Replaces the row of a peer.
    *
    * @param peer name of the peer that sent the report
-   * @param nowMs the time on this node's monotonic clock, in milliseconds
+   * @param connectivity connectivity that the peer reported
+   * @param nowMs present time of the core's clock, in milliseconds
    * @return whether this is the peer's first row, or its links to the state service or to workers
    *     have come up or gone down
    */
@@ -59,8 +60,8 @@
    * Returns whether a peer is better connected than a node with the given connectivity. The peer
    * must reach both the state service and workers. If the node reaches the state service and has
    * heard workers, the peer must have heard workers more recently by more than {@link
-   * #REPORT_DELAY_MS}: in the first seconds of a network partition all rows still show the state
-   * before it.
+   * #MAX_REPORT_DELAY_MS}: in the first seconds of a network partition all rows still show the
+   * state before it.
    */
   boolean hasPeerBetterThan(Connectivity own, long nowMs) {
     for (Row row : rows.values()) {
--- a/src/main/java/org/snowturn/core/connectivity/ConnectivityMonitor.java
+++ b/src/main/java/org/snowturn/core/connectivity/ConnectivityMonitor.java
@@ -29,7 +29,7 @@
 
   private final Settings settings;
   private final CoreRuntime runtime;
-  private final LongSupplier lastStateRequestAnsweredAt;
+  private final LongSupplier lastAnsweredRequestSentAt;
   private final ConnectivityMatrix matrix = new ConnectivityMatrix();
   private List<String> sample = List.of();
   private int probeCount;
@@ -42,15 +42,15 @@
   /**
    * Creates a monitor without any contact or report.
    *
-   * @param lastStateRequestAnsweredAt supplies the time at which this node sent the last request
-   *     that the state service answered, in milliseconds of the monotonic clock; {@link
+   * @param lastAnsweredRequestSentAt supplies the time at which this node sent the last request
+   *     that the state service answered, in milliseconds of the core's clock; {@link
    *     MonotonicTime#NEVER} if none was answered
    */
   public ConnectivityMonitor(
-      Settings settings, CoreRuntime runtime, LongSupplier lastStateRequestAnsweredAt) {
+      Settings settings, CoreRuntime runtime, LongSupplier lastAnsweredRequestSentAt) {
     this.settings = settings;
     this.runtime = runtime;
-    this.lastStateRequestAnsweredAt = lastStateRequestAnsweredAt;
+    this.lastAnsweredRequestSentAt = lastAnsweredRequestSentAt;
   }
 
   /** Records that a worker sent a heartbeat to this node or answered it. */
@@ -60,8 +60,7 @@
 
   /** Returns the connectivity of this node. */
   public Connectivity ownConnectivity() {
-    return new Connectivity(
-        ageMs(lastStateRequestAnsweredAt.getAsLong()), ageMs(lastWorkerHeardAt));
+    return new Connectivity(ageMs(lastAnsweredRequestSentAt.getAsLong()), ageMs(lastWorkerHeardAt));
   }
 
   private int ageMs(long at) {
--- a/src/main/java/org/snowturn/core/connectivity/StateRequestRelay.java
+++ b/src/main/java/org/snowturn/core/connectivity/StateRequestRelay.java
@@ -121,8 +121,9 @@
   }
 
   /**
-   * Handles a peer's request to call the state service. Without a direct link it is refused, never
-   * relayed further. Requests to other nodes are ignored.
+   * Handles a peer's request to call the state service. It is refused, and never relayed further,
+   * if this node has no direct link or too many requests of peers are open. Requests to other nodes
+   * are ignored.
    */
   public void onRequest(PeerMessage.RelayRequest request) {
     if (!request.to().equals(settings.node())) {
--- a/src/main/java/org/snowturn/core/connectivity/WorkerSilenceDetector.java
+++ b/src/main/java/org/snowturn/core/connectivity/WorkerSilenceDetector.java
@@ -13,7 +13,7 @@
   /** Minimum number of missed messages that rules out a coincidence. */
   private static final int MIN_MISSED_MESSAGES = 15;
 
-  /** Number of machines to probe for each unanswered probe that is needed. */
+  /** Number of probes to send for each unanswered message that is needed to confirm a silence. */
   private static final int PROBES_PER_MISSED_MESSAGE = 3;
 
   /**
@@ -30,7 +30,7 @@
 
   private final long sweepIntervalMs;
   private final double heartbeatIntervalS;
-  private boolean isHeardSinceSweep;
+  private boolean hasHeardWorkerSinceSweep;
   private int silentSweeps;
   private int unansweredMessages;
   private int handoverSweeps;
@@ -51,7 +51,7 @@
 
   /** Records that a worker sent a heartbeat or answered. */
   public void onWorkerHeard() {
-    isHeardSinceSweep = true;
+    hasHeardWorkerSinceSweep = true;
   }
 
   /** Records that a probe or a command was not answered. */
@@ -67,9 +67,9 @@
    * @param nowMs present time of the core's clock, in milliseconds
    */
   public void endSweep(int machinesUp, long nowMs) {
-    silentSweeps = isHeardSinceSweep ? 0 : silentSweeps + 1;
-    unansweredMessages = isHeardSinceSweep ? 0 : unansweredMessages;
-    isHeardSinceSweep = false;
+    silentSweeps = hasHeardWorkerSinceSweep ? 0 : silentSweeps + 1;
+    unansweredMessages = hasHeardWorkerSinceSweep ? 0 : unansweredMessages;
+    hasHeardWorkerSinceSweep = false;
     double missedMessages =
         silentSweeps * sweepIntervalMs / 1000.0 * machinesUp / heartbeatIntervalS;
     isSilent = silentSweeps >= MIN_SILENT_SWEEPS && missedMessages > MIN_MISSED_MESSAGES;
@@ -100,10 +100,10 @@
   }
 
   /**
-   * Returns whether the silence of a single machine says something about that machine, since there
-   * was no general silence for a while. A leader may stay in office through a network partition
-   * because no peer is better connected. If it assessed single machines then, it would take the
-   * first silent ones for dead while messages from the others are not yet overdue.
+   * Returns whether the silence of a single machine is evidence about that machine. It is not
+   * during a general silence and for {@link #RECOVERY_PERIOD_MS} after it. A leader keeps leading
+   * through a network partition if no peer is better connected. It would then take the machines
+   * that fall silent first for dead while messages from the others are not yet overdue.
    */
   public boolean canTrustMachineSilence(long nowMs) {
     return !hasBeenSilent || nowMs - lastSilentAt > RECOVERY_PERIOD_MS;
--- a/src/main/java/org/snowturn/core/health/AttemptSnapshot.java
+++ b/src/main/java/org/snowturn/core/health/AttemptSnapshot.java
@@ -10,15 +10,15 @@
  * @param placementDurable whether the placement is durable, so that a start may have been sent
  * @param inherited whether an earlier leader placed the attempt and no heartbeat under this
  *     leader's token has listed it
- * @param stopping whether the attempt is to be stopped
+ * @param stopping whether the attempt has been told to stop or is to be told
  * @param startInFlight whether a start that was sent directly got no answer, so that it may still
  *     arrive
  * @param machineDeleted whether the cloud has confirmed the deletion of the machine
  * @param machineFailed whether the cloud lists the machine as failed
  * @param leaseRenewedAt latest time at which any leader may have renewed the machine's lease, by
  *     the core's clock
- * @param leaseExpiryMs time after {@code leaseRenewedAt} after which the lease has certainly
- *     expired, in milliseconds
+ * @param leaseExpiryMs time from {@code leaseRenewedAt} until the lease has certainly expired, in
+ *     milliseconds
  */
 public record AttemptSnapshot(
     long token,
--- a/src/main/java/org/snowturn/core/health/FailureAttribution.java
+++ b/src/main/java/org/snowturn/core/health/FailureAttribution.java
@@ -107,7 +107,7 @@
             || jobHistory.failedMachines.size() >= MIN_MACHINES_TO_SUSPECT_JOB;
   }
 
-  /** Returns whether the job seems to fail on any machine. */
+  /** Returns whether the job seems to fail on every machine that runs it. */
   public boolean isJobSuspected(int job) {
     JobHistory history = jobs.get(job);
     return history != null && history.isSuspected;
@@ -144,7 +144,7 @@
     return count[0];
   }
 
-  /** Returns whether tasks of any job seem to fail on the machine. */
+  /** Returns whether every task that starts on the machine seems to fail there. */
   public boolean isMachineFaulty(int machine) {
     return countFailures(machine, true) >= minFailuresOfFaultyMachine;
   }
--- a/src/main/java/org/snowturn/core/recovery/PacedProbes.java
+++ b/src/main/java/org/snowturn/core/recovery/PacedProbes.java
@@ -139,8 +139,8 @@
   }
 
   /**
-   * Handles a message of a machine, which is not probed any more. If it was a reply to a probe, the
-   * window is adjusted.
+   * Handles a message of a machine, which is not probed any more. If a probe of it is still in the
+   * window, the window grows or shrinks by the time since the probe.
    */
   public void onHeard(int machineId, long nowMs) {
     Probe probe = probes.remove(machineId);
--- a/src/main/java/org/snowturn/core/recovery/Reconciliation.java
+++ b/src/main/java/org/snowturn/core/recovery/Reconciliation.java
@@ -59,7 +59,7 @@
 
   /** Decision on an attempt. */
   public enum Verdict {
-    /** Leave the attempt as it is: it runs where it is placed. */
+    /** Do nothing: the attempt runs where it is placed. */
     KEEP,
     /** Do nothing yet: the report proves nothing. */
     WAIT,
--- a/src/main/java/org/snowturn/core/recovery/RecoveryPhase.java
+++ b/src/main/java/org/snowturn/core/recovery/RecoveryPhase.java
@@ -2,7 +2,9 @@
 
 /** Phases of the recovery of cluster state at the beginning of a leader's term, in order. */
 public enum RecoveryPhase {
-  /** This node holds the fencing token. No records are read yet, so no decisions are made. */
+  /**
+   * This node has the fencing token of the term. No records are read yet, so no decisions are made.
+   */
   WON(0),
   /** The stored records are being read. Workers are answered so that their leases are renewed. */
   READING(1),
