--- a/src/test/java/org/snowturn/core/recovery/ReconciliationTest.java
+++ b/src/test/java/org/snowturn/core/recovery/ReconciliationTest.java
@@ -143,9 +143,7 @@
                               attempt.stopping(),
                               true));
                   case "own-start" ->
-                      // A start of this term may be executed late, so absence from the report
-                      // proves
-                      // nothing.
+                      // A start of this term may be executed late: absence proves nothing.
                       Reconciliation.decide(attempt) == Verdict.START && attempt.presentToken()
                           ? Verdict.RELEASE
                           : Reconciliation.decide(attempt);
