--- a/src/test/java/org/snowturn/core/recovery/ReconciliationExplorer.java
+++ b/src/test/java/org/snowturn/core/recovery/ReconciliationExplorer.java
@@ -43,10 +43,8 @@
   private static final int FIRST_MACHINE = 5;
 
   // Fields of each machine: agent epoch, token, states of the attempts, direct starts in flight
-  // (the
-  // agent epoch that each is meant for, or 0), the answer in flight (a command as the ordinal of
-  // its
-  // verdict plus 1, or 0, and the attempt), and the report in flight.
+  // (each by the agent epoch that it is meant for, or 0), the answer in flight (0, or the ordinal
+  // of the verdict to execute plus 1, and its attempt), and the report in flight.
   private static final int EPOCH = 0;
   private static final int TOKEN = 1;
   private static final int ATTEMPT_STATES = 2;
