--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -76,10 +76,10 @@
     election = new Election(settings, tunables, runtime, watermark, incarnation, startedAtMs);
     formatGate = new FormatGate(settings, runtime);
     connectivity = new ConnectivityMonitor(settings, runtime, election::stateServiceAnsweredAt);
-    election.deferClaimIf(connectivity::betterElsewhere);
+    election.deferClaimIf(connectivity::hasBetterPeer);
     stateRequestRelay =
         new StateRequestRelay(
-            settings, runtime, connectivity, () -> connectivity.mine().stateService());
+            settings, runtime, connectivity, () -> connectivity.ownConnectivity().canReachStateService());
     JobApi.Services services =
         new JobApi.Services(
             machineTypes,
@@ -191,16 +191,16 @@
    */
   public boolean isReady() {
     return election.isStateServiceHealthy()
-        || stateRequestRelay.possible()
+        || stateRequestRelay.canReachStateService()
         || settings.peers().isEmpty()
-        || (connectivity.hearsPeers() && !election.canPeersReachStateService());
+        || (connectivity.hasRecentPeerReport() && !election.canPeersReachStateService());
   }
 
   /** Returns the gauges of this node, by metric name. */
   public Map<String, Double> gauges() {
     Map<String, Double> gauges = new HashMap<>();
     gauges.put("snowturn.format.gate", formatGate.open() ? 1.0 : 0.0);
-    gauges.put("snowturn.state.requests.relayed", (double) stateRequestRelay.relayed());
+    gauges.put("snowturn.state.requests.relayed", (double) stateRequestRelay.relayedRequests());
     gauges.putAll(connectivity.gauges());
     gauges.putAll(watermark.gauges());
     gauges.putAll(rateAllocator.gauges(runtime.now()));
@@ -226,7 +226,7 @@
     if (leader != null) {
       leader.tick();
     }
-    boolean isSampleDue = leader != null && connectivity.wantsSample();
+    boolean isSampleDue = leader != null && connectivity.isSampleDue();
     connectivity.tick(
         leader != null,
         isSampleDue ? leader.sampleWorkerAddresses(ConnectivityMonitor.SAMPLE_SIZE) : List.of());
@@ -266,7 +266,7 @@
   }
 
   private void onHeartbeat(Input.HeartbeatReceived received) {
-    connectivity.workerHeard();
+    connectivity.onWorkerHeard();
     if (leader != null && election.hasAuthority()) {
       leader.handleHeartbeat(received.exchange(), received.heartbeat());
       return;
--- a/src/main/java/org/snowturn/core/api/JobApi.java
+++ b/src/main/java/org/snowturn/core/api/JobApi.java
@@ -58,7 +58,7 @@
             runtime,
             services.admission(),
             cancelled,
-            () -> isStateServiceHealthy.getAsBoolean() || relay.possible());
+            () -> isStateServiceHealthy.getAsBoolean() || relay.canReachStateService());
     reader =
         new JobStatusReader(runtime, relay, services.liveJobs(), cancelled, statuses, responses);
     SubmissionValidator validator = new SubmissionValidator(settings, services.machineTypes());
--- a/src/main/java/org/snowturn/core/api/JobStatusReader.java
+++ b/src/main/java/org/snowturn/core/api/JobStatusReader.java
@@ -58,7 +58,7 @@
     JobStatus known = statuses.finalStatus(id);
     if (known != null) {
       onStatus.accept(known);
-    } else if (liveJobs.isLoaded() && relay.direct()) {
+    } else if (liveJobs.isLoaded() && relay.hasDirectLink()) {
       liveJobs.whenFresh(
           () -> readFromCache(exchange, id, onStatus), () -> responses.refuse(exchange));
     } else {
--- a/src/main/java/org/snowturn/core/api/LiveJobCache.java
+++ b/src/main/java/org/snowturn/core/api/LiveJobCache.java
@@ -184,7 +184,7 @@
           }
           covered.addAll(waiters);
           waiters = covered;
-          nextRequestAt = runtime.now() + backoff.next(runtime.retryAfterMs());
+          nextRequestAt = runtime.now() + backoff.nextDelayMs(runtime.retryAfterMs());
         });
   }
 
--- a/src/main/java/org/snowturn/core/connectivity/Connectivity.java
+++ b/src/main/java/org/snowturn/core/connectivity/Connectivity.java
@@ -1,39 +1,51 @@
 package org.snowturn.core.connectivity;
 
 /**
- * What one node reaches, by its own clock: how long ago it was answered, in milliseconds.
+ * Ages of the last contacts of one node with the state service and with workers, by the node's own
+ * clock.
  *
- * @param stateMs since the state service answered a request, counted from its sending; {@link
- *     #NEVER} if it never has
- * @param workersMs since a worker was heard or answered; {@link #NEVER} if none ever was
+ * @param sinceStateAnswerMs milliseconds since the node sent the last request that the state
+ *     service answered; {@link #NEVER} if none was answered
+ * @param sinceWorkerHeardMs milliseconds since the node last received a heartbeat or an answer from
+ *     any worker; {@link #NEVER} if it received none
  */
-public record Connectivity(int stateMs, int workersMs) {
-  /** Not yet. */
+public record Connectivity(int sinceStateAnswerMs, int sinceWorkerHeardMs) {
+  /** Age of a contact that has not happened yet. */
   public static final int NEVER = -1;
 
-  /** A working link is answered at least this often: probes go out every 700 ms. */
-  private static final int STATE_FRESH_MS = 1_500;
+  /**
+   * Maximum age of an answer of the state service at which the link to it counts as working. The
+   * state service is probed every 700 ms.
+   */
+  private static final int MAX_STATE_ANSWER_AGE_MS = 1_500;
 
-  /** Workers are probed more often, but one of them that does not answer may be dead. */
-  private static final int WORKERS_FRESH_MS = 3_000;
+  /**
+   * Maximum age of a worker's message at which the links to workers count as working. Workers are
+   * probed more often than the state service, but a probed worker may be dead.
+   */
+  private static final int MAX_WORKER_HEARD_AGE_MS = 3_000;
 
-  /** Whether the state service answers the node. */
-  public boolean stateService() {
-    return stateMs != NEVER && stateMs <= STATE_FRESH_MS;
+  /** Returns whether the state service answers the node. */
+  public boolean canReachStateService() {
+    return sinceStateAnswerMs != NEVER && sinceStateAnswerMs <= MAX_STATE_ANSWER_AGE_MS;
   }
 
-  /** Whether workers are in the node's reach. */
-  public boolean workers() {
-    return workersMs != NEVER && workersMs <= WORKERS_FRESH_MS;
+  /** Returns whether the node receives messages from workers. */
+  public boolean canReachWorkers() {
+    return sinceWorkerHeardMs != NEVER && sinceWorkerHeardMs <= MAX_WORKER_HEARD_AGE_MS;
   }
 
-  /** Whether the node has what a leader needs. */
-  public boolean complete() {
-    return stateService() && workers();
+  /** Returns whether the node reaches both the state service and workers, as a leader must. */
+  public boolean canLead() {
+    return canReachStateService() && canReachWorkers();
   }
 
-  /** Whether both reach the same at present. */
-  boolean sameLinks(Connectivity other) {
-    return stateService() == other.stateService() && workers() == other.workers();
+  /**
+   * Returns whether the links to the state service and to workers are in the same state, working or
+   * not, as those of the other connectivity.
+   */
+  boolean hasSameLinks(Connectivity other) {
+    return canReachStateService() == other.canReachStateService()
+        && canReachWorkers() == other.canReachWorkers();
   }
 }
--- a/src/main/java/org/snowturn/core/connectivity/ConnectivityMatrix.java
+++ b/src/main/java/org/snowturn/core/connectivity/ConnectivityMatrix.java
@@ -4,86 +4,97 @@
 import java.util.TreeMap;
 
 /**
- * Who reaches what, as far as this node has been told: a row for each peer. A row that has not been
- * renewed for a while says nothing, so a one-way link, a frozen peer or one of a version that tells
- * nothing counts as unknown. Nothing of it is a ground of authority: it only says who had better
- * claim leadership, and whom to ask for help.
+ * Connectivity of each peer by its own last report, one row per peer. A row expires if it is not
+ * renewed, so the connectivity of a peer behind a one-way link, of a frozen peer and of one whose
+ * version sends no reports is unknown. The matrix never grants authority: it only tells which node
+ * should claim leadership and which peer can relay requests.
  */
 final class ConnectivityMatrix {
-  /** Rows come every 300 ms; three may be lost. */
-  private static final long STALE_MS = 1_200;
+  /** Maximum age of a row. Reports come every 300 ms, and three in a row may be lost. */
+  private static final long MAX_ROW_AGE_MS = 1_200;
 
-  /** What probes and reports take: only a greater difference between two nodes says anything. */
-  private static final long REPORT_DELAY_MS = 400;
+  /**
+   * Maximum delay that probes and reports add to the age of a contact. A smaller difference between
+   * two nodes is not significant.
+   */
+  private static final long MAX_REPORT_DELAY_MS = 400;
 
   private record Row(Connectivity connectivity, long receivedAt) {
-    boolean fresh(long nowMs) {
-      return nowMs - receivedAt <= STALE_MS;
+    boolean isFresh(long nowMs) {
+      return nowMs - receivedAt <= MAX_ROW_AGE_MS;
     }
 
-    boolean betterThan(Connectivity mine, long nowMs) {
-      if (!fresh(nowMs) || !connectivity.complete()) {
+    boolean isBetterThan(Connectivity own, long nowMs) {
+      if (!isFresh(nowMs) || !connectivity.canLead()) {
         return false;
       }
-      long workersMs = connectivity.workersMs() + (nowMs - receivedAt);
-      return !mine.stateService()
-          || mine.workersMs() == Connectivity.NEVER
-          || workersMs + REPORT_DELAY_MS < mine.workersMs();
+      long sinceWorkerHeardMs = connectivity.sinceWorkerHeardMs() + (nowMs - receivedAt);
+      return !own.canReachStateService()
+          || own.sinceWorkerHeardMs() == Connectivity.NEVER
+          || sinceWorkerHeardMs + MAX_REPORT_DELAY_MS < own.sinceWorkerHeardMs();
     }
   }
 
   private final Map<String, Row> rows = new TreeMap<>();
 
   /**
-   * A peer has told what it reaches.
+   * Replaces the row of a peer.
    *
-   * @param nowMs this node's steady clock
-   * @return whether its links to the state service or to workers have come or gone
+   * @param peer name of the peer that sent the report
+   * @param connectivity connectivity that the peer reported
+   * @param nowMs present time of the core's clock, in milliseconds
+   * @return whether this is the peer's first row, or its links to the state service or to workers
+   *     have come up or gone down
    */
   boolean update(String peer, Connectivity connectivity, long nowMs) {
     Row before = rows.put(peer, new Row(connectivity, nowMs));
-    return before == null || !before.connectivity.sameLinks(connectivity);
+    return before == null || !before.connectivity.hasSameLinks(connectivity);
   }
 
-  /** Whether any peer has told lately what it reaches. */
-  boolean anyFresh(long nowMs) {
-    return rows.values().stream().anyMatch(row -> row.fresh(nowMs));
+  /** Returns whether any peer has a row that has not expired. */
+  boolean hasFreshRow(long nowMs) {
+    return rows.values().stream().anyMatch(row -> row.isFresh(nowMs));
   }
 
   /**
-   * Whether a peer could serve where a node with this connectivity cannot, or hardly. Where both
-   * have heard workers lately, it has to have heard them later, and by more than what probes and
-   * reports take: in the first seconds of a cut, all rows still show what was before it.
+   * Returns whether a peer is better connected than a node with the given connectivity. The peer
+   * must reach both the state service and workers. If the node reaches the state service and has
+   * heard workers, the peer must have heard workers more recently by more than {@link
+   * #MAX_REPORT_DELAY_MS}: in the first seconds of a network partition all rows still show the
+   * state before it.
    */
-  boolean anyBetterThan(Connectivity mine, long nowMs) {
+  boolean hasPeerBetterThan(Connectivity own, long nowMs) {
     for (Row row : rows.values()) {
-      if (row.betterThan(mine, nowMs)) {
+      if (row.isBetterThan(own, nowMs)) {
         return true;
       }
     }
     return false;
   }
 
-  /** A peer that the state service answers, one with workers rather than without; or null. */
+  /**
+   * Returns the name of a peer that the state service answers, preferably one that reaches workers
+   * too; null if there is none.
+   */
   String peerWithStateService(long nowMs) {
     String found = null;
     for (Map.Entry<String, Row> entry : rows.entrySet()) {
       Connectivity connectivity = entry.getValue().connectivity;
-      if (entry.getValue().fresh(nowMs)
-          && connectivity.stateService()
-          && (found == null || connectivity.workers())) {
+      if (entry.getValue().isFresh(nowMs)
+          && connectivity.canReachStateService()
+          && (found == null || connectivity.canReachWorkers())) {
         found = entry.getKey();
       }
     }
     return found;
   }
 
-  /** What the peers reach whose rows say something now, by their names. */
-  Map<String, Connectivity> fresh(long nowMs) {
+  /** Returns the connectivity of each peer whose row has not expired, by peer name. */
+  Map<String, Connectivity> freshRows(long nowMs) {
     Map<String, Connectivity> fresh = new TreeMap<>();
     rows.forEach(
         (peer, row) -> {
-          if (row.fresh(nowMs)) {
+          if (row.isFresh(nowMs)) {
             fresh.put(peer, row.connectivity);
           }
         });
--- a/src/main/java/org/snowturn/core/connectivity/ConnectivityMonitor.java
+++ b/src/main/java/org/snowturn/core/connectivity/ConnectivityMonitor.java
@@ -14,12 +14,12 @@
 import org.snowturn.core.effects.LogField;
 
 /**
- * What this node reaches, and what its peers say that they reach. A node that does not lead hears
- * workers only when they look for a leader, so the leader names a few of them, which the others
- * probe regularly.
+ * Tracks the connectivity of this node and of its peers, and exchanges reports of it with them. A
+ * standby node receives messages from workers only while these look for a leader, so the leader
+ * sends a sample of worker addresses, which the standby nodes probe regularly.
  */
 public final class ConnectivityMonitor {
-  /** How many workers a sample names. */
+  /** Number of workers in a sample. */
   public static final int SAMPLE_SIZE = 6;
 
   private static final long SAMPLE_INTERVAL_MS = 3_000;
@@ -29,37 +29,38 @@
 
   private final Settings settings;
   private final CoreRuntime runtime;
-  private final LongSupplier stateServiceAnsweredAt;
+  private final LongSupplier lastAnsweredRequestSentAt;
   private final ConnectivityMatrix matrix = new ConnectivityMatrix();
   private List<String> sample = List.of();
-  private int probes;
-  private long workerHeardAt = MonotonicTime.NEVER;
+  private int probeCount;
+  private long lastWorkerHeardAt = MonotonicTime.NEVER;
   private long nextProbeAt;
   private long nextReportAt;
   private long nextSampleAt;
-  private Connectivity logged;
+  private Connectivity lastLogged;
 
   /**
-   * Knows nothing yet.
+   * Creates a monitor without any contact or report.
    *
-   * @param stateServiceAnsweredAt when the last request that the state service answered was sent,
-   *     in milliseconds of the steady clock; {@link MonotonicTime#NEVER} if none was
+   * @param lastAnsweredRequestSentAt supplies the time at which this node sent the last request
+   *     that the state service answered, in milliseconds of the core's clock; {@link
+   *     MonotonicTime#NEVER} if none was answered
    */
   public ConnectivityMonitor(
-      Settings settings, CoreRuntime runtime, LongSupplier stateServiceAnsweredAt) {
+      Settings settings, CoreRuntime runtime, LongSupplier lastAnsweredRequestSentAt) {
     this.settings = settings;
     this.runtime = runtime;
-    this.stateServiceAnsweredAt = stateServiceAnsweredAt;
+    this.lastAnsweredRequestSentAt = lastAnsweredRequestSentAt;
   }
 
-  /** A worker has sent a heartbeat here, or answered this node. */
-  public void workerHeard() {
-    workerHeardAt = runtime.now();
+  /** Records that a worker sent a heartbeat to this node or answered it. */
+  public void onWorkerHeard() {
+    lastWorkerHeardAt = runtime.now();
   }
 
-  /** What this node reaches. */
-  public Connectivity mine() {
-    return new Connectivity(ageMs(stateServiceAnsweredAt.getAsLong()), ageMs(workerHeardAt));
+  /** Returns the connectivity of this node. */
+  public Connectivity ownConnectivity() {
+    return new Connectivity(ageMs(lastAnsweredRequestSentAt.getAsLong()), ageMs(lastWorkerHeardAt));
   }
 
   private int ageMs(long at) {
@@ -68,42 +69,48 @@
         : (int) Math.min(Integer.MAX_VALUE, runtime.now() - at);
   }
 
-  /** Whether a peer could serve where this node cannot. */
-  public boolean betterElsewhere() {
-    return matrix.anyBetterThan(mine(), runtime.now());
+  /** Returns whether a peer is better connected than this node. */
+  public boolean hasBetterPeer() {
+    return matrix.hasPeerBetterThan(ownConnectivity(), runtime.now());
   }
 
-  /** Whether a peer could serve where this node cannot, or no peer is heard, so that one may. */
-  public boolean otherMayServe() {
-    return betterElsewhere() || !hearsPeers();
+  /**
+   * Returns whether a peer may be better connected than this node: either a report shows it, or no
+   * peer has reported recently, so that it cannot be ruled out.
+   */
+  public boolean canPeerServe() {
+    return hasBetterPeer() || !hasRecentPeerReport();
   }
 
-  /** Whether any peer has told lately what it reaches. */
-  public boolean hearsPeers() {
-    return matrix.anyFresh(runtime.now());
+  /** Returns whether any peer has reported its connectivity recently. */
+  public boolean hasRecentPeerReport() {
+    return matrix.hasFreshRow(runtime.now());
   }
 
-  /** A peer that the state service answers; null if none is known. */
+  /** Returns the name of a peer that the state service answers; null if none is known. */
   public String peerWithStateService() {
     return matrix.peerWithStateService(runtime.now());
   }
 
   /**
-   * Probes a worker and tells the peers what this node reaches, each if it is time.
+   * Does what is due: a leader broadcasts a sample of workers, a standby node probes one worker,
+   * and either reports its connectivity to the peers.
    *
-   * @param workers addresses of some that a leader hears; empty on other nodes
+   * @param isLeading whether this node is the leader
+   * @param workers addresses of workers that this leader hears; empty on other nodes and while no
+   *     sample is due
    */
-  public void tick(boolean leading, List<String> workers) {
-    if (leading) {
+  public void tick(boolean isLeading, List<String> workers) {
+    if (isLeading) {
       sendSample(workers);
     } else {
       probeWorker();
     }
-    report();
+    broadcastReport();
   }
 
   private void sendSample(List<String> workers) {
-    if (!workers.isEmpty() && wantsSample()) {
+    if (!workers.isEmpty() && isSampleDue()) {
       nextSampleAt = runtime.now() + SAMPLE_INTERVAL_MS;
       sample = workers;
       runtime.broadcast(new PeerMessage.WorkerSample(settings.node(), workers));
@@ -115,7 +122,7 @@
       return;
     }
     nextProbeAt = runtime.now() + PROBE_INTERVAL_MS;
-    String address = sample.get(probes++ % sample.size());
+    String address = sample.get(probeCount++ % sample.size());
     runtime.call(
         Effect.Target.WORKER,
         address,
@@ -125,38 +132,38 @@
         PROBE_TIMEOUT_MS,
         (outcome, status, body) -> {
           if (outcome == Outcome.ANSWERED) {
-            workerHeard();
+            onWorkerHeard();
           }
         });
   }
 
-  private void report() {
+  private void broadcastReport() {
     if (runtime.now() < nextReportAt) {
       return;
     }
     nextReportAt = runtime.now() + REPORT_INTERVAL_MS;
-    Connectivity mine = mine();
-    if (logged == null || !logged.sameLinks(mine)) {
-      logged = mine;
-      log(settings.node(), mine);
+    Connectivity own = ownConnectivity();
+    if (lastLogged == null || !lastLogged.hasSameLinks(own)) {
+      lastLogged = own;
+      logConnectivity(settings.node(), own);
     }
-    runtime.broadcast(new PeerMessage.ConnectivityReport(settings.node(), mine));
+    runtime.broadcast(new PeerMessage.ConnectivityReport(settings.node(), own));
   }
 
-  /** Whether it is time for a leader to name workers. */
-  public boolean wantsSample() {
+  /** Returns whether the next sample of workers is due on a leader. */
+  public boolean isSampleDue() {
     return runtime.now() >= nextSampleAt;
   }
 
-  /** A peer tells what it reaches. */
-  public void onReport(PeerMessage.ConnectivityReport report) {
-    if (isPeer(report.from())
-        && matrix.update(report.from(), report.connectivity(), runtime.now())) {
-      log(report.from(), report.connectivity());
+  /** Handles a connectivity report; one from an unknown node is ignored. */
+  public void onReport(PeerMessage.ConnectivityReport received) {
+    if (isPeer(received.from())
+        && matrix.update(received.from(), received.connectivity(), runtime.now())) {
+      logConnectivity(received.from(), received.connectivity());
     }
   }
 
-  /** A leader names workers to probe. */
+  /** Handles the workers that a leader asks to probe; a sample of an unknown node is ignored. */
   public void onSample(PeerMessage.WorkerSample received) {
     if (isPeer(received.from())) {
       List<String> workers = received.addresses();
@@ -168,23 +175,27 @@
     return settings.peers().stream().anyMatch(peer -> peer.node().equals(node));
   }
 
-  private void log(String node, Connectivity connectivity) {
+  private void logConnectivity(String node, Connectivity connectivity) {
     runtime
         .events()
         .info(LogEvent.CONNECTIVITY_CHANGED)
         .with(LogField.NODE, node)
-        .with(LogField.STATE_SERVICE, connectivity.stateService())
-        .with(LogField.WORKERS, connectivity.workers())
+        .with(LogField.STATE_SERVICE, connectivity.canReachStateService())
+        .with(LogField.WORKERS, connectivity.canReachWorkers())
         .write();
   }
 
-  /** For each node, 1 where it reaches the state service and 1 where it reaches workers. */
+  /**
+   * Returns the gauges by name. For this node and each peer with a recent report there are two,
+   * which are 1 while the node reaches the state service and workers, respectively, and otherwise
+   * 0.
+   */
   public Map<String, Double> gauges() {
     Map<String, Double> gauges = new HashMap<>();
     matrix
-        .fresh(runtime.now())
+        .freshRows(runtime.now())
         .forEach((node, connectivity) -> addGauges(gauges, node, connectivity));
-    addGauges(gauges, settings.node(), mine());
+    addGauges(gauges, settings.node(), ownConnectivity());
     return gauges;
   }
 
@@ -192,8 +203,9 @@
       Map<String, Double> gauges, String node, Connectivity connectivity) {
     gauges.put(
         "snowturn.connectivity.state{node=\"" + node + "\"}",
-        connectivity.stateService() ? 1.0 : 0.0);
+        connectivity.canReachStateService() ? 1.0 : 0.0);
     gauges.put(
-        "snowturn.connectivity.workers{node=\"" + node + "\"}", connectivity.workers() ? 1.0 : 0.0);
+        "snowturn.connectivity.workers{node=\"" + node + "\"}",
+        connectivity.canReachWorkers() ? 1.0 : 0.0);
   }
 }
--- a/src/main/java/org/snowturn/core/connectivity/StateRequestRelay.java
+++ b/src/main/java/org/snowturn/core/connectivity/StateRequestRelay.java
@@ -12,63 +12,78 @@
 import org.snowturn.wire.Json;
 
 /**
- * Users' requests to the state service, through a peer where this node's own link is down and the
- * peer's is not. One hop: a peer asks the state service itself or refuses.
+ * Sends users' requests to the state service through a peer while this node's own link to it is
+ * down and the peer's link is up. Requests take at most one hop: a peer calls the state service
+ * itself or refuses.
  *
- * <p>What a peer does not answer stays unknown, as if the state service had not answered; only what
- * the peer says was not executed counts as refused.
+ * <p>The outcome of a request that the peer does not answer is {@link Outcome#UNKNOWN}, as if the
+ * state service had not answered. It is {@link Outcome#REFUSED} only if the peer replies that the
+ * request was not executed, or if this node did not send it.
  */
 public final class StateRequestRelay {
-  /** A message must not be longer than what nodes of the previous version read. */
+  /**
+   * Maximum length of a relayed body, so that a message stays within the limit of nodes that run
+   * the previous version.
+   */
   private static final int MAX_BODY_BYTES = 3_000;
 
-  /** So many may be open through peers, and from peers; the next is refused at once. */
-  private static final int MAX_OPEN = 200;
+  /**
+   * Maximum number of open requests in each direction: those sent to peers and those received from
+   * peers. Further ones are refused at once.
+   */
+  private static final int MAX_OPEN_REQUESTS = 200;
 
-  private static final int UNAVAILABLE = 503;
+  /** HTTP status of a request that was not executed. */
+  private static final int SERVICE_UNAVAILABLE = 503;
 
   private final Settings settings;
   private final CoreRuntime runtime;
   private final ConnectivityMonitor connectivity;
-  private final BooleanSupplier ownLink;
-  private final Map<Long, CoreRuntime.ReplyHandler> open = new HashMap<>();
-  private int openForPeers;
+  private final BooleanSupplier hasOwnLink;
+  private final Map<Long, CoreRuntime.ReplyHandler> openRequests = new HashMap<>();
+  private int openPeerRequests;
   private long lastRequestId;
-  private long relayed;
+  private long relayedRequests;
 
   /**
-   * Relays nothing yet.
+   * Creates a relay without open requests.
    *
-   * @param ownLink whether the state service answers this node
+   * @param connectivity chooses the peer that requests go through
+   * @param hasOwnLink supplies whether the state service answers this node
    */
   public StateRequestRelay(
       Settings settings,
       CoreRuntime runtime,
       ConnectivityMonitor connectivity,
-      BooleanSupplier ownLink) {
+      BooleanSupplier hasOwnLink) {
     this.settings = settings;
     this.runtime = runtime;
     this.connectivity = connectivity;
-    this.ownLink = ownLink;
-    // A peer may still be about to answer what the previous process of this node asked: restarted
-    // within a fraction of a second, this one would take it for the answer to a request of its own.
+    this.hasOwnLink = hasOwnLink;
+    // Ids start at a random number: a peer may still answer a request of the previous process of
+    // this node, and after a restart within a fraction of a second its reply must not match a
+    // request of this process.
     this.lastRequestId = runtime.random().nextLong() >>> 2;
   }
 
-  /** Whether the state service answers this node itself. */
-  public boolean direct() {
-    return ownLink.getAsBoolean();
+  /** Returns whether the state service answers this node directly. */
+  public boolean hasDirectLink() {
+    return hasOwnLink.getAsBoolean();
   }
 
-  /** Whether there is any way to the state service. */
-  public boolean possible() {
-    return direct() || connectivity.peerWithStateService() != null;
+  /** Returns whether the state service can be reached directly or through a peer. */
+  public boolean canReachStateService() {
+    return hasDirectLink() || connectivity.peerWithStateService() != null;
   }
 
   /**
-   * Makes one call to the state service, directly or through a peer.
+   * Makes one call to the state service. It goes through a peer if the direct link is down and a
+   * peer's link is up; otherwise it goes directly.
    *
-   * @param body null for none
+   * @param purpose request class that a direct call is counted in
+   * @param body body of the request; null for none
+   * @param timeoutMs time after which the outcome is {@link Outcome#UNKNOWN}, in milliseconds
+   * @param onResult handles the result
    */
   public void callState(
       RequestClass purpose,
@@ -76,45 +91,49 @@
       String path,
       JsonNode body,
       int timeoutMs,
-      CoreRuntime.ReplyHandler then) {
-    String peer = direct() ? null : connectivity.peerWithStateService();
+      CoreRuntime.ReplyHandler onResult) {
+    String peer = hasDirectLink() ? null : connectivity.peerWithStateService();
     if (peer == null) {
-      runtime.callState(purpose, method, path, body, timeoutMs, then);
+      runtime.callState(purpose, method, path, body, timeoutMs, onResult);
       return;
     }
-    if (tooLong(body) || open.size() >= MAX_OPEN) {
-      then.on(Outcome.REFUSED, UNAVAILABLE, null);
+    if (isTooLong(body) || openRequests.size() >= MAX_OPEN_REQUESTS) {
+      onResult.on(Outcome.REFUSED, SERVICE_UNAVAILABLE, null);
       return;
     }
     long id = ++lastRequestId;
-    relayed++;
-    open.put(id, then);
+    relayedRequests++;
+    openRequests.put(id, onResult);
     runtime.broadcast(
         new PeerMessage.RelayRequest(settings.node(), peer, id, method, path, body, timeoutMs));
     runtime.schedule(timeoutMs, () -> complete(id, Outcome.UNKNOWN, 0, null));
   }
 
-  private static boolean tooLong(JsonNode body) {
+  private static boolean isTooLong(JsonNode body) {
     return body != null && Json.bytes(body).length > MAX_BODY_BYTES;
   }
 
   private void complete(long id, Outcome outcome, int status, JsonNode body) {
-    CoreRuntime.ReplyHandler then = open.remove(id);
-    if (then != null) {
-      then.on(outcome, status, body);
+    CoreRuntime.ReplyHandler onResult = openRequests.remove(id);
+    if (onResult != null) {
+      onResult.on(outcome, status, body);
     }
   }
 
-  /** A peer asks this node to make a call, which is not handed on any further. */
+  /**
+   * Handles a peer's request to call the state service. It is refused, and never relayed further,
+   * if this node has no direct link or too many requests of peers are open. Requests to other nodes
+   * are ignored.
+   */
   public void onRequest(PeerMessage.RelayRequest request) {
     if (!request.to().equals(settings.node())) {
       return;
     }
-    if (!direct() || openForPeers >= MAX_OPEN) {
-      reply(request, Outcome.REFUSED, UNAVAILABLE, null);
+    if (!hasDirectLink() || openPeerRequests >= MAX_OPEN_REQUESTS) {
+      reply(request, Outcome.REFUSED, SERVICE_UNAVAILABLE, null);
       return;
     }
-    openForPeers++;
+    openPeerRequests++;
     runtime.callState(
         RequestClass.USERS,
         request.method(),
@@ -122,8 +141,8 @@
         request.body(),
         request.timeoutMs(),
         (outcome, status, body) -> {
-          openForPeers--;
-          boolean tooLong = tooLong(body);
+          openPeerRequests--;
+          boolean tooLong = isTooLong(body);
           reply(request, tooLong ? Outcome.UNKNOWN : outcome, status, tooLong ? null : body);
         });
   }
@@ -134,15 +153,15 @@
             settings.node(), request.from(), request.requestId(), outcome, status, body));
   }
 
-  /** A peer tells what came of a call that it was asked to make. */
+  /** Handles the reply to a relayed request. Replies to other nodes are ignored. */
   public void onReply(PeerMessage.RelayReply reply) {
     if (reply.to().equals(settings.node())) {
       complete(reply.requestId(), reply.outcome(), reply.status(), reply.body());
     }
   }
 
-  /** How many calls went through a peer. */
-  public long relayed() {
-    return relayed;
+  /** Returns the number of requests sent through a peer since this process started. */
+  public long relayedRequests() {
+    return relayedRequests;
   }
 }
--- a/src/main/java/org/snowturn/core/leader/HealthSweep.java
+++ b/src/main/java/org/snowturn/core/leader/HealthSweep.java
@@ -5,7 +5,7 @@
 import org.snowturn.config.Settings;
 import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.assignment.HeartbeatProcessor;
-import org.snowturn.core.connectivity.WorkerSilence;
+import org.snowturn.core.connectivity.WorkerSilenceDetector;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.health.Reachability;
 import org.snowturn.core.model.Machine;
@@ -119,7 +119,7 @@
         && heardCount * MIN_SILENT_PER_HEARD < silentCount
         && machineSilence.isTermOlderThan(2 * HeartbeatProcessor.leaseExpiryMs(settings))
         && !settings.peers().isEmpty()
-        && shared.connectivity().otherMayServe();
+        && shared.connectivity().canPeerServe();
   }
 
   private void checkMachine(Machine machine) {
@@ -171,12 +171,12 @@
 
   /** Probes or replaces a machine whose heartbeats arrive but which may receive no messages. */
   private void replaceUnreachable(Machine machine) {
-    if (machine.isTerminating() || machine.reachability.proven()) {
+    if (machine.isTerminating() || machine.reachability.isProven()) {
       return;
     }
     reachability.probeIfDue(machine);
     unreachableCount +=
-        machine.reachability.unansweredMessages() >= Reachability.UNREACHABLE_AFTER ? 1 : 0;
+        machine.reachability.unansweredMessages() >= Reachability.MIN_UNANSWERED_MESSAGES ? 1 : 0;
     if (machine.reachability.isUnreachable(runtime.now(), unreachableLimitMs())
         && lastUnreachableCount * 2 < lastMachineCount
         && machineSilence.canReplaceHeard()) {
@@ -228,12 +228,12 @@
    * to serve workers.
    */
   private boolean isCutOffFromWorkers() {
-    WorkerSilence workers = machineSilence.workerSilence();
-    workers.sweep(lastMachineCount, runtime.now());
+    WorkerSilenceDetector workers = machineSilence.workerSilence();
+    workers.endSweep(lastMachineCount, runtime.now());
     boolean isReassignmentPeriodOver = machineSilence.isReassignmentPeriodOver();
-    probeSample(isReassignmentPeriodOver ? 0 : workers.probesWanted());
-    boolean isUnheard = workers.isolated(isReassignmentPeriodOver) && !settings.peers().isEmpty();
-    return workers.shouldHandOver(isUnheard, shared.connectivity().otherMayServe());
+    probeSample(isReassignmentPeriodOver ? 0 : workers.probesNeeded());
+    boolean isUnheard = workers.isIsolated(isReassignmentPeriodOver) && !settings.peers().isEmpty();
+    return workers.countHandoverSweep(isUnheard, shared.connectivity().canPeerServe());
   }
 
   /**
--- a/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
+++ b/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
@@ -101,8 +101,8 @@
     }
     reachability.onMessageAnswered(machine, heartbeat);
     apply(machine, heartbeat);
-    if (!machine.reachability.proven()) {
-      machine.reachability.prove();
+    if (!machine.reachability.isProven()) {
+      machine.reachability.markProven();
       services.assignments().markChanged();
     }
   }
--- a/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
@@ -56,7 +56,7 @@
 
   /** Returns whether all records are read, so that tasks can be scheduled. */
   boolean isLoaded() {
-    return progress.reached(RecoveryPhase.PROBING);
+    return progress.hasReached(RecoveryPhase.PROBING);
   }
 
   /** Returns the revision of the state service from which changes of jobs are watched. */
@@ -114,7 +114,7 @@
    * another machine.
    */
   boolean hasHeardMostMachines() {
-    return progress.reached(RecoveryPhase.RECONCILED)
+    return progress.hasReached(RecoveryPhase.RECONCILED)
         || (isLoaded() && prober.hasHeardMostMachines());
   }
 
@@ -176,7 +176,7 @@
   /** Returns the gauges of the recovery, by metric name. */
   Map<String, Double> gauges() {
     return Map.of(
-        "snowturn.term.phase", (double) progress.now().number(),
+        "snowturn.term.phase", (double) progress.phase().number(),
         "snowturn.term.machines.unconfirmed", (double) prober.unheardCount(),
         "snowturn.term.probes", (double) prober.sentCount(),
         "snowturn.term.probes.window", (double) prober.window(),
--- a/src/main/java/org/snowturn/core/leader/MachineSilence.java
+++ b/src/main/java/org/snowturn/core/leader/MachineSilence.java
@@ -4,7 +4,7 @@
 import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.assignment.HeartbeatProcessor;
 import org.snowturn.core.autoscaling.ZoneOutages;
-import org.snowturn.core.connectivity.WorkerSilence;
+import org.snowturn.core.connectivity.WorkerSilenceDetector;
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.core.model.Machine;
 
@@ -17,7 +17,7 @@
   private final Settings settings;
   private final ZoneOutages zoneOutages;
   private final LeaderRecovery recovery;
-  private final WorkerSilence workerSilence;
+  private final WorkerSilenceDetector workerSilence;
   private final long termStartedAt;
 
   MachineSilence(LeaderDependencies shared, ZoneOutages zoneOutages, LeaderRecovery recovery) {
@@ -25,7 +25,7 @@
     this.settings = shared.settings();
     this.zoneOutages = zoneOutages;
     this.recovery = recovery;
-    this.workerSilence = new WorkerSilence(HealthSweep.INTERVAL_MS, settings.workers().reportS());
+    this.workerSilence = new WorkerSilenceDetector(HealthSweep.INTERVAL_MS, settings.workers().reportS());
     this.termStartedAt = runtime.now();
   }
 
@@ -41,16 +41,16 @@
 
   /** Records that a worker has sent a heartbeat to this node or answered one of its messages. */
   void onWorkerHeard() {
-    workerSilence.heard();
+    workerSilence.onWorkerHeard();
   }
 
   /** Records that a message to a worker got no answer. */
   void onMessageUnanswered() {
-    workerSilence.unanswered();
+    workerSilence.onMessageUnanswered();
   }
 
   /** Returns the detector that tells whether workers as a whole are silent towards this node. */
-  WorkerSilence workerSilence() {
+  WorkerSilenceDetector workerSilence() {
     return workerSilence;
   }
 
@@ -89,6 +89,6 @@
 
   /** Returns whether this node is connected well enough to attribute silence to single machines. */
   private boolean canTrustSilence() {
-    return workerSilence.mayJudgeMachines(runtime.now()) && zoneOutages.isConnected();
+    return workerSilence.canTrustMachineSilence(runtime.now()) && zoneOutages.isConnected();
   }
 }
--- a/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
+++ b/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
@@ -74,7 +74,7 @@
   /** Updates the machine's reachability after its heartbeat has been applied. */
   void onHeartbeatApplied(Machine machine, Heartbeat heartbeat) {
     if (heartbeat.agentEpoch() == machine.epoch()) {
-      machine.reachability.heartbeatReceived(
+      machine.reachability.onHeartbeatReceived(
           heartbeat.sequence(), runtime.now(), HeartbeatProcessor.heartbeatDueMs(settings));
     }
     probeIfDue(machine);
@@ -87,9 +87,9 @@
    */
   void onMessageAnswered(Machine machine, Heartbeat heartbeat) {
     machineSilence.onWorkerHeard();
-    connectivity.workerHeard();
+    connectivity.onWorkerHeard();
     machine.probeSettled();
-    if (machine.reachability.replyShowsNewIncarnation(isOutdated(machine, heartbeat))) {
+    if (machine.reachability.detectNewIncarnation(isOutdated(machine, heartbeat))) {
       autoscaler.terminate(machine, "has started anew");
     }
   }
@@ -115,7 +115,7 @@
     boolean canProbe =
         machine.session.isAcknowledged()
             || (recovery.hasHeardMostMachines()
-                && machine.reachability.answeredAgoMs(runtime.now()) > MAX_NEXT_HEARTBEAT_MS);
+                && machine.reachability.sinceHeartbeatAnswerMs(runtime.now()) > MAX_NEXT_HEARTBEAT_MS);
     if (canProbe
         && machine.addr() != null
         && machine.commands().idle()
@@ -131,7 +131,7 @@
     machine.setBlockedUntil(Math.max(machine.blockedUntil(), runtime.now() + BLOCKED_MS));
     recovery.onMessageUnanswered(machine);
     machineSilence.onMessageUnanswered();
-    if (machine.reachability.unansweredMessages() == Reachability.UNREACHABLE_AFTER) {
+    if (machine.reachability.unansweredMessages() == Reachability.MIN_UNANSWERED_MESSAGES) {
       runtime
           .events()
           .info(LogEvent.MACHINE_UNREACHABLE)
--- a/src/main/java/org/snowturn/core/leader/RecoveryProber.java
+++ b/src/main/java/org/snowturn/core/leader/RecoveryProber.java
@@ -94,7 +94,7 @@
         probes.add(machine.index, urgency(machine, minReplicaCpus, minBatchTaskCpus), notBeforeMs);
       }
     }
-    initialUnheardCount = probes.unheard();
+    initialUnheardCount = probes.unheardMachines();
     startedAt = runtime.now();
     sendDueProbes();
   }
@@ -131,12 +131,12 @@
   /** Sends the probes that are due, as far as the limit of probes in flight allows. */
   void sendDueProbes() {
     int next;
-    while ((next = probes.next(runtime.now())) >= 0) {
+    while ((next = probes.nextMachine(runtime.now())) >= 0) {
       Machine machine = machines.get(next);
       if (machine.isTerminated() || machine.isTerminating()) {
-        probes.drop(next);
+        probes.remove(next);
       } else if (machine.addr() == null) {
-        probes.unanswered(next, runtime.now(), false);
+        probes.onUnanswered(next, runtime.now(), false);
       } else {
         machine.commands().probe();
       }
@@ -148,9 +148,9 @@
     long now = runtime.now();
     if (now - lastTickAt > LATE_TICK_MS) {
       lastLateTickAt = now;
-      probes.nodeLate(now);
+      probes.onNodeLate(now);
     } else if (now - lastTickAt < PROMPT_TICK_MS) {
-      probes.nodeOnTime();
+      probes.onNodeOnTime();
     }
     lastTickAt = now;
   }
@@ -163,7 +163,7 @@
   /** Handles an applied heartbeat of a machine, whether or not it carried this term's token. */
   void onMachineHeard(Machine machine) {
     if (machine.session.isAcknowledged()) {
-      probes.heard(machine.index, runtime.now());
+      probes.onHeard(machine.index, runtime.now());
       sendDueProbes();
     } else {
       // The answer carries the new token, and a worker that receives a higher token sends another
@@ -181,21 +181,21 @@
    */
   void onMessageUnanswered(Machine machine) {
     boolean othersHeard = runtime.now() - lastHeardAt < OTHERS_HEARD_WINDOW_MS;
-    probes.unanswered(machine.index, runtime.now(), othersHeard);
+    probes.onUnanswered(machine.index, runtime.now(), othersHeard);
   }
 
   /** Stops probing the machines that are being terminated. */
   void dropTerminatingMachines() {
     for (Machine machine : machines.present()) {
       if (machine.isTerminating()) {
-        probes.drop(machine.index);
+        probes.remove(machine.index);
       }
     }
   }
 
   /** Returns whether nearly all machines have been heard, or have had enough time to be heard. */
   boolean hasHeardMostMachines() {
-    return probes.unheard() * MAX_UNHEARD_DIVISOR <= initialUnheardCount
+    return probes.unheardMachines() * MAX_UNHEARD_DIVISOR <= initialUnheardCount
         || runtime.now() - startedAt > MAX_WAIT_MS;
   }
 
@@ -210,17 +210,17 @@
 
   /** Returns whether the machine has left a probe unanswered and has not been heard since. */
   boolean hasMissedProbe(Machine machine) {
-    return probes.hasMissed(machine.index);
+    return probes.hasMissedProbe(machine.index);
   }
 
   /** Returns the number of machines that have not been heard. */
   int unheardCount() {
-    return probes.unheard();
+    return probes.unheardMachines();
   }
 
   /** Returns the number of probes that have been sent. */
   long sentCount() {
-    return probes.sent();
+    return probes.sentCount();
   }
 
   /** Returns the maximum number of probes that may be in flight now. */
--- a/src/main/java/org/snowturn/core/recovery/PacedProbes.java
+++ b/src/main/java/org/snowturn/core/recovery/PacedProbes.java
@@ -6,225 +6,247 @@
 import org.agrona.collections.Int2ObjectHashMap;
 
 /**
- * Which machines a new leader probes next, and how many at a time.
+ * Decides which machines a new leader probes next, and limits how many probes are in flight.
  *
- * <p>All at once, a thousand probes, their replies and the workers that then find the new leader
- * would stand before everything else that the node has to do, the renewal of its own lease
- * included. So only a window of probes is under way, as in congestion control: it grows by one with
- * each prompt reply and shrinks when replies are late or when the node itself runs late. A probe
- * without a reply does not hold its place in the window for long, since many machines may be dead.
+ * <p>If a thousand machines were probed at once, the probes, their replies and the heartbeats of
+ * workers that then find the new leader would delay all other work of the node, including the
+ * renewal of its own lease. The number of probes in flight is therefore limited by a window, as in
+ * congestion control. The window grows by one with each prompt reply and shrinks when replies are
+ * late or the node itself is behind with its work. A probe without a reply leaves the window soon,
+ * since many machines may be dead.
  *
  * <p>A machine that is heard without a probe is not probed. One that does not reply is probed
- * again. Times are milliseconds of the steady clock.
+ * again. Times are in milliseconds of the core's clock.
  */
 public final class PacedProbes {
-  /** How many probes without a reply are needed before silence says anything. */
-  public static final int MIN_ATTEMPTS = 3;
+  /** Minimum number of unanswered probes at which a machine counts as unresponsive. */
+  public static final int MIN_UNANSWERED_PROBES = 3;
 
   private static final int INITIAL_WINDOW = 16;
   private static final int MIN_WINDOW = 4;
 
-  /** As far as the window grows without replies, so that hundreds of dead are found together. */
+  /** Maximum window reached without replies, large enough to detect hundreds of dead machines. */
   private static final int MAX_WINDOW_WITHOUT_REPLIES = 64;
 
   private static final int MAX_WINDOW = 256;
   private static final double SHRINK_FACTOR = 0.7;
 
-  /** A reply within this time is prompt. */
-  private static final long PROMPT_MS = 120;
+  /** Maximum time to a reply that counts as prompt. */
+  private static final long MAX_PROMPT_REPLY_MS = 120;
 
-  /** A probe that has been open for so long no longer holds a place in the window. */
-  private static final long MAX_HOLD_MS = 300;
+  /** Time after which a probe without a reply leaves the window. */
+  private static final long MAX_TIME_IN_WINDOW_MS = 300;
 
-  /** Between two shrinks, so that one late moment counts once. */
-  private static final long SHRINK_INTERVAL_MS = 200;
+  /** Minimum time between two shrinks, so that one delay of the node counts only once. */
+  private static final long MIN_SHRINK_INTERVAL_MS = 200;
 
-  /** The probes of one machine. */
+  /** State of the probes of one machine. */
   private static final class Probe {
-    private final int id;
+    private final int machineId;
     private final int urgency;
     private int unanswered;
-    private long notBefore;
+    private long notBeforeMs;
     private long firstSentAt = Long.MAX_VALUE;
     private long sentAt;
-    private boolean open;
+    private boolean isOpen;
 
-    Probe(int id, int urgency, long notBefore) {
-      this.id = id;
+    Probe(int machineId, int urgency, long notBeforeMs) {
+      this.machineId = machineId;
       this.urgency = urgency;
-      this.notBefore = notBefore;
+      this.notBeforeMs = notBeforeMs;
     }
   }
 
   private final Int2ObjectHashMap<Probe> probes = new Int2ObjectHashMap<>();
   private final PriorityQueue<Probe> waiting =
       new PriorityQueue<>(
-          Comparator.<Probe>comparingLong(probe -> probe.notBefore)
+          Comparator.<Probe>comparingLong(probe -> probe.notBeforeMs)
               .thenComparingInt(probe -> probe.urgency)
-              .thenComparingInt(probe -> probe.id));
+              .thenComparingInt(probe -> probe.machineId));
 
-  /** Those under way that hold a place in the window, the longest first. */
+  /** Probes in flight that hold a place in the window, the oldest first. */
   private final ArrayDeque<Probe> inWindow = new ArrayDeque<>();
 
   private final long retryMs;
   private double window = INITIAL_WINDOW;
-  private long shrunkAt = Long.MIN_VALUE / 2;
-  private long sent;
+  private long lastShrunkAt = Long.MIN_VALUE / 2;
+  private long sentCount;
 
   /**
-   * No machine is to be probed yet.
+   * Creates a pacer without machines to probe.
    *
-   * @param retryMs how long after a probe that got no reply the next one is sent
+   * @param retryMs delay before a machine that left a probe unanswered is probed again, in
+   *     milliseconds
    */
   public PacedProbes(long retryMs) {
     this.retryMs = retryMs;
   }
 
   /**
-   * Adds a machine that is to be probed, unless it is already known.
+   * Adds a machine to probe, unless it has been added already.
    *
-   * @param id the machine's index
-   * @param urgency smaller ones go first
-   * @param notBeforeMs until then it is expected to be heard by itself
+   * @param machineId index of the machine
+   * @param urgency rank of the machine; machines with lower values are probed first
+   * @param notBeforeMs earliest time of the first probe; the machine is expected to send a
+   *     heartbeat before
    */
-  public void add(int id, int urgency, long notBeforeMs) {
-    if (!probes.containsKey(id)) {
-      Probe probe = new Probe(id, urgency, notBeforeMs);
-      probes.put(id, probe);
+  public void add(int machineId, int urgency, long notBeforeMs) {
+    if (!probes.containsKey(machineId)) {
+      Probe probe = new Probe(machineId, urgency, notBeforeMs);
+      probes.put(machineId, probe);
       waiting.add(probe);
     }
   }
 
-  /** The machine is expected to be heard by itself until then. */
-  public void postpone(int id, long notBeforeMs) {
-    Probe probe = probes.get(id);
-    if (probe != null && !probe.open && probe.notBefore < notBeforeMs) {
+  /**
+   * Postpones the probe of a machine that waits for one.
+   *
+   * @param machineId index of the machine
+   * @param notBeforeMs earliest time of the probe; the machine is expected to send a heartbeat
+   *     before
+   */
+  public void postpone(int machineId, long notBeforeMs) {
+    Probe probe = probes.get(machineId);
+    if (probe != null && !probe.isOpen && probe.notBeforeMs < notBeforeMs) {
       waiting.remove(probe);
-      probe.notBefore = notBeforeMs;
+      probe.notBeforeMs = notBeforeMs;
       waiting.add(probe);
     }
   }
 
-  /** The machine that is to be probed now, or -1 if none is or the window is full. */
-  public int next(long nowMs) {
-    while (!inWindow.isEmpty() && nowMs - inWindow.peek().sentAt >= MAX_HOLD_MS) {
-      release(inWindow.peek()); // dead, most likely: that is no sign of a node that is behind
+  /**
+   * Returns the index of the machine to probe now, and counts the probe as sent; -1 if no probe is
+   * due or the window is full.
+   */
+  public int nextMachine(long nowMs) {
+    while (!inWindow.isEmpty() && nowMs - inWindow.peek().sentAt >= MAX_TIME_IN_WINDOW_MS) {
+      release(inWindow.peek()); // most likely dead, so the window does not shrink
     }
     if (inWindow.size() >= (int) window) {
       return -1;
     }
     Probe probe = waiting.peek();
-    if (probe == null || probe.notBefore > nowMs) {
+    if (probe == null || probe.notBeforeMs > nowMs) {
       return -1;
     }
     waiting.poll();
     probe.sentAt = nowMs;
     probe.firstSentAt = Math.min(probe.firstSentAt, nowMs);
-    probe.open = true;
-    sent++;
+    probe.isOpen = true;
+    sentCount++;
     inWindow.add(probe);
-    return probe.id;
+    return probe.machineId;
   }
 
-  /** The machine has been heard, probed or not. */
-  public void heard(int id, long nowMs) {
-    Probe probe = probes.remove(id);
+  /**
+   * Handles a message of a machine, which is not probed any more. If a probe of it is still in the
+   * window, the window grows or shrinks by the time since the probe.
+   */
+  public void onHeard(int machineId, long nowMs) {
+    Probe probe = probes.remove(machineId);
     if (probe == null) {
       return;
     }
-    if (!probe.open) {
+    if (!probe.isOpen) {
       waiting.remove(probe);
       return;
     }
     if (release(probe)) {
-      if (nowMs - probe.sentAt <= PROMPT_MS) {
+      if (nowMs - probe.sentAt <= MAX_PROMPT_REPLY_MS) {
         window = Math.min(MAX_WINDOW, window + 1);
       } else {
-        shrink(nowMs);
+        shrinkWindow(nowMs);
       }
     }
   }
 
   /**
-   * A probe got no reply: it is repeated later.
+   * Handles a probe without a reply, which is repeated later.
    *
-   * @param counts whether that says something of the machine
+   * @param machineId index of the machine
+   * @param nowMs the present time
+   * @param countsAsSilence whether the missing reply may be due to the machine
    */
-  public void unanswered(int id, long nowMs, boolean counts) {
-    Probe probe = probes.get(id);
-    if (probe == null || !probe.open) {
+  public void onUnanswered(int machineId, long nowMs, boolean countsAsSilence) {
+    Probe probe = probes.get(machineId);
+    if (probe == null || !probe.isOpen) {
       return;
     }
     release(probe);
-    probe.open = false;
-    probe.unanswered += counts ? 1 : 0;
-    probe.notBefore = nowMs + retryMs;
+    probe.isOpen = false;
+    probe.unanswered += countsAsSilence ? 1 : 0;
+    probe.notBeforeMs = nowMs + retryMs;
     waiting.add(probe);
   }
 
-  /** The machine need not be probed any more. */
-  public void drop(int id) {
-    Probe probe = probes.remove(id);
+  /** Removes a machine that need not be probed any more. */
+  public void remove(int machineId) {
+    Probe probe = probes.remove(machineId);
     if (probe != null) {
       waiting.remove(probe);
       release(probe);
     }
   }
 
-  /** The node itself is behind with its work. */
-  public void nodeLate(long nowMs) {
-    shrink(nowMs);
+  /** Shrinks the window since this node is behind with its work. */
+  public void onNodeLate(long nowMs) {
+    shrinkWindow(nowMs);
   }
 
-  /** The node keeps up with its work: it can bear more probes, though few are answered. */
-  public void nodeOnTime() {
+  /**
+   * Grows the window since this node keeps up with its work, even if few probes are answered, up to
+   * {@link #MAX_WINDOW_WITHOUT_REPLIES}.
+   */
+  public void onNodeOnTime() {
     if (window < MAX_WINDOW_WITHOUT_REPLIES) {
       window++;
     }
   }
 
   /**
-   * Whether the machine's silence says something: {@link #MIN_ATTEMPTS} probes got no reply, and
-   * the first was sent at least so long ago.
+   * Returns whether the machine is unresponsive: at least {@link #MIN_UNANSWERED_PROBES} probes got
+   * no reply, and the first was sent long enough ago.
    *
-   * @param sinceMs the time that must have passed since the first probe
+   * @param machineId index of the machine
+   * @param minSinceFirstProbeMs minimum time since the first probe
+   * @param nowMs the present time
    */
-  public boolean isUnresponsive(int id, long sinceMs, long nowMs) {
-    Probe probe = probes.get(id);
+  public boolean isUnresponsive(int machineId, long minSinceFirstProbeMs, long nowMs) {
+    Probe probe = probes.get(machineId);
     return probe != null
-        && probe.unanswered >= MIN_ATTEMPTS
-        && nowMs - probe.firstSentAt >= sinceMs;
+        && probe.unanswered >= MIN_UNANSWERED_PROBES
+        && nowMs - probe.firstSentAt >= minSinceFirstProbeMs;
   }
 
-  /** Whether the machine has left a probe unanswered and has not been heard since. */
-  public boolean hasMissed(int id) {
-    Probe probe = probes.get(id);
+  /** Returns whether the machine left a probe unanswered and has not been heard since. */
+  public boolean hasMissedProbe(int machineId) {
+    Probe probe = probes.get(machineId);
     return probe != null && probe.unanswered > 0;
   }
 
-  /** How many machines have not been heard. */
-  public int unheard() {
+  /** Returns the number of machines that have not been heard. */
+  public int unheardMachines() {
     return probes.size();
   }
 
-  /** How many probes have been sent. */
-  public long sent() {
-    return sent;
+  /** Returns the number of probes sent. */
+  public long sentCount() {
+    return sentCount;
   }
 
-  /** How many probes may be under way now. */
+  /** Returns the present maximum number of probes in flight. */
   public int window() {
     return (int) window;
   }
 
-  /** Gives back the probe's place in the window; false if it had none any more. */
+  /** Removes the probe from the window; returns whether it was still there. */
   private boolean release(Probe probe) {
     return inWindow.remove(probe);
   }
 
-  private void shrink(long nowMs) {
-    if (nowMs - shrunkAt >= SHRINK_INTERVAL_MS) {
-      shrunkAt = nowMs;
+  private void shrinkWindow(long nowMs) {
+    if (nowMs - lastShrunkAt >= MIN_SHRINK_INTERVAL_MS) {
+      lastShrunkAt = nowMs;
       window = Math.max(MIN_WINDOW, window * SHRINK_FACTOR);
     }
   }
--- a/src/main/java/org/snowturn/core/recovery/RecoveryProgress.java
+++ b/src/main/java/org/snowturn/core/recovery/RecoveryProgress.java
@@ -3,59 +3,71 @@
 import java.util.Arrays;
 import java.util.Locale;
 
-/** The phases of one term with the times at which they began; phases only go forward. */
+/** Recovery phases of one term with the times at which they began. Phases only advance. */
 public final class RecoveryProgress {
-  private static final long NOT_YET = -1;
+  private static final long NOT_ENTERED = -1;
 
   private final long wonAt;
-  private final long[] began = new long[RecoveryPhase.values().length];
-  private RecoveryPhase now = RecoveryPhase.WON;
+  private final long[] phaseBeganAt = new long[RecoveryPhase.values().length];
+  private RecoveryPhase currentPhase = RecoveryPhase.WON;
 
   /**
-   * A term that has just been won.
+   * Creates the progress of a term that begins now, in {@link RecoveryPhase#WON}.
    *
-   * @param nowMs the steady time in milliseconds, as in all of the core
+   * @param nowMs present time of the core's clock, in milliseconds
    */
   public RecoveryProgress(long nowMs) {
     wonAt = nowMs;
-    Arrays.fill(began, NOT_YET);
-    began[RecoveryPhase.WON.number()] = nowMs;
+    Arrays.fill(phaseBeganAt, NOT_ENTERED);
+    phaseBeganAt[RecoveryPhase.WON.number()] = nowMs;
   }
 
-  /** The present phase. */
-  public RecoveryPhase now() {
-    return now;
+  /** Returns the current phase. */
+  public RecoveryPhase phase() {
+    return currentPhase;
   }
 
-  /** Whether this phase has begun. */
-  public boolean reached(RecoveryPhase phase) {
-    return now.compareTo(phase) >= 0;
+  /** Returns whether the phase has begun or was skipped for a later one. */
+  public boolean hasReached(RecoveryPhase phase) {
+    return currentPhase.compareTo(phase) >= 0;
   }
 
-  /** Begins a phase if it is a later one; tells whether it did. */
+  /**
+   * Enters a phase if it is later than the current one.
+   *
+   * @param phase the phase to enter
+   * @param nowMs present time of the core's clock, in milliseconds
+   * @return whether the phase was entered
+   */
   public boolean enter(RecoveryPhase phase, long nowMs) {
-    if (reached(phase)) {
+    if (hasReached(phase)) {
       return false;
     }
-    now = phase;
-    began[phase.number()] = nowMs;
+    currentPhase = phase;
+    phaseBeganAt[phase.number()] = nowMs;
     return true;
   }
 
-  /** How long after the term was won the phase began, in milliseconds; -1 if it was not seen. */
-  public long afterMs(RecoveryPhase phase) {
-    long at = began[phase.number()];
-    return at == NOT_YET ? NOT_YET : at - wonAt;
+  /**
+   * Returns the time from the beginning of the term to that of the phase, in milliseconds; -1 if
+   * the phase was not entered.
+   */
+  public long sinceWonMs(RecoveryPhase phase) {
+    long beganAt = phaseBeganAt[phase.number()];
+    return beganAt == NOT_ENTERED ? NOT_ENTERED : beganAt - wonAt;
   }
 
-  /** The phases so far for the log, such as "won 0 ms, reading 2 ms". */
+  /** Returns the phases entered so far for the log, such as "won 0 ms, reading 2 ms". */
   @Override
   public String toString() {
     StringBuilder out = new StringBuilder();
     for (RecoveryPhase phase : RecoveryPhase.values()) {
-      if (afterMs(phase) != NOT_YET) {
+      if (sinceWonMs(phase) != NOT_ENTERED) {
         String name = phase.name().toLowerCase(Locale.ROOT);
-        out.append(out.length() == 0 ? "" : ", ").append(name).append(' ').append(afterMs(phase));
+        out.append(out.length() == 0 ? "" : ", ")
+            .append(name)
+            .append(' ')
+            .append(sinceWonMs(phase));
         out.append(" ms");
       }
     }
--- a/src/test/java/org/snowturn/core/connectivity/StateRequestRelayTest.java
+++ b/src/test/java/org/snowturn/core/connectivity/StateRequestRelayTest.java
@@ -14,26 +14,29 @@
 import org.snowturn.core.effects.CoreRuntime;
 import org.snowturn.wire.Json;
 
-/** What a peer answers to a previous process of a node. */
+/**
+ * A reply to a request of the previous process of a node must not complete a request of the present
+ * process. After a quick restart the peer may still send such a reply.
+ */
 class StateRequestRelayTest {
-  private final List<Integer> answers = new ArrayList<>();
+  private final List<Integer> statuses = new ArrayList<>();
 
-  /** A process of node "a" asks its peer once; returns what it sent. */
-  private PeerMessage.RelayRequest ask(StateRequestRelay relay, CoreRuntime runtime) {
+  /** Makes one call through the peer and returns the relay request that was sent to it. */
+  private PeerMessage.RelayRequest sendRequest(StateRequestRelay relay, CoreRuntime runtime) {
     relay.callState(
         RequestClass.USERS,
         "GET",
         "/kv/j/x",
         null,
         1000,
-        (outcome, status, body) -> answers.add(status));
+        (outcome, status, body) -> statuses.add(status));
     for (Effect effect : runtime.drainEffects()) {
       if (effect instanceof Effect.Broadcast broadcast
           && broadcast.message() instanceof PeerMessage.RelayRequest request) {
         return request;
       }
     }
-    throw new AssertionError("nothing was relayed");
+    throw new AssertionError("no RelayRequest was broadcast");
   }
 
   private static StateRequestRelay newProcess(CoreRuntime runtime) {
@@ -45,19 +48,22 @@
   }
 
   @Test
-  void aReplyToThePreviousProcessIsNotTakenForOneToThisOne() {
-    CoreRuntime first = new CoreRuntime("life-1".hashCode());
-    PeerMessage.RelayRequest former = ask(newProcess(first), first);
-    CoreRuntime second = new CoreRuntime("life-2".hashCode());
-    StateRequestRelay relay = newProcess(second);
-    PeerMessage.RelayRequest mine = ask(relay, second);
+  void replyToPreviousProcessIsIgnored() {
+    CoreRuntime previousRuntime = new CoreRuntime("life-1".hashCode());
+    PeerMessage.RelayRequest previousRequest =
+        sendRequest(newProcess(previousRuntime), previousRuntime);
+    CoreRuntime currentRuntime = new CoreRuntime("life-2".hashCode());
+    StateRequestRelay relay = newProcess(currentRuntime);
+    PeerMessage.RelayRequest currentRequest = sendRequest(relay, currentRuntime);
     relay.onReply(
         new PeerMessage.RelayReply(
-            "b", "a", former.requestId(), Outcome.ANSWERED, 404, Json.object()));
-    assertTrue(answers.isEmpty(), "the previous process's 404 was taken: " + answers);
+            "b", "a", previousRequest.requestId(), Outcome.ANSWERED, 404, Json.object()));
+    assertTrue(
+        statuses.isEmpty(),
+        "a reply to the previous process completed a request with status " + statuses);
     relay.onReply(
         new PeerMessage.RelayReply(
-            "b", "a", mine.requestId(), Outcome.ANSWERED, 200, Json.object()));
-    assertEquals(List.of(200), answers);
+            "b", "a", currentRequest.requestId(), Outcome.ANSWERED, 200, Json.object()));
+    assertEquals(List.of(200), statuses);
   }
 }
--- a/src/test/java/org/snowturn/core/recovery/ReconciliationTest.java
+++ b/src/test/java/org/snowturn/core/recovery/ReconciliationTest.java
@@ -10,15 +10,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.snowturn.core.recovery.Reconciliation.AgentEpoch;
 import org.snowturn.core.recovery.Reconciliation.Case;
-import org.snowturn.core.recovery.Reconciliation.Seen;
+import org.snowturn.core.recovery.Reconciliation.EpochOrder;
+import org.snowturn.core.recovery.Reconciliation.Reported;
 import org.snowturn.core.recovery.Reconciliation.Stored;
 import org.snowturn.core.recovery.Reconciliation.Verdict;
 
-/** The table cell by cell, and what it leads to over all orders of events. */
+/**
+ * Checks each cell of the decision table, and that no order of events runs a task twice with it.
+ */
 class ReconciliationTest {
-  /** Verdicts for a report of the same session: absent, alive, done, ended; ours, then not. */
+  /**
+   * Verdicts for a report of the agent epoch of the placement, in the order absent, alive, done,
+   * ended; first for reports with the present token, then for others.
+   */
   @ParameterizedTest
   @CsvSource({
     "PLACING,   WAIT    WAIT WAIT     WAIT,    WAIT  WAIT WAIT WAIT",
@@ -29,121 +34,145 @@
     "FINISHED,  WAIT    STOP FORGET   FORGET,  WAIT  STOP WAIT WAIT",
     "NOTHING,   WAIT    STOP FORGET   FORGET,  WAIT  STOP WAIT WAIT",
   })
-  void sameSession(Stored stored, String ours, String others) {
-    for (Seen seen : Seen.values()) {
-      Verdict mine = verdicts(ours).get(seen);
-      Verdict other = verdicts(others).get(seen);
-      assertEquals(mine, of(stored, seen, AgentEpoch.SAME, true, false, true), stored + " " + seen);
+  void verdictsWithinOneAgentEpoch(Stored stored, String withPresentToken, String withOtherToken) {
+    for (Reported reported : Reported.values()) {
+      Verdict expectedWithPresentToken = parseVerdicts(withPresentToken).get(reported);
+      Verdict expectedWithOtherToken = parseVerdicts(withOtherToken).get(reported);
       assertEquals(
-          other, of(stored, seen, AgentEpoch.SAME, false, false, true), stored + " " + seen);
+          expectedWithPresentToken,
+          decide(stored, reported, EpochOrder.SAME, true, false, true),
+          stored + " " + reported);
+      assertEquals(
+          expectedWithOtherToken,
+          decide(stored, reported, EpochOrder.SAME, false, false, true),
+          stored + " " + reported);
     }
   }
 
   @Test
-  void sessionsDecideOnlyAboutWhatWasPlacedThere() {
+  void agentEpochMattersOnlyForAttemptsPlacedOnTheMachine() {
     for (Stored stored : Stored.values()) {
-      for (Seen seen : Seen.values()) {
-        for (boolean ours : new boolean[] {true, false}) {
-          Verdict same = of(stored, seen, AgentEpoch.SAME, ours, false, true);
-          Verdict later = of(stored, seen, AgentEpoch.LATER, ours, false, true);
-          Verdict earlier = of(stored, seen, AgentEpoch.EARLIER, ours, false, true);
-          assertEquals(stored.here() ? Verdict.RELEASE : same, later);
-          assertEquals(stored.here() ? Verdict.WAIT : same, earlier);
+      for (Reported reported : Reported.values()) {
+        for (boolean hasPresentToken : new boolean[] {true, false}) {
+          Verdict same = decide(stored, reported, EpochOrder.SAME, hasPresentToken, false, true);
+          Verdict later = decide(stored, reported, EpochOrder.LATER, hasPresentToken, false, true);
+          Verdict earlier =
+              decide(stored, reported, EpochOrder.EARLIER, hasPresentToken, false, true);
+          assertEquals(stored.isPlacedHere() ? Verdict.RELEASE : same, later);
+          assertEquals(stored.isPlacedHere() ? Verdict.WAIT : same, earlier);
         }
       }
     }
   }
 
   @Test
-  void whatIsToStopIsStoppedWhileItLives() {
+  void stoppingAttemptIsStoppedWhileAlive() {
     for (Stored stored : new Stored[] {Stored.STARTED, Stored.INHERITED}) {
-      assertEquals(Verdict.STOP, of(stored, Seen.ALIVE, AgentEpoch.SAME, false, true, false));
-      // An end is an end, whoever asked for it.
-      assertEquals(Verdict.RELEASE, of(stored, Seen.ENDED, AgentEpoch.SAME, true, true, false));
-      assertEquals(Verdict.COMPLETE, of(stored, Seen.DONE, AgentEpoch.SAME, true, true, false));
+      assertEquals(
+          Verdict.STOP, decide(stored, Reported.ALIVE, EpochOrder.SAME, false, true, false));
+      // The verdict on an end does not depend on whether a stop was requested.
+      assertEquals(
+          Verdict.RELEASE, decide(stored, Reported.ENDED, EpochOrder.SAME, true, true, false));
+      assertEquals(
+          Verdict.COMPLETE, decide(stored, Reported.DONE, EpochOrder.SAME, true, true, false));
     }
   }
 
-  /** Its user may have been told that the job is cancelled: from then on no start may be sent. */
+  /**
+   * Once the user has been told that the job is cancelled, no start may be sent. A start that was
+   * repeated for an attempt that is to stop would break that.
+   */
   @Test
-  void whatIsToStopIsNotStartedToBeStoppedOnceNoStartOfItCanArrive() {
+  void stoppingAttemptIsReleasedOnceNoStartCanArrive() {
     assertEquals(
-        Verdict.RELEASE, of(Stored.STARTED, Seen.ABSENT, AgentEpoch.SAME, true, true, true));
+        Verdict.RELEASE,
+        decide(Stored.STARTED, Reported.ABSENT, EpochOrder.SAME, true, true, true));
     assertEquals(
-        Verdict.START, of(Stored.STARTED, Seen.ABSENT, AgentEpoch.SAME, false, true, true));
+        Verdict.START, decide(Stored.STARTED, Reported.ABSENT, EpochOrder.SAME, false, true, true));
     assertEquals(
-        Verdict.START, of(Stored.STARTED, Seen.ABSENT, AgentEpoch.SAME, true, true, false));
+        Verdict.START, decide(Stored.STARTED, Reported.ABSENT, EpochOrder.SAME, true, true, false));
   }
 
   @Test
-  void nothingIsForgottenThatIsNotSettled() {
+  void unsettledAttemptIsNeverForgotten() {
     for (Stored stored : Stored.values()) {
-      for (Seen seen : Seen.values()) {
-        for (AgentEpoch session : AgentEpoch.values()) {
-          assertNotEquals(Verdict.FORGET, of(stored, seen, session, true, false, false));
+      for (Reported reported : Reported.values()) {
+        for (EpochOrder epochOrder : EpochOrder.values()) {
+          assertNotEquals(Verdict.FORGET, decide(stored, reported, epochOrder, true, false, false));
         }
       }
     }
   }
 
-  private static Verdict of(
+  private static Verdict decide(
       Stored stored,
-      Seen seen,
-      AgentEpoch session,
-      boolean ours,
+      Reported reported,
+      EpochOrder epochOrder,
+      boolean hasPresentToken,
       boolean stopping,
       boolean settled) {
-    return Reconciliation.of(new Case(stored, seen, session, ours, stopping, settled));
+    return Reconciliation.decide(
+        new Case(stored, reported, epochOrder, hasPresentToken, stopping, settled));
   }
 
   @Test
-  void noOrderOfReportsLossesAndLateStartsRunsATaskTwice() {
-    ReconciliationExplorer explorer = new ReconciliationExplorer(Reconciliation::of);
-    assertNull(explorer.explore());
-    assertTrue(explorer.states() > 20_000, "too few states to mean anything");
-    assertTrue(explorer.finished() > 0, "the task is never done");
+  void noOrderOfEventsRunsATaskTwice() {
+    ReconciliationExplorer explorer = new ReconciliationExplorer(Reconciliation::decide);
+    assertNull(explorer.findViolation());
+    assertTrue(
+        explorer.visitedStates() > 20_000,
+        "only " + explorer.visitedStates() + " states explored, expected more than 20000");
+    assertTrue(explorer.finishedStates() > 0, "no explored state has the task finished");
   }
 
-  /** Without the guard the explorer must find an order in which the task runs twice. */
+  /** The explorer finds an order of events that runs the task twice if a guard is missing. */
   @ParameterizedTest
   @CsvSource({"token", "own-start", "in-flight", "stop-in-flight"})
-  void eachGuardMatters(String guard) {
+  void removingAnyGuardLetsATaskRunTwice(String guard) {
     ReconciliationExplorer explorer =
         new ReconciliationExplorer(
-            c ->
+            attempt ->
                 switch (guard) {
                   case "token" ->
-                      Reconciliation.of(
-                          new Case(c.stored(), c.seen(), c.session(), true, c.stopping(), true));
+                      Reconciliation.decide(
+                          new Case(
+                              attempt.stored(),
+                              attempt.reported(),
+                              attempt.epochOrder(),
+                              true,
+                              attempt.stopping(),
+                              true));
                   case "own-start" ->
-                      // Our own start may be executed late: that it is not listed proves nothing.
-                      Reconciliation.of(c) == Verdict.START && c.presentToken()
+                      // A start of this term may be executed late: absence proves nothing.
+                      Reconciliation.decide(attempt) == Verdict.START && attempt.presentToken()
                           ? Verdict.RELEASE
-                          : Reconciliation.of(c);
+                          : Reconciliation.decide(attempt);
                   case "stop-in-flight" ->
-                      c.stopping() && c.seen() == Seen.ABSENT
+                      attempt.stopping() && attempt.reported() == Reported.ABSENT
                           ? Verdict.RELEASE
-                          : Reconciliation.of(c);
+                          : Reconciliation.decide(attempt);
                   default ->
-                      Reconciliation.of(
+                      Reconciliation.decide(
                           new Case(
-                              c.stored(),
-                              c.seen(),
-                              c.session(),
-                              c.presentToken(),
-                              c.stopping(),
+                              attempt.stored(),
+                              attempt.reported(),
+                              attempt.epochOrder(),
+                              attempt.presentToken(),
+                              attempt.stopping(),
                               true));
                 });
-    assertTrue(explorer.explore() != null, "no order breaks the rule without: " + guard);
+    assertTrue(
+        explorer.findViolation() != null,
+        "no order of events runs the task twice without the guard " + guard);
   }
 
-  /** The verdicts of a row, in the order in which {@link Seen} stands. */
-  private static Map<Seen, Verdict> verdicts(String row) {
-    Map<Seen, Verdict> verdicts = new EnumMap<>(Seen.class);
+  /** Returns the verdicts of a row by reported state, in the order of {@link Reported}. */
+  private static Map<Reported, Verdict> parseVerdicts(String row) {
+    Map<Reported, Verdict> verdicts = new EnumMap<>(Reported.class);
     String[] words = row.trim().split("\\s+", -1);
     int column = 0;
-    for (Seen seen : Seen.values()) {
-      verdicts.put(seen, Verdict.valueOf(words[column++]));
+    for (Reported reported : Reported.values()) {
+      verdicts.put(reported, Verdict.valueOf(words[column++]));
     }
     return verdicts;
   }
