--- a/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
+++ b/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
@@ -50,7 +50,8 @@
   boolean hasEnded(Job job, int task, EndEvidence evidence) {
     String objection = view(job, task).objection(evidence);
     if (objection != null) {
-      invariants.violated(Invariant.END_IS_PROVEN, subject(job, task), evidence + ": " + objection);
+      invariants.recordViolation(
+          Invariant.END_IS_PROVEN, subject(job, task), evidence + ": " + objection);
       return false;
     }
     ends.merge(evidence.kind(), 1L, Long::sum);
@@ -80,7 +81,7 @@
         job.stateOf(task) != TaskState.PLACING,
         job.adopted.get(task),
         job.stopping.get(task),
-        ReconciliationCases.inDoubt(machine, job.attemptOf(task), task),
+        ReconciliationCases.isStartInDoubt(machine, job.attemptOf(task), task),
         machine.isTerminationConfirmed(),
         machine.cloudState() == CloudMachine.State.FAILED,
         machine.session.lastAnswerAt(),
@@ -95,7 +96,7 @@
   boolean mayStart(Machine machine, Job job, Command start) {
     String objection = objection(machine, job, start);
     if (objection != null) {
-      invariants.violated(
+      invariants.recordViolation(
           Invariant.START_IS_PLACED,
           start.job() + "/" + start.task() + "#" + start.attempt(),
           "start for " + machine.id + ": " + objection);
--- a/src/main/java/org/snowturn/core/assignment/FailureHandler.java
+++ b/src/main/java/org/snowturn/core/assignment/FailureHandler.java
@@ -37,7 +37,7 @@
   }
 
   /** The task has its result. */
-  void succeeded(Machine machine, Job job) {
+  void onTaskSucceeded(Machine machine, Job job) {
     if (job.failures.isSuspect()) {
       runtime
           .events()
@@ -52,7 +52,7 @@
   }
 
   /** The task has failed; it waits again after this. */
-  void failed(Machine machine, Job job, int task) {
+  void onTaskFailed(Machine machine, Job job, int task) {
     failed++;
     runtime
         .events()
@@ -112,18 +112,18 @@
    * with a mistake fails as soon as it starts, and so does whatever a sick machine starts. Replicas
    * have no other success.
    */
-  void keepsRunning(Machine machine, Job job, int task) {
+  void onTaskStillRunning(Machine machine, Job job, int task) {
     boolean tells =
         machine.failures.unexplained() > 0 || (job.failures.count() > 0 && job.done() == 0);
     if (tells
         && job.stateSince(task) != MonotonicTime.NEVER
         && runtime.now() - job.stateSince(task) >= PROVEN_BY_RUNNING_MS) {
-      succeeded(machine, job);
+      onTaskSucceeded(machine, job);
     }
   }
 
   /** Looks again at a machine: a job that failed there may have turned out suspect, or sound. */
-  public void review(Machine machine) {
+  public void reassess(Machine machine) {
     if (machine.failures.unexplained() > 0) {
       machine.failures.setUnexplained(attribution.unexplainedFailures(machine.index));
       machine.failures.blockUntil(
@@ -133,7 +133,7 @@
   }
 
   @Override
-  public void over(Job job, JobStatus.Phase phase) {
+  public void onJobEnded(Job job, JobStatus.Phase phase) {
     attribution.forgetJob(job.index);
   }
 
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
@@ -21,9 +21,9 @@
   /**
    * What a check-in is answered.
    *
-   * @param renews whether the answer may renew the machine's lease
+   * @param renewsLease whether the answer may renew the machine's lease
    */
-  public record Answer(List<Command> commands, boolean renews) {}
+  public record Answer(List<Command> commands, boolean renewsLease) {}
 
   private final TaskAssignments assignments;
   private final KnownCancellations cancellations;
@@ -71,7 +71,7 @@
     for (TaskStatus status : heartbeat.tasks()) {
       Job named = assignments.job(status.job());
       Job job = named != null && status.task() < named.taskCount() ? named : null;
-      boolean here = job != null && ReconciliationCases.here(machine, job, status);
+      boolean here = job != null && ReconciliationCases.isAssignedHere(machine, job, status);
       if (here) {
         listed.add(Job.ref(job.index, status.task()));
       }
@@ -91,9 +91,9 @@
       Machine machine, Heartbeat heartbeat, TaskStatus status, Job job, boolean here) {
     if (cases.isQuarantined(status)) {
       // Its record cannot be read, but users may have been told: what runs of it may be stopped.
-      return cancellations.known(status.job()) ? stop(status) : null;
+      return cancellations.isCancelled(status.job()) ? stop(status) : null;
     }
-    return switch (Reconciliation.of(cases.listed(machine, heartbeat, status, job))) {
+    return switch (Reconciliation.of(cases.caseOfListed(machine, heartbeat, status, job))) {
       case STOP -> here ? assignments.stopCommand(job, status.task()) : stop(status);
       case FORGET ->
           new Command(Command.Op.FORGET, status.job(), status.task(), status.attempt(), 0);
@@ -108,7 +108,7 @@
   private boolean unwanted(TaskStatus status, Job job) {
     boolean gone = job == null && !assignments.registry().isQuarantined(status.job());
     return status.state() != TaskStatus.State.ENDED
-        && (gone || cancellations.known(status.job()) || (job != null && job.isCancelled()));
+        && (gone || cancellations.isCancelled(status.job()) || (job != null && job.isCancelled()));
   }
 
   /**
@@ -118,16 +118,17 @@
       Machine machine, Heartbeat heartbeat, Job job, int task, boolean newest, List<Command> out) {
     Verdict verdict =
         newest
-            ? Reconciliation.of(cases.unlisted(machine, heartbeat, job, task, true))
+            ? Reconciliation.of(cases.caseOfUnlisted(machine, heartbeat, job, task, true))
             : Verdict.WAIT;
     if (verdict == Verdict.RELEASE) {
-      assignments.release(job, task, ReconciliationCases.notListed(heartbeat, job, task, true));
+      assignments.release(
+          job, task, ReconciliationCases.absenceEvidence(heartbeat, job, task, true));
       return true;
     }
     if (job.isCancelled()) {
       out.add(assignments.stopCommand(job, task)); // a newer message may have shown it there
-      return !ReconciliationCases.inDoubt(machine, job.attemptOf(task), task)
-          || cancellations.lapsesInTime(job.notConfirmedBefore());
+      return !ReconciliationCases.isStartInDoubt(machine, job.attemptOf(task), task)
+          || cancellations.leaseExpiresInTime(job.notConfirmedBefore());
     }
     if (verdict == Verdict.START) {
       repeatStart(machine, job, task, out);
@@ -152,10 +153,10 @@
    * What of a report may be stopped before anything else is known: tasks of cancelled jobs. Their
    * machine's lease is renewed by the very answer.
    */
-  public List<Command> stops(Heartbeat heartbeat) {
+  public List<Command> stopCommands(Heartbeat heartbeat) {
     List<Command> out = new ArrayList<>();
     for (TaskStatus status : heartbeat.tasks()) {
-      if (status.state() != TaskStatus.State.ENDED && cancellations.known(status.job())) {
+      if (status.state() != TaskStatus.State.ENDED && cancellations.isCancelled(status.job())) {
         out.add(stop(status));
       }
     }
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
@@ -77,27 +77,27 @@
    * How long a machine that is up may take to find a new leader: a report's interval, the time-out
    * of one sent to the node that is gone, and two tries elsewhere.
    */
-  public static long reassignmentMs(Settings settings) {
+  public static long maxLeaderDiscoveryMs(Settings settings) {
     return Math.min(
         leaseExpiryMs(settings), (long) (1000 * settings.workers().reportS() * 1.25) + FAILOVER_MS);
   }
 
   /** The longest usual time between two reports of a machine. */
-  public static long silenceLimitMs(Settings settings) {
+  public static long maxHeartbeatIntervalMs(Settings settings) {
     return (long) (1000 * (settings.workers().reportS() * 1.25 + 0.8));
   }
 
   /** Two reports of a machine that come here within this time: the first one was answered. */
-  public static long heartbeatDueMs(Settings settings) {
-    return Math.min(silenceLimitMs(settings), UNANSWERED_HEARTBEAT_MS);
+  public static long maxAnsweredHeartbeatIntervalMs(Settings settings) {
+    return Math.min(maxHeartbeatIntervalMs(settings), UNANSWERED_HEARTBEAT_MS);
   }
 
   /** A heartbeat is answered with what may renew the machine's lease. */
-  public void leaseRenewed(Machine machine) {
+  public void onLeaseRenewed(Machine machine) {
     machine.session.setLastAnswerAt(runtime.now());
     machine.reachability.heartbeatAnswered(runtime.now());
     machine.session.setHeartbeatDueAt(
-        runtime.now() + silenceLimitMs(settings) + UNANSWERED_HEARTBEAT_MS);
+        runtime.now() + maxHeartbeatIntervalMs(settings) + UNANSWERED_HEARTBEAT_MS);
   }
 
   /** Believes a heartbeat if it is the newest of its machine; tells whether it was. */
@@ -109,9 +109,10 @@
       beginSession(machine, heartbeat.agentEpoch());
     }
     if (machine.lastHeartbeatAt() == MonotonicTime.NEVER) {
-      machine.session.setHeartbeatDueAt(runtime.now() + reassignmentMs(settings));
+      machine.session.setHeartbeatDueAt(runtime.now() + maxLeaderDiscoveryMs(settings));
     }
-    machine.session.heartbeat(heartbeat.sequence(), runtime.now(), silenceLimitMs(settings));
+    machine.session.heartbeat(
+        heartbeat.sequence(), runtime.now(), maxHeartbeatIntervalMs(settings));
     machine.clearSuspicion();
     boolean carriesToken = heartbeat.token() == token;
     machine.reachability.heartbeatAccepted(carriesToken);
@@ -181,12 +182,12 @@
         unaccounted += cases.isQuarantined(status) ? 1 : 0;
         continue;
       }
-      Verdict verdict = Reconciliation.of(cases.listed(machine, heartbeat, status, job));
-      if (ReconciliationCases.here(machine, job, status)) {
+      Verdict verdict = Reconciliation.of(cases.caseOfListed(machine, heartbeat, status, job));
+      if (ReconciliationCases.isAssignedHere(machine, job, status)) {
         listed.add(Job.ref(job.index, status.task()));
-        reportedTasks.seen(machine, job, status, verdict, heartbeat);
+        reportedTasks.apply(machine, job, status, verdict, heartbeat);
       } else if (verdict == Verdict.COMPLETE) {
-        assignments.completeWaiting(job, status.task());
+        assignments.completePending(job, status.task());
       }
     }
     machine.setUnaccounted(unaccounted);
@@ -208,9 +209,10 @@
       Job job = assignments.job(ref);
       int task = TaskAssignments.task(ref);
       if (!listed.contains(ref)
-          && Reconciliation.of(cases.unlisted(machine, heartbeat, job, task, false))
+          && Reconciliation.of(cases.caseOfUnlisted(machine, heartbeat, job, task, false))
               == Verdict.RELEASE) {
-        assignments.release(job, task, ReconciliationCases.notListed(heartbeat, job, task, false));
+        assignments.release(
+            job, task, ReconciliationCases.absenceEvidence(heartbeat, job, task, false));
       }
     }
   }
@@ -226,7 +228,7 @@
   }
 
   /** Releases what was on machines whose session has certainly ended. */
-  public void leaseExpired(Machine machine) {
+  public void releaseIfLeaseExpired(Machine machine) {
     if (machine.assigned.isEmpty()
         || runtime.now() < machine.session.lastAnswerAt() + leaseExpiryMs(settings)) {
       return;
@@ -246,12 +248,12 @@
   }
 
   /** Releases everything on a machine whose deletion the cloud has confirmed. */
-  public void machineDeleted(Machine machine) {
+  public void onMachineDeleted(Machine machine) {
     releaseAll(machine, new EndEvidence.MachineDeleted());
   }
 
   /** Releases everything on a machine that the cloud lists as failed. */
-  public void machineFailed(Machine machine) {
+  public void onMachineFailed(Machine machine) {
     releaseAll(machine, new EndEvidence.MachineFailed());
   }
 
@@ -263,7 +265,7 @@
   }
 
   /** Takes a machine's description from its report. */
-  public void describe(Machine machine, Heartbeat heartbeat) {
+  public void updateDescription(Machine machine, Heartbeat heartbeat) {
     machine.setAddr(heartbeat.address());
     machine.commands().resume();
     machine.setType(heartbeat.type());
--- a/src/main/java/org/snowturn/core/assignment/Invariants.java
+++ b/src/main/java/org/snowturn/core/assignment/Invariants.java
@@ -37,7 +37,7 @@
    * @param subject which attempt it is about; its violation is logged once
    * @param evidence what the decision was to rest on, and why it does not hold
    */
-  void violated(Invariant invariant, String subject, String evidence) {
+  void recordViolation(Invariant invariant, String subject, String evidence) {
     violations.merge(invariant, 1L, Long::sum);
     if (logged.put(invariant + subject, true) == null) {
       runtime
--- a/src/main/java/org/snowturn/core/assignment/JobListener.java
+++ b/src/main/java/org/snowturn/core/assignment/JobListener.java
@@ -6,11 +6,11 @@
 /** Is told how jobs come and go. */
 public interface JobListener {
   /** A live job has become known. */
-  default void joined(Job job) {}
+  default void onJobAdded(Job job) {}
 
   /** A job's record says that it is cancelled. */
-  default void cancelled(Job job) {}
+  default void onJobCancelled(Job job) {}
 
   /** The job's record is no longer live; {@code phase} is null where that is all that is known. */
-  default void over(Job job, JobStatus.Phase phase) {}
+  default void onJobEnded(Job job, JobStatus.Phase phase) {}
 }
--- a/src/main/java/org/snowturn/core/assignment/JobRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/JobRegistry.java
@@ -66,7 +66,7 @@
   }
 
   /** The listener is told of all jobs from now on, after those that were added before it. */
-  public void listen(JobListener listener) {
+  public void addListener(JobListener listener) {
     listeners.add(listener);
   }
 
@@ -111,7 +111,7 @@
   }
 
   private Job create(String id, JobRecord stored) {
-    chunks.forget(id);
+    chunks.cancelRead(id);
     int zones = Math.max(machines.zoneCount(), 1);
     Job job = new Job(byIndex.size(), stored.spec(), stored.submittedWall(), zones);
     job.setSubmission(stored.submission());
@@ -124,7 +124,7 @@
     byIndex.add(job);
     jobs.put(id, job);
     assignments.markChanged();
-    listeners.forEach(listener -> listener.joined(job));
+    listeners.forEach(listener -> listener.onJobAdded(job));
     return job;
   }
 
@@ -154,7 +154,7 @@
     if (!known) {
       assignments.stopAll(job);
     }
-    listeners.forEach(listener -> listener.cancelled(job));
+    listeners.forEach(listener -> listener.onJobCancelled(job));
   }
 
   /**
@@ -177,7 +177,7 @@
 
   /** The record is no longer live: nothing of the job is left to do. */
   public void remove(String id) {
-    chunks.forget(id);
+    chunks.cancelRead(id);
     Job job = jobs.remove(id);
     if (job == null) {
       return;
@@ -189,8 +189,8 @@
         !job.isFinishing()
             ? null
             : job.isCancellationRecorded() ? JobStatus.Phase.ABORTED : JobStatus.Phase.DONE;
-    listeners.forEach(listener -> listener.over(job, phase));
-    assignments.detachAll(job);
+    listeners.forEach(listener -> listener.onJobEnded(job, phase));
+    assignments.requeueAll(job);
     for (PendingRecord record : job.taskRecords()) {
       if (record != null) {
         writer.forget(record);
@@ -211,7 +211,7 @@
     if (job == null) {
       return;
     }
-    listeners.forEach(listener -> listener.over(job, null));
+    listeners.forEach(listener -> listener.onJobEnded(job, null));
     assignments.unassignAll(job);
     byIndex.set(job.index, null);
     assignments.markChanged();
--- a/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
+++ b/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
@@ -21,7 +21,7 @@
     this.token = token;
   }
 
-  static boolean here(Machine machine, Job job, TaskStatus status) {
+  static boolean isAssignedHere(Machine machine, Job job, TaskStatus status) {
     int task = status.task();
     return job.isAssigned(task)
         && job.machineOf(task) == machine.index
@@ -29,7 +29,7 @@
   }
 
   /** Whether a direct start of the attempt got no answer, so that it may still arrive. */
-  static boolean inDoubt(Machine machine, long attempt, int task) {
+  static boolean isStartInDoubt(Machine machine, long attempt, int task) {
     return machine.startsInDoubt.contains(CommandQueue.attemptKey(attempt, task));
   }
 
@@ -67,20 +67,21 @@
   }
 
   /** What a report that does not list a task offers as proof of its attempt's end. */
-  static EndEvidence notListed(Heartbeat heartbeat, Job job, int task, boolean checkIn) {
+  static EndEvidence absenceEvidence(Heartbeat heartbeat, Job job, int task, boolean checkIn) {
     return heartbeat.agentEpoch() > job.epochOf(task)
         ? new EndEvidence.LaterAgentEpoch(heartbeat.agentEpoch())
         : new EndEvidence.NotListed(heartbeat.token(), heartbeat.agentEpoch(), checkIn);
   }
 
   /** What the table is asked of a task that is on the report; {@code job} is null if unknown. */
-  Reconciliation.Case listed(Machine machine, Heartbeat heartbeat, TaskStatus status, Job job) {
+  Reconciliation.Case caseOfListed(
+      Machine machine, Heartbeat heartbeat, TaskStatus status, Job job) {
     Seen seen =
         status.state() != TaskStatus.State.ENDED
             ? Seen.ALIVE
             : status.exitReason() == TaskStatus.ExitReason.DONE ? Seen.DONE : Seen.ENDED;
     boolean ours = heartbeat.token() == token;
-    if (job != null && here(machine, job, status)) {
+    if (job != null && isAssignedHere(machine, job, status)) {
       return new Reconciliation.Case(
           stored(job, status.task()),
           seen,
@@ -98,8 +99,8 @@
                     ? Stored.WAITING
                     : Stored.ELSEWHERE;
     boolean settled =
-        !inDoubt(machine, status.attempt(), status.task())
-            && assignments.forgettable(status.job(), status.task(), status.attempt());
+        !isStartInDoubt(machine, status.attempt(), status.task())
+            && assignments.isForgettable(status.job(), status.task(), status.attempt());
     return new Reconciliation.Case(
         stored, seen, Reconciliation.AgentEpoch.SAME, ours, false, settled);
   }
@@ -109,7 +110,7 @@
    * may still arrive if none was sent directly without an answer, and if the report is a check-in:
    * what an answer carries is carried out before the worker's next check-in or never.
    */
-  Reconciliation.Case unlisted(
+  Reconciliation.Case caseOfUnlisted(
       Machine machine, Heartbeat heartbeat, Job job, int task, boolean checkIn) {
     return new Reconciliation.Case(
         stored(job, task),
@@ -117,6 +118,6 @@
         session(heartbeat.agentEpoch(), job.epochOf(task)),
         heartbeat.token() == token,
         job.stopping.get(task),
-        checkIn && !inDoubt(machine, job.attemptOf(task), task));
+        checkIn && !isStartInDoubt(machine, job.attemptOf(task), task));
   }
 }
--- a/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
+++ b/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
@@ -43,7 +43,7 @@
   }
 
   /** The newest heartbeat of the machine lists an attempt that is assigned to it. */
-  void seen(Machine machine, Job job, TaskStatus status, Verdict verdict, Heartbeat heartbeat) {
+  void apply(Machine machine, Job job, TaskStatus status, Verdict verdict, Heartbeat heartbeat) {
     int task = status.task();
     switch (status.state()) {
       case FETCHING -> job.setState(task, TaskState.FETCHING);
@@ -64,7 +64,7 @@
       job.setState(task, TaskState.RUNNING);
       logLateReplica(machine, job, task);
     }
-    failureHandler.keepsRunning(machine, job, task);
+    failureHandler.onTaskStillRunning(machine, job, task);
     machine.touchImage(job.spec.image(), job.spec.imageGb());
   }
 
@@ -113,14 +113,14 @@
       double median = job.median();
       machine.finishedWork(median > 0 && job.runTimes.size() > 1 ? ranS / median : 1);
     }
-    failureHandler.succeeded(machine, job);
+    failureHandler.onTaskSucceeded(machine, job);
     assignments.complete(job, task, evidence);
   }
 
   private void endedWithoutResult(
       Machine machine, Job job, int task, ExitReason reason, ReportedEnded evidence) {
     switch (reason) {
-      case ERROR -> failureHandler.failed(machine, job, task);
+      case ERROR -> failureHandler.onTaskFailed(machine, job, task);
       case STOPPED -> logEnd(LogEvent.TASK_STOPPED, machine, job, task, reason);
       default -> logEnd(LogEvent.TASK_ENDED, machine, job, task, reason);
     }
--- a/src/main/java/org/snowturn/core/assignment/SubmissionChunks.java
+++ b/src/main/java/org/snowturn/core/assignment/SubmissionChunks.java
@@ -49,7 +49,7 @@
   }
 
   /** The record is known as a whole, or is no longer live. */
-  void forget(String id) {
+  void cancelRead(String id) {
     wanted.remove(id);
   }
 
@@ -58,7 +58,7 @@
    * transaction that would still accept one names that part's version, and fails from then on. The
    * others go only while the first is not there again: else the user's next try counts on them.
    */
-  public void dropUnused(List<StateMessage.Entry> parts, Set<String> used) {
+  public void deleteUnused(List<StateMessage.Entry> parts, Set<String> used) {
     Map<String, List<StateMessage.Entry>> bySubmission = new LinkedHashMap<>();
     for (StateMessage.Entry entry : parts) {
       if (!used.contains(entry.key())) {
--- a/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
@@ -127,12 +127,12 @@
 
   /** Takes over a stored record of tasks: results, and tasks that an earlier leader assigned. */
   public void loadTaskRecord(Job job, int chunk, JsonNode value, long stamp) {
-    loader.loadChunk(job, chunk, value, stamp);
+    loader.loadRecord(job, chunk, value, stamp);
   }
 
   /** The same of the first format, after the gate has opened. */
   public void loadFirstFormatRecord(Job job, int chunk, JsonNode value, long stamp) {
-    loader.loadOlderChunk(job, chunk, value, stamp);
+    loader.loadFirstFormatRecord(job, chunk, value, stamp);
   }
 
   /** Goes on in the second format with the jobs that can; tells whether some are left. */
@@ -141,8 +141,8 @@
   }
 
   /** Some page of the registry could not be read: which machines are on none is not known. */
-  public void registryIncomplete() {
-    loader.registryIncomplete();
+  public void markRegistryIncomplete() {
+    loader.markRegistryIncomplete();
   }
 
   /** Assigns a task that an earlier leader placed. */
@@ -302,7 +302,7 @@
   }
 
   /** Nothing of the job is ever started any more: its tasks are released without any evidence. */
-  void detachAll(Job job) {
+  void requeueAll(Job job) {
     for (int task = 0; task < job.taskCount(); task++) {
       if (job.isAssigned(task)) {
         detach(job, task);
@@ -323,7 +323,7 @@
    * The state service will not have a record of tasks: the placements in it never happened, and the
    * job is left alone for a while.
    */
-  public void placementRejected(String key) {
+  public void onPlacementRejected(String key) {
     for (Job job : registry.all()) {
       for (int index = 0; index < job.taskRecords().length; index++) {
         if (job.taskRecord(index) == null || !job.taskRecord(index).key().equals(key)) {
@@ -378,7 +378,7 @@
   }
 
   /** The result of a task that waits has turned up: an earlier attempt of it had ended with it. */
-  public void completeWaiting(Job job, int task) {
+  public void completePending(Job job, int task) {
     if (job.stateOf(task) == TaskState.PENDING) {
       completed(job, task);
     }
@@ -402,7 +402,7 @@
   }
 
   /** Whether a worker may forget this ended attempt. */
-  public boolean forgettable(String jobId, int task, long attempt) {
+  public boolean isForgettable(String jobId, int task, long attempt) {
     Job job = registry.find(jobId);
     if (job == null || task >= job.taskCount()) {
       return true;
--- a/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
@@ -39,12 +39,12 @@
   }
 
   /** From now on, that a machine is on no page proves nothing. */
-  void registryIncomplete() {
+  void markRegistryIncomplete() {
     registryComplete = false;
   }
 
   /** Takes over a stored record of tasks: results, and tasks that an earlier leader assigned. */
-  void loadChunk(Job job, int chunk, JsonNode value, long stamp) {
+  void loadRecord(Job job, int chunk, JsonNode value, long stamp) {
     if (chunk < 0 || chunk >= job.taskRecords().length) {
       return;
     }
@@ -57,7 +57,7 @@
    * no record of the second format tells of: those are newer, since nobody writes the first any
    * more.
    */
-  void loadOlderChunk(Job job, int chunk, JsonNode value, long stamp) {
+  void loadFirstFormatRecord(Job job, int chunk, JsonNode value, long stamp) {
     PendingRecord record =
         writer.pendingRecord(
             StorageKeys.tasks(job.spec.id(), chunk), stamp, () -> null, () -> null);
--- a/src/main/java/org/snowturn/core/autoscaling/MachineInventory.java
+++ b/src/main/java/org/snowturn/core/autoscaling/MachineInventory.java
@@ -141,7 +141,7 @@
     }
     if (cloudMachine.state() == CloudMachine.State.FAILED && !machine.isTerminating()) {
       log(LogEvent.MACHINE_FAILED, machine);
-      heartbeats.machineFailed(machine);
+      heartbeats.onMachineFailed(machine);
       machine.beginTermination();
     }
     if (isOverdue(machine, cloudMachine) && !machine.isTerminating()) {
--- a/src/main/java/org/snowturn/core/autoscaling/MachineTermination.java
+++ b/src/main/java/org/snowturn/core/autoscaling/MachineTermination.java
@@ -132,6 +132,6 @@
     machines.remove(machine);
     machine.confirmTermination();
     refusals.released(machine);
-    heartbeats.machineDeleted(machine);
+    heartbeats.onMachineDeleted(machine);
   }
 }
--- a/src/main/java/org/snowturn/core/dependency/DependencyGraph.java
+++ b/src/main/java/org/snowturn/core/dependency/DependencyGraph.java
@@ -84,21 +84,21 @@
   }
 
   @Override
-  public void joined(Job job) {
+  public void onJobAdded(Job job) {
     if (job.awaitsDependencies()) {
       joined.add(job); // looked at once all records that came together are known
     }
   }
 
   @Override
-  public void cancelled(Job job) {
+  public void onJobCancelled(Job job) {
     leave(job);
     recompute = true;
     aborted(job.spec.id());
   }
 
   @Override
-  public void over(Job job, JobStatus.Phase phase) {
+  public void onJobEnded(Job job, JobStatus.Phase phase) {
     leave(job);
     over(job.spec.id(), phase);
   }
--- a/src/main/java/org/snowturn/core/leader/AssignmentServices.java
+++ b/src/main/java/org/snowturn/core/leader/AssignmentServices.java
@@ -101,15 +101,15 @@
       DependencyGraph dependencies,
       FailureHandler failureHandler,
       KnownCancellations cancellations) {
-    assignments.registry().listen(dependencies);
-    assignments.registry().listen(failureHandler);
+    assignments.registry().addListener(dependencies);
+    assignments.registry().addListener(failureHandler);
     assignments
         .registry()
-        .listen(
+        .addListener(
             new JobListener() {
               @Override
-              public void joined(Job job) {
-                if (cancellations.known(job.spec.id())) {
+              public void onJobAdded(Job job) {
+                if (cancellations.isCancelled(job.spec.id())) {
                   job.confirmCancellation(MonotonicTime.NEVER);
                 }
               }
@@ -119,7 +119,7 @@
   private static KnownCancellations cancellations(CancellationWatermark watermark) {
     return new KnownCancellations() {
       @Override
-      public boolean known(String job) {
+      public boolean isCancelled(String job) {
         return watermark.cancelled(job);
       }
 
@@ -129,7 +129,7 @@
       }
 
       @Override
-      public boolean lapsesInTime(long confirmedAfter) {
+      public boolean leaseExpiresInTime(long confirmedAfter) {
         return watermark.lapsesInTime(confirmedAfter);
       }
     };
--- a/src/main/java/org/snowturn/core/leader/HealthSweep.java
+++ b/src/main/java/org/snowturn/core/leader/HealthSweep.java
@@ -87,7 +87,7 @@
       if (machine.machineType() == null && machine.type() != null) {
         machine.setMachineType(node.machineTypes().get(machine.type()));
       }
-      services.heartbeats().leaseExpired(machine);
+      services.heartbeats().releaseIfLeaseExpired(machine);
       if (MachineSilence.hasBeenUp(machine)) {
         check(machine);
       }
@@ -150,7 +150,7 @@
     countSilent += lost && !machine.isTerminating() ? 1 : 0;
     countHeard += lost ? 0 : 1;
     countMissingHeartbeats += missesHeartbeats && !silent ? 1 : 0;
-    services.failureHandler().review(machine);
+    services.failureHandler().reassess(machine);
     if (silent) {
       probeOrReplaceSilent(machine);
     } else {
@@ -177,7 +177,7 @@
   /** How long a machine may receive nothing, or this node be unable to reach it. */
   private long unreachableLimitMs() {
     return Math.max(
-        HeartbeatProcessor.silenceLimitMs(settings),
+        HeartbeatProcessor.maxHeartbeatIntervalMs(settings),
         (long) (HALF_LEASE_MS_PER_S * settings.workers().leaseS()));
   }
 
--- a/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
+++ b/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
@@ -63,7 +63,7 @@
     } else if (!recovery.loaded()) {
       recovery.keep(machine, heartbeat);
       machine.session.setLastAnswerAt(runtime.now());
-      answer(exchange, machine, heartbeat, commands.stops(heartbeat));
+      answer(exchange, machine, heartbeat, commands.stopCommands(heartbeat));
     } else if (reachability.isStale(machine, heartbeat)) {
       refuse(exchange, heartbeat, "late_copy");
     } else {
@@ -76,7 +76,7 @@
     apply(machine, heartbeat);
     reachability.heartbeatApplied(machine, heartbeat);
     HeartbeatCommands.Answer answer = commands.respond(machine, heartbeat);
-    if (!answer.renews()) {
+    if (!answer.renewsLease()) {
       runtime
           .events()
           .info(LogEvent.MACHINE_LEASE_NOT_RENEWED)
@@ -85,7 +85,7 @@
       refuse(exchange, heartbeat, "start_in_doubt_of_cancelled_job");
       return;
     }
-    services.heartbeats().leaseRenewed(machine);
+    services.heartbeats().onLeaseRenewed(machine);
     answer(exchange, machine, heartbeat, answer.commands());
   }
 
@@ -106,7 +106,7 @@
   /** Applies what a machine reports to the term's state. */
   void apply(Machine machine, Heartbeat heartbeat) {
     if (machine.addr() == null || machine.machineType() == null || !machine.isRegistered()) {
-      services.heartbeats().describe(machine, heartbeat);
+      services.heartbeats().updateDescription(machine, heartbeat);
       if (machine.firstSeenAt() == 0) {
         machine.setFirstSeenAt(runtime.now());
       }
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -218,7 +218,7 @@
 
   @Override
   public void recordRejected(String key) {
-    assignments.placementRejected(key);
+    assignments.onPlacementRejected(key);
   }
 
   @Override
--- a/src/main/java/org/snowturn/core/leader/MachineSilence.java
+++ b/src/main/java/org/snowturn/core/leader/MachineSilence.java
@@ -61,7 +61,7 @@
 
   /** Whether workers have had the time to find this leader. */
   boolean workersReassigned() {
-    return termOlderThan(HeartbeatProcessor.reassignmentMs(settings));
+    return termOlderThan(HeartbeatProcessor.maxLeaderDiscoveryMs(settings));
   }
 
   /** Whether a machine that has been up should have been heard again by now. */
--- a/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
+++ b/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
@@ -66,7 +66,9 @@
   void heartbeatApplied(Machine machine, Heartbeat heartbeat) {
     if (heartbeat.agentEpoch() == machine.epoch()) {
       machine.reachability.heartbeatReceived(
-          heartbeat.sequence(), runtime.now(), HeartbeatProcessor.heartbeatDueMs(settings));
+          heartbeat.sequence(),
+          runtime.now(),
+          HeartbeatProcessor.maxAnsweredHeartbeatIntervalMs(settings));
     }
     probeIfDue(machine);
   }
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
@@ -67,7 +67,7 @@
   void load(StoredRecords records) {
     for (StateMessage.Entry entry : records.registry().entries()) {
       if (!load(entry, () -> services.registry().load(entry, this::initialize))) {
-        assignments.registryIncomplete();
+        assignments.markRegistryIncomplete();
       }
     }
     loadJobs(records);
@@ -134,7 +134,7 @@
             .forEach(used::add);
       }
     }
-    new SubmissionChunks(runtime, services.writer()).dropUnused(chunks, used);
+    new SubmissionChunks(runtime, services.writer()).deleteUnused(chunks, used);
   }
 
   private void loadJob(
--- a/src/test/java/org/snowturn/core/ChunkCleanupTest.java
+++ b/src/test/java/org/snowturn/core/ChunkCleanupTest.java
@@ -40,7 +40,7 @@
     CoreRuntime runtime = new CoreRuntime(1);
     RecordWriter writer = new RecordWriter(runtime, new TestWriterHost(7), () -> limits, r -> r);
 
-    new SubmissionChunks(runtime, writer).dropUnused(List.of(part(0, 41), part(1, 42)), Set.of());
+    new SubmissionChunks(runtime, writer).deleteUnused(List.of(part(0, 41), part(1, 42)), Set.of());
     writer.flush();
     Effect.Call first = onlyCall(runtime);
     assertEquals(
--- a/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
+++ b/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
@@ -59,7 +59,7 @@
     private long until;
 
     @Override
-    public boolean known(String job) {
+    public boolean isCancelled(String job) {
       return jobs.contains(job);
     }
 
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public boolean lapsesInTime(long confirmedAfter) {
+    public boolean leaseExpiresInTime(long confirmedAfter) {
       return now - confirmedAfter < 20_000;
     }
   }
@@ -195,7 +195,7 @@
     Heartbeat overtaken = report(10, List.of(at(JOB, attempt, State.RUNNING)));
     heartbeats.apply(machine, report(11, List.of(at(JOB, attempt, State.RUNNING))));
     HeartbeatCommands.Answer o = answer(overtaken);
-    assertTrue(o.renews() && stops(o, JOB), o.toString());
+    assertTrue(o.renewsLease() && stops(o, JOB), o.toString());
   }
 
   @Test
@@ -204,7 +204,7 @@
     hear(Heard.FROM_A_PEER);
     heartbeats.apply(machine, report(11, List.of(at(JOB, attempt, State.RUNNING))));
     HeartbeatCommands.Answer o = answer(report(10, List.of()));
-    assertTrue(o.renews() && stops(o, JOB), o.toString());
+    assertTrue(o.renewsLease() && stops(o, JOB), o.toString());
   }
 
   @Test
@@ -241,13 +241,13 @@
       known.until = now; // what is heard later moves nothing for what was heard before
       HeartbeatCommands.Answer o = answer(report(2 + s, List.of()));
       assertFalse(starts(o), o.toString());
-      assertEquals(s * 1_000 + 1_300 < 20_000, o.renews(), "after " + s + " s");
+      assertEquals(s * 1_000 + 1_300 < 20_000, o.renewsLease(), "after " + s + " s");
       assertTrue(job.isAssigned(0));
     }
     // Once it has been carried out it can be stopped, so nothing else need lapse with it.
     HeartbeatCommands.Answer o =
         answer(report(50, List.of(at(JOB, job.attemptOf(0), State.RUNNING))));
-    assertTrue(o.renews() && stops(o, JOB), o.toString());
+    assertTrue(o.renewsLease() && stops(o, JOB), o.toString());
   }
 
   /** A refusal ends its own attempt; the task may wait again only once no other lives there. */
@@ -269,7 +269,7 @@
     Job job = started();
     machine.startsInDoubt.add(CommandQueue.attemptKey(job.attemptOf(0), 0));
     HeartbeatCommands.Answer o = answer(report(2, List.of()));
-    assertTrue(o.renews() && starts(o) && !stops(o, JOB), o.toString());
+    assertTrue(o.renewsLease() && starts(o) && !stops(o, JOB), o.toString());
   }
 
   /** Any order of messages, some overtaken: what may run and is cancelled is stopped, or lapses. */
@@ -303,12 +303,12 @@
         continue;
       }
       HeartbeatCommands.Answer o = answer(next);
-      renewed += o.renews() ? 1 : 0;
+      renewed += o.renewsLease() ? 1 : 0;
       assertFalse(heard && starts(o), "started: " + o);
       boolean lists = !next.tasks().isEmpty();
-      assertTrue(!heard || !o.renews() || !lists || stops(o, JOB), "not stopped: " + o);
+      assertTrue(!heard || !o.renewsLease() || !lists || stops(o, JOB), "not stopped: " + o);
       boolean doubtful = heard && job.isAssigned(0) && !lists && now - known.until >= 20_000;
-      assertFalse(doubtful && o.renews(), "renewed, though a start may still arrive");
+      assertFalse(doubtful && o.renewsLease(), "renewed, though a start may still arrive");
     }
     assertTrue(renewed > 100);
   }
