--- a/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
+++ b/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
@@ -17,44 +17,50 @@
 import org.snowturn.wire.Command;
 
 /**
- * Decides the two questions on which "never in two places" rests: whether an attempt has ended, and
- * whether a start may leave. Nothing is released and no start is sent past it.
+ * Guards against a task running in two places: decides whether an attempt has ended and whether a
+ * start command may be sent. Every release of an assignment and every start command of the term is
+ * checked here.
  */
 public final class AttemptGuard {
   private final CoreRuntime runtime;
   private final MachineIndex machines;
   private final long token;
-  private final long lapseMs;
+  private final long leaseExpiryMs;
   private final Invariants invariants;
-  private final Map<String, Long> ends = new TreeMap<>();
+  private final Map<String, Long> endsByEvidence = new TreeMap<>();
 
   /**
-   * Guards the attempts of a term.
+   * Creates the guard for the attempts of a term.
    *
-   * @param lapseMs how long after the last possible answer a session has certainly ended
+   * @param token the fencing token of the term
+   * @param leaseExpiryMs time in milliseconds after the last possible lease renewal at which a
+   *     machine's lease has certainly expired
    */
-  public AttemptGuard(CoreRuntime runtime, MachineIndex machines, long token, long lapseMs) {
+  public AttemptGuard(CoreRuntime runtime, MachineIndex machines, long token, long leaseExpiryMs) {
     this.runtime = runtime;
     this.machines = machines;
     this.token = token;
-    this.lapseMs = lapseMs;
+    this.leaseExpiryMs = leaseExpiryMs;
     this.invariants = new Invariants(runtime);
   }
 
-  /** The fencing token of the term. */
+  /** Returns the fencing token of the term. */
   long token() {
     return token;
   }
 
-  /** Whether the evidence proves that a bound task's attempt has ended, or never began. */
+  /**
+   * Returns whether the evidence proves that an assigned task's attempt has ended or never began.
+   * Evidence that proves neither is counted and logged as a violation.
+   */
   boolean hasEnded(Job job, int task, EndEvidence evidence) {
-    String objection = view(job, task).objection(evidence);
+    String objection = snapshot(job, task).objection(evidence);
     if (objection != null) {
       invariants.recordViolation(
           Invariant.END_IS_PROVEN, subject(job, task), evidence + ": " + objection);
       return false;
     }
-    ends.merge(evidence.kind(), 1L, Long::sum);
+    endsByEvidence.merge(evidence.kind(), 1L, Long::sum);
     if (runtime.events().debug()) {
       Machine machine = machines.get(job.machineOf(task));
       runtime
@@ -72,7 +78,7 @@
     return true;
   }
 
-  private AttemptSnapshot view(Job job, int task) {
+  private AttemptSnapshot snapshot(Job job, int task) {
     Machine machine = machines.get(job.machineOf(task));
     return new AttemptSnapshot(
         token,
@@ -85,46 +91,56 @@
         machine.isTerminationConfirmed(),
         machine.cloudState() == CloudMachine.State.FAILED,
         machine.session.lastAnswerAt(),
-        lapseMs);
+        leaseExpiryMs);
   }
 
   private static String subject(Job job, int task) {
     return job.spec.id() + "/" + task + "#" + job.attemptOf(task);
   }
 
-  /** Whether a start may leave for a machine; {@code job} is null if it is not live. */
+  /**
+   * Returns whether a start command may be sent to a machine. A start that may not is counted and
+   * logged as a violation.
+   *
+   * @param job the job that the command names; null if it is not live
+   */
   boolean mayStart(Machine machine, Job job, Command start) {
-    String objection = objection(machine, job, start);
-    if (objection != null) {
+    String reason = startRejectionReason(machine, job, start);
+    if (reason != null) {
       invariants.recordViolation(
           Invariant.START_IS_PLACED,
           start.job() + "/" + start.task() + "#" + start.attempt(),
-          "start for " + machine.id + ": " + objection);
+          "start command for machine " + machine.id + " rejected: " + reason);
     }
-    return objection == null;
+    return reason == null;
   }
 
-  private static String objection(Machine machine, Job job, Command start) {
+  /** Returns why the start command must not be sent; null if it may be sent. */
+  private static String startRejectionReason(Machine machine, Job job, Command start) {
     int task = start.task();
     if (job == null || !job.isAssigned(task)) {
-      return "the task is on no machine";
+      return "the task is not assigned to any machine";
     }
     if (job.attemptOf(task) != start.attempt() || job.machineOf(task) != machine.index) {
-      return "the task has another attempt";
+      return "the task is assigned to another machine or as another attempt";
     }
     if (job.stateOf(task) == TaskState.PLACING) {
-      return "its placement is not durable";
+      return "the placement is not durable yet";
     }
     if (job.epochOf(task) != machine.epoch()) {
-      return "it was placed in another session";
+      return "the attempt was placed in another agent epoch of the machine";
     }
-    return job.isCancelled() ? "its job is cancelled" : null;
+    return job.isCancelled() ? "the job is cancelled" : null;
   }
 
-  /** How often each kind of evidence ended an attempt, and what was refused. */
+  /**
+   * Returns the number of attempts that each kind of evidence ended, and the number of violations
+   * of each invariant, by metric name.
+   */
   public Map<String, Double> gauges() {
     Map<String, Double> gauges = new HashMap<>(invariants.gauges());
-    ends.forEach((kind, n) -> gauges.put("snowturn.releases." + kind, (double) n));
+    endsByEvidence.forEach(
+        (kind, count) -> gauges.put("snowturn.releases." + kind, (double) count));
     return gauges;
   }
 }
--- a/src/main/java/org/snowturn/core/assignment/FailureHandler.java
+++ b/src/main/java/org/snowturn/core/assignment/FailureHandler.java
@@ -11,32 +11,38 @@
 import org.snowturn.wire.JobStatus;
 
 /**
- * What follows from tasks that fail. Work goes on where it can: a machine is not kept from sound
- * work since a job that was submitted with a mistake failed there, and such a job gets a trial now
- * and then, but no more.
+ * Reacts to task failures: backs off suspect jobs, blocks machines for a while after a failure, and
+ * quarantines faulty machines. A machine on which only a suspect job failed keeps receiving other
+ * work. A suspect job, whose tasks probably fail because of a mistake in its submission, is probed
+ * only occasionally.
  */
 public final class FailureHandler implements JobListener {
-  private static final long FIRST_PAUSE_MS = 1_000;
-  private static final long MAX_PAUSE_MS = 30_000;
-  private static final int MAX_PAUSE_DOUBLINGS = 8;
-  private static final long UNEXPLAINED_MS = 2_000;
-  private static final int MAX_UNEXPLAINED_DOUBLINGS = 4;
+  private static final long MIN_JOB_BACKOFF_MS = 1_000;
+  private static final long MAX_JOB_BACKOFF_MS = 30_000;
+  private static final int MAX_JOB_BACKOFF_DOUBLINGS = 8;
+  private static final long MIN_MACHINE_BACKOFF_MS = 2_000;
+  private static final int MAX_MACHINE_BACKOFF_DOUBLINGS = 4;
 
-  /** Who has run for so long has not failed at its start. */
-  private static final long PROVEN_BY_RUNNING_MS = 20_000;
+  /** Run time after which a task counts as a success, since faults usually show at the start. */
+  private static final long MIN_HEALTHY_RUN_MS = 20_000;
 
   private final CoreRuntime runtime;
   private final FailureAttribution attribution;
-  private long failed;
-  private long quarantined;
+  private long failedTasks;
+  private long quarantinedMachines;
 
-  /** Knows of no failure yet; so many of sound jobs in a row take a machine out of use. */
-  public FailureHandler(CoreRuntime runtime, int sickErrors) {
+  /**
+   * Creates a handler without any recorded failures.
+   *
+   * @param failuresToQuarantine number of consecutive failures of healthy jobs after which a
+   *     machine is quarantined
+   */
+  public FailureHandler(CoreRuntime runtime, int failuresToQuarantine) {
     this.runtime = runtime;
-    this.attribution = new FailureAttribution(sickErrors);
+    this.attribution = new FailureAttribution(failuresToQuarantine);
   }
 
-  /** The task has its result. */
+  /** Records that a task of the job has succeeded on the machine. */
   void onTaskSucceeded(Machine machine, Job job) {
     if (job.failures.isSuspect()) {
       runtime
@@ -51,9 +57,9 @@
     machine.failures.succeeded();
   }
 
-  /** The task has failed; it waits again after this. */
+  /** Records that a task has failed on the machine, before it is queued again. */
   void onTaskFailed(Machine machine, Job job, int task) {
-    failed++;
+    failedTasks++;
     runtime
         .events()
         .info(LogEvent.TASK_FAILED)
@@ -61,28 +67,28 @@
         .with(LogField.MACHINE, machine.id)
         .write();
     if (job.done() > 0) {
-      attribution.proven(job.index); // also by what earlier leaders have recorded
+      attribution.proven(job.index); // done tasks may also have been recorded by earlier leaders
     }
     attribution.failed(job.index, machine.index);
     job.failures.failed(task, machine.index);
     machine.failures.failed(attribution.isHealthy(machine.index));
     if (attribution.isSuspected(job.index)) {
-      suspect(job);
+      backOffSuspect(job);
     }
     machine.failures.setUnexplained(attribution.unexplainedFailures(machine.index));
-    quarantineIfSick(machine);
+    quarantineIfFaulty(machine);
     if (!machine.failures.isSound() && machine.failures.unexplained() > 0) {
-      int doublings = Math.min(MAX_UNEXPLAINED_DOUBLINGS, machine.failures.unexplained() - 1);
-      machine.failures.blockUntil(runtime.now() + (UNEXPLAINED_MS << doublings));
+      int doublings = Math.min(MAX_MACHINE_BACKOFF_DOUBLINGS, machine.failures.unexplained() - 1);
+      machine.failures.blockUntil(runtime.now() + (MIN_MACHINE_BACKOFF_MS << doublings));
     } else {
       machine.failures.blockUntil(0);
     }
   }
 
-  private void quarantineIfSick(Machine machine) {
+  private void quarantineIfFaulty(Machine machine) {
     if (!machine.isQuarantined() && attribution.isFaulty(machine.index)) {
       machine.quarantine();
-      quarantined++;
+      quarantinedMachines++;
       runtime
           .events()
           .info(LogEvent.MACHINE_QUARANTINED)
@@ -92,7 +98,7 @@
     }
   }
 
-  private void suspect(Job job) {
+  private void backOffSuspect(Job job) {
     if (!job.failures.isSuspect()) {
       job.failures.suspect();
       runtime
@@ -102,33 +108,38 @@
           .with(LogField.FAILURES, job.failures.count())
           .write();
     }
-    int doublings = Math.min(MAX_PAUSE_DOUBLINGS, job.failures.probeCount());
+    int doublings = Math.min(MAX_JOB_BACKOFF_DOUBLINGS, job.failures.probeCount());
     job.failures.probeFailed();
-    job.failures.backOff(runtime.now() + Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS << doublings));
+    job.failures.backOff(
+        runtime.now() + Math.min(MAX_JOB_BACKOFF_MS, MIN_JOB_BACKOFF_MS << doublings));
   }
 
   /**
-   * The task has been running for a while, on this machine, under this leader: what was submitted
-   * with a mistake fails as soon as it starts, and so does whatever a sick machine starts. Replicas
-   * have no other success.
+   * Counts a task that this leader has seen running on the machine for at least {@value
+   * #MIN_HEALTHY_RUN_MS} ms as a success. Tasks of a job with a mistake in its submission, and all
+   * tasks on a faulty machine, fail as soon as they start. Replicas of a service never finish, so
+   * this is their only kind of success.
    */
   void onTaskStillRunning(Machine machine, Job job, int task) {
-    boolean tells =
+    boolean provesHealth =
         machine.failures.unexplained() > 0 || (job.failures.count() > 0 && job.done() == 0);
-    if (tells
+    if (provesHealth
         && job.stateSince(task) != MonotonicTime.NEVER
-        && runtime.now() - job.stateSince(task) >= PROVEN_BY_RUNNING_MS) {
+        && runtime.now() - job.stateSince(task) >= MIN_HEALTHY_RUN_MS) {
       onTaskSucceeded(machine, job);
     }
   }
 
-  /** Looks again at a machine: a job that failed there may have turned out suspect, or sound. */
+  /**
+   * Re-evaluates a machine with unexplained failures, since a job that failed there may have become
+   * suspect or healthy in the meantime.
+   */
   public void reassess(Machine machine) {
     if (machine.failures.unexplained() > 0) {
       machine.failures.setUnexplained(attribution.unexplainedFailures(machine.index));
       machine.failures.blockUntil(
           machine.failures.unexplained() == 0 ? 0 : machine.failures.blockedUntil());
-      quarantineIfSick(machine);
+      quarantineIfFaulty(machine);
     }
   }
 
@@ -137,11 +148,13 @@
     attribution.forgetJob(job.index);
   }
 
-  /** How many tasks failed, jobs are suspect and machines were quarantined. */
+  /**
+   * Returns the number of failed tasks, suspected jobs and quarantined machines, by metric name.
+   */
   public Map<String, Double> gauges() {
     return Map.of(
-        "snowturn.failures.tasks", (double) failed,
+        "snowturn.failures.tasks", (double) failedTasks,
         "snowturn.jobs.suspected", (double) attribution.suspectedJobs(),
-        "snowturn.machines.quarantined", (double) quarantined);
+        "snowturn.machines.quarantined", (double) quarantinedMachines);
   }
 }
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
@@ -12,15 +12,17 @@
 import org.snowturn.wire.TaskStatus;
 
 /**
- * What check-ins are answered. Here the rule of cancellations is kept for each machine
- * (docs/safety.md): an answer that renews its lease carries every stop that is due there. What
- * cannot be stopped, since its start may still arrive after any stop, lets the lease be renewed
- * only as long as the session would still lapse in time.
+ * Decides which commands the answer to a heartbeat carries and whether it may renew the machine's
+ * lease. It upholds the safety rule for cancellations (docs/safety.md): an answer that renews the
+ * lease carries a stop for every task of a cancelled job on that machine. A task whose start may
+ * still be in flight cannot be stopped reliably, since the start may arrive after the stop. The
+ * lease is then renewed only while it would still expire in time for the cancellation.
  */
 public final class HeartbeatCommands {
   /**
-   * What a check-in is answered.
+   * The answer to a heartbeat.
    *
+   * @param commands the commands for the worker
    * @param renewsLease whether the answer may renew the machine's lease
    */
   public record Answer(List<Command> commands, boolean renewsLease) {}
@@ -31,7 +33,7 @@
   private long repeatedStarts;
 
   /**
-   * Answers heartbeats for a term.
+   * Creates the answers to heartbeats for a term.
    *
    * @param token the fencing token of the term
    */
@@ -42,59 +44,66 @@
     this.cases = new ReconciliationCases(assignments, token);
   }
 
-  /** How many starts were sent again in answers, since a report did not list them. */
+  /** Returns the number of starts sent again because a heartbeat did not list their tasks. */
   public long repeatedStarts() {
     return repeatedStarts;
   }
 
-  /** What the worker is to do, by what it has just reported and what was taken in of that. */
+  /** Returns the answer to a heartbeat, after {@link HeartbeatProcessor#apply} has processed it. */
   public Answer respond(Machine machine, Heartbeat heartbeat) {
-    List<Command> out = new ArrayList<>();
+    List<Command> commands = new ArrayList<>();
     boolean newest =
         heartbeat.agentEpoch() == machine.epoch()
             && heartbeat.sequence() == machine.session.heartbeatSeq();
-    LongHashSet listed = addListed(machine, heartbeat, newest, out);
-    boolean renews = true;
+    LongHashSet listed = addCommandsForListed(machine, heartbeat, newest, commands);
+    boolean renewsLease = true;
     for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
       Job job = assignments.job(ref);
       if (!listed.contains(ref)) {
-        renews &= unlisted(machine, heartbeat, job, TaskAssignments.task(ref), newest, out);
+        renewsLease &=
+            handleUnlisted(machine, heartbeat, job, TaskAssignments.task(ref), newest, commands);
       }
     }
-    return new Answer(out, renews);
+    return new Answer(commands, renewsLease);
   }
 
-  /** Adds the commands for the tasks of a heartbeat; returns those that are assigned there. */
-  private LongHashSet addListed(
-      Machine machine, Heartbeat heartbeat, boolean newest, List<Command> out) {
+  /**
+   * Adds the commands for the tasks that a heartbeat lists.
+   *
+   * @param newest whether the heartbeat is the newest of its machine
+   * @return the references of the listed tasks that are assigned to the machine
+   */
+  private LongHashSet addCommandsForListed(
+      Machine machine, Heartbeat heartbeat, boolean newest, List<Command> commands) {
     LongHashSet listed = new LongHashSet();
     for (TaskStatus status : heartbeat.tasks()) {
-      Job named = assignments.job(status.job());
-      Job job = named != null && status.task() < named.taskCount() ? named : null;
-      boolean here = job != null && ReconciliationCases.isAssignedHere(machine, job, status);
-      if (here) {
+      Job liveJob = assignments.job(status.job());
+      Job job = liveJob != null && status.task() < liveJob.taskCount() ? liveJob : null;
+      boolean assignedHere =
+          job != null && ReconciliationCases.isAssignedHere(machine, job, status);
+      if (assignedHere) {
         listed.add(Job.ref(job.index, status.task()));
       }
       Command command =
           newest
-              ? order(machine, heartbeat, status, job, here)
-              : unwanted(status, named) ? stop(status) : null;
+              ? commandFor(machine, heartbeat, status, job, assignedHere)
+              : mustStopAlways(status, liveJob) ? stopCommand(status) : null;
       if (command != null) {
-        out.add(command);
+        commands.add(command);
       }
     }
     return listed;
   }
 
-  /** What to do about one task that is on the newest report; null if nothing. */
-  private Command order(
-      Machine machine, Heartbeat heartbeat, TaskStatus status, Job job, boolean here) {
+  /** Returns the command for a task that the newest heartbeat lists; null if there is none. */
+  private Command commandFor(
+      Machine machine, Heartbeat heartbeat, TaskStatus status, Job job, boolean assignedHere) {
     if (cases.isQuarantined(status)) {
-      // Its record cannot be read, but users may have been told: what runs of it may be stopped.
-      return cancellations.isCancelled(status.job()) ? stop(status) : null;
+      // A record of the job is unreadable, but its cancellation may have been confirmed to a user.
+      return cancellations.isCancelled(status.job()) ? stopCommand(status) : null;
     }
     return switch (Reconciliation.of(cases.caseOfListed(machine, heartbeat, status, job))) {
-      case STOP -> here ? assignments.stopCommand(job, status.task()) : stop(status);
+      case STOP -> assignedHere ? assignments.stopCommand(job, status.task()) : stopCommand(status);
       case FORGET ->
           new Command(Command.Op.FORGET, status.job(), status.task(), status.attempt(), 0);
       default -> null;
@@ -102,20 +111,30 @@
   }
 
   /**
-   * Whether something that runs is to be stopped whatever newer messages say: a message that has
-   * overtaken a check-in has given no orders, and the answer renews the lease all the same.
+   * Returns whether a task must be stopped even if the heartbeat that lists it is not the newest.
+   * The newer heartbeat may have been the reply to a direct message, which is not answered with
+   * commands, while the answer to this one renews the lease.
+   *
+   * @param job the task's job; null if it is not live
    */
-  private boolean unwanted(TaskStatus status, Job job) {
+  private boolean mustStopAlways(TaskStatus status, Job job) {
     boolean gone = job == null && !assignments.registry().isQuarantined(status.job());
     return status.state() != TaskStatus.State.ENDED
         && (gone || cancellations.isCancelled(status.job()) || (job != null && job.isCancelled()));
   }
 
   /**
-   * What to do about a bound task that is not on a check-in; tells whether its answer may renew.
+   * Releases, stops or restarts an assigned task that the heartbeat does not list.
+   *
+   * @return whether the answer to the heartbeat may renew the machine's lease
    */
-  private boolean unlisted(
-      Machine machine, Heartbeat heartbeat, Job job, int task, boolean newest, List<Command> out) {
+  private boolean handleUnlisted(
+      Machine machine,
+      Heartbeat heartbeat,
+      Job job,
+      int task,
+      boolean newest,
+      List<Command> commands) {
     Verdict verdict =
         newest
             ? Reconciliation.of(cases.caseOfUnlisted(machine, heartbeat, job, task, true))
@@ -126,44 +145,48 @@
       return true;
     }
     if (job.isCancelled()) {
-      out.add(assignments.stopCommand(job, task)); // a newer message may have shown it there
+      // A newer heartbeat may have listed it.
+      commands.add(assignments.stopCommand(job, task));
       return !ReconciliationCases.isStartInDoubt(machine, job.attemptOf(task), task)
           || cancellations.leaseExpiresInTime(job.notConfirmedBefore());
     }
     if (verdict == Verdict.START) {
-      repeatStart(machine, job, task, out);
+      repeatStart(machine, job, task, commands);
     }
     return true;
   }
 
-  /** Repeated until listed: a start does nothing where the attempt is known already. */
-  private void repeatStart(Machine machine, Job job, int task, List<Command> out) {
+  /**
+   * Sends the start of a task again, and its stop if it is to stop. A start has no effect on a
+   * machine that already knows the attempt, so it is repeated until a heartbeat lists the task.
+   */
+  private void repeatStart(Machine machine, Job job, int task, List<Command> commands) {
     Command start = assignments.startCommand(job, task);
     if (!assignments.mayStart(machine, start)) {
       return;
     }
     repeatedStarts++;
-    out.add(start);
+    commands.add(start);
     if (job.stopping.get(task)) {
-      out.add(assignments.stopCommand(job, task));
+      commands.add(assignments.stopCommand(job, task));
     }
   }
 
   /**
-   * What of a report may be stopped before anything else is known: tasks of cancelled jobs. Their
-   * machine's lease is renewed by the very answer.
+   * Returns stops for the heartbeat's tasks of cancelled jobs. It needs no loaded records, so a new
+   * leader that is still loading them uses it for answers that renew leases.
    */
   public List<Command> stopCommands(Heartbeat heartbeat) {
-    List<Command> out = new ArrayList<>();
+    List<Command> commands = new ArrayList<>();
     for (TaskStatus status : heartbeat.tasks()) {
       if (status.state() != TaskStatus.State.ENDED && cancellations.isCancelled(status.job())) {
-        out.add(stop(status));
+        commands.add(stopCommand(status));
       }
     }
-    return out;
+    return commands;
   }
 
-  private static Command stop(TaskStatus status) {
+  private static Command stopCommand(TaskStatus status) {
     return new Command(Command.Op.STOP, status.job(), status.task(), status.attempt(), 0);
   }
 }
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
@@ -19,32 +19,47 @@
 import org.snowturn.wire.TaskStatus;
 
 /**
- * Turns workers' heartbeats into knowledge; what they are answered is the matter of {@link
- * HeartbeatCommands}. What a report lists is believed in the order (session, seq); what it does not
- * list proves something only when it carries this leader's token, because only then can no start of
- * an earlier leader still be executed.
+ * Updates machines, tasks and leases from workers' heartbeats. {@link HeartbeatCommands} composes
+ * the answers.
+ *
+ * <p>Heartbeats of a machine are ordered by agent epoch and sequence number, and only a newer one
+ * is applied. The absence of a task from a heartbeat proves something only if the heartbeat carries
+ * this leader's token: only then can no start of an earlier leader still be executed there.
  */
 public final class HeartbeatProcessor {
+  /** Maximum drift of a worker's clock, as a fraction of the elapsed time. */
   private static final double MAX_CLOCK_DRIFT = 0.001;
-  private static final long LEASE_MARGIN_MS = 600;
 
-  private static final long FAILOVER_MS = 6_500;
+  /** Margin added to a worker lease before it counts as expired. */
+  private static final long LEASE_EXPIRY_MARGIN_MS = 600;
 
-  /** A worker waits 4 s for an answer and tries another node 1 s later. */
-  private static final long UNANSWERED_HEARTBEAT_MS = 4_900;
+  /** Longest usual heartbeat interval as a multiple of the configured one. */
+  private static final double MAX_INTERVAL_FACTOR = 1.25;
+
+  /** Allowance for delays of a heartbeat. */
+  private static final double HEARTBEAT_DELAY_S = 0.8;
+
+  /** Time for a heartbeat to the failed node to time out and for two attempts at other nodes. */
+  private static final long FAILOVER_ATTEMPTS_MS = 6_500;
+
+  /**
+   * Lower bound of the time between an unanswered heartbeat and the next one. A worker waits 4 s
+   * for an answer and tries another node 1 s later.
+   */
+  private static final long HEARTBEAT_RETRY_MS = 4_900;
 
   private final CoreRuntime runtime;
   private final Settings settings;
   private final TaskAssignments assignments;
   private final MachineIndex machines;
   private final MachineTypes machineTypes;
-  private final PreemptionRate spotLosses;
+  private final PreemptionRate preemptionRate;
   private final long token;
   private final ReconciliationCases cases;
   private final ReportedTasks reportedTasks;
 
   /**
-   * Takes in heartbeats for a term.
+   * Creates a processor for the heartbeats of a term.
    *
    * @param token the fencing token of the term
    */
@@ -55,9 +70,9 @@
       TaskAssignments assignments,
       MachineIndex machines,
       MachineTypes machineTypes,
-      PreemptionRate spotLosses,
+      PreemptionRate preemptionRate,
       long token) {
-    this.spotLosses = spotLosses;
+    this.preemptionRate = preemptionRate;
     this.runtime = runtime;
     this.settings = settings;
     this.assignments = assignments;
@@ -68,45 +83,58 @@
     this.reportedTasks = new ReportedTasks(runtime, failureHandler, assignments, token);
   }
 
-  /** How long after the last answer a machine's session has certainly ended. */
+  /**
+   * Returns the time after the last answer to a machine at which its lease has certainly expired,
+   * in milliseconds.
+   */
   public static long leaseExpiryMs(Settings settings) {
-    return (long) (settings.workers().leaseS() * 1000 * (1 + MAX_CLOCK_DRIFT)) + LEASE_MARGIN_MS;
+    return (long) (settings.workers().leaseS() * 1000 * (1 + MAX_CLOCK_DRIFT))
+        + LEASE_EXPIRY_MARGIN_MS;
   }
 
   /**
-   * How long a machine that is up may take to find a new leader: a report's interval, the time-out
-   * of one sent to the node that is gone, and two tries elsewhere.
+   * Returns the maximum time in which a running machine finds a new leader, in milliseconds: one
+   * heartbeat interval, the timeout of a heartbeat sent to the failed node, and two attempts at
+   * other nodes.
    */
   public static long maxLeaderDiscoveryMs(Settings settings) {
     return Math.min(
-        leaseExpiryMs(settings), (long) (1000 * settings.workers().reportS() * 1.25) + FAILOVER_MS);
+        leaseExpiryMs(settings),
+        (long) (1000 * settings.workers().reportS() * MAX_INTERVAL_FACTOR) + FAILOVER_ATTEMPTS_MS);
   }
 
-  /** The longest usual time between two reports of a machine. */
+  /** Returns the longest usual time between two heartbeats of a machine, in milliseconds. */
   public static long maxHeartbeatIntervalMs(Settings settings) {
-    return (long) (1000 * (settings.workers().reportS() * 1.25 + 0.8));
+    return (long) (1000 * (settings.workers().reportS() * MAX_INTERVAL_FACTOR + HEARTBEAT_DELAY_S));
   }
 
-  /** Two reports of a machine that come here within this time: the first one was answered. */
+  /**
+   * Returns the maximum time between two heartbeats of a machine, in milliseconds, that proves that
+   * the machine received the answer to the first one.
+   */
   public static long maxAnsweredHeartbeatIntervalMs(Settings settings) {
-    return Math.min(maxHeartbeatIntervalMs(settings), UNANSWERED_HEARTBEAT_MS);
+    return Math.min(maxHeartbeatIntervalMs(settings), HEARTBEAT_RETRY_MS);
   }
 
-  /** A heartbeat is answered with what may renew the machine's lease. */
+  /** Records that a heartbeat is answered in a way that may renew the machine's lease. */
   public void onLeaseRenewed(Machine machine) {
     machine.session.setLastAnswerAt(runtime.now());
     machine.reachability.heartbeatAnswered(runtime.now());
     machine.session.setHeartbeatDueAt(
-        runtime.now() + maxHeartbeatIntervalMs(settings) + UNANSWERED_HEARTBEAT_MS);
+        runtime.now() + maxHeartbeatIntervalMs(settings) + HEARTBEAT_RETRY_MS);
   }
 
-  /** Believes a heartbeat if it is the newest of its machine; tells whether it was. */
+  /**
+   * Applies a heartbeat if it is the newest of its machine.
+   *
+   * @return whether the heartbeat was applied
+   */
   public boolean apply(Machine machine, Heartbeat heartbeat) {
     if (!isNewest(machine, heartbeat)) {
       return false;
     }
     if (heartbeat.agentEpoch() > machine.epoch()) {
-      beginSession(machine, heartbeat.agentEpoch());
+      beginEpoch(machine, heartbeat.agentEpoch());
     }
     if (machine.lastHeartbeatAt() == MonotonicTime.NEVER) {
       machine.session.setHeartbeatDueAt(runtime.now() + maxLeaderDiscoveryMs(settings));
@@ -120,12 +148,12 @@
       machine.session.acknowledge();
       assignments.markChanged();
     }
-    boolean newNotice = takePreemptionNotice(machine, heartbeat);
-    LongHashSet listed = takeTasks(machine, heartbeat);
+    boolean isFirstNotice = applyPreemptionNotice(machine, heartbeat);
+    LongHashSet listed = applyTasks(machine, heartbeat);
     if (carriesToken && machine.adoptedTasks() > 0) {
       releaseUnlisted(machine, heartbeat, listed);
     }
-    if (newNotice) {
+    if (isFirstNotice) {
       reportedTasks.drain(machine);
     }
     return true;
@@ -136,44 +164,52 @@
         heartbeat.agentEpoch() < machine.epoch()
             || (heartbeat.agentEpoch() == machine.epoch()
                 && heartbeat.sequence() <= machine.session.heartbeatSeq());
-    // Or it is a late one of a session whose lease has expired.
+    // A delayed heartbeat of an agent epoch whose lease has expired is rejected, too.
     return !overtaken && heartbeat.agentEpoch() > machine.session.endedEpoch();
   }
 
-  private void beginSession(Machine machine, long epoch) {
+  private void beginEpoch(Machine machine, long epoch) {
     machine.session.setEpoch(epoch);
-    // A new session has its full lease from its beginning, though no heartbeat of it was answered
-    // yet: counted from the last answer its lease would seem expired while its tasks run.
+    // A new agent epoch starts with a full lease, although none of its heartbeats was answered yet.
+    // Counted from the last answer, the lease would seem expired while its tasks still run.
     machine.session.setLastAnswerAt(Math.max(machine.session.lastAnswerAt(), runtime.now()));
     machine.session.clearAcknowledgement();
     machine.startsInDoubt.clear();
     machine.commands().drop();
     machine.reachability.newAgentEpoch(runtime.now());
-    endSessionsBefore(machine, epoch);
+    releaseEarlierEpochs(machine, epoch);
   }
 
-  /** Tells whether the heartbeat has brought the first notice of a preemption. */
-  private boolean takePreemptionNotice(Machine machine, Heartbeat heartbeat) {
+  /**
+   * Applies the preemption notice of a heartbeat, if it has one.
+   *
+   * @return whether it is the machine's first notice
+   */
+  private boolean applyPreemptionNotice(Machine machine, Heartbeat heartbeat) {
     if (Double.isNaN(heartbeat.preemptionNoticeS())) {
       return false;
     }
-    boolean first = machine.preemptionAt() == Long.MAX_VALUE;
-    if (first) {
+    boolean isFirst = machine.preemptionAt() == Long.MAX_VALUE;
+    if (isFirst) {
       runtime
           .events()
           .info(LogEvent.PREEMPTION_NOTICE)
           .with(LogField.MACHINE, machine.id)
           .with(LogField.NOTICE_S, heartbeat.preemptionNoticeS())
           .write();
-      spotLosses.recordPreemption();
+      preemptionRate.recordPreemption();
     }
     machine.setPreemptionAt(
         runtime.now() + (long) (1000 * Math.max(0, heartbeat.preemptionNoticeS())));
-    return first;
+    return isFirst;
   }
 
-  /** Takes in what the heartbeat lists; tells which of the machine's tasks that are. */
-  private LongHashSet takeTasks(Machine machine, Heartbeat heartbeat) {
+  /**
+   * Applies the reported state of all tasks that the heartbeat lists.
+   *
+   * @return the references of the listed tasks that are assigned to the machine
+   */
+  private LongHashSet applyTasks(Machine machine, Heartbeat heartbeat) {
     int unaccounted = 0;
     LongHashSet listed = new LongHashSet();
     for (TaskStatus status : heartbeat.tasks()) {
@@ -194,16 +230,18 @@
     return listed;
   }
 
-  private void endSessionsBefore(Machine machine, long session) {
+  /** Releases the tasks that were placed before this agent epoch. */
+  private void releaseEarlierEpochs(Machine machine, long epoch) {
     for (long ref : copy(machine.assigned)) {
       Job job = assignments.job(ref);
       int task = TaskAssignments.task(ref);
-      if (job.epochOf(task) < session) {
-        assignments.release(job, task, new EndEvidence.LaterAgentEpoch(session));
+      if (job.epochOf(task) < epoch) {
+        assignments.release(job, task, new EndEvidence.LaterAgentEpoch(epoch));
       }
     }
   }
 
+  /** Releases the assigned tasks that have provably ended because the heartbeat omits them. */
   private void releaseUnlisted(Machine machine, Heartbeat heartbeat, LongHashSet listed) {
     for (long ref : copy(machine.assigned)) {
       Job job = assignments.job(ref);
@@ -217,17 +255,17 @@
     }
   }
 
-  /** The task references in the set, which may change while the copy is walked. */
+  /** Returns a copy of a set of task references that is safe to iterate while the set changes. */
   public static long[] copy(LongHashSet set) {
-    LongArrayList out = new LongArrayList(set.size(), Long.MIN_VALUE);
-    LongHashSet.LongIterator it = set.iterator();
-    while (it.hasNext()) {
-      out.addLong(it.nextValue());
+    LongArrayList references = new LongArrayList(set.size(), Long.MIN_VALUE);
+    LongHashSet.LongIterator iterator = set.iterator();
+    while (iterator.hasNext()) {
+      references.addLong(iterator.nextValue());
     }
-    return out.toLongArray();
+    return references.toLongArray();
   }
 
-  /** Releases what was on machines whose session has certainly ended. */
+  /** Releases all tasks of a machine if its lease has certainly expired. */
   public void releaseIfLeaseExpired(Machine machine) {
     if (machine.assigned.isEmpty()
         || runtime.now() < machine.session.lastAnswerAt() + leaseExpiryMs(settings)) {
@@ -247,12 +285,12 @@
     releaseAll(machine, new EndEvidence.LeaseExpired());
   }
 
-  /** Releases everything on a machine whose deletion the cloud has confirmed. */
+  /** Releases all tasks of a machine whose deletion the cloud has confirmed. */
   public void onMachineDeleted(Machine machine) {
     releaseAll(machine, new EndEvidence.MachineDeleted());
   }
 
-  /** Releases everything on a machine that the cloud lists as failed. */
+  /** Releases all tasks of a machine that the cloud lists as failed. */
   public void onMachineFailed(Machine machine) {
     releaseAll(machine, new EndEvidence.MachineFailed());
   }
@@ -264,7 +302,7 @@
     machine.commands().drop();
   }
 
-  /** Takes a machine's description from its report. */
+  /** Updates a machine's address, type, zone and spot property from its heartbeat. */
   public void updateDescription(Machine machine, Heartbeat heartbeat) {
     machine.setAddr(heartbeat.address());
     machine.commands().resume();
--- a/src/main/java/org/snowturn/core/assignment/Invariants.java
+++ b/src/main/java/org/snowturn/core/assignment/Invariants.java
@@ -9,33 +9,35 @@
 import org.snowturn.core.storage.LruMap;
 
 /**
- * What must hold whatever comes in. A violation is a fault of this program: what would break the
- * invariant is not done, the evidence is logged once, and it is counted. It never ends the process.
+ * Invariants that hold for every input. An attempted violation indicates a bug in this program: the
+ * caller rejects the operation, and the violation is counted and logged once per attempt. The
+ * process keeps running.
  */
 final class Invariants {
-  /** The invariants, under names that stay the same in logs and metrics. */
+  /** An invariant. Its name is written to logs and metrics, and is therefore stable. */
   enum Invariant {
-    /** A task waits again only when its attempt has ended for certain. */
+    /** A task is queued again only after its attempt has provably ended. */
     END_IS_PROVEN,
-    /** A start leaves only for an attempt that is placed on that machine in that session. */
+    /** A start is sent only for an attempt placed on that machine in its current agent epoch. */
     START_IS_PLACED
   }
 
-  private static final int REMEMBERED = 1_000;
+  /** Maximum number of attempts remembered as logged. */
+  private static final int MAX_LOGGED_ATTEMPTS = 1_000;
 
   private final CoreRuntime runtime;
   private final Map<Invariant, Long> violations = new EnumMap<>(Invariant.class);
-  private final Map<String, Boolean> logged = new LruMap<>(REMEMBERED);
+  private final Map<String, Boolean> logged = new LruMap<>(MAX_LOGGED_ATTEMPTS);
 
   Invariants(CoreRuntime runtime) {
     this.runtime = runtime;
   }
 
   /**
-   * Counts what was refused since it would have broken an invariant.
+   * Counts an operation that was rejected because it would have violated an invariant.
    *
-   * @param subject which attempt it is about; its violation is logged once
-   * @param evidence what the decision was to rest on, and why it does not hold
+   * @param subject the attempt that the operation concerns; logged once for each invariant
+   * @param evidence the evidence offered for the operation, and why it is insufficient
    */
   void recordViolation(Invariant invariant, String subject, String evidence) {
     violations.merge(invariant, 1L, Long::sum);
@@ -50,12 +52,13 @@
     }
   }
 
-  /** How often each was violated. */
+  /** Returns the number of violations of each invariant, by metric name. */
   Map<String, Double> gauges() {
     Map<String, Double> gauges = new HashMap<>();
-    for (Invariant i : Invariant.values()) {
-      String name = "snowturn.invariants.violated." + i.name().toLowerCase(java.util.Locale.ROOT);
-      gauges.put(name, (double) violations.getOrDefault(i, 0L));
+    for (Invariant invariant : Invariant.values()) {
+      String name =
+          "snowturn.invariants.violated." + invariant.name().toLowerCase(java.util.Locale.ROOT);
+      gauges.put(name, (double) violations.getOrDefault(invariant, 0L));
     }
     return gauges;
   }
--- a/src/main/java/org/snowturn/core/assignment/JobCompletion.java
+++ b/src/main/java/org/snowturn/core/assignment/JobCompletion.java
@@ -17,16 +17,22 @@
 import org.snowturn.wire.StateMessage.Change;
 import org.snowturn.wire.StateMessage.Condition;
 
-/** Moves jobs that are over from their live records to their short ones. */
+/** Replaces the live records of finished and aborted jobs by their short final records. */
 final class JobCompletion {
-  /** Further ahead than any deadline: a job without one is "late" by less than the opposite. */
+  /**
+   * Time longer than any deadline. A job without a deadline has a far one, so its lateness is below
+   * the negative of this time.
+   */
   private static final double NO_DEADLINE_S = 1e9;
 
+  private static final int OK = 200;
+
   private final CoreRuntime runtime;
   private final FormatGate gate;
   private final RecordWriter writer;
   private final TaskAssignments assignments;
 
+  /** Creates the completion of jobs for a term. */
   JobCompletion(
       CoreRuntime runtime, FormatGate gate, RecordWriter writer, TaskAssignments assignments) {
     this.runtime = runtime;
@@ -35,94 +41,98 @@
     this.assignments = assignments;
   }
 
-  /** Moves a job that is over to its short record, in one transaction that proves every result. */
+  /**
+   * Replaces the records of a job by its final record if the job is finished or aborted. The
+   * transaction that writes the final record makes all results durable at once.
+   */
   void finishIfOver(Job job) {
     if (job.isFinishing() || !isOver(job) || assignments.job(job.spec.id()) != job) {
       return;
     }
     for (PendingRecord record : job.taskRecords()) {
       if (record != null && record.inFlight()) {
-        return; // retried when that write is settled
+        return; // retried once that write has completed
       }
     }
     job.beginFinishing();
     JobStatus.Phase phase =
         job.isCancellationRecorded() ? JobStatus.Phase.ABORTED : JobStatus.Phase.DONE;
-    List<Change> apply = moves(job, phase);
-    List<Change> drops = drops(job);
-    // Where many jobs end together, what is only to be cleared away leaves the rate to others.
-    int room = writer.backlogged() ? 0 : gate.limits().txnOps() - apply.size();
-    int now = Math.min(drops.size(), Math.max(0, room));
-    apply.addAll(drops.subList(0, now));
-    write(job, phase, apply, drops.subList(now, drops.size()));
+    List<Change> changes = finalRecordChanges(job, phase);
+    List<Change> deletes = cleanupDeletes(job);
+    // When many jobs finish together, the deletes are deferred so that other writes come first.
+    int maxDeletes = writer.backlogged() ? 0 : gate.limits().txnOps() - changes.size();
+    int included = Math.min(deletes.size(), Math.max(0, maxDeletes));
+    changes.addAll(deletes.subList(0, included));
+    write(job, phase, changes, deletes.subList(included, deletes.size()));
   }
 
   private static boolean isOver(Job job) {
     return job.isCancellationRecorded() ? job.assigned() == 0 : job.done() == job.taskCount();
   }
 
-  /** What makes the job over. */
-  private static List<Change> moves(Job job, JobStatus.Phase phase) {
+  /** Returns the changes that replace the live record of the job by its final one. */
+  private static List<Change> finalRecordChanges(Job job, JobStatus.Phase phase) {
     String id = job.spec.id();
-    List<Change> apply = new ArrayList<>();
-    apply.add(Change.put(StorageKeys.finishedJob(id), JobRecord.over(phase, job.spec)));
-    apply.add(Change.delete(StorageKeys.job(id)));
+    List<Change> changes = new ArrayList<>();
+    changes.add(Change.put(StorageKeys.finishedJob(id), JobRecord.over(phase, job.spec)));
+    changes.add(Change.delete(StorageKeys.job(id)));
     if (job.restarts() > 0) {
-      apply.add(Change.delete(StorageKeys.restarts(id)));
+      changes.add(Change.delete(StorageKeys.restarts(id)));
     }
-    return apply;
+    return changes;
   }
 
-  /** What is only to be cleared away. */
-  private List<Change> drops(Job job) {
-    List<Change> drops = new ArrayList<>();
+  /** Returns the deletes of the job's chunks and task records, which may be executed later. */
+  private List<Change> cleanupDeletes(Job job) {
+    List<Change> deletes = new ArrayList<>();
     JobRecord.partKeys(job.spec.id(), job.submission(), job.chunkCount())
-        .forEach(key -> drops.add(Change.delete(key)));
+        .forEach(key -> deletes.add(Change.delete(key)));
     for (PendingRecord record : job.taskRecords()) {
       if (record != null) {
         writer.cancel(record);
-        dropIfStored(record, drops);
+        addDeleteIfStored(record, deletes);
       }
     }
-    job.firstFormatRecords().forEach(record -> dropIfStored(record, drops));
-    return drops;
+    job.firstFormatRecords().forEach(record -> addDeleteIfStored(record, deletes));
+    return deletes;
   }
 
-  private void write(Job job, JobStatus.Phase phase, List<Change> apply, List<Change> later) {
+  private void write(
+      Job job, JobStatus.Phase phase, List<Change> changes, List<Change> deferredDeletes) {
     String id = job.spec.id();
-    // Others may wait for a result; an abortion has been told already.
+    // Other jobs may depend on the results; the user already knows of a cancellation.
     writer.submit(
         phase == JobStatus.Phase.DONE
             ? RecordWriter.TransactionPriority.NORMAL
             : RecordWriter.TransactionPriority.BACKGROUND,
         List.of(new Condition(StorageKeys.job(id), job.version())),
-        apply,
+        changes,
         (outcome, status, body) -> {
-          if (outcome == Outcome.ANSWERED && status == 200) {
+          if (outcome == Outcome.ANSWERED && status == OK) {
             logFinished(job, phase);
             assignments.registry().remove(id);
-            writer.deleteLater(List.of(), later);
+            writer.deleteLater(List.of(), deferredDeletes);
           } else {
-            assignments.registry().reread(id, () -> retryLater(job, later));
+            assignments.registry().reread(id, () -> handleFailedWrite(job, deferredDeletes));
           }
         });
   }
 
-  private void retryLater(Job job, List<Change> later) {
+  private void handleFailedWrite(Job job, List<Change> deferredDeletes) {
     job.finishingFailed();
     if (assignments.job(job.spec.id()) != job) {
-      // It was carried out, and only its answer was lost.
-      writer.deleteLater(List.of(), later);
+      // The job is no longer live: the transaction was executed and only its reply was lost.
+      writer.deleteLater(List.of(), deferredDeletes);
     }
   }
 
-  private static void dropIfStored(PendingRecord record, List<Change> drops) {
+  private static void addDeleteIfStored(PendingRecord record, List<Change> deletes) {
     if (record.stored()) {
-      drops.add(Change.delete(record.key()));
+      deletes.add(Change.delete(record.key()));
     }
   }
 
-  /** What an operator wants to know of a job that is over. */
+  /** Logs the times, restarts and lateness of a finished job for the operator. */
   private void logFinished(Job job, JobStatus.Phase phase) {
     double lateS = (runtime.wallMs() - job.deadlineWallMs(1)) / 1000;
     EventLog.Line line =
--- a/src/main/java/org/snowturn/core/assignment/JobListener.java
+++ b/src/main/java/org/snowturn/core/assignment/JobListener.java
@@ -3,14 +3,18 @@
 import org.snowturn.core.model.Job;
 import org.snowturn.wire.JobStatus;
 
-/** Is told how jobs come and go. */
+/** Listener for changes in the set of live jobs. */
 public interface JobListener {
-  /** A live job has become known. */
+  /** Handles a live job that was added to the registry. */
   default void onJobAdded(Job job) {}
 
-  /** A job's record says that it is cancelled. */
+  /** Handles a job whose stored record was found to be cancelled. */
   default void onJobCancelled(Job job) {}
 
-  /** The job's record is no longer live; {@code phase} is null where that is all that is known. */
+  /**
+   * Handles a job that is no longer live.
+   *
+   * @param phase the final phase of the job; null if it is unknown
+   */
   default void onJobEnded(Job job, JobStatus.Phase phase) {}
 }
--- a/src/main/java/org/snowturn/core/assignment/JobRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/JobRegistry.java
@@ -24,11 +24,15 @@
 import org.snowturn.wire.StateMessage;
 
 /**
- * The live jobs by their ids and indices: how they are taken in from their stored records,
- * cancelled and removed. What follows for their tasks is done by {@link TaskAssignments}.
+ * The live jobs by id and index. Jobs are added from their stored records, cancelled and removed
+ * here; {@link TaskAssignments} makes the corresponding changes to their tasks.
  */
 public final class JobRegistry {
-  private static final int MAX_ENDED = 5_000;
+  /** Maximum number of ended jobs that are remembered. */
+  private static final int MAX_ENDED_JOBS = 5_000;
+
+  private static final int OK = 200;
+  private static final int NOT_FOUND = 404;
   private static final int READ_TIMEOUT_MS = 1_500;
 
   private final CoreRuntime runtime;
@@ -39,16 +43,17 @@
   private final TaskAssignments assignments;
   private final SubmissionChunks chunks;
   private final Map<String, Job> jobs = new HashMap<>();
-  private final List<Job> byIndex = new ArrayList<>();
+  private final List<Job> jobsByIndex = new ArrayList<>();
 
-  /** Jobs that were over lately: what a watch still tells of their records is old. */
-  private final Map<String, Boolean> ended = new LruMap<>(MAX_ENDED);
+  /** Recently ended jobs. A watch may still deliver outdated versions of their records. */
+  private final Map<String, Boolean> endedJobs = new LruMap<>(MAX_ENDED_JOBS);
 
-  /** Jobs of which a record cannot be read: they are left as they are. */
-  private final Set<String> quarantined = new HashSet<>();
+  /** Jobs with an unreadable record, which are left unchanged. */
+  private final Set<String> quarantinedJobs = new HashSet<>();
 
   private final List<JobListener> listeners = new ArrayList<>();
 
+  /** Creates an empty registry. */
   JobRegistry(
       CoreRuntime runtime,
       FormatGate gate,
@@ -65,46 +70,54 @@
     this.chunks = new SubmissionChunks(runtime, writer);
   }
 
-  /** The listener is told of all jobs from now on, after those that were added before it. */
+  /**
+   * Adds a listener for all changes from now on. Listeners are called in the order in which they
+   * were added.
+   */
   public void addListener(JobListener listener) {
     listeners.add(listener);
   }
 
-  /** All live jobs. */
+  /** Returns all live jobs. */
   public Collection<Job> all() {
     return jobs.values();
   }
 
-  /** The live job with this id; null if there is none. */
+  /** Returns the live job with this id; null if there is none. */
   public Job find(String id) {
     return jobs.get(id);
   }
 
-  /** The job of a task that {@link Job#ref} names. */
+  /** Returns the job of a task reference made by {@link Job#ref}. */
   Job byReference(long reference) {
-    return byIndex.get((int) (reference >>> 32));
+    return jobsByIndex.get((int) (reference >>> 32));
   }
 
-  /** Adds a job or takes over a newer version of its record. */
-  public void add(String id, JobRecord stored, long stamp) {
-    if (ended.containsKey(id)) {
-      return; // else it would be ended once more, at the cost of changes that fail
+  /**
+   * Adds a job or applies a newer version of its record. A job whose record has chunks that are not
+   * read yet is added once they are read.
+   *
+   * @param version the version of the stored record
+   */
+  public void add(String id, JobRecord stored, long version) {
+    if (endedJobs.containsKey(id)) {
+      return; // finishing the job a second time would only cost failing writes
     }
-    if (quarantined.contains(id)) {
+    if (quarantinedJobs.contains(id)) {
       if (stored.phase() != JobStatus.Phase.ABORTED) {
         return;
       }
-      quarantined.remove(id); // cancelled: whatever runs of it may be stopped
+      quarantinedJobs.remove(id); // the job is cancelled, so its tasks may be stopped
     }
     Job job = jobs.get(id);
     if (job == null && stored.needsParts()) {
-      chunks.read(id, stored, stamp, texts -> addChunked(id, stored, stamp, texts));
+      chunks.read(id, stored, version, texts -> addChunked(id, stored, version, texts));
       return;
     }
     if (job == null) {
       job = create(id, stored);
     }
-    job.setVersion(Math.max(job.version(), stamp));
+    job.setVersion(Math.max(job.version(), version));
     if (stored.phase() == JobStatus.Phase.ABORTED && !job.isCancellationRecorded()) {
       cancel(job);
     }
@@ -113,7 +126,7 @@
   private Job create(String id, JobRecord stored) {
     chunks.cancelRead(id);
     int zones = Math.max(machines.zoneCount(), 1);
-    Job job = new Job(byIndex.size(), stored.spec(), stored.submittedWall(), zones);
+    Job job = new Job(jobsByIndex.size(), stored.spec(), stored.submittedWall(), zones);
     job.setSubmission(stored.submission());
     job.setChunkCount(stored.parts());
     if (gate.open()) {
@@ -121,17 +134,22 @@
     } else {
       job.useFirstFormat(gate.recordSizes().first());
     }
-    byIndex.add(job);
+    jobsByIndex.add(job);
     jobs.put(id, job);
     assignments.markChanged();
     listeners.forEach(listener -> listener.onJobAdded(job));
     return job;
   }
 
-  /** Takes in a record whose parts have been read. */
-  public void addChunked(String id, JobRecord stored, long stamp, Map<String, String> texts) {
+  /**
+   * Adds a job whose record has chunks, after these have been read.
+   *
+   * @param version the version of the stored record
+   * @param texts the chunks by key
+   */
+  public void addChunked(String id, JobRecord stored, long version, Map<String, String> texts) {
     try {
-      add(id, stored.withParts(id, texts), stamp);
+      add(id, stored.withParts(id, texts), version);
     } catch (MalformedException e) {
       runtime
           .events()
@@ -143,7 +161,7 @@
   }
 
   private void cancel(Job job) {
-    boolean known = job.isCancelled();
+    boolean wasCancelled = job.isCancelled();
     job.recordCancellation(cancellations.knownUntil());
     runtime
         .events()
@@ -151,15 +169,16 @@
         .with(LogField.JOB, job.spec.id())
         .with(LogField.ASSIGNED, job.assigned())
         .write();
-    if (!known) {
+    if (!wasCancelled) {
       assignments.stopAll(job);
     }
     listeners.forEach(listener -> listener.onJobCancelled(job));
   }
 
   /**
-   * A user was told that the job is cancelled; that is durable, but may not have been read here
-   * yet. What runs of it is stopped at once; all else waits for the record.
+   * Stops the tasks of a job whose cancellation was confirmed to a user. The cancellation is
+   * durable, but the job's record may not have been read again yet. Everything apart from the stops
+   * waits for the record.
    */
   public void confirmCancellation(String id) {
     Job job = jobs.get(id);
@@ -175,16 +194,17 @@
     }
   }
 
-  /** The record is no longer live: nothing of the job is left to do. */
+  /** Removes a job whose record is no longer live. */
   public void remove(String id) {
     chunks.cancelRead(id);
     Job job = jobs.remove(id);
     if (job == null) {
       return;
     }
-    ended.put(id, true);
-    // Only a leader moves a record, under its version as we last read it: what we were about to
-    // write is what it became.
+    endedJobs.put(id, true);
+    // Only a leader removes a live record, on condition of its last known version. So if this
+    // leader
+    // was finishing the job, the job has ended in the phase that this leader was writing.
     JobStatus.Phase phase =
         !job.isFinishing()
             ? null
@@ -197,47 +217,52 @@
       }
     }
     job.firstFormatRecords().forEach(writer::forget);
-    byIndex.set(job.index, null);
+    jobsByIndex.set(job.index, null);
     assignments.markChanged();
   }
 
   /**
-   * Leaves a job alone of which a record cannot be read. What has been taken in of it is let go: no
-   * room is counted for it, and its machines get nothing new while they list its tasks.
+   * Quarantines a job with an unreadable record: the job is left unchanged and is no longer live,
+   * and its tasks use no resources in the accounting. Machines that report tasks of the job receive
+   * no new tasks.
    */
   public void quarantine(String id) {
-    quarantined.add(id);
+    quarantinedJobs.add(id);
     Job job = jobs.remove(id);
     if (job == null) {
       return;
     }
     listeners.forEach(listener -> listener.onJobEnded(job, null));
     assignments.unassignAll(job);
-    byIndex.set(job.index, null);
+    jobsByIndex.set(job.index, null);
     assignments.markChanged();
   }
 
-  /** Whether the job is left alone since a record of it cannot be read. */
+  /** Returns whether the job is quarantined because one of its records cannot be read. */
   public boolean isQuarantined(String id) {
-    return quarantined.contains(id);
+    return quarantinedJobs.contains(id);
   }
 
-  /** Reads a job's record again after a write that did not go through as expected. */
+  /** Reads a job's record again after a write that failed or whose outcome is unknown. */
   public void reread(String id) {
     reread(id, () -> {});
   }
 
-  /** The same, and goes on whatever came of it. */
-  public void reread(String id, Runnable then) {
+  /**
+   * Reads a job's record again after a write that failed or whose outcome is unknown.
+   *
+   * @param onComplete called when the read has completed, also if it failed
+   */
+  public void reread(String id, Runnable onComplete) {
     runtime.callState(
         "GET",
         "/kv/" + StorageKeys.job(id),
         null,
         READ_TIMEOUT_MS,
         (outcome, status, body) -> {
-          if (outcome == Outcome.ANSWERED && status == 404) {
+          if (outcome == Outcome.ANSWERED && status == NOT_FOUND) {
             remove(id);
-          } else if (outcome == Outcome.ANSWERED && status == 200) {
+          } else if (outcome == Outcome.ANSWERED && status == OK) {
             try {
               StateMessage.Entry entry = StateMessage.entry(body);
               add(id, JobRecord.parse(entry.value()), entry.version());
@@ -250,7 +275,7 @@
                   .write();
             }
           }
-          then.run();
+          onComplete.run();
         });
   }
 }
--- a/src/main/java/org/snowturn/core/assignment/KnownCancellations.java
+++ b/src/main/java/org/snowturn/core/assignment/KnownCancellations.java
@@ -1,16 +1,21 @@
 package org.snowturn.core.assignment;
 
-/** What this node knows of cancellations that users were told of, by whichever node. */
+/** The cancellations, confirmed to users by any node, that this node knows of. */
 public interface KnownCancellations {
-  /** Whether the job is known to be cancelled; that it is not known proves nothing. */
+  /**
+   * Returns whether the job is known to be cancelled. A job for which this returns false may still
+   * have been cancelled through another node.
+   */
   boolean isCancelled(String job);
 
-  /** Every cancellation that a user was told of before this moment is known. */
+  /** Returns the time before which every cancellation confirmed to a user is known to this node. */
   long knownUntil();
 
   /**
-   * Whether a worker that is answered now would, if it were never answered again, lapse in time for
-   * a cancellation that a user was told of after {@code confirmedAfter}.
+   * Returns whether a worker lease that is renewed now, and never again, would expire in time for a
+   * cancellation.
+   *
+   * @param confirmedAfter time after which the cancellation was confirmed to the user
    */
   boolean leaseExpiresInTime(long confirmedAfter);
 }
--- a/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
@@ -21,38 +21,50 @@
 import org.snowturn.wire.StateMessage;
 
 /**
- * The stored list of the machines in use, many to a page: one record a machine would take a start
- * of hundreds of machines the write budget of half a minute. It also tells a new leader which
- * images the machines have, so that it goes on placing tasks beside their images.
+ * The stored registry of the machines in use. It consists of pages with many machines each: with
+ * one record per machine, starting hundreds of machines would use up the write budget of half a
+ * minute. The registry also holds the images that each machine has cached, so that a new leader
+ * continues to place tasks on machines that have their images.
  */
 public final class MachineRegistry {
-  /** First format: an entry's bytes with its images' numbers, and a page's for images' names. */
-  private static final int ENTRY_BYTES = 200;
+  /** Estimated size of a machine's entry in the first format, with the numbers of its images. */
+  private static final int FIRST_FORMAT_ENTRY_BYTES = 200;
 
-  private static final int NAMES_BYTES = 1_200;
+  /** Estimated size of a page's image names in the first format. */
+  private static final int FIRST_FORMAT_NAMES_BYTES = 1_200;
 
-  /** Second format: what an entry takes beside its machine's name and address. */
-  private static final int ENTRY_OVERHEAD_BYTES = 12;
+  /** Size of a machine's entry in the second format, without the machine's id and address. */
+  private static final int SECOND_FORMAT_ENTRY_OVERHEAD_BYTES = 12;
 
-  /** Second format: the share of a page for the machines; the rest is for their images. */
-  private static final double MACHINES_SHARE = 0.55;
+  /** Share of a page that machines may use in the second format; the rest is for their images. */
+  private static final double SECOND_FORMAT_MACHINES_SHARE = 0.55;
 
-  private static final int URGENCY = 0;
+  /** Number that stands for no page. */
+  private static final int NO_PAGE = -1;
 
-  /** Of a page's machines, so many images each at the most where not all have room. */
-  private static final int MAX_IMAGES = 6;
+  private static final int HIGHEST_URGENCY = 0;
 
-  /** Images change with nearly every placement at first, and a new leader can do without some. */
-  private static final long IMAGES_INTERVAL_MS = 20_000;
+  /** Maximum number of images per machine on a page that has no room for all images. */
+  private static final int MAX_IMAGES_PER_MACHINE = 6;
 
-  private static final long REMOVALS_INTERVAL_MS = 2_000;
+  /**
+   * Minimum time between two writes of a page for its images. Initially, images change with nearly
+   * every placement, and a new leader can work with an incomplete list.
+   */
+  private static final long MIN_IMAGES_WRITE_INTERVAL_MS = 20_000;
+
+  /** Minimum time between two writes of a page for removed machines. */
+  private static final long MIN_REMOVALS_WRITE_INTERVAL_MS = 2_000;
 
+  /** A page of the registry: its record and the machines on it. */
   private static final class Page {
     private final PendingRecord record;
     private final List<Machine> machines = new ArrayList<>();
+
+    /** Whether some of its machines are being moved to other pages. */
     private boolean splitting;
 
-    /** Whether the stored page still has machines that were struck out. */
+    /** Whether the stored page still has machines that were removed. */
     private boolean hasRemovals;
 
     private long removalsWrittenAt = MonotonicTime.NEVER;
@@ -69,7 +81,7 @@
   private final FormatGate gate;
   private final List<Page> pages = new ArrayList<>();
 
-  /** No page is known yet. */
+  /** Creates an empty registry. */
   public MachineRegistry(
       CoreRuntime runtime, RecordWriter writer, MachineIndex machines, FormatGate gate) {
     this.runtime = runtime;
@@ -78,23 +90,24 @@
     this.gate = gate;
   }
 
+  /** Returns the maximum size of a page's value in bytes. */
   private int maxBytes() {
     return gate.limits().valueBytes();
   }
 
-  /** How many of these machines, from the first on, may share a page. */
-  private int fitting(List<Machine> list) {
+  /** Returns the number of machines, from the first one on, that fit on one page. */
+  private int fittingCount(List<Machine> candidates) {
     if (!gate.open()) {
-      return Math.max(1, (maxBytes() - NAMES_BYTES) / ENTRY_BYTES);
+      return Math.max(1, (maxBytes() - FIRST_FORMAT_NAMES_BYTES) / FIRST_FORMAT_ENTRY_BYTES);
     }
-    double left = maxBytes() * MACHINES_SHARE;
+    double remainingBytes = maxBytes() * SECOND_FORMAT_MACHINES_SHARE;
     int count = 0;
-    for (Machine machine : list) {
-      left -=
-          ENTRY_OVERHEAD_BYTES
+    for (Machine machine : candidates) {
+      remainingBytes -=
+          SECOND_FORMAT_ENTRY_OVERHEAD_BYTES
               + machine.id.length()
               + (machine.addr() == null ? 0 : machine.addr().length());
-      if (left < 0) {
+      if (remainingBytes < 0) {
         break;
       }
       count++;
@@ -103,11 +116,12 @@
   }
 
   private boolean hasRoom(Page page, Machine machine) {
-    List<Machine> with = new ArrayList<>(page.machines);
-    with.add(machine);
-    return fitting(with) >= with.size();
+    List<Machine> extended = new ArrayList<>(page.machines);
+    extended.add(machine);
+    return fittingCount(extended) >= extended.size();
   }
 
+  /** Returns the page with this number, which is created if it does not exist. */
   private Page page(int number) {
     while (pages.size() <= number) {
       int next = pages.size();
@@ -119,23 +133,26 @@
     return pages.get(number);
   }
 
+  /** Returns the stored form of a page; null if it is empty. */
   private JsonNode content(Page page) {
     if (page.machines.isEmpty()) {
       return null;
     }
-    // Names may be long: a page that a value cannot hold would never be written at all.
+    // Image names may be long, and a page that exceeds the maximum value size can never be written.
     ObjectNode object = content(page, Integer.MAX_VALUE);
-    for (int max = MAX_IMAGES; Json.bytes(object).length > maxBytes() && max >= 0; max -= 2) {
-      object = content(page, max);
+    for (int maxImages = MAX_IMAGES_PER_MACHINE;
+        Json.bytes(object).length > maxBytes() && maxImages >= 0;
+        maxImages -= 2) {
+      object = content(page, maxImages);
     }
     return object;
   }
 
   private ObjectNode content(Page page, int maxImages) {
-    return gate.open() ? second(page, maxImages) : first(page, maxImages);
+    return gate.open() ? secondFormat(page, maxImages) : firstFormat(page, maxImages);
   }
 
-  private ObjectNode first(Page page, int maxImages) {
+  private ObjectNode firstFormat(Page page, int maxImages) {
     ObjectNode object = Json.object().put("v", StorageKeys.FIRST_FORMAT);
     ArrayNode all = object.putArray("m");
     ImageNames names = new ImageNames(object, maxImages);
@@ -152,49 +169,52 @@
     return object;
   }
 
-  /** Types and zones are named once, so that many more machines fit a page. */
-  private ObjectNode second(Page page, int maxImages) {
+  /**
+   * Returns a page in the second format, which lists each combination of type, zone and spot once,
+   * so that many more machines fit on a page.
+   */
+  private ObjectNode secondFormat(Page page, int maxImages) {
     ObjectNode object = Json.object().put("v", StorageKeys.SECOND_FORMAT);
     ArrayNode kinds = object.putArray("k");
     ArrayNode all = object.putArray("m");
     ImageNames names = new ImageNames(object, maxImages);
-    Map<ArrayNode, Integer> numbers = new HashMap<>();
+    Map<ArrayNode, Integer> kindNumbers = new HashMap<>();
     for (Machine machine : page.machines) {
       ArrayNode kind =
           Json.array()
               .add(machine.type())
               .add(machines.zoneName(machine.zone()))
               .add(machine.isSpot());
-      Integer kindNumber = numbers.putIfAbsent(kind, numbers.size());
+      Integer kindNumber = kindNumbers.putIfAbsent(kind, kindNumbers.size());
       if (kindNumber == null) {
         kinds.add(kind);
-        kindNumber = numbers.size() - 1;
+        kindNumber = kindNumbers.size() - 1;
       }
       names.add(machine, all.addArray().add(machine.id).add(machine.addr()).add(kindNumber));
     }
     return object;
   }
 
-  /** The names of a page's images, each written once, and their numbers on the machines. */
+  /** The image names of a page, each written once; machines refer to them by number. */
   private static final class ImageNames {
     private final ArrayNode names;
-    private final int most;
+    private final int maxImages;
     private final Map<String, Integer> numbers = new HashMap<>();
 
-    ImageNames(ObjectNode page, int most) {
-      this.names = most > 0 ? page.putArray("i") : null;
-      this.most = most;
+    ImageNames(ObjectNode page, int maxImages) {
+      this.names = maxImages > 0 ? page.putArray("i") : null;
+      this.maxImages = maxImages;
     }
 
-    /** Adds the numbers of the machine's images; the last used ones if not all. */
+    /** Adds the numbers of the machine's most recently used images to its entry. */
     void add(Machine machine, ArrayNode entry) {
       if (names == null) {
         return;
       }
-      ArrayNode has = entry.addArray();
-      int skip = Math.max(0, machine.images.size() - most);
+      ArrayNode imageNumbers = entry.addArray();
+      int skipped = Math.max(0, machine.images.size() - maxImages);
       for (Map.Entry<String, Double> image : machine.images.leastRecentFirst()) {
-        if (skip-- > 0) {
+        if (skipped-- > 0) {
           continue;
         }
         Integer imageNumber = numbers.putIfAbsent(image.getKey(), numbers.size());
@@ -202,17 +222,21 @@
           names.addArray().add(image.getKey()).add(image.getValue());
           imageNumber = numbers.size() - 1;
         }
-        has.add(imageNumber);
+        imageNumbers.add(imageNumber);
       }
     }
   }
 
-  /** Writes a machine down; it may get tasks once that is durable. */
+  /**
+   * Writes a machine to the registry. It may receive tasks once its entry is durable.
+   *
+   * @param onDurable called when the entry is durable
+   */
   public void register(Machine machine, Runnable onDurable) {
     if (machine.registryPage() < 0) {
       put(machine, pageWithRoom(machine));
     }
-    writer.enqueue(page(machine.registryPage()).record, URGENCY, onDurable);
+    writer.enqueue(page(machine.registryPage()).record, HIGHEST_URGENCY, onDurable);
   }
 
   private int pageWithRoom(Machine machine) {
@@ -229,21 +253,24 @@
   }
 
   /**
-   * Takes over a stored page; {@code each} is told of every machine on it.
+   * Loads a stored page.
    *
-   * @throws IllegalArgumentException if it cannot be read; some of it may have been told by then
+   * @param entry the stored page
+   * @param onMachine called for each machine on the page
+   * @throws IllegalArgumentException if the page cannot be read; {@code onMachine} may have been
+   *     called for some of its machines before
    */
-  public void load(StateMessage.Entry entry, Consumer<Machine> each) {
+  public void load(StateMessage.Entry entry, Consumer<Machine> onMachine) {
     int number = Integer.parseInt(entry.key().substring(StorageKeys.REGISTRY.length()));
     page(number).record.setVersion(entry.version());
     if (!entry.value().path("m").isArray()) {
-      throw new IllegalArgumentException("no list of machines");
+      throw new IllegalArgumentException("field m is missing or not a list of machines");
     }
     boolean second =
         entry.value().path("v").asInt(StorageKeys.FIRST_FORMAT) >= StorageKeys.SECOND_FORMAT;
     for (JsonNode value : entry.value().path("m")) {
       Machine machine = machines.getOrAdd(value.path(0).asText());
-      // The first format has type, zone and kind on each entry, the second has their number.
+      // Entries contain type, zone and spot in the first format, and their number in the second.
       JsonNode kinds = entry.value().path("k").path(value.path(2).asInt());
       machine.setAddr(value.path(1).asText(null));
       machine.setType((second ? kinds.path(0) : value.path(2)).asText(null));
@@ -254,25 +281,32 @@
         machine.touchImage(image.path(0).asText(), image.path(1).asDouble());
       }
       put(machine, number);
-      each.accept(machine);
+      onMachine.accept(machine);
     }
   }
 
-  /** Strikes out the machines that are gone with all that was on them, and notes new images. */
+  /**
+   * Writes the pages with changed images or with terminated machines, which are removed once no
+   * task is assigned to them.
+   */
   public void writeChangedPages() {
     for (Page page : List.copyOf(pages)) {
       if (page.splitting || split(page)) {
-        continue; // written once it is short enough
+        continue; // written once it fits into a value
       }
-      boolean images = hasChangedImages(page);
+      boolean hasChangedImages = hasChangedImages(page);
       removeTerminated(page);
-      if (page.hasRemovals && runtime.now() - page.removalsWrittenAt > REMOVALS_INTERVAL_MS) {
-        // The next leader takes what was placed there for ended: no waiting for a lease. Before
-        // placements, then, but not for each machine of a wave that dies one after the other.
+      if (page.hasRemovals
+          && runtime.now() - page.removalsWrittenAt > MIN_REMOVALS_WRITE_INTERVAL_MS) {
+        // The next leader treats tasks on removed machines as ended without waiting for their
+        // leases
+        // to expire. So removals are written before placements, but at a limited rate, since many
+        // machines may terminate one after the other.
         page.removalsWrittenAt = runtime.now();
         page.hasRemovals = false;
-        writer.enqueue(page.record, URGENCY, null);
-      } else if (images && runtime.now() - page.imagesWrittenAt > IMAGES_INTERVAL_MS) {
+        writer.enqueue(page.record, HIGHEST_URGENCY, null);
+      } else if (hasChangedImages
+          && runtime.now() - page.imagesWrittenAt > MIN_IMAGES_WRITE_INTERVAL_MS) {
         page.imagesWrittenAt = runtime.now();
         page.machines.forEach(machine -> machine.images.markStored());
         writer.enqueue(page.record, RecordWriter.DEFERRABLE_URGENCY, null);
@@ -290,34 +324,37 @@
   }
 
   private static void removeTerminated(Page page) {
-    for (Iterator<Machine> it = page.machines.iterator(); it.hasNext(); ) {
-      Machine machine = it.next();
+    for (Iterator<Machine> iterator = page.machines.iterator(); iterator.hasNext(); ) {
+      Machine machine = iterator.next();
       if (machine.isTerminated() && machine.assigned.isEmpty()) {
-        it.remove();
-        machine.setRegistryPage(-1);
+        iterator.remove();
+        machine.setRegistryPage(NO_PAGE);
         page.hasRemovals = true;
       }
     }
   }
 
   /**
-   * Moves to other pages what a page cannot hold under smaller limits: there first, so that no
-   * machine is ever on no page. Until then it keeps its old content.
+   * Moves machines to other pages if the page has become too large because the limits were lowered.
+   * They are removed from this page only after their new entries are durable, so that every machine
+   * is always on a page.
+   *
+   * @return whether machines are being moved
    */
   private boolean split(Page page) {
-    int fitting = fitting(page.machines);
+    int fitting = fittingCount(page.machines);
     if (!gate.open() || page.machines.size() <= fitting) {
       return false;
     }
     page.splitting = true;
     List<Machine> moved = List.copyOf(page.machines.subList(fitting, page.machines.size()));
-    int[] missing = {moved.size()};
+    int[] pendingCount = {moved.size()};
     for (Machine machine : moved) {
-      machine.setRegistryPage(-1);
+      machine.setRegistryPage(NO_PAGE);
       register(
           machine,
           () -> {
-            if (--missing[0] == 0) {
+            if (--pendingCount[0] == 0) {
               page.machines.removeAll(moved);
               page.splitting = false;
               writer.enqueue(page.record, RecordWriter.DEFERRABLE_URGENCY, null);
--- a/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
+++ b/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
@@ -11,7 +11,7 @@
 import org.snowturn.wire.Heartbeat;
 import org.snowturn.wire.TaskStatus;
 
-/** What is stored and what a report says, in the terms of the table of {@link Reconciliation}. */
+/** Builds the cases of the {@link Reconciliation} table from stored and reported task states. */
 final class ReconciliationCases {
   private final TaskAssignments assignments;
   private final long token;
@@ -21,6 +21,7 @@
     this.token = token;
   }
 
+  /** Returns whether the reported attempt is the one assigned to this machine. */
   static boolean isAssignedHere(Machine machine, Job job, TaskStatus status) {
     int task = status.task();
     return job.isAssigned(task)
@@ -28,12 +29,15 @@
         && job.attemptOf(task) == status.attempt();
   }
 
-  /** Whether a direct start of the attempt got no answer, so that it may still arrive. */
+  /**
+   * Returns whether a start sent directly to the machine got no answer, so that it may still
+   * arrive.
+   */
   static boolean isStartInDoubt(Machine machine, long attempt, int task) {
     return machine.startsInDoubt.contains(CommandQueue.attemptKey(attempt, task));
   }
 
-  /** Whether the task is alive and its job is one that is left alone. */
+  /** Returns whether the task is alive and its job is quarantined. */
   boolean isQuarantined(TaskStatus status) {
     return status.state() != TaskStatus.State.ENDED
         && assignments.registry().isQuarantined(status.job());
@@ -45,48 +49,58 @@
         : job.adopted.get(task) ? Stored.INHERITED : Stored.STARTED;
   }
 
-  private static Reconciliation.AgentEpoch session(long reported, long placed) {
+  private static Reconciliation.AgentEpoch compareEpochs(long reported, long placed) {
     return reported == placed
         ? Reconciliation.AgentEpoch.SAME
         : reported > placed ? Reconciliation.AgentEpoch.LATER : Reconciliation.AgentEpoch.EARLIER;
   }
 
   /**
-   * Whether another attempt of the task is alive there. Then a refusal (busy) tells that this
-   * attempt never began, but not that the task runs nowhere: placed elsewhere it would run twice.
+   * Returns whether the heartbeat lists another, live attempt of the task. In that case a rejection
+   * as busy proves only that the rejected attempt never began. The other attempt may still run, so
+   * placing the task elsewhere could run it twice.
    */
-  static boolean otherAttemptAlive(Heartbeat heartbeat, TaskStatus refused) {
+  static boolean hasOtherLiveAttempt(Heartbeat heartbeat, TaskStatus rejected) {
     for (TaskStatus status : heartbeat.tasks()) {
       if (status.state() != TaskStatus.State.ENDED
-          && status.task() == refused.task()
-          && status.job().equals(refused.job())) {
+          && status.task() == rejected.task()
+          && status.job().equals(rejected.job())) {
         return true;
       }
     }
     return false;
   }
 
-  /** What a report that does not list a task offers as proof of its attempt's end. */
-  static EndEvidence absenceEvidence(Heartbeat heartbeat, Job job, int task, boolean checkIn) {
+  /**
+   * Returns the evidence for the end of a task's attempt that a heartbeat without that task offers.
+   *
+   * @param ownHeartbeat whether the worker sent the heartbeat on its own, and not as the reply to a
+   *     direct message
+   */
+  static EndEvidence absenceEvidence(Heartbeat heartbeat, Job job, int task, boolean ownHeartbeat) {
     return heartbeat.agentEpoch() > job.epochOf(task)
         ? new EndEvidence.LaterAgentEpoch(heartbeat.agentEpoch())
-        : new EndEvidence.NotListed(heartbeat.token(), heartbeat.agentEpoch(), checkIn);
+        : new EndEvidence.NotListed(heartbeat.token(), heartbeat.agentEpoch(), ownHeartbeat);
   }
 
-  /** What the table is asked of a task that is on the report; {@code job} is null if unknown. */
+  /**
+   * Returns the case of a task that the heartbeat lists.
+   *
+   * @param job the task's job; null if it is not live
+   */
   Reconciliation.Case caseOfListed(
       Machine machine, Heartbeat heartbeat, TaskStatus status, Job job) {
     Seen seen =
         status.state() != TaskStatus.State.ENDED
             ? Seen.ALIVE
             : status.exitReason() == TaskStatus.ExitReason.DONE ? Seen.DONE : Seen.ENDED;
-    boolean ours = heartbeat.token() == token;
+    boolean carriesToken = heartbeat.token() == token;
     if (job != null && isAssignedHere(machine, job, status)) {
       return new Reconciliation.Case(
           stored(job, status.task()),
           seen,
-          session(heartbeat.agentEpoch(), job.epochOf(status.task())),
-          ours,
+          compareEpochs(heartbeat.agentEpoch(), job.epochOf(status.task())),
+          carriesToken,
           job.stopping.get(status.task()),
           false);
     }
@@ -102,22 +116,25 @@
         !isStartInDoubt(machine, status.attempt(), status.task())
             && assignments.isForgettable(status.job(), status.task(), status.attempt());
     return new Reconciliation.Case(
-        stored, seen, Reconciliation.AgentEpoch.SAME, ours, false, settled);
+        stored, seen, Reconciliation.AgentEpoch.SAME, carriesToken, false, settled);
   }
 
   /**
-   * What the table is asked of a task that should be there and is not on the report. No start of it
-   * may still arrive if none was sent directly without an answer, and if the report is a check-in:
-   * what an answer carries is carried out before the worker's next check-in or never.
+   * Returns the case of an assigned task that the heartbeat does not list. No start of the task can
+   * still arrive if every directly sent start was answered and the worker sent the heartbeat on its
+   * own: a worker executes the commands of an answer before its next own heartbeat or never.
+   *
+   * @param ownHeartbeat whether the worker sent the heartbeat on its own, and not as the reply to a
+   *     direct message
    */
   Reconciliation.Case caseOfUnlisted(
-      Machine machine, Heartbeat heartbeat, Job job, int task, boolean checkIn) {
+      Machine machine, Heartbeat heartbeat, Job job, int task, boolean ownHeartbeat) {
     return new Reconciliation.Case(
         stored(job, task),
         Seen.ABSENT,
-        session(heartbeat.agentEpoch(), job.epochOf(task)),
+        compareEpochs(heartbeat.agentEpoch(), job.epochOf(task)),
         heartbeat.token() == token,
         job.stopping.get(task),
-        checkIn && !isStartInDoubt(machine, job.attemptOf(task), task));
+        ownHeartbeat && !isStartInDoubt(machine, job.attemptOf(task), task));
   }
 }
--- a/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
+++ b/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
@@ -15,19 +15,19 @@
 import org.snowturn.wire.TaskStatus;
 import org.snowturn.wire.TaskStatus.ExitReason;
 
-/** What follows from the state of an assigned task that its machine has reported. */
+/** Applies the reported states of tasks that are assigned to the reporting machine. */
 final class ReportedTasks {
-  /** So many finished runs tell how long an array's tasks take. */
-  private static final int KNOWN_RUNS = 3;
+  /** Minimum number of finished tasks of an array whose median predicts the run time of others. */
+  private static final int MIN_RUN_TIME_SAMPLES = 3;
 
-  /** A replica that has waited for less is not worth a line of the log. */
-  private static final double UNREMARKABLE_WAIT_S = 1.5;
+  /** Minimum waiting time of a replica that is logged when it starts. */
+  private static final double MIN_LOGGED_WAIT_S = 1.5;
 
-  /** A machine that has refused a task gets nothing new for so long. */
-  private static final long REFUSED_PAUSE_MS = 1_500;
+  /** Time for which no tasks are placed on a machine that has rejected one. */
+  private static final long REJECTION_BACKOFF_MS = 1_500;
 
-  /** A job that a machine could not find is not tried again for so long. */
-  private static final long UNKNOWN_JOB_PAUSE_MS = 2_000;
+  /** Time for which no tasks are placed of a job that a machine could not find. */
+  private static final long UNKNOWN_JOB_BACKOFF_MS = 2_000;
 
   private final CoreRuntime runtime;
   private final FailureHandler failureHandler;
@@ -42,24 +42,30 @@
     this.token = token;
   }
 
-  /** The newest heartbeat of the machine lists an attempt that is assigned to it. */
+  /**
+   * Applies the state of an assigned attempt.
+   *
+   * @param verdict the reconciliation verdict for the attempt
+   * @param heartbeat the newest heartbeat of the machine, which lists the attempt
+   */
   void apply(Machine machine, Job job, TaskStatus status, Verdict verdict, Heartbeat heartbeat) {
     int task = status.task();
     switch (status.state()) {
       case FETCHING -> job.setState(task, TaskState.FETCHING);
-      case RUNNING, SAVING -> runs(machine, job, task);
-      case ENDED -> ended(machine, job, status, verdict, heartbeat);
+      case RUNNING, SAVING -> applyRunning(machine, job, task);
+      case ENDED -> applyEnded(machine, job, status, verdict, heartbeat);
       default -> {}
     }
     if (heartbeat.token() == token && job.isAssigned(task)) {
-      // Seen under this token: from now on only its own end releases it.
+      // This leader's token was seen with it: from now on, only its own end releases the attempt.
       assignments.confirmAdopted(job, task);
     }
   }
 
-  private void runs(Machine machine, Job job, int task) {
+  private void applyRunning(Machine machine, Job job, int task) {
     if (job.stateOf(task) != TaskState.RUNNING) {
-      // Times of tasks that an earlier leader started are unknown, so they never look slow.
+      // The start time of a task started by an earlier leader is unknown, so it never counts as
+      // slow.
       job.setStateSince(task, job.adopted.get(task) ? MonotonicTime.NEVER : runtime.now());
       job.setState(task, TaskState.RUNNING);
       logLateReplica(machine, job, task);
@@ -71,7 +77,7 @@
   private void logLateReplica(Machine machine, Job job, int task) {
     double waitedS = (runtime.wallMs() - job.releasedWall()) / 1000.0;
     if (job.spec.service()
-        && waitedS > UNREMARKABLE_WAIT_S
+        && waitedS > MIN_LOGGED_WAIT_S
         && job.failures.count() == 0
         && !job.adopted.get(task)) {
       runtime
@@ -85,11 +91,11 @@
     }
   }
 
-  private void ended(
+  private void applyEnded(
       Machine machine, Job job, TaskStatus status, Verdict verdict, Heartbeat heartbeat) {
     int task = status.task();
     if (status.exitReason() == ExitReason.BUSY
-        && ReconciliationCases.otherAttemptAlive(heartbeat, status)) {
+        && ReconciliationCases.hasOtherLiveAttempt(heartbeat, status)) {
       runtime
           .events()
           .info(LogEvent.TASK_ALREADY_PRESENT)
@@ -99,19 +105,19 @@
     } else if (verdict == Verdict.COMPLETE || verdict == Verdict.RELEASE) {
       ReportedEnded evidence = new ReportedEnded(heartbeat.token(), heartbeat.agentEpoch());
       if (status.exitReason() == ExitReason.DONE) {
-        succeeded(machine, job, task, evidence);
+        endedWithResult(machine, job, task, evidence);
       } else {
         endedWithoutResult(machine, job, task, status.exitReason(), evidence);
       }
     }
   }
 
-  private void succeeded(Machine machine, Job job, int task, ReportedEnded evidence) {
+  private void endedWithResult(Machine machine, Job job, int task, ReportedEnded evidence) {
     if (job.stateSince(task) != MonotonicTime.NEVER) {
-      double ranS = (runtime.now() - job.stateSince(task)) / 1000.0;
-      job.runTimes.add(ranS);
+      double runTimeS = (runtime.now() - job.stateSince(task)) / 1000.0;
+      job.runTimes.add(runTimeS);
       double median = job.median();
-      machine.finishedWork(median > 0 && job.runTimes.size() > 1 ? ranS / median : 1);
+      machine.finishedWork(median > 0 && job.runTimes.size() > 1 ? runTimeS / median : 1);
     }
     failureHandler.onTaskSucceeded(machine, job);
     assignments.complete(job, task, evidence);
@@ -125,8 +131,8 @@
       default -> logEnd(LogEvent.TASK_ENDED, machine, job, task, reason);
     }
     switch (reason) {
-      case NO_ROOM, BUSY -> machine.setBlockedUntil(runtime.now() + REFUSED_PAUSE_MS);
-      case UNKNOWN_JOB -> job.failures.backOff(runtime.now() + UNKNOWN_JOB_PAUSE_MS);
+      case NO_ROOM, BUSY -> machine.setBlockedUntil(runtime.now() + REJECTION_BACKOFF_MS);
+      case UNKNOWN_JOB -> job.failures.backOff(runtime.now() + UNKNOWN_JOB_BACKOFF_MS);
       default -> {}
     }
     assignments.release(job, task, evidence);
@@ -143,8 +149,10 @@
   }
 
   /**
-   * Stops the tasks that cannot end before the machine is preempted: elsewhere they start anew so
-   * much sooner. Only an array whose run times are known, or an estimate far too long, tells which.
+   * Stops the array tasks that cannot finish before the machine is preempted, so that they restart
+   * elsewhere earlier. The expected run time is the median of the array's finished tasks or, before
+   * there are enough of them, half the job's estimate, so that an inaccurate estimate stops a task
+   * only if it is far longer than the remaining time.
    */
   void drain(Machine machine) {
     for (long reference : HeartbeatProcessor.copy(machine.assigned)) {
@@ -153,8 +161,10 @@
       if (job.spec.kind() != JobSpec.Kind.ARRAY || job.stopping.get(task)) {
         continue;
       }
-      double runS = job.runTimes.size() >= KNOWN_RUNS ? job.median() : job.spec.estimateS() / 2;
-      if (runtime.now() + (runS - ranS(job, task, runS)) * 1000 > machine.preemptionAt()) {
+      double expectedRunS =
+          job.runTimes.size() >= MIN_RUN_TIME_SAMPLES ? job.median() : job.spec.estimateS() / 2;
+      if (runtime.now() + (expectedRunS - elapsedRunS(job, task, expectedRunS)) * 1000
+          > machine.preemptionAt()) {
         runtime
             .events()
             .info(LogEvent.TASK_EVICTED)
@@ -167,13 +177,16 @@
     }
   }
 
-  /** For how long the task has run; the whole run time where an earlier leader started it. */
-  private double ranS(Job job, int task, double runS) {
+  /**
+   * Returns how long the task has run, in seconds; the expected run time if an earlier leader
+   * started the task.
+   */
+  private double elapsedRunS(Job job, int task, double expectedRunS) {
     if (job.stateOf(task) != TaskState.RUNNING) {
       return 0;
     }
     return job.stateSince(task) == MonotonicTime.NEVER
-        ? runS
+        ? expectedRunS
         : (runtime.now() - job.stateSince(task)) / 1000.0;
   }
 }
--- a/src/main/java/org/snowturn/core/assignment/SubmissionChunks.java
+++ b/src/main/java/org/snowturn/core/assignment/SubmissionChunks.java
@@ -17,76 +17,90 @@
 import org.snowturn.wire.StateMessage.Change;
 import org.snowturn.wire.StateMessage.Condition;
 
-/** The parts of submissions that are longer than a value: what reads them and clears them away. */
+/**
+ * Reads and deletes the chunks of submissions that are too long for a single value of the state
+ * service.
+ */
 public final class SubmissionChunks {
+  private static final int OK = 200;
+
   private final CoreRuntime runtime;
   private final RecordWriter writer;
 
-  /** Records whose parts are being read, with their versions. */
-  private final Map<String, Long> wanted = new HashMap<>();
+  /** Versions of the job records whose chunks are being read, by job id. */
+  private final Map<String, Long> pendingReads = new HashMap<>();
 
-  /** Reads and removes chunks for a term; the writer is the term's. */
+  /** Creates a reader and deleter of chunks that writes with the term's writer. */
   public SubmissionChunks(CoreRuntime runtime, RecordWriter writer) {
     this.runtime = runtime;
     this.writer = writer;
   }
 
-  /** Reads a record's parts. Without them the job would seem to await nothing. */
-  void read(String id, JobRecord stored, long stamp, Consumer<Map<String, String>> then) {
-    if (wanted.getOrDefault(id, 0L) >= stamp) {
+  /**
+   * Reads the chunks of a job record. Without them the job would seem to have no dependencies. The
+   * result is dropped if the job is cancelled or ends in the meantime.
+   *
+   * @param onTexts receives the chunks by key
+   */
+  void read(String id, JobRecord stored, long version, Consumer<Map<String, String>> onTexts) {
+    if (pendingReads.getOrDefault(id, 0L) >= version) {
       return;
     }
-    wanted.put(id, stamp);
+    pendingReads.put(id, version);
     new RangeReader(runtime, () -> false)
         .read(
             StorageKeys.submissionParts(id, stored.submission()),
             range -> {
-              // Not if it has been cancelled or has ended meanwhile.
-              if (wanted.remove(id, stamp)) {
-                then.accept(JobRecord.texts(range.entries()));
+              // The entry is gone if the job was cancelled or ended in the meantime.
+              if (pendingReads.remove(id, version)) {
+                onTexts.accept(JobRecord.texts(range.entries()));
               }
             });
   }
 
-  /** The record is known as a whole, or is no longer live. */
+  /** Discards the read of a job whose record is complete or no longer live. */
   void cancelRead(String id) {
-    wanted.remove(id);
+    pendingReads.remove(id);
   }
 
   /**
-   * Removes parts of submissions that were never accepted. The first part goes first: a late
-   * transaction that would still accept one names that part's version, and fails from then on. The
-   * others go only while the first is not there again: else the user's next try counts on them.
+   * Deletes the chunks of submissions that were never accepted. The first chunk is deleted first: a
+   * late transaction that would still accept the submission is conditional on the version of that
+   * chunk and fails from then on. The other chunks are deleted only while the first one is absent,
+   * since a new attempt of the user to submit the job relies on them.
+   *
+   * @param chunks all stored chunks
+   * @param used the keys of the chunks that belong to a job record
    */
-  public void deleteUnused(List<StateMessage.Entry> parts, Set<String> used) {
+  public void deleteUnused(List<StateMessage.Entry> chunks, Set<String> used) {
     Map<String, List<StateMessage.Entry>> bySubmission = new LinkedHashMap<>();
-    for (StateMessage.Entry entry : parts) {
+    for (StateMessage.Entry entry : chunks) {
       if (!used.contains(entry.key())) {
-        String name = entry.key().substring(0, entry.key().lastIndexOf('/') + 1);
-        bySubmission.computeIfAbsent(name, n -> new ArrayList<>()).add(entry);
+        String prefix = entry.key().substring(0, entry.key().lastIndexOf('/') + 1);
+        bySubmission.computeIfAbsent(prefix, key -> new ArrayList<>()).add(entry);
       }
     }
-    bySubmission.forEach(this::dropSubmission);
+    bySubmission.forEach(this::deleteSubmission);
   }
 
-  private void dropSubmission(String name, List<StateMessage.Entry> entries) {
+  private void deleteSubmission(String prefix, List<StateMessage.Entry> entries) {
     String id =
-        name.substring(
+        prefix.substring(
             StorageKeys.SUBMISSION_PARTS.length(),
-            name.indexOf('/', StorageKeys.SUBMISSION_PARTS.length()));
-    String first = name + "0";
-    long version = 0;
+            prefix.indexOf('/', StorageKeys.SUBMISSION_PARTS.length()));
+    String firstKey = prefix + "0";
+    long firstVersion = 0;
     for (StateMessage.Entry entry : entries) {
-      version = entry.key().equals(first) ? entry.version() : version;
+      firstVersion = entry.key().equals(firstKey) ? entry.version() : firstVersion;
     }
     writer.submit(
         RecordWriter.TransactionPriority.BACKGROUND,
-        List.of(new Condition(StorageKeys.job(id), 0), new Condition(first, version)),
-        List.of(Change.delete(first)),
+        List.of(new Condition(StorageKeys.job(id), 0), new Condition(firstKey, firstVersion)),
+        List.of(Change.delete(firstKey)),
         (outcome, status, body) -> {
-          if (outcome == Outcome.ANSWERED && status == 200) {
+          if (outcome == Outcome.ANSWERED && status == OK) {
             writer.deleteLater(
-                List.of(new Condition(first, 0)),
+                List.of(new Condition(firstKey, 0)),
                 entries.stream().map(entry -> Change.delete(entry.key())).toList());
           }
         });
--- a/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
@@ -23,11 +23,15 @@
 import org.snowturn.wire.StateMessage.Condition;
 
 /**
- * Which task may be where. The only place where tasks are assigned, released and completed, so that
- * room, quota, zones and records always agree.
+ * The assignments of tasks to machines. All tasks are assigned, released and completed here, so
+ * that the resources, quotas, zones and stored records always agree.
  */
 public final class TaskAssignments {
-  private static final long NOT_RECORDED_MS = 20_000;
+  /** Time for which no tasks are placed of a job whose record the state service has rejected. */
+  private static final long REJECTED_RECORD_BACKOFF_MS = 20_000;
+
+  /** Time added to a job's checkpoint write time when a task is stopped. */
+  private static final int CHECKPOINT_MARGIN_S = 1;
 
   private final CoreRuntime runtime;
   private final RecordWriter writer;
@@ -37,16 +41,16 @@
   private final JobRegistry registry;
   private final JobCompletion completion;
   private final TaskRecordLoader loader;
-  private long attempts;
+  private long attemptCount;
   private long placements;
   private int unconfirmedAdopted;
   private final PriorityCounts assignedByPriority = new PriorityCounts();
   private boolean changed = true;
 
   /**
-   * No job is known yet.
+   * Creates an empty set of jobs and assignments.
    *
-   * @param guard decides whether an attempt has ended and whether a start may leave
+   * @param guard decides whether an attempt has ended and whether a start command may be sent
    */
   public TaskAssignments(
       CoreRuntime runtime,
@@ -66,103 +70,126 @@
     this.loader = new TaskRecordLoader(runtime, gate, writer, machines, this);
   }
 
-  /** The live jobs, and how they come and go. */
+  /** Returns the registry of the live jobs. */
   public JobRegistry registry() {
     return registry;
   }
 
-  /** All live jobs. */
+  /** Returns all live jobs. */
   public Collection<Job> jobs() {
     return registry.all();
   }
 
-  /** The live job with this id; null if there is none. */
+  /** Returns the live job with this id; null if there is none. */
   public Job job(String id) {
     return registry.find(id);
   }
 
-  /** The job of a task that {@link Job#ref} names. */
-  public Job job(long ref) {
-    return registry.byReference(ref);
+  /** Returns the job of a task reference made by {@link Job#ref}. */
+  public Job job(long reference) {
+    return registry.byReference(reference);
   }
 
-  /** The task that {@link Job#ref} names. */
-  public static int task(long ref) {
-    return (int) ref;
+  /** Returns the task index of a task reference made by {@link Job#ref}. */
+  public static int task(long reference) {
+    return (int) reference;
   }
 
-  /** What each team uses. */
+  /** Returns the quota, which tracks the resources that each team uses. */
   public Quota quota() {
     return quota;
   }
 
-  /** Whether anything changed that could let a waiting task be placed; resets the mark. */
+  /** Returns whether a change since the last call could allow a waiting task to be placed. */
   public boolean consumeChanged() {
-    boolean was = changed;
+    boolean wasChanged = changed;
     changed = false;
-    return was;
+    return wasChanged;
   }
 
-  /** Something changed that could let a waiting task be placed. */
+  /** Records a change that could allow a waiting task to be placed. */
   public void markChanged() {
     changed = true;
   }
 
-  /** The record that tasks share, made at its first use. */
-  public PendingRecord taskRecord(Job job, int chunk) {
-    if (job.taskRecord(chunk) == null) {
+  /**
+   * Returns the record with this index, which several tasks share. The record is created on first
+   * use.
+   */
+  public PendingRecord taskRecord(Job job, int index) {
+    if (job.taskRecord(index) == null) {
       String id = job.spec.id();
       job.setTaskRecord(
-          chunk,
+          index,
           writer.pendingRecord(
               job.isSecondFormat()
-                  ? StorageKeys.secondFormatTasks(id, chunk)
-                  : StorageKeys.tasks(id, chunk),
+                  ? StorageKeys.secondFormatTasks(id, index)
+                  : StorageKeys.tasks(id, index),
               0,
-              () -> job.taskRecordJson(chunk, machines),
+              () -> job.taskRecordJson(index, machines),
               () -> new Condition(StorageKeys.job(id), job.version())));
     }
-    return job.taskRecord(chunk);
+    return job.taskRecord(index);
   }
 
-  /** Takes over a stored record of tasks: results, and tasks that an earlier leader assigned. */
-  public void loadTaskRecord(Job job, int chunk, JsonNode value, long stamp) {
-    loader.loadRecord(job, chunk, value, stamp);
+  /**
+   * Loads a stored record of tasks: their results, and the assignments by earlier leaders.
+   *
+   * @param index the index of the record in the job
+   * @param version the version of the stored record
+   */
+  public void loadTaskRecord(Job job, int index, JsonNode value, long version) {
+    loader.loadRecord(job, index, value, version);
   }
 
-  /** The same of the first format, after the gate has opened. */
-  public void loadFirstFormatRecord(Job job, int chunk, JsonNode value, long stamp) {
-    loader.loadFirstFormatRecord(job, chunk, value, stamp);
+  /**
+   * Loads a record of the first format after the format gate has opened.
+   *
+   * @param index the index of the record among those of the first format
+   * @param version the version of the stored record
+   */
+  public void loadFirstFormatRecord(Job job, int index, JsonNode value, long version) {
+    loader.loadFirstFormatRecord(job, index, value, version);
   }
 
-  /** Goes on in the second format with the jobs that can; tells whether some are left. */
+  /**
+   * Migrates the jobs without writes in progress to the second format.
+   *
+   * @return whether there are jobs left to migrate
+   */
   public boolean useSecondFormat() {
     return loader.useSecondFormat();
   }
 
-  /** Some page of the registry could not be read: which machines are on none is not known. */
+  /**
+   * Records that part of the registry of machines could not be read. From then on, the absence of a
+   * machine from the registry proves nothing.
+   */
   public void markRegistryIncomplete() {
     loader.markRegistryIncomplete();
   }
 
-  /** Assigns a task that an earlier leader placed. */
-  void adopt(Job job, int task, Machine machine, long attempt, long session) {
-    take(job, task, machine, attempt, session, TaskState.STARTING);
+  /** Assigns a task that an earlier leader placed in this agent epoch of the machine. */
+  void adopt(Job job, int task, Machine machine, long attempt, long agentEpoch) {
+    addAssignment(job, task, machine, attempt, agentEpoch, TaskState.STARTING);
     job.adopted.set(task);
     machine.addAdoptedTasks(1);
     unconfirmedAdopted++;
     machine.touchImage(job.spec.image(), job.spec.imageGb());
   }
 
-  private void take(
-      Job job, int task, Machine machine, long attempt, long session, TaskState state) {
-    job.assign(task, machine, attempt, session, state);
+  private void addAssignment(
+      Job job, int task, Machine machine, long attempt, long agentEpoch, TaskState state) {
+    job.assign(task, machine, attempt, agentEpoch, state);
     assignedByPriority.add(job.priority(), 1);
     machine.assign(Job.ref(job.index, task), job.priority(), job.spec);
     quota.acquire(job.spec);
   }
 
-  /** An inherited task was seen under this token, or has ended. */
+  /**
+   * Confirms an adopted task that was reported with this leader's token or has ended. Other tasks
+   * are ignored.
+   */
   public void confirmAdopted(Job job, int task) {
     if (job.adopted.get(task)) {
       job.adopted.clear(task);
@@ -171,12 +198,18 @@
     }
   }
 
-  /** How many tasks that an earlier leader placed are neither seen under this token nor ended. */
+  /**
+   * Returns the number of adopted tasks that were neither reported with this leader's token nor
+   * have ended.
+   */
   public int unconfirmedAdopted() {
     return unconfirmedAdopted;
   }
 
-  /** A job has the priority of the most urgent one that needs it. */
+  /**
+   * Changes the effective priority of a job, which is the highest one of the job itself and the
+   * jobs that depend on it.
+   */
   public void reprioritize(Job job, Priority priority) {
     if (priority != job.priority()) {
       assignedByPriority.add(job.priority(), -job.assigned());
@@ -191,38 +224,38 @@
     }
   }
 
-  /** How many tasks that may be on machines are of lower priority than this. */
+  /** Returns the number of assigned tasks with a lower priority than this one. */
   public int assignedBelow(Priority priority) {
     return assignedByPriority.below(priority);
   }
 
-  /** How many tasks this leader has placed. */
+  /** Returns the number of tasks that this leader has placed. */
   public long placements() {
     return placements;
   }
 
   /**
-   * The zone of a machine has become known. What is assigned there moves with it: counted in the
-   * old zone and released in the new one, a job's tasks would be too few there for ever, and one
-   * more than its spread allows would start (wrong_place).
+   * Sets the zone of a machine and moves its assigned tasks to that zone. If they stayed counted in
+   * the old zone and were released in the new one, the count of the new zone would remain too low,
+   * and more tasks would start there than the job's spread allows (reported as wrong_place).
    */
   public void setZone(Machine machine, int zone) {
     if (zone != machine.zone()) {
-      for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
-        job(ref).moveZone(machine.zone(), zone);
+      for (long reference : HeartbeatProcessor.copy(machine.assigned)) {
+        job(reference).moveZone(machine.zone(), zone);
       }
       machine.setZone(zone);
     }
   }
 
-  /** A number that no attempt under any leader has had. */
+  /** Returns an attempt number that was never used before by any leader. */
   public long newAttempt() {
-    return (guard.token() << TaskLayout.ATTEMPT_BITS) + ++attempts;
+    return (guard.token() << TaskLayout.ATTEMPT_BITS) + ++attemptCount;
   }
 
-  /** Assigns a pending task; its start is sent when the placement is durable. */
+  /** Assigns a pending task to a machine. Its start is sent once the placement is durable. */
   public void assign(Job job, int task, Machine machine, long attempt) {
-    take(job, task, machine, attempt, machine.epoch(), TaskState.PLACING);
+    addAssignment(job, task, machine, attempt, machine.epoch(), TaskState.PLACING);
     job.setPlacedWall(runtime.wallMs());
     placements++;
     machine.touchImage(job.spec.image(), job.spec.imageGb());
@@ -232,6 +265,7 @@
         () -> sendStart(job, task, attempt));
   }
 
+  /** Sends the start of an attempt whose placement has become durable. */
   private void sendStart(Job job, int task, long attempt) {
     if (job.stateOf(task) != TaskState.PLACING || job.attemptOf(task) != attempt) {
       return;
@@ -252,29 +286,34 @@
     machine.commands().add(startCommand(job, task));
   }
 
-  /** Whether a start that was decided earlier may leave for this machine now. */
+  /** Returns whether a queued start command may still be sent to this machine. */
   public boolean mayStart(Machine machine, Command start) {
     return guard.mayStart(machine, registry.find(start.job()), start);
   }
 
-  /** The command to start a task's attempt. */
+  /** Returns the command that starts a task's attempt. */
   public Command startCommand(Job job, int task) {
     return new Command(Command.Op.START, job.spec.id(), task, job.attemptOf(task), 0);
   }
 
-  /** The command to stop a task's attempt, with the time to save a checkpoint if it has one. */
+  /**
+   * Returns the command that stops a task's attempt. It allows time to write a checkpoint if the
+   * job uses checkpoints and is not cancelled.
+   */
   public Command stopCommand(Job job, int task) {
-    boolean saves =
+    boolean canSaveCheckpoint =
         !job.isCancelled() && job.spec.checkpointIntervalS() > 0 && job.spec.checkpointWriteS() > 0;
     return new Command(
         Command.Op.STOP,
         job.spec.id(),
         task,
         job.attemptOf(task),
-        saves ? job.spec.checkpointWriteS() + 1 : 0);
+        canSaveCheckpoint ? job.spec.checkpointWriteS() + CHECKPOINT_MARGIN_S : 0);
   }
 
-  /** Tells an assigned task to stop; it stays assigned until it is seen to have ended. */
+  /**
+   * Stops an assigned task. It stays assigned until there is evidence that its attempt has ended.
+   */
   public void stop(Job job, int task) {
     if (job.stateOf(task) == TaskState.PLACING) {
       release(job, task, new EndEvidence.NeverSent());
@@ -282,16 +321,15 @@
     }
     job.stopping.set(task);
     Machine machine = machines.get(job.machineOf(task));
-    machine
-        .commands()
-        .withdraw(
-            startCommand(job, task)); // what has not left must not start: users may have been told
+    // A start that is still queued must not be sent: a user may have had the cancellation
+    // confirmed.
+    machine.commands().withdraw(startCommand(job, task));
     if (machine.epoch() == job.epochOf(task)) {
       machine.commands().add(stopCommand(job, task));
     }
   }
 
-  /** Tells all assigned tasks of a job to stop. */
+  /** Stops all assigned tasks of a job. */
   void stopAll(Job job) {
     for (int task = 0; task < job.taskCount(); task++) {
       if (job.isAssigned(task)) {
@@ -301,16 +339,19 @@
     changed = true;
   }
 
-  /** Nothing of the job is ever started any more: its tasks are released without any evidence. */
+  /**
+   * Unassigns and queues again all tasks of a removed job. This needs no evidence that their
+   * attempts have ended, since none of the job's tasks is ever started again.
+   */
   void requeueAll(Job job) {
     for (int task = 0; task < job.taskCount(); task++) {
       if (job.isAssigned(task)) {
-        detach(job, task);
+        unassignAndRequeue(job, task);
       }
     }
   }
 
-  /** The job is left alone: no room is counted for its tasks any more. */
+  /** Unassigns all tasks of a quarantined job, so that they use no resources in the accounting. */
   void unassignAll(Job job) {
     for (int task = 0; task < job.taskCount(); task++) {
       if (job.isAssigned(task)) {
@@ -320,8 +361,10 @@
   }
 
   /**
-   * The state service will not have a record of tasks: the placements in it never happened, and the
-   * job is left alone for a while.
+   * Handles a task record that the state service has rejected: releases the tasks whose placement
+   * was to be written with it, and backs off the job.
+   *
+   * @param key the key of the rejected record
    */
   public void onPlacementRejected(String key) {
     for (Job job : registry.all()) {
@@ -329,7 +372,7 @@
         if (job.taskRecord(index) == null || !job.taskRecord(index).key().equals(key)) {
           continue;
         }
-        job.failures.backOff(runtime.now() + NOT_RECORDED_MS);
+        job.failures.backOff(runtime.now() + REJECTED_RECORD_BACKOFF_MS);
         for (int task = job.layout().from(index); task < job.layout().to(index); task++) {
           if (job.stateOf(task) == TaskState.PLACING) {
             release(job, task, new EndEvidence.NeverSent());
@@ -340,24 +383,26 @@
     }
   }
 
-  /** The task waits again if the evidence proves that its attempt has ended without a result. */
+  /**
+   * Releases an assigned task and queues it again if the evidence proves that its attempt has
+   * ended.
+   */
   public void release(Job job, int task, EndEvidence evidence) {
     if (guard.hasEnded(job, task, evidence)) {
-      detach(job, task);
+      unassignAndRequeue(job, task);
       changed = true;
       completion.finishIfOver(job);
     }
   }
 
-  private void detach(Job job, int task) {
+  private void unassignAndRequeue(Job job, int task) {
     unassign(job, task);
     job.requeue(task);
   }
 
   private void unassign(Job job, int task) {
     Machine machine = machines.get(job.machineOf(task));
-    // A start that still waits there would begin an attempt that the machine has been told to
-    // forget.
+    // A start that is still queued would begin an attempt that the machine was told to forget.
     machine.commands().withdraw(startCommand(job, task));
     machine.unassign(Job.ref(job.index, task), job.priority(), job.spec);
     if (machine.assigned.isEmpty()) {
@@ -369,23 +414,23 @@
     job.unassign(task, machine);
   }
 
-  /** An assigned task's attempt has ended with its result, if the evidence proves that. */
+  /** Completes an assigned task if the evidence proves that its attempt has ended. */
   public void complete(Job job, int task, EndEvidence evidence) {
     if (guard.hasEnded(job, task, evidence)) {
       unassign(job, task);
-      completed(job, task);
+      recordResult(job, task);
     }
   }
 
-  /** The result of a task that waits has turned up: an earlier attempt of it had ended with it. */
+  /** Completes a pending task, of which an earlier attempt was reported as done. */
   public void completePending(Job job, int task) {
     if (job.stateOf(task) == TaskState.PENDING) {
-      completed(job, task);
+      recordResult(job, task);
     }
   }
 
-  /** The task's result is kept by its machine until the record of it is durable. */
-  private void completed(Job job, int task) {
+  /** Records the result of a task. Its machine keeps the result until the record is durable. */
+  private void recordResult(Job job, int task) {
     job.complete(task);
     changed = true;
     if (!job.isCancellationRecorded()) {
@@ -395,13 +440,17 @@
           RecordWriter.DEFERRABLE_URGENCY,
           () -> {
             job.resultPending.clear(task);
-            completion.finishIfOver(job); // others may wait for it: not only at the next sweep
+            // Other jobs may depend on it, so it is finished before the next periodic retry.
+            completion.finishIfOver(job);
           });
     }
     completion.finishIfOver(job);
   }
 
-  /** Whether a worker may forget this ended attempt. */
+  /**
+   * Returns whether a worker may forget an ended attempt. It may not while the attempt is assigned
+   * or the task's result is not durable yet.
+   */
   public boolean isForgettable(String jobId, int task, long attempt) {
     Job job = registry.find(jobId);
     if (job == null || task >= job.taskCount()) {
@@ -413,7 +462,7 @@
     return !job.resultPending.get(task);
   }
 
-  /** Tries again to finish the jobs that are over. */
+  /** Retries to write the final records of finished and aborted jobs. */
   public void retryFinishing() {
     List.copyOf(registry.all()).forEach(completion::finishIfOver);
   }
--- a/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
@@ -15,7 +15,7 @@
 import org.snowturn.core.storage.StorageKeys;
 
 /**
- * Takes over the stored records of tasks, in both formats, and goes from the first to the second.
+ * Loads stored task records of both formats, and migrates jobs from the first to the second one.
  */
 final class TaskRecordLoader {
   private final CoreRuntime runtime;
@@ -25,6 +25,7 @@
   private final TaskAssignments assignments;
   private boolean registryComplete = true;
 
+  /** Creates a loader that assumes that the whole registry of machines has been loaded. */
   TaskRecordLoader(
       CoreRuntime runtime,
       FormatGate gate,
@@ -38,34 +39,45 @@
     this.assignments = assignments;
   }
 
-  /** From now on, that a machine is on no page proves nothing. */
+  /**
+   * Records that part of the registry of machines could not be read. From then on, the absence of a
+   * machine from the registry proves nothing.
+   */
   void markRegistryIncomplete() {
     registryComplete = false;
   }
 
-  /** Takes over a stored record of tasks: results, and tasks that an earlier leader assigned. */
-  void loadRecord(Job job, int chunk, JsonNode value, long stamp) {
-    if (chunk < 0 || chunk >= job.taskRecords().length) {
+  /**
+   * Loads a stored record of tasks: their results, and the assignments by earlier leaders.
+   *
+   * @param index the index of the record in the job
+   * @param version the version of the stored record
+   */
+  void loadRecord(Job job, int index, JsonNode value, long version) {
+    if (index < 0 || index >= job.taskRecords().length) {
       return;
     }
-    assignments.taskRecord(job, chunk).setVersion(stamp);
-    load(job, value, job.layout().from(chunk), job.isSecondFormat(), task -> true);
+    assignments.taskRecord(job, index).setVersion(version);
+    load(job, value, job.layout().from(index), job.isSecondFormat(), task -> true);
   }
 
   /**
-   * Takes over a record of the first format after the gate has opened. It tells of the tasks that
-   * no record of the second format tells of: those are newer, since nobody writes the first any
-   * more.
+   * Loads a record of the first format after the format gate has opened. It applies only to the
+   * tasks without a stored record of the second format: those records are newer, since the first
+   * format is no longer written.
+   *
+   * @param index the index of the record among those of the first format
+   * @param version the version of the stored record
    */
-  void loadFirstFormatRecord(Job job, int chunk, JsonNode value, long stamp) {
+  void loadFirstFormatRecord(Job job, int index, JsonNode value, long version) {
     PendingRecord record =
         writer.pendingRecord(
-            StorageKeys.tasks(job.spec.id(), chunk), stamp, () -> null, () -> null);
+            StorageKeys.tasks(job.spec.id(), index), version, () -> null, () -> null);
     job.firstFormatRecords().add(record);
     load(
         job,
         value,
-        chunk * gate.recordSizes().first(),
+        index * gate.recordSizes().first(),
         false,
         task -> {
           PendingRecord newer = job.taskRecord(job.layout().recordOf(task));
@@ -73,92 +85,100 @@
         });
   }
 
-  private void load(Job job, JsonNode value, int from, boolean secondFormat, IntPredicate tellsOf) {
+  private void load(
+      Job job, JsonNode value, int firstTask, boolean isSecondFormat, IntPredicate appliesTo) {
     TaskRecords.read(
         value,
-        from,
+        firstTask,
         new TaskRecords.Reader() {
           /**
-           * Whether the machine is on no page of the registry. Those who write the second format
-           * enter a machine before its first placement, and strike it out only when all on it has
-           * ended for certain: what was placed there waits. Taken for assigned, it would be missed
-           * for as long as a lease (zone cut, leader dies). The first version kept no registry, so
-           * its records say nothing of the kind.
+           * Returns whether the machine was removed from the registry. A leader that writes the
+           * second format registers a machine before its first placement and removes it only after
+           * all its tasks have provably ended, so these tasks are queued again. If they were loaded
+           * as assigned, they would be lost for the duration of a lease, for example after a zone
+           * is cut off and the leader fails. The version that wrote the first format had no
+           * registry, so records of that format prove nothing.
            */
-          private boolean struckOut(String machine) {
+          private boolean isRemovedMachine(String machine) {
             Machine known = machines.find(machine);
-            return secondFormat && registryComplete && (known == null || known.registryPage() < 0);
+            return isSecondFormat
+                && registryComplete
+                && (known == null || known.registryPage() < 0);
           }
 
-          private boolean isNews(int task) {
+          /** Returns whether the record applies to the task and the task has no newer state. */
+          private boolean isApplicable(int task) {
             return task >= 0
                 && task < job.taskCount()
                 && job.stateOf(task) == TaskState.PENDING
-                && tellsOf.test(task);
+                && appliesTo.test(task);
           }
 
           @Override
           public void done(int task) {
-            if (isNews(task)) {
+            if (isApplicable(task)) {
               job.complete(task);
             }
           }
 
           @Override
-          public void placed(int task, long attempt, String machine, long session) {
-            if (isNews(task) && !struckOut(machine)) {
-              Machine on = machines.getOrAdd(machine);
-              // An earlier leader may have answered it until now, whether or not it is on the
-              // registry.
-              on.session.setLastAnswerAt(Math.max(on.session.lastAnswerAt(), runtime.now()));
-              assignments.adopt(job, task, on, attempt, session);
+          public void placed(int task, long attempt, String machine, long agentEpoch) {
+            if (isApplicable(task) && !isRemovedMachine(machine)) {
+              Machine assigned = machines.getOrAdd(machine);
+              // An earlier leader may have renewed its lease until now, even if the machine is not
+              // in
+              // the registry.
+              assigned.session.setLastAnswerAt(
+                  Math.max(assigned.session.lastAnswerAt(), runtime.now()));
+              assignments.adopt(job, task, assigned, attempt, agentEpoch);
             }
           }
         });
   }
 
   /**
-   * Goes on in the second format with the jobs whose records of the first are settled; tells
-   * whether some are left.
+   * Migrates the jobs without writes in progress to the second format.
+   *
+   * @return whether there are jobs left to migrate
    */
   boolean useSecondFormat() {
-    boolean left = false;
+    boolean hasUnmigrated = false;
     for (Job job : assignments.jobs()) {
       if (job.isSecondFormat()) {
         continue;
       }
-      boolean unsettled = job.isFinishing();
+      boolean isWriting = job.isFinishing();
       for (PendingRecord record : job.taskRecords()) {
-        unsettled |= record != null && record.inFlight();
+        isWriting |= record != null && record.inFlight();
       }
-      left |= unsettled;
-      if (!unsettled) {
+      hasUnmigrated |= isWriting;
+      if (!isWriting) {
         useSecondFormat(job);
       }
     }
-    return left;
+    return hasUnmigrated;
   }
 
   private void useSecondFormat(Job job) {
-    PendingRecord[] older = job.taskRecords();
+    PendingRecord[] firstFormatRecords = job.taskRecords();
     job.useSecondFormat(gate.recordSizes(), gate.limits().valueBytes(), machines);
-    for (int c = 0; c < older.length; c++) {
-      if (older[c] == null || !older[c].queued()) {
+    for (int index = 0; index < firstFormatRecords.length; index++) {
+      if (firstFormatRecords[index] == null || !firstFormatRecords[index].queued()) {
         continue;
       }
-      // What waited for the old record waits for every piece of it now.
-      int urgency = older[c].urgency();
-      List<Runnable> actions = older[c].durableActions();
-      writer.cancel(older[c]);
-      int first = c * job.layout().pieces();
+      // Actions that waited for the old record now wait for all records that replace it.
+      int urgency = firstFormatRecords[index].urgency();
+      List<Runnable> actions = firstFormatRecords[index].durableActions();
+      writer.cancel(firstFormatRecords[index]);
+      int first = index * job.layout().pieces();
       int end = Math.min(first + job.layout().pieces(), job.taskRecords().length);
-      int[] missing = {end - first};
-      for (int p = first; p < end; p++) {
+      int[] pendingCount = {end - first};
+      for (int piece = first; piece < end; piece++) {
         writer.enqueue(
-            assignments.taskRecord(job, p),
+            assignments.taskRecord(job, piece),
             urgency,
             () -> {
-              if (--missing[0] == 0) {
+              if (--pendingCount[0] == 0) {
                 actions.forEach(Runnable::run);
               }
             });
--- a/src/main/java/org/snowturn/core/assignment/package-info.java
+++ b/src/main/java/org/snowturn/core/assignment/package-info.java
@@ -1,2 +1,5 @@
-/** Which task is assigned to which machine, from the durable placement to the proof of its end. */
+/**
+ * Assignment of tasks to machines, from the durable placement of an attempt to the proof of its
+ * end, with the registries of jobs and machines and the processing of heartbeats.
+ */
 package org.snowturn.core.assignment;
