--- a/src/main/java/org/snowturn/core/assignment/JobCompletion.java
+++ b/src/main/java/org/snowturn/core/assignment/JobCompletion.java
@@ -45,7 +45,7 @@
    * Replaces the records of a job by its final record if the job is finished or aborted. The
    * transaction that writes the final record makes all results durable at once.
    */
-  void finishIfOver(Job job) {
+  void finishIfEnded(Job job) {
     if (job.isFinishing() || !isOver(job) || assignments.job(job.spec.id()) != job) {
       return;
     }
--- a/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
@@ -391,7 +391,7 @@
     if (guard.hasEnded(job, task, evidence)) {
       unassignAndRequeue(job, task);
       changed = true;
-      completion.finishIfOver(job);
+      completion.finishIfEnded(job);
     }
   }
 
@@ -441,10 +441,10 @@
           () -> {
             job.resultPending.clear(task);
             // Other jobs may depend on it, so it is finished before the next periodic retry.
-            completion.finishIfOver(job);
+            completion.finishIfEnded(job);
           });
     }
-    completion.finishIfOver(job);
+    completion.finishIfEnded(job);
   }
 
   /**
@@ -464,6 +464,6 @@
 
   /** Retries to write the final records of finished and aborted jobs. */
   public void retryFinishing() {
-    List.copyOf(registry.all()).forEach(completion::finishIfOver);
+    List.copyOf(registry.all()).forEach(completion::finishIfEnded);
   }
 }
