--- a/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
+++ b/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
@@ -18,8 +18,8 @@
 
 /**
  * Guards against a task running in two places: decides whether an attempt has ended and whether a
- * start command may be sent. Every release of an assignment and every start command of the term is
- * checked here.
+ * start command may be sent. Assignments of live jobs are released and start commands are sent only
+ * if this guard allows it.
  */
 public final class AttemptGuard {
   private final CoreRuntime runtime;
@@ -99,7 +99,7 @@
   }
 
   /**
-   * Returns whether a start command may be sent to a machine. A start that may not is counted and
+   * Returns whether a start command may be sent to a machine. A rejected start is counted and
    * logged as a violation.
    *
    * @param job the job that the command names; null if it is not live
--- a/src/main/java/org/snowturn/core/assignment/FailureHandler.java
+++ b/src/main/java/org/snowturn/core/assignment/FailureHandler.java
@@ -121,9 +121,9 @@
    * this is their only kind of success.
    */
   void onTaskStillRunning(Machine machine, Job job, int task) {
-    boolean provesHealth =
+    boolean hasUnresolvedFailures =
         machine.failures.unexplained() > 0 || (job.failures.count() > 0 && job.done() == 0);
-    if (provesHealth
+    if (hasUnresolvedFailures
         && job.stateSince(task) != MonotonicTime.NEVER
         && runtime.now() - job.stateSince(task) >= MIN_HEALTHY_RUN_MS) {
       onTaskSucceeded(machine, job);
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
@@ -33,7 +33,7 @@
   private long repeatedStarts;
 
   /**
-   * Creates the answers to heartbeats for a term.
+   * Creates an instance that answers the heartbeats of a term.
    *
    * @param token the fencing token of the term
    */
@@ -57,11 +57,12 @@
             && heartbeat.sequence() == machine.session.heartbeatSeq();
     LongHashSet listed = addCommandsForListed(machine, heartbeat, newest, commands);
     boolean renewsLease = true;
-    for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
-      Job job = assignments.job(ref);
-      if (!listed.contains(ref)) {
+    for (long reference : HeartbeatProcessor.copy(machine.assigned)) {
+      Job job = assignments.job(reference);
+      if (!listed.contains(reference)) {
         renewsLease &=
-            handleUnlisted(machine, heartbeat, job, TaskAssignments.task(ref), newest, commands);
+            handleUnlisted(
+                machine, heartbeat, job, TaskAssignments.task(reference), newest, commands);
       }
     }
     return new Answer(commands, renewsLease);
@@ -87,7 +88,7 @@
       Command command =
           newest
               ? commandFor(machine, heartbeat, status, job, assignedHere)
-              : mustStopAlways(status, liveJob) ? stopCommand(status) : null;
+              : mustStopEvenIfOutdated(status, liveJob) ? stopCommand(status) : null;
       if (command != null) {
         commands.add(command);
       }
@@ -117,7 +118,7 @@
    *
    * @param job the task's job; null if it is not live
    */
-  private boolean mustStopAlways(TaskStatus status, Job job) {
+  private boolean mustStopEvenIfOutdated(TaskStatus status, Job job) {
     boolean gone = job == null && !assignments.registry().isQuarantined(status.job());
     return status.state() != TaskStatus.State.ENDED
         && (gone || cancellations.isCancelled(status.job()) || (job != null && job.isCancelled()));
@@ -145,7 +146,7 @@
       return true;
     }
     if (job.isCancelled()) {
-      // A newer heartbeat may have listed it.
+      // The task may be on the machine: a newer heartbeat may have listed it.
       commands.add(assignments.stopCommand(job, task));
       return !ReconciliationCases.isStartInDoubt(machine, job.attemptOf(task), task)
           || cancellations.leaseExpiresInTime(job.notConfirmedBefore());
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
@@ -36,8 +36,8 @@
   /** Longest usual heartbeat interval as a multiple of the configured one. */
   private static final double MAX_INTERVAL_FACTOR = 1.25;
 
-  /** Allowance for delays of a heartbeat. */
-  private static final double HEARTBEAT_DELAY_S = 0.8;
+  /** Allowance for the delay of a heartbeat in transit. */
+  private static final double MAX_HEARTBEAT_DELAY_S = 0.8;
 
   /** Time for a heartbeat to the failed node to time out and for two attempts at other nodes. */
   private static final long FAILOVER_ATTEMPTS_MS = 6_500;
@@ -105,12 +105,14 @@
 
   /** Returns the longest usual time between two heartbeats of a machine, in milliseconds. */
   public static long maxHeartbeatIntervalMs(Settings settings) {
-    return (long) (1000 * (settings.workers().reportS() * MAX_INTERVAL_FACTOR + HEARTBEAT_DELAY_S));
+    return (long)
+        (1000 * (settings.workers().reportS() * MAX_INTERVAL_FACTOR + MAX_HEARTBEAT_DELAY_S));
   }
 
   /**
-   * Returns the maximum time between two heartbeats of a machine, in milliseconds, that proves that
-   * the machine received the answer to the first one.
+   * Returns the maximum time between two heartbeats of a machine, in milliseconds, if the machine
+   * received the answer to the first one. A machine without an answer sends its next heartbeat
+   * later.
    */
   public static long maxAnsweredHeartbeatIntervalMs(Settings settings) {
     return Math.min(maxHeartbeatIntervalMs(settings), HEARTBEAT_RETRY_MS);
@@ -232,9 +234,9 @@
 
   /** Releases the tasks that were placed before this agent epoch. */
   private void releaseEarlierEpochs(Machine machine, long epoch) {
-    for (long ref : copy(machine.assigned)) {
-      Job job = assignments.job(ref);
-      int task = TaskAssignments.task(ref);
+    for (long reference : copy(machine.assigned)) {
+      Job job = assignments.job(reference);
+      int task = TaskAssignments.task(reference);
       if (job.epochOf(task) < epoch) {
         assignments.release(job, task, new EndEvidence.LaterAgentEpoch(epoch));
       }
@@ -243,10 +245,10 @@
 
   /** Releases the assigned tasks that have provably ended because the heartbeat omits them. */
   private void releaseUnlisted(Machine machine, Heartbeat heartbeat, LongHashSet listed) {
-    for (long ref : copy(machine.assigned)) {
-      Job job = assignments.job(ref);
-      int task = TaskAssignments.task(ref);
-      if (!listed.contains(ref)
+    for (long reference : copy(machine.assigned)) {
+      Job job = assignments.job(reference);
+      int task = TaskAssignments.task(reference);
+      if (!listed.contains(reference)
           && Reconciliation.of(cases.caseOfUnlisted(machine, heartbeat, job, task, false))
               == Verdict.RELEASE) {
         assignments.release(
@@ -278,8 +280,9 @@
         .with(LogField.ASSIGNED, machine.assigned.size())
         .write();
     machine.session.endedUntil(machine.epoch());
-    for (long ref : copy(machine.assigned)) {
-      machine.session.endedUntil(assignments.job(ref).epochOf(TaskAssignments.task(ref)));
+    for (long reference : copy(machine.assigned)) {
+      machine.session.endedUntil(
+          assignments.job(reference).epochOf(TaskAssignments.task(reference)));
     }
     machine.session.clearAcknowledgement();
     releaseAll(machine, new EndEvidence.LeaseExpired());
@@ -296,8 +299,8 @@
   }
 
   private void releaseAll(Machine machine, EndEvidence evidence) {
-    for (long ref : copy(machine.assigned)) {
-      assignments.release(assignments.job(ref), TaskAssignments.task(ref), evidence);
+    for (long reference : copy(machine.assigned)) {
+      assignments.release(assignments.job(reference), TaskAssignments.task(reference), evidence);
     }
     machine.commands().drop();
   }
--- a/src/main/java/org/snowturn/core/assignment/JobCompletion.java
+++ b/src/main/java/org/snowturn/core/assignment/JobCompletion.java
@@ -20,8 +20,8 @@
 /** Replaces the live records of finished and aborted jobs by their short final records. */
 final class JobCompletion {
   /**
-   * Time longer than any deadline. A job without a deadline has a far one, so its lateness is below
-   * the negative of this time.
+   * Time before the deadline that only jobs without a deadline exceed. Their deadline is a time in
+   * the far future.
    */
   private static final double NO_DEADLINE_S = 1e9;
 
@@ -42,11 +42,11 @@
   }
 
   /**
-   * Replaces the records of a job by its final record if the job is finished or aborted. The
-   * transaction that writes the final record makes all results durable at once.
+   * Replaces the records of a job by its final record if the job has ended, finished or aborted.
+   * The transaction that writes the final record makes all results durable at once.
    */
   void finishIfEnded(Job job) {
-    if (job.isFinishing() || !isOver(job) || assignments.job(job.spec.id()) != job) {
+    if (job.isFinishing() || !hasEnded(job) || assignments.job(job.spec.id()) != job) {
       return;
     }
     for (PendingRecord record : job.taskRecords()) {
@@ -66,7 +66,7 @@
     write(job, phase, changes, deletes.subList(included, deletes.size()));
   }
 
-  private static boolean isOver(Job job) {
+  private static boolean hasEnded(Job job) {
     return job.isCancellationRecorded() ? job.assigned() == 0 : job.done() == job.taskCount();
   }
 
--- a/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
@@ -22,7 +22,7 @@
 
 /**
  * The stored registry of the machines in use. It consists of pages with many machines each: with
- * one record per machine, starting hundreds of machines would use up the write budget of half a
+ * one record per machine, starting hundreds of machines would take up the write budget for half a
  * minute. The registry also holds the images that each machine has cached, so that a new leader
  * continues to place tasks on machines that have their images.
  */
@@ -39,7 +39,7 @@
   /** Share of a page that machines may use in the second format; the rest is for their images. */
   private static final double SECOND_FORMAT_MACHINES_SHARE = 0.55;
 
-  /** Number that stands for no page. */
+  /** Page number of a machine that is on no page. */
   private static final int NO_PAGE = -1;
 
   private static final int HIGHEST_URGENCY = 0;
@@ -47,6 +47,9 @@
   /** Maximum number of images per machine on a page that has no room for all images. */
   private static final int MAX_IMAGES_PER_MACHINE = 6;
 
+  /** Number of images per machine by which an oversized page is reduced in each step. */
+  private static final int IMAGES_REDUCTION_STEP = 2;
+
   /**
    * Minimum time between two writes of a page for its images. Initially, images change with nearly
    * every placement, and a new leader can work with an incomplete list.
@@ -64,7 +67,7 @@
     /** Whether some of its machines are being moved to other pages. */
     private boolean splitting;
 
-    /** Whether the stored page still has machines that were removed. */
+    /** Whether the stored page still contains removed machines. */
     private boolean hasRemovals;
 
     private long removalsWrittenAt = MonotonicTime.NEVER;
@@ -142,7 +145,7 @@
     ObjectNode object = content(page, Integer.MAX_VALUE);
     for (int maxImages = MAX_IMAGES_PER_MACHINE;
         Json.bytes(object).length > maxBytes() && maxImages >= 0;
-        maxImages -= 2) {
+        maxImages -= IMAGES_REDUCTION_STEP) {
       object = content(page, maxImages);
     }
     return object;
@@ -270,7 +273,8 @@
         entry.value().path("v").asInt(StorageKeys.FIRST_FORMAT) >= StorageKeys.SECOND_FORMAT;
     for (JsonNode value : entry.value().path("m")) {
       Machine machine = machines.getOrAdd(value.path(0).asText());
-      // Entries contain type, zone and spot in the first format, and their number in the second.
+      // An entry contains type, zone and spot in the first format, and the number of their
+      // combination in field k in the second format.
       JsonNode kinds = entry.value().path("k").path(value.path(2).asInt());
       machine.setAddr(value.path(1).asText(null));
       machine.setType((second ? kinds.path(0) : value.path(2)).asText(null));
@@ -298,9 +302,8 @@
       removeTerminated(page);
       if (page.hasRemovals
           && runtime.now() - page.removalsWrittenAt > MIN_REMOVALS_WRITE_INTERVAL_MS) {
-        // The next leader treats tasks on removed machines as ended without waiting for their
-        // leases
-        // to expire. So removals are written before placements, but at a limited rate, since many
+        // The next leader treats tasks on removed machines as ended and does not wait for leases to
+        // expire. So removals are written before placements, but at a limited rate, since many
         // machines may terminate one after the other.
         page.removalsWrittenAt = runtime.now();
         page.hasRemovals = false;
--- a/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
+++ b/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
@@ -43,7 +43,7 @@
         && assignments.registry().isQuarantined(status.job());
   }
 
-  private static Stored stored(Job job, int task) {
+  private static Stored storedState(Job job, int task) {
     return job.stateOf(task) == TaskState.PLACING
         ? Stored.PLACING
         : job.adopted.get(task) ? Stored.INHERITED : Stored.STARTED;
@@ -97,7 +97,7 @@
     boolean carriesToken = heartbeat.token() == token;
     if (job != null && isAssignedHere(machine, job, status)) {
       return new Reconciliation.Case(
-          stored(job, status.task()),
+          storedState(job, status.task()),
           seen,
           compareEpochs(heartbeat.agentEpoch(), job.epochOf(status.task())),
           carriesToken,
@@ -130,7 +130,7 @@
   Reconciliation.Case caseOfUnlisted(
       Machine machine, Heartbeat heartbeat, Job job, int task, boolean ownHeartbeat) {
     return new Reconciliation.Case(
-        stored(job, task),
+        storedState(job, task),
         Seen.ABSENT,
         compareEpochs(heartbeat.agentEpoch(), job.epochOf(task)),
         heartbeat.token() == token,
--- a/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
+++ b/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
@@ -57,14 +57,14 @@
       default -> {}
     }
     if (heartbeat.token() == token && job.isAssigned(task)) {
-      // This leader's token was seen with it: from now on, only its own end releases the attempt.
+      // Reported with this leader's token: from now on, only its own end releases the attempt.
       assignments.confirmAdopted(job, task);
     }
   }
 
   private void applyRunning(Machine machine, Job job, int task) {
     if (job.stateOf(task) != TaskState.RUNNING) {
-      // The start time of a task started by an earlier leader is unknown, so it never counts as
+      // The start time of a task that an earlier leader started is unknown. It never counts as
       // slow.
       job.setStateSince(task, job.adopted.get(task) ? MonotonicTime.NEVER : runtime.now());
       job.setState(task, TaskState.RUNNING);
@@ -105,14 +105,14 @@
     } else if (verdict == Verdict.COMPLETE || verdict == Verdict.RELEASE) {
       ReportedEnded evidence = new ReportedEnded(heartbeat.token(), heartbeat.agentEpoch());
       if (status.exitReason() == ExitReason.DONE) {
-        endedWithResult(machine, job, task, evidence);
+        handleResult(machine, job, task, evidence);
       } else {
-        endedWithoutResult(machine, job, task, status.exitReason(), evidence);
+        handleEndWithoutResult(machine, job, task, status.exitReason(), evidence);
       }
     }
   }
 
-  private void endedWithResult(Machine machine, Job job, int task, ReportedEnded evidence) {
+  private void handleResult(Machine machine, Job job, int task, ReportedEnded evidence) {
     if (job.stateSince(task) != MonotonicTime.NEVER) {
       double runTimeS = (runtime.now() - job.stateSince(task)) / 1000.0;
       job.runTimes.add(runTimeS);
@@ -123,7 +123,7 @@
     assignments.complete(job, task, evidence);
   }
 
-  private void endedWithoutResult(
+  private void handleEndWithoutResult(
       Machine machine, Job job, int task, ExitReason reason, ReportedEnded evidence) {
     switch (reason) {
       case ERROR -> failureHandler.onTaskFailed(machine, job, task);
--- a/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
@@ -199,8 +199,8 @@
   }
 
   /**
-   * Returns the number of adopted tasks that were neither reported with this leader's token nor
-   * have ended.
+   * Returns the number of adopted tasks that are still assigned and were not yet reported with this
+   * leader's token.
    */
   public int unconfirmedAdopted() {
     return unconfirmedAdopted;
@@ -321,8 +321,7 @@
     }
     job.stopping.set(task);
     Machine machine = machines.get(job.machineOf(task));
-    // A start that is still queued must not be sent: a user may have had the cancellation
-    // confirmed.
+    // A start that is still queued must not be sent: a user may already know of the cancellation.
     machine.commands().withdraw(startCommand(job, task));
     if (machine.epoch() == job.epochOf(task)) {
       machine.commands().add(stopCommand(job, task));
@@ -462,7 +461,7 @@
     return !job.resultPending.get(task);
   }
 
-  /** Retries to write the final records of finished and aborted jobs. */
+  /** Retries writing the final records of finished and aborted jobs. */
   public void retryFinishing() {
     List.copyOf(registry.all()).forEach(completion::finishIfEnded);
   }
--- a/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
@@ -95,7 +95,7 @@
            * Returns whether the machine was removed from the registry. A leader that writes the
            * second format registers a machine before its first placement and removes it only after
            * all its tasks have provably ended, so these tasks are queued again. If they were loaded
-           * as assigned, they would be lost for the duration of a lease, for example after a zone
+           * as assigned, they would not run for the duration of a lease, for example after a zone
            * is cut off and the leader fails. The version that wrote the first format had no
            * registry, so records of that format prove nothing.
            */
@@ -124,13 +124,12 @@
           @Override
           public void placed(int task, long attempt, String machine, long agentEpoch) {
             if (isApplicable(task) && !isRemovedMachine(machine)) {
-              Machine assigned = machines.getOrAdd(machine);
-              // An earlier leader may have renewed its lease until now, even if the machine is not
-              // in
-              // the registry.
-              assigned.session.setLastAnswerAt(
-                  Math.max(assigned.session.lastAnswerAt(), runtime.now()));
-              assignments.adopt(job, task, assigned, attempt, agentEpoch);
+              Machine assignedMachine = machines.getOrAdd(machine);
+              // An earlier leader may have renewed its lease until now, even if the machine is
+              // missing from the registry.
+              assignedMachine.session.setLastAnswerAt(
+                  Math.max(assignedMachine.session.lastAnswerAt(), runtime.now()));
+              assignments.adopt(job, task, assignedMachine, attempt, agentEpoch);
             }
           }
         });
--- a/src/test/java/org/snowturn/core/assignment/AttemptGuardTest.java
+++ b/src/test/java/org/snowturn/core/assignment/AttemptGuardTest.java
@@ -20,20 +20,25 @@
 import org.snowturn.wire.JobSpec;
 import org.snowturn.wire.Submissions;
 
-/** What would break an invariant is refused, counted, and logged once; nothing is thrown. */
+/**
+ * Guards against a task running in two places because a start is sent for an outdated attempt, or
+ * an attempt is released without proof that it has ended. Such an operation is rejected, counted
+ * and logged once, without an exception.
+ */
 class AttemptGuardTest {
   private static final long TOKEN = 7;
-  private static final long LAPSE_MS = 10_000;
+  private static final long LEASE_EXPIRY_MS = 10_000;
   private static final long ATTEMPT = 70;
-  private static final long SESSION = 2;
+  private static final long AGENT_EPOCH = 2;
 
   private final CoreRuntime runtime = new CoreRuntime(1);
-  private final MachineIndex machines = new MachineIndex(List.of("z"), machine -> new NoCommands());
-  private final AttemptGuard guard = new AttemptGuard(runtime, machines, TOKEN, LAPSE_MS);
+  private final MachineIndex machines =
+      new MachineIndex(List.of("z"), machine -> new DiscardedCommands());
+  private final AttemptGuard guard = new AttemptGuard(runtime, machines, TOKEN, LEASE_EXPIRY_MS);
   private final Machine machine = machines.getOrAdd("i-1");
   private Job job;
 
-  private static final class NoCommands implements CommandChannel {
+  private static final class DiscardedCommands implements CommandChannel {
     @Override
     public void add(Command command) {}
 
@@ -56,12 +61,12 @@
   }
 
   @BeforeEach
-  void aTaskIsStartedOnAMachine() throws Exception {
+  void startTaskOnMachine() throws Exception {
     job = new Job(0, JobSpec.parse(Submissions.array("wk-000001", 2)), 0, machines.zoneCount());
     runtime.setTime(1_000, 1_000);
-    machine.session.setEpoch(SESSION);
+    machine.session.setEpoch(AGENT_EPOCH);
     machine.session.setLastAnswerAt(1_000);
-    job.assign(0, machine, ATTEMPT, SESSION, TaskState.STARTING);
+    job.assign(0, machine, ATTEMPT, AGENT_EPOCH, TaskState.STARTING);
   }
 
   private static Command start(long attempt) {
@@ -70,7 +75,9 @@
 
   private long errors() {
     return runtime.drainEffects().stream()
-        .filter(effect -> effect instanceof Effect.Event v && v.severity() == Effect.Severity.ERROR)
+        .filter(
+            effect ->
+                effect instanceof Effect.Event event && event.severity() == Effect.Severity.ERROR)
         .count();
   }
 
@@ -79,27 +86,27 @@
   }
 
   @Test
-  void aStartOfWhatIsPlacedThereMayLeave() {
+  void aStartOfAnAssignedAttemptIsAllowed() {
     assertTrue(guard.mayStart(machine, job, start(ATTEMPT)));
     assertEquals(0, violations("start_is_placed"));
   }
 
   @Test
-  void aStartThatOutlivesItsAttemptMayNot() {
+  void aStartOfAnEndedAttemptIsRejected() {
     job.setState(0, TaskState.PENDING);
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
     assertFalse(guard.mayStart(machine, null, start(ATTEMPT)));
     assertEquals(2, violations("start_is_placed"));
-    assertEquals(1, errors(), "it is logged once");
+    assertEquals(1, errors(), "the violation is logged once");
   }
 
   @Test
-  void noStartLeavesForAnotherAttemptMachineOrSessionOrBeforeItIsDurable() {
+  void aStartThatDiffersFromTheDurablePlacementIsRejected() {
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT + 1)));
     assertFalse(guard.mayStart(machines.getOrAdd("i-2"), job, start(ATTEMPT)));
-    machine.session.setEpoch(SESSION + 1);
+    machine.session.setEpoch(AGENT_EPOCH + 1);
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
-    machine.session.setEpoch(SESSION);
+    machine.session.setEpoch(AGENT_EPOCH);
     job.setState(0, TaskState.PLACING);
     assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
     job.setState(0, TaskState.STARTING);
@@ -108,12 +115,12 @@
   }
 
   @Test
-  void anUnprovenEndIsRefusedWithItsEvidence() {
+  void anUnprovenEndIsRejectedAndLoggedOnce() {
     assertFalse(guard.hasEnded(job, 0, new EndEvidence.LeaseExpired()));
     assertFalse(guard.hasEnded(job, 0, new EndEvidence.LeaseExpired()));
     assertEquals(2, violations("end_is_proven"));
-    assertEquals(1, errors(), "it is logged once");
-    runtime.setTime(1_000 + LAPSE_MS, 0);
+    assertEquals(1, errors(), "the violation is logged once");
+    runtime.setTime(1_000 + LEASE_EXPIRY_MS, 0);
     assertTrue(guard.hasEnded(job, 0, new EndEvidence.LeaseExpired()));
     assertEquals(1.0, guard.gauges().get("snowturn.releases.lease_lapsed"));
     assertEquals(0, errors());
--- a/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
+++ b/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
@@ -36,15 +36,19 @@
 import org.snowturn.wire.TaskStatus.State;
 
 /**
- * The invariant of safety.md for one machine: an answer that renews its lease carries every stop
- * that is due there. Whoever cannot give them all does not renew.
+ * Guards against tasks of cancelled jobs that keep running because a machine's lease is renewed
+ * without stopping them (docs/safety.md). This can happen if messages overtake each other or if a
+ * start is still in flight: then the answer must carry all stops or not renew the lease.
  */
 class HeartbeatCommandsTest {
   private static final long TOKEN = 7;
   private static final String JOB = "wk-000001";
 
+  /** Time after the confirmation of a cancellation for which leases may still be renewed. */
+  private static final long SLACK_MS = 20_000;
+
   private final CoreRuntime runtime = new CoreRuntime(1);
-  private final Known known = new Known();
+  private final FakeCancellations cancellations = new FakeCancellations();
   private final MachineIndex machines =
       new MachineIndex(List.of("z"), machine -> new CommandQueue(runtime, HOST, machine));
   private final TaskAssignments assignments;
@@ -53,10 +57,10 @@
   private final Machine machine;
   private long now = 1_000_000;
 
-  /** What this node knows of cancellations: slack of 20 s, as leases and settings give it. */
-  private final class Known implements KnownCancellations {
+  /** Known cancellations that are set by the tests. */
+  private final class FakeCancellations implements KnownCancellations {
     private final Set<String> jobs = new HashSet<>();
-    private long until;
+    private long knownUntil;
 
     @Override
     public boolean isCancelled(String job) {
@@ -65,12 +69,12 @@
 
     @Override
     public long knownUntil() {
-      return until;
+      return knownUntil;
     }
 
     @Override
     public boolean leaseExpiresInTime(long confirmedAfter) {
-      return now - confirmedAfter < 20_000;
+      return now - confirmedAfter < SLACK_MS;
     }
   }
 
@@ -109,7 +113,7 @@
     AttemptGuard guard =
         new AttemptGuard(runtime, machines, TOKEN, HeartbeatProcessor.leaseExpiryMs(settings));
     Quota quota = new Quota(settings.teams());
-    assignments = new TaskAssignments(runtime, gate, writer, machines, quota, known, guard);
+    assignments = new TaskAssignments(runtime, gate, writer, machines, quota, cancellations, guard);
     heartbeats =
         new HeartbeatProcessor(
             runtime,
@@ -120,7 +124,7 @@
             new MachineTypes(runtime),
             new PreemptionRate(),
             TOKEN);
-    heartbeatCommands = new HeartbeatCommands(assignments, known, TOKEN);
+    heartbeatCommands = new HeartbeatCommands(assignments, cancellations, TOKEN);
     machine = machines.getOrAdd("i-1");
     runtime.setTime(now, now);
     heartbeats.apply(machine, report(1, List.of()));
@@ -138,13 +142,13 @@
     assignments.registry().add(JOB, new JobRecord(phase, 0, spec(JOB)), stamp);
   }
 
-  private static TaskStatus at(String job, long attempt, State s) {
-    TaskStatus.ExitReason why = s == State.ENDED ? TaskStatus.ExitReason.STOPPED : null;
-    return new TaskStatus(job, 0, attempt, s, why);
+  private static TaskStatus status(String job, long attempt, State state) {
+    TaskStatus.ExitReason exitReason = state == State.ENDED ? TaskStatus.ExitReason.STOPPED : null;
+    return new TaskStatus(job, 0, attempt, state, exitReason);
   }
 
-  /** Task 0 of the job is on the machine, its start has been sent. */
-  private Job started() throws Exception {
+  /** Creates the job with task 0 assigned to the machine and its start sent. */
+  private Job startJob() throws Exception {
     record(JobStatus.Phase.QUEUED, 5);
     Job job = assignments.job(JOB);
     assignments.assign(job, 0, machine, assignments.newAttempt());
@@ -152,13 +156,13 @@
     return job;
   }
 
-  private static boolean stops(HeartbeatCommands.Answer o, String job) {
-    return o.commands().stream()
+  private static boolean hasStop(HeartbeatCommands.Answer answer, String job) {
+    return answer.commands().stream()
         .anyMatch(command -> command.op() == Command.Op.STOP && command.job().equals(job));
   }
 
-  private static boolean starts(HeartbeatCommands.Answer o) {
-    return o.commands().stream().anyMatch(command -> command.op() == Command.Op.START);
+  private static boolean hasStart(HeartbeatCommands.Answer answer) {
+    return answer.commands().stream().anyMatch(command -> command.op() == Command.Op.START);
   }
 
   private HeartbeatCommands.Answer answer(Heartbeat heartbeat) {
@@ -166,150 +170,159 @@
     return heartbeatCommands.respond(machine, heartbeat);
   }
 
-  /** How this leader has come to know of the cancellation. */
-  enum Heard {
-    FROM_A_PEER,
-    FROM_ITS_RECORD,
-    FROM_BOTH,
-    RECORD_GONE
+  /** How this leader learns of the cancellation. */
+  enum CancellationSource {
+    PEER,
+    JOB_RECORD,
+    PEER_AND_JOB_RECORD,
+    JOB_REMOVED
   }
 
-  private void hear(Heard how) throws Exception {
-    if (how == Heard.FROM_A_PEER || how == Heard.FROM_BOTH) {
-      known.jobs.add(JOB);
+  private void learnOfCancellation(CancellationSource source) throws Exception {
+    if (source == CancellationSource.PEER || source == CancellationSource.PEER_AND_JOB_RECORD) {
+      cancellations.jobs.add(JOB);
       assignments.registry().confirmCancellation(JOB);
     }
-    if (how == Heard.FROM_ITS_RECORD || how == Heard.FROM_BOTH) {
+    if (source == CancellationSource.JOB_RECORD
+        || source == CancellationSource.PEER_AND_JOB_RECORD) {
       record(JobStatus.Phase.ABORTED, 6);
     }
-    if (how == Heard.RECORD_GONE) {
+    if (source == CancellationSource.JOB_REMOVED) {
       assignments.registry().remove(JOB);
     }
   }
 
   @ParameterizedTest
-  @EnumSource(Heard.class)
-  void aCheckInThatANewerMessageHasOvertakenIsAnsweredWithTheStops(Heard how) throws Exception {
-    long attempt = started().attemptOf(0);
-    hear(how);
-    Heartbeat overtaken = report(10, List.of(at(JOB, attempt, State.RUNNING)));
-    heartbeats.apply(machine, report(11, List.of(at(JOB, attempt, State.RUNNING))));
-    HeartbeatCommands.Answer o = answer(overtaken);
-    assertTrue(o.renewsLease() && stops(o, JOB), o.toString());
+  @EnumSource(CancellationSource.class)
+  void anOvertakenHeartbeatIsAnsweredWithStops(CancellationSource source) throws Exception {
+    long attempt = startJob().attemptOf(0);
+    learnOfCancellation(source);
+    Heartbeat overtaken = report(10, List.of(status(JOB, attempt, State.RUNNING)));
+    heartbeats.apply(machine, report(11, List.of(status(JOB, attempt, State.RUNNING))));
+    HeartbeatCommands.Answer answer = answer(overtaken);
+    assertTrue(answer.renewsLease() && hasStop(answer, JOB), answer.toString());
   }
 
   @Test
-  void soIsOneThatDoesNotListItYet() throws Exception {
-    long attempt = started().attemptOf(0);
-    hear(Heard.FROM_A_PEER);
-    heartbeats.apply(machine, report(11, List.of(at(JOB, attempt, State.RUNNING))));
-    HeartbeatCommands.Answer o = answer(report(10, List.of()));
-    assertTrue(o.renewsLease() && stops(o, JOB), o.toString());
+  void anOvertakenHeartbeatWithoutTheTaskIsAnsweredWithStops() throws Exception {
+    long attempt = startJob().attemptOf(0);
+    learnOfCancellation(CancellationSource.PEER);
+    heartbeats.apply(machine, report(11, List.of(status(JOB, attempt, State.RUNNING))));
+    HeartbeatCommands.Answer answer = answer(report(10, List.of()));
+    assertTrue(answer.renewsLease() && hasStop(answer, JOB), answer.toString());
   }
 
   @Test
-  void whatCanNoLongerArriveIsReleasedWithoutBeingStarted() throws Exception {
-    Job job = started();
-    hear(Heard.FROM_BOTH);
-    HeartbeatCommands.Answer o = answer(report(2, List.of()));
-    assertFalse(starts(o), o.toString());
+  void aCancelledTaskWithoutPendingStartIsReleased() throws Exception {
+    Job job = startJob();
+    learnOfCancellation(CancellationSource.PEER_AND_JOB_RECORD);
+    HeartbeatCommands.Answer answer = answer(report(2, List.of()));
+    assertFalse(hasStart(answer), answer.toString());
     assertFalse(job.isAssigned(0));
   }
 
   @Test
-  void aStartThatAnAnswerHasJustCarriedMayStillBeCarriedOut() throws Exception {
-    Job job = started();
-    assertTrue(starts(answer(report(2, List.of()))), "lost, so sent again");
-    hear(Heard.FROM_BOTH);
-    // An answer to a direct message may have left the machine before that answer came there.
+  void aStartInTheLatestAnswerMayStillBeExecuted() throws Exception {
+    Job job = startJob();
+    assertTrue(hasStart(answer(report(2, List.of()))), "the lost start is sent again");
+    learnOfCancellation(CancellationSource.PEER_AND_JOB_RECORD);
+    // The machine may have replied to a direct message before that answer reached it.
     heartbeats.apply(machine, report(3, List.of()));
     assertTrue(job.isAssigned(0));
     answer(report(4, List.of()));
-    assertFalse(job.isAssigned(0), "it has checked in since: carried out by now, or never");
+    assertFalse(
+        job.isAssigned(0),
+        "the worker has sent a later heartbeat of its own, so the start can no longer be executed");
   }
 
   @Test
-  void aStartInDoubtIsNotRepeatedAndItsMachineRenewedOnlyWhileItWouldLapseInTime()
-      throws Exception {
-    Job job = started();
+  void aStartInDoubtOfACancelledJobIsNotRepeatedAndLimitsRenewals() throws Exception {
+    Job job = startJob();
     machine.startsInDoubt.add(CommandQueue.attemptKey(job.attemptOf(0), 0));
-    known.until = now - 300;
-    hear(Heard.FROM_BOTH);
-    for (int s = 0; s < 40; s++) {
+    cancellations.knownUntil = now - 300;
+    learnOfCancellation(CancellationSource.PEER_AND_JOB_RECORD);
+    for (int second = 0; second < 40; second++) {
       now += 1_000;
       runtime.setTime(now, now);
-      known.until = now; // what is heard later moves nothing for what was heard before
-      HeartbeatCommands.Answer o = answer(report(2 + s, List.of()));
-      assertFalse(starts(o), o.toString());
-      assertEquals(s * 1_000 + 1_300 < 20_000, o.renewsLease(), "after " + s + " s");
+      cancellations.knownUntil = now; // must not affect the older cancellation of this job
+      HeartbeatCommands.Answer answer = answer(report(2 + second, List.of()));
+      assertFalse(hasStart(answer), answer.toString());
+      assertEquals(
+          second * 1_000 + 1_300 < SLACK_MS, answer.renewsLease(), "after " + second + " s");
       assertTrue(job.isAssigned(0));
     }
-    // Once it has been carried out it can be stopped, so nothing else need lapse with it.
-    HeartbeatCommands.Answer o =
-        answer(report(50, List.of(at(JOB, job.attemptOf(0), State.RUNNING))));
-    assertTrue(o.renewsLease() && stops(o, JOB), o.toString());
+    // Once the task is listed it can be stopped, so the lease is renewed again.
+    HeartbeatCommands.Answer answer =
+        answer(report(50, List.of(status(JOB, job.attemptOf(0), State.RUNNING))));
+    assertTrue(answer.renewsLease() && hasStop(answer, JOB), answer.toString());
   }
 
-  /** A refusal ends its own attempt; the task may wait again only once no other lives there. */
+  /** A rejected task may be queued again only once no other attempt of it lives on the machine. */
   @Test
-  void aBusyRefusalBesideALiveAttemptReleasesNothing() throws Exception {
-    Job job = started();
+  void aBusyRejectionWithAnotherLiveAttemptReleasesNothing() throws Exception {
+    Job job = startJob();
     long attempt = job.attemptOf(0);
-    TaskStatus refused = new TaskStatus(JOB, 0, attempt, State.ENDED, TaskStatus.ExitReason.BUSY);
-    TaskStatus other = at(JOB, attempt - 1, State.RUNNING);
-    HeartbeatCommands.Answer o = answer(report(2, List.of(refused, other)));
+    TaskStatus rejected = new TaskStatus(JOB, 0, attempt, State.ENDED, TaskStatus.ExitReason.BUSY);
+    TaskStatus other = status(JOB, attempt - 1, State.RUNNING);
+    HeartbeatCommands.Answer answer = answer(report(2, List.of(rejected, other)));
     assertTrue(job.isAssigned(0));
-    assertTrue(stops(o, JOB), "the other one is stopped: " + o);
-    answer(report(3, List.of(refused, at(JOB, attempt - 1, State.ENDED))));
+    assertTrue(hasStop(answer, JOB), "the other attempt is stopped: " + answer);
+    answer(report(3, List.of(rejected, status(JOB, attempt - 1, State.ENDED))));
     assertFalse(job.isAssigned(0));
   }
 
   @Test
-  void otherTasksOfTheMachineGoOnAsBefore() throws Exception {
-    Job job = started();
+  void aStartInDoubtOfALiveJobIsRepeated() throws Exception {
+    Job job = startJob();
     machine.startsInDoubt.add(CommandQueue.attemptKey(job.attemptOf(0), 0));
-    HeartbeatCommands.Answer o = answer(report(2, List.of()));
-    assertTrue(o.renewsLease() && starts(o) && !stops(o, JOB), o.toString());
+    HeartbeatCommands.Answer answer = answer(report(2, List.of()));
+    assertTrue(
+        answer.renewsLease() && hasStart(answer) && !hasStop(answer, JOB), answer.toString());
   }
 
-  /** Any order of messages, some overtaken: what may run and is cancelled is stopped, or lapses. */
+  /**
+   * Delivers heartbeats in random order: a cancelled task that may run is either stopped, or the
+   * machine's lease is not renewed for longer than allowed.
+   */
   @Test
-  void noOrderOfMessagesRenewsWithoutTheStops() throws Exception {
+  void noMessageOrderRenewsTheLeaseWithoutStops() throws Exception {
     SplittableRandom random = new SplittableRandom(5);
-    int renewed = 0;
-    Job job = started();
+    int renewals = 0;
+    Job job = startJob();
     long attempt = job.attemptOf(0);
-    boolean heard = false;
-    List<Heartbeat> late = new ArrayList<>();
+    boolean cancelled = false;
+    List<Heartbeat> delayed = new ArrayList<>();
     for (int seq = 2; seq < 2_000; seq++) {
       now += random.nextInt(200);
       runtime.setTime(now, now);
       List<TaskStatus> tasks =
-          random.nextBoolean() ? List.of(at(JOB, attempt, State.RUNNING)) : List.of();
+          random.nextBoolean() ? List.of(status(JOB, attempt, State.RUNNING)) : List.of();
       Heartbeat heartbeat = report(seq, tasks);
       if (random.nextInt(3) == 0) {
-        late.add(heartbeat);
+        delayed.add(heartbeat);
         continue;
       }
       if (seq == 500) {
-        known.until = now;
+        cancellations.knownUntil = now;
         machine.startsInDoubt.add(CommandQueue.attemptKey(attempt, 0));
-        hear(Heard.FROM_BOTH);
-        heard = true;
+        learnOfCancellation(CancellationSource.PEER_AND_JOB_RECORD);
+        cancelled = true;
       }
-      Heartbeat next = late.isEmpty() || random.nextBoolean() ? heartbeat : late.remove(0);
+      Heartbeat next = delayed.isEmpty() || random.nextBoolean() ? heartbeat : delayed.remove(0);
       if (random.nextInt(4) == 0) {
-        heartbeats.apply(machine, next); // an answer to a direct message: nothing is renewed
+        heartbeats.apply(machine, next); // a reply to a direct message renews nothing
         continue;
       }
-      HeartbeatCommands.Answer o = answer(next);
-      renewed += o.renewsLease() ? 1 : 0;
-      assertFalse(heard && starts(o), "started: " + o);
-      boolean lists = !next.tasks().isEmpty();
-      assertTrue(!heard || !o.renewsLease() || !lists || stops(o, JOB), "not stopped: " + o);
-      boolean doubtful = heard && job.isAssigned(0) && !lists && now - known.until >= 20_000;
-      assertFalse(doubtful && o.renewsLease(), "renewed, though a start may still arrive");
+      HeartbeatCommands.Answer answer = answer(next);
+      boolean renewed = answer.renewsLease();
+      renewals += renewed ? 1 : 0;
+      assertFalse(cancelled && hasStart(answer), "started: " + answer);
+      boolean listed = !next.tasks().isEmpty();
+      assertTrue(!cancelled || !renewed || !listed || hasStop(answer, JOB), "no stop: " + answer);
+      boolean mayStillStart =
+          cancelled && job.isAssigned(0) && !listed && now - cancellations.knownUntil >= SLACK_MS;
+      assertFalse(mayStillStart && renewed, "renewed although a start may still arrive");
     }
-    assertTrue(renewed > 100);
+    assertTrue(renewals > 100);
   }
 }
