--- a/src/main/java/org/snowturn/core/assignment/JobCompletion.java
+++ b/src/main/java/org/snowturn/core/assignment/JobCompletion.java
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Replaces the records of a job by its final record if the job has ended, finished or aborted.
-   * The transaction that writes the final record makes all results durable at once.
+   * Replaces the records of a job by its final record if the job is finished or aborted. The
+   * transaction that writes the final record makes all results durable at once.
    */
   void finishIfEnded(Job job) {
     if (job.isFinishing() || !hasEnded(job) || assignments.job(job.spec.id()) != job) {
--- a/src/main/java/org/snowturn/core/assignment/JobListener.java
+++ b/src/main/java/org/snowturn/core/assignment/JobListener.java
@@ -8,7 +8,7 @@
   /** Handles a live job that was added to the registry. */
   default void onJobAdded(Job job) {}
 
-  /** Handles a job whose stored record was found to be cancelled. */
+  /** Handles a job whose stored record is now known to be cancelled. */
   default void onJobCancelled(Job job) {}
 
   /**
--- a/src/main/java/org/snowturn/core/assignment/JobRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/JobRegistry.java
@@ -101,7 +101,7 @@
    */
   public void add(String id, JobRecord stored, long version) {
     if (endedJobs.containsKey(id)) {
-      return; // finishing the job a second time would only cost failing writes
+      return; // the job would be finished a second time, with writes that fail
     }
     if (quarantinedJobs.contains(id)) {
       if (stored.phase() != JobStatus.Phase.ABORTED) {
@@ -202,9 +202,8 @@
       return;
     }
     endedJobs.put(id, true);
-    // Only a leader removes a live record, on condition of its last known version. So if this
-    // leader
-    // was finishing the job, the job has ended in the phase that this leader was writing.
+    // Only a leader removes a live record, and only in its last known version. So a job that this
+    // leader was finishing has ended in the phase that this leader wrote.
     JobStatus.Phase phase =
         !job.isFinishing()
             ? null
--- a/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
+++ b/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
@@ -64,8 +64,7 @@
 
   private void applyRunning(Machine machine, Job job, int task) {
     if (job.stateOf(task) != TaskState.RUNNING) {
-      // The start time of a task that an earlier leader started is unknown. It never counts as
-      // slow.
+      // The start time is unknown if an earlier leader started the task: it never counts as slow.
       job.setStateSince(task, job.adopted.get(task) ? MonotonicTime.NEVER : runtime.now());
       job.setState(task, TaskState.RUNNING);
       logLateReplica(machine, job, task);
