--- a/src/main/java/org/snowturn/core/leader/AssignmentServices.java
+++ b/src/main/java/org/snowturn/core/leader/AssignmentServices.java
@@ -117,15 +117,15 @@
       DependencyGraph dependencyGraph,
       FailureHandler failureHandler,
       KnownCancellations cancellations) {
-    assignments.registry().listen(dependencyGraph);
-    assignments.registry().listen(failureHandler);
+    assignments.registry().addListener(dependencyGraph);
+    assignments.registry().addListener(failureHandler);
     assignments
         .registry()
-        .listen(
+        .addListener(
             new JobListener() {
               @Override
-              public void joined(Job job) {
-                if (cancellations.known(job.spec.id())) {
+              public void onJobAdded(Job job) {
+                if (cancellations.isCancelled(job.spec.id())) {
                   job.confirmCancellation(MonotonicTime.NEVER);
                 }
               }
@@ -135,7 +135,7 @@
   private static KnownCancellations knownCancellations(CancellationWatermark watermark) {
     return new KnownCancellations() {
       @Override
-      public boolean known(String job) {
+      public boolean isCancelled(String job) {
         return watermark.isCancelled(job);
       }
 
@@ -145,7 +145,7 @@
       }
 
       @Override
-      public boolean lapsesInTime(long confirmedAfter) {
+      public boolean leaseExpiresInTime(long confirmedAfter) {
         return watermark.wouldLeaseExpireInTime(confirmedAfter);
       }
     };
--- a/src/main/java/org/snowturn/core/leader/HealthSweep.java
+++ b/src/main/java/org/snowturn/core/leader/HealthSweep.java
@@ -91,7 +91,7 @@
       if (machine.machineType() == null && machine.type() != null) {
         machine.setMachineType(shared.machineTypes().get(machine.type()));
       }
-      services.heartbeatProcessor().leaseExpired(machine);
+      services.heartbeatProcessor().releaseIfLeaseExpired(machine);
       if (MachineSilence.hasBeenUp(machine)) {
         checkMachine(machine);
       }
@@ -160,7 +160,7 @@
     silentCount += isLost && !machine.isTerminating() ? 1 : 0;
     heardCount += isLost ? 0 : 1;
     missingHeartbeatsCount += missesHeartbeats && !isSilent ? 1 : 0;
-    services.failureHandler().review(machine);
+    services.failureHandler().reassess(machine);
     if (isSilent) {
       probeOrReplaceSilent(machine);
     } else {
@@ -190,7 +190,7 @@
    */
   private long unreachableLimitMs() {
     return Math.max(
-        HeartbeatProcessor.silenceLimitMs(settings),
+        HeartbeatProcessor.maxHeartbeatIntervalMs(settings),
         (long) (HALF_LEASE_MS_PER_S * settings.workers().leaseS()));
   }
 
--- a/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
+++ b/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
@@ -67,7 +67,7 @@
     } else if (!recovery.isLoaded()) {
       recovery.keepEarlyHeartbeat(machine, heartbeat);
       machine.session.setLastAnswerAt(runtime.now());
-      answer(exchange, machine, heartbeat, heartbeatCommands.stops(heartbeat));
+      answer(exchange, machine, heartbeat, heartbeatCommands.stopCommands(heartbeat));
     } else if (reachability.isStale(machine, heartbeat)) {
       refuse(exchange, heartbeat, "late_copy");
     } else {
@@ -80,7 +80,7 @@
     apply(machine, heartbeat);
     reachability.onHeartbeatApplied(machine, heartbeat);
     HeartbeatCommands.Answer answer = heartbeatCommands.respond(machine, heartbeat);
-    if (!answer.renews()) {
+    if (!answer.renewsLease()) {
       runtime
           .events()
           .info(LogEvent.MACHINE_LEASE_NOT_RENEWED)
@@ -89,7 +89,7 @@
       refuse(exchange, heartbeat, "start_in_doubt_of_cancelled_job");
       return;
     }
-    services.heartbeatProcessor().leaseRenewed(machine);
+    services.heartbeatProcessor().onLeaseRenewed(machine);
     answer(exchange, machine, heartbeat, answer.commands());
   }
 
@@ -110,7 +110,7 @@
   /** Applies a heartbeat to the term's state, and registers its machine if that is needed. */
   void apply(Machine machine, Heartbeat heartbeat) {
     if (machine.addr() == null || machine.machineType() == null || !machine.isRegistered()) {
-      services.heartbeatProcessor().describe(machine, heartbeat);
+      services.heartbeatProcessor().updateDescription(machine, heartbeat);
       if (machine.firstSeenAt() == 0) {
         machine.setFirstSeenAt(runtime.now());
       }
--- a/src/main/java/org/snowturn/core/leader/MachineSilence.java
+++ b/src/main/java/org/snowturn/core/leader/MachineSilence.java
@@ -61,7 +61,7 @@
 
   /** Returns whether workers have had enough time to find this leader. */
   boolean isReassignmentPeriodOver() {
-    return isTermOlderThan(HeartbeatProcessor.reassignmentMs(settings));
+    return isTermOlderThan(HeartbeatProcessor.maxLeaderDiscoveryMs(settings));
   }
 
   /** Returns whether a machine that has been up has not been heard in time. */
--- a/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
+++ b/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
@@ -75,7 +75,7 @@
   void onHeartbeatApplied(Machine machine, Heartbeat heartbeat) {
     if (heartbeat.agentEpoch() == machine.epoch()) {
       machine.reachability.onHeartbeatReceived(
-          heartbeat.sequence(), runtime.now(), HeartbeatProcessor.heartbeatDueMs(settings));
+          heartbeat.sequence(), runtime.now(), HeartbeatProcessor.maxAnsweredHeartbeatIntervalMs(settings));
     }
     probeIfDue(machine);
   }
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
@@ -68,7 +68,7 @@
   void load(StoredRecords records) {
     for (StateMessage.Entry entry : records.registryPages().entries()) {
       if (!tryLoad(entry, () -> services.registry().load(entry, this::initializeMachine))) {
-        assignments.registryIncomplete();
+        assignments.markRegistryIncomplete();
       }
     }
     loadJobs(records);
@@ -138,7 +138,7 @@
             .forEach(usedChunkKeys::add);
       }
     }
-    new SubmissionChunks(runtime, services.writer()).dropUnused(chunks, usedChunkKeys);
+    new SubmissionChunks(runtime, services.writer()).deleteUnused(chunks, usedChunkKeys);
   }
 
   private void loadJob(
