--- a/src/main/java/org/snowturn/core/api/JobStatusReader.java
+++ b/src/main/java/org/snowturn/core/api/JobStatusReader.java
@@ -66,10 +66,10 @@
   }
 
   private void readFromCache(long exchange, String id, Consumer<JobStatus> then) {
-    LiveJobs.Seen live = liveJobs.get(id);
+    LiveJobs.CachedJob live = liveJobs.get(id);
     if (live == null) {
       readFinalRecord(exchange, id, () -> readRecords(exchange, id, then), then);
-    } else if (!live.cancelled() && mayNeedCancelled(live.awaits())) {
+    } else if (!live.cancelled() && mayNeedCancelled(live.dependencies())) {
       responses.refuse(exchange);
     } else {
       JobStatus.Phase phase = live.cancelled() ? JobStatus.Phase.ABORTED : JobStatus.Phase.QUEUED;
@@ -163,8 +163,8 @@
       if (cancelled.known(id)) {
         return true;
       }
-      LiveJobs.Seen live = liveJobs.get(id);
-      for (String dependency : live == null ? List.<String>of() : live.awaits()) {
+      LiveJobs.CachedJob live = liveJobs.get(id);
+      for (String dependency : live == null ? List.<String>of() : live.dependencies()) {
         if (seen.add(dependency)) {
           next.add(dependency);
         }
--- a/src/main/java/org/snowturn/core/api/LiveJobCache.java
+++ b/src/main/java/org/snowturn/core/api/LiveJobCache.java
@@ -96,11 +96,11 @@
 
   /** Whether there is a cache that can be proven fresh by one read. */
   public boolean known() {
-    return jobs.known();
+    return jobs.isLoaded();
   }
 
   /** A live job, as of the last proof; null if there was none of this name. */
-  public LiveJobs.Seen get(String id) {
+  public LiveJobs.CachedJob get(String id) {
     return jobs.get(id);
   }
 
@@ -138,7 +138,7 @@
     }
     requestOpen = true;
     nextAt = now + minIntervalMs;
-    if (jobs.known()) {
+    if (jobs.isLoaded()) {
       readChanges();
     } else {
       load();
@@ -165,7 +165,7 @@
             return;
           }
           if (outcome == Outcome.ANSWERED && status == CHANGES_GONE) {
-            jobs.drop();
+            jobs.clear();
           }
           covered.addAll(waiting);
           waiting = covered;
@@ -181,7 +181,7 @@
         return false;
       }
       List<StateMessage.Entry> changes = StateMessage.changes(body);
-      jobs.follow(changes, revision);
+      jobs.applyChanges(changes, revision);
       changes.forEach(this::tellIfCancelled);
       return true;
     } catch (MalformedException e) {
@@ -191,7 +191,7 @@
           .with(LogField.REQUEST, "watch jobs")
           .with(LogField.ERROR, e.getMessage())
           .write();
-      jobs.drop();
+      jobs.clear();
       return false;
     }
   }
--- a/src/main/java/org/snowturn/core/api/SubmissionValidator.java
+++ b/src/main/java/org/snowturn/core/api/SubmissionValidator.java
@@ -19,7 +19,7 @@
 
   /** Whether enough is known to judge. */
   boolean ready() {
-    return machineTypes.known();
+    return machineTypes.isLoaded();
   }
 
   /** Why a job could never run, for the user; null if it could. Dependencies are not looked at. */
--- a/src/main/java/org/snowturn/core/assignment/FailureHandler.java
+++ b/src/main/java/org/snowturn/core/assignment/FailureHandler.java
@@ -48,7 +48,7 @@
     }
     attribution.succeeded(job.index, machine.index);
     job.failures.clearSuspicion();
-    machine.failures.succeeded();
+    machine.failures.recordSuccess();
   }
 
   /** The task has failed; it waits again after this. */
@@ -64,14 +64,14 @@
       attribution.proven(job.index); // also by what earlier leaders have recorded
     }
     attribution.failed(job.index, machine.index);
-    job.failures.failed(task, machine.index);
-    machine.failures.failed(attribution.isHealthy(machine.index));
+    job.failures.recordFailure(task, machine.index);
+    machine.failures.recordFailure(attribution.isHealthy(machine.index));
     if (attribution.isSuspected(job.index)) {
       suspect(job);
     }
     machine.failures.setUnexplained(attribution.unexplainedFailures(machine.index));
     quarantineIfSick(machine);
-    if (!machine.failures.isSound() && machine.failures.unexplained() > 0) {
+    if (!machine.failures.isHealthy() && machine.failures.unexplained() > 0) {
       int doublings = Math.min(MAX_UNEXPLAINED_DOUBLINGS, machine.failures.unexplained() - 1);
       machine.failures.blockUntil(runtime.now() + (UNEXPLAINED_MS << doublings));
     } else {
@@ -94,7 +94,7 @@
 
   private void suspect(Job job) {
     if (!job.failures.isSuspect()) {
-      job.failures.suspect();
+      job.failures.markSuspect();
       runtime
           .events()
           .info(LogEvent.JOB_SUSPECTED)
@@ -103,7 +103,7 @@
           .write();
     }
     int doublings = Math.min(MAX_PAUSE_DOUBLINGS, job.failures.probeCount());
-    job.failures.probeFailed();
+    job.failures.recordFailedProbe();
     job.failures.backOff(runtime.now() + Math.min(MAX_PAUSE_MS, FIRST_PAUSE_MS << doublings));
   }
 
@@ -116,8 +116,8 @@
     boolean tells =
         machine.failures.unexplained() > 0 || (job.failures.count() > 0 && job.done() == 0);
     if (tells
-        && job.stateSince(task) != MonotonicTime.NEVER
-        && runtime.now() - job.stateSince(task) >= PROVEN_BY_RUNNING_MS) {
+        && job.runningSince(task) != MonotonicTime.NEVER
+        && runtime.now() - job.runningSince(task) >= PROVEN_BY_RUNNING_MS) {
       succeeded(machine, job);
     }
   }
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
@@ -52,7 +52,7 @@
     List<Command> out = new ArrayList<>();
     boolean newest =
         heartbeat.agentEpoch() == machine.epoch()
-            && heartbeat.sequence() == machine.session.heartbeatSeq();
+            && heartbeat.sequence() == machine.session.heartbeatSequence();
     LongHashSet listed = addListed(machine, heartbeat, newest, out);
     boolean renews = true;
     for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
@@ -73,7 +73,7 @@
       Job job = named != null && status.task() < named.taskCount() ? named : null;
       boolean here = job != null && ReconciliationCases.here(machine, job, status);
       if (here) {
-        listed.add(Job.ref(job.index, status.task()));
+        listed.add(Job.taskReference(job.index, status.task()));
       }
       Command command =
           newest
@@ -127,7 +127,7 @@
     if (job.isCancelled()) {
       out.add(assignments.stopCommand(job, task)); // a newer message may have shown it there
       return !ReconciliationCases.inDoubt(machine, job.attemptOf(task), task)
-          || cancellations.lapsesInTime(job.notConfirmedBefore());
+          || cancellations.lapsesInTime(job.earliestConfirmationAt());
     }
     if (verdict == Verdict.START) {
       repeatStart(machine, job, task, out);
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
@@ -111,7 +111,7 @@
     if (machine.lastHeartbeatAt() == MonotonicTime.NEVER) {
       machine.session.setHeartbeatDueAt(runtime.now() + reassignmentMs(settings));
     }
-    machine.session.heartbeat(heartbeat.sequence(), runtime.now(), silenceLimitMs(settings));
+    machine.session.recordHeartbeat(heartbeat.sequence(), runtime.now(), silenceLimitMs(settings));
     machine.clearSuspicion();
     boolean carriesToken = heartbeat.token() == token;
     machine.reachability.heartbeatAccepted(carriesToken);
@@ -134,7 +134,7 @@
     boolean overtaken =
         heartbeat.agentEpoch() < machine.epoch()
             || (heartbeat.agentEpoch() == machine.epoch()
-                && heartbeat.sequence() <= machine.session.heartbeatSeq());
+                && heartbeat.sequence() <= machine.session.heartbeatSequence());
     // Or it is a late one of a session whose lease has expired.
     return !overtaken && heartbeat.agentEpoch() > machine.session.endedEpoch();
   }
@@ -146,7 +146,7 @@
     machine.session.setLastAnswerAt(Math.max(machine.session.lastAnswerAt(), runtime.now()));
     machine.session.clearAcknowledgement();
     machine.startsInDoubt.clear();
-    machine.commands().drop();
+    machine.commands().discardUnsent();
     machine.reachability.newAgentEpoch(runtime.now());
     endSessionsBefore(machine, epoch);
   }
@@ -183,13 +183,13 @@
       }
       Verdict verdict = Reconciliation.of(cases.listed(machine, heartbeat, status, job));
       if (ReconciliationCases.here(machine, job, status)) {
-        listed.add(Job.ref(job.index, status.task()));
+        listed.add(Job.taskReference(job.index, status.task()));
         reportedTasks.seen(machine, job, status, verdict, heartbeat);
       } else if (verdict == Verdict.COMPLETE) {
         assignments.completeWaiting(job, status.task());
       }
     }
-    machine.setUnaccounted(unaccounted);
+    machine.setUnaccountedTasks(unaccounted);
     return listed;
   }
 
@@ -237,9 +237,9 @@
         .with(LogField.MACHINE, machine.id)
         .with(LogField.ASSIGNED, machine.assigned.size())
         .write();
-    machine.session.endedUntil(machine.epoch());
+    machine.session.markEndedThrough(machine.epoch());
     for (long ref : copy(machine.assigned)) {
-      machine.session.endedUntil(assignments.job(ref).epochOf(TaskAssignments.task(ref)));
+      machine.session.markEndedThrough(assignments.job(ref).epochOf(TaskAssignments.task(ref)));
     }
     machine.session.clearAcknowledgement();
     releaseAll(machine, new EndEvidence.LeaseExpired());
@@ -259,16 +259,16 @@
     for (long ref : copy(machine.assigned)) {
       assignments.release(assignments.job(ref), TaskAssignments.task(ref), evidence);
     }
-    machine.commands().drop();
+    machine.commands().discardUnsent();
   }
 
   /** Takes a machine's description from its report. */
   public void describe(Machine machine, Heartbeat heartbeat) {
-    machine.setAddr(heartbeat.address());
+    machine.setAddress(heartbeat.address());
     machine.commands().resume();
     machine.setType(heartbeat.type());
     machine.setSpot(heartbeat.spot());
     machine.setMachineType(machineTypes.get(heartbeat.type()));
-    assignments.setZone(machine, machines.zone(heartbeat.zone()));
+    assignments.setZone(machine, machines.zoneIndex(heartbeat.zone()));
   }
 }
--- a/src/main/java/org/snowturn/core/assignment/JobCompletion.java
+++ b/src/main/java/org/snowturn/core/assignment/JobCompletion.java
@@ -109,7 +109,7 @@
   }
 
   private void retryLater(Job job, List<Change> later) {
-    job.finishingFailed();
+    job.abortFinishing();
     if (assignments.job(job.spec.id()) != job) {
       // It was carried out, and only its answer was lost.
       writer.deleteLater(List.of(), later);
@@ -133,12 +133,12 @@
             .with(LogField.PHASE, phase.wire())
             .with(LogField.TASKS, job.taskCount())
             .with(LogField.ESTIMATE_S, job.spec.estimateS())
-            .with(LogField.MEDIAN_S, job.median())
+            .with(LogField.MEDIAN_S, job.medianRunTimeS())
             .with(
                 LogField.PLACED_AFTER_S,
-                secondsAfterSubmission(job, Math.max(job.placedWall(), job.submittedWall)))
+                secondsAfterSubmission(job, Math.max(job.placedWallMs(), job.submittedWallMs)))
             .with(LogField.DONE_AFTER_S, secondsAfterSubmission(job, runtime.wallMs()))
-            .with(LogField.RELEASED_AFTER_S, secondsAfterSubmission(job, job.releasedWall()))
+            .with(LogField.RELEASED_AFTER_S, secondsAfterSubmission(job, job.releasedWallMs()))
             .with(LogField.RESTARTS, job.restarts());
     if (lateS >= -NO_DEADLINE_S) {
       line.with(LogField.LATE_S, lateS);
@@ -147,6 +147,6 @@
   }
 
   private static double secondsAfterSubmission(Job job, long wallMs) {
-    return (wallMs - job.submittedWall) / 1000.0;
+    return (wallMs - job.submittedWallMs) / 1000.0;
   }
 }
--- a/src/main/java/org/snowturn/core/assignment/JobRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/JobRegistry.java
@@ -80,7 +80,7 @@
     return jobs.get(id);
   }
 
-  /** The job of a task that {@link Job#ref} names. */
+  /** The job of a task that {@link Job#taskReference} names. */
   Job byReference(long reference) {
     return byIndex.get((int) (reference >>> 32));
   }
--- a/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
@@ -93,7 +93,7 @@
       left -=
           ENTRY_OVERHEAD_BYTES
               + machine.id.length()
-              + (machine.addr() == null ? 0 : machine.addr().length());
+              + (machine.address() == null ? 0 : machine.address().length());
       if (left < 0) {
         break;
       }
@@ -143,7 +143,7 @@
       ArrayNode entry = all.addArray();
       entry
           .add(machine.id)
-          .add(machine.addr())
+          .add(machine.address())
           .add(machine.type())
           .add(machines.zoneName(machine.zone()))
           .add(machine.isSpot());
@@ -170,7 +170,7 @@
         kinds.add(kind);
         kindNumber = numbers.size() - 1;
       }
-      names.add(machine, all.addArray().add(machine.id).add(machine.addr()).add(kindNumber));
+      names.add(machine, all.addArray().add(machine.id).add(machine.address()).add(kindNumber));
     }
     return object;
   }
@@ -193,7 +193,7 @@
       }
       ArrayNode has = entry.addArray();
       int skip = Math.max(0, machine.images.size() - most);
-      for (Map.Entry<String, Double> image : machine.images.leastRecentFirst()) {
+      for (Map.Entry<String, Double> image : machine.images.leastRecentlyUsedFirst()) {
         if (skip-- > 0) {
           continue;
         }
@@ -245,9 +245,9 @@
       Machine machine = machines.getOrAdd(value.path(0).asText());
       // The first format has type, zone and kind on each entry, the second has their number.
       JsonNode kinds = entry.value().path("k").path(value.path(2).asInt());
-      machine.setAddr(value.path(1).asText(null));
+      machine.setAddress(value.path(1).asText(null));
       machine.setType((second ? kinds.path(0) : value.path(2)).asText(null));
-      machine.setZone(machines.zone((second ? kinds.path(1) : value.path(3)).asText()));
+      machine.setZone(machines.zoneIndex((second ? kinds.path(1) : value.path(3)).asText()));
       machine.setSpot((second ? kinds.path(2) : value.path(4)).asBoolean());
       for (JsonNode node : value.path(second ? 3 : 5)) {
         JsonNode image = entry.value().path("i").path(node.asInt());
@@ -292,7 +292,7 @@
   private static void removeTerminated(Page page) {
     for (Iterator<Machine> it = page.machines.iterator(); it.hasNext(); ) {
       Machine machine = it.next();
-      if (machine.isTerminated() && machine.assigned.isEmpty()) {
+      if (machine.isGone() && machine.assigned.isEmpty()) {
         it.remove();
         machine.setRegistryPage(-1);
         page.hasRemovals = true;
--- a/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
+++ b/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
@@ -60,7 +60,7 @@
   private void runs(Machine machine, Job job, int task) {
     if (job.stateOf(task) != TaskState.RUNNING) {
       // Times of tasks that an earlier leader started are unknown, so they never look slow.
-      job.setStateSince(task, job.adopted.get(task) ? MonotonicTime.NEVER : runtime.now());
+      job.setRunningSince(task, job.adopted.get(task) ? MonotonicTime.NEVER : runtime.now());
       job.setState(task, TaskState.RUNNING);
       logLateReplica(machine, job, task);
     }
@@ -69,7 +69,7 @@
   }
 
   private void logLateReplica(Machine machine, Job job, int task) {
-    double waitedS = (runtime.wallMs() - job.releasedWall()) / 1000.0;
+    double waitedS = (runtime.wallMs() - job.releasedWallMs()) / 1000.0;
     if (job.spec.service()
         && waitedS > UNREMARKABLE_WAIT_S
         && job.failures.count() == 0
@@ -107,11 +107,11 @@
   }
 
   private void succeeded(Machine machine, Job job, int task, ReportedEnded evidence) {
-    if (job.stateSince(task) != MonotonicTime.NEVER) {
-      double ranS = (runtime.now() - job.stateSince(task)) / 1000.0;
+    if (job.runningSince(task) != MonotonicTime.NEVER) {
+      double ranS = (runtime.now() - job.runningSince(task)) / 1000.0;
       job.runTimes.add(ranS);
-      double median = job.median();
-      machine.finishedWork(median > 0 && job.runTimes.size() > 1 ? ranS / median : 1);
+      double median = job.medianRunTimeS();
+      machine.recordRunTimeRatio(median > 0 && job.runTimes.size() > 1 ? ranS / median : 1);
     }
     failureHandler.succeeded(machine, job);
     assignments.complete(job, task, evidence);
@@ -153,7 +153,8 @@
       if (job.spec.kind() != JobSpec.Kind.ARRAY || job.stopping.get(task)) {
         continue;
       }
-      double runS = job.runTimes.size() >= KNOWN_RUNS ? job.median() : job.spec.estimateS() / 2;
+      double runS =
+          job.runTimes.size() >= KNOWN_RUNS ? job.medianRunTimeS() : job.spec.estimateS() / 2;
       if (runtime.now() + (runS - ranS(job, task, runS)) * 1000 > machine.preemptionAt()) {
         runtime
             .events()
@@ -172,8 +173,8 @@
     if (job.stateOf(task) != TaskState.RUNNING) {
       return 0;
     }
-    return job.stateSince(task) == MonotonicTime.NEVER
+    return job.runningSince(task) == MonotonicTime.NEVER
         ? runS
-        : (runtime.now() - job.stateSince(task)) / 1000.0;
+        : (runtime.now() - job.runningSince(task)) / 1000.0;
   }
 }
--- a/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
@@ -81,12 +81,12 @@
     return registry.find(id);
   }
 
-  /** The job of a task that {@link Job#ref} names. */
+  /** The job of a task that {@link Job#taskReference} names. */
   public Job job(long ref) {
     return registry.byReference(ref);
   }
 
-  /** The task that {@link Job#ref} names. */
+  /** The task that {@link Job#taskReference} names. */
   public static int task(long ref) {
     return (int) ref;
   }
@@ -158,7 +158,7 @@
       Job job, int task, Machine machine, long attempt, long session, TaskState state) {
     job.assign(task, machine, attempt, session, state);
     assignedByPriority.add(job.priority(), 1);
-    machine.assign(Job.ref(job.index, task), job.priority(), job.spec);
+    machine.assign(Job.taskReference(job.index, task), job.priority(), job.spec);
     quota.acquire(job.spec);
   }
 
@@ -223,7 +223,7 @@
   /** Assigns a pending task; its start is sent when the placement is durable. */
   public void assign(Job job, int task, Machine machine, long attempt) {
     take(job, task, machine, attempt, machine.epoch(), TaskState.PLACING);
-    job.setPlacedWall(runtime.wallMs());
+    job.setPlacedWallMs(runtime.wallMs());
     placements++;
     machine.touchImage(job.spec.image(), job.spec.imageGb());
     writer.enqueue(
@@ -237,7 +237,7 @@
       return;
     }
     Machine machine = machines.get(job.machineOf(task));
-    if (job.isCancelled() || job.epochOf(task) != machine.epoch() || machine.isTerminated()) {
+    if (job.isCancelled() || job.epochOf(task) != machine.epoch() || machine.isGone()) {
       release(job, task, new EndEvidence.NeverSent());
       return;
     }
@@ -359,7 +359,7 @@
     // A start that still waits there would begin an attempt that the machine has been told to
     // forget.
     machine.commands().withdraw(startCommand(job, task));
-    machine.unassign(Job.ref(job.index, task), job.priority(), job.spec);
+    machine.unassign(Job.taskReference(job.index, task), job.priority(), job.spec);
     if (machine.assigned.isEmpty()) {
       machine.setIdleSince(runtime.now());
     }
--- a/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
@@ -77,7 +77,7 @@
     TaskRecords.read(
         value,
         from,
-        new TaskRecords.Reader() {
+        new TaskRecords.Visitor() {
           /**
            * Whether the machine is on no page of the registry. Those who write the second format
            * enter a machine before its first placement, and strike it out only when all on it has
@@ -98,14 +98,14 @@
           }
 
           @Override
-          public void done(int task) {
+          public void onDone(int task) {
             if (isNews(task)) {
               job.complete(task);
             }
           }
 
           @Override
-          public void placed(int task, long attempt, String machine, long session) {
+          public void onPlaced(int task, long attempt, String machine, long session) {
             if (isNews(task) && !struckOut(machine)) {
               Machine on = machines.getOrAdd(machine);
               // An earlier leader may have answered it until now, whether or not it is on the
--- a/src/main/java/org/snowturn/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/snowturn/core/autoscaling/Autoscaler.java
@@ -60,7 +60,7 @@
     budget.refill();
     termination.deleteMarked();
     inventory.refreshIfDue();
-    if (machineTypes.known() && inventory.isLoaded() && !rentals.isPaused()) {
+    if (machineTypes.isLoaded() && inventory.isLoaded() && !rentals.isPaused()) {
       capacity.recount();
       scaleOut.run();
       scaleIn.run();
--- a/src/main/java/org/snowturn/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/snowturn/core/autoscaling/CapacityDemand.java
@@ -108,7 +108,7 @@
     }
     double backlogCpuS = 0;
     for (Job job : assignments.jobs()) {
-      if (job.wantsRoom() && job.spec.spot() && !job.failures.isSuspect()) {
+      if (job.hasPlaceableTasks() && job.spec.spot() && !job.failures.isSuspect()) {
         backlogCpuS += job.pending() * job.spec.cpus() * Math.max(1, job.spec.estimateS());
       }
     }
--- a/src/main/java/org/snowturn/core/autoscaling/CapacityRefusals.java
+++ b/src/main/java/org/snowturn/core/autoscaling/CapacityRefusals.java
@@ -58,7 +58,7 @@
   boolean isEveryPoolRefused(boolean spot) {
     for (MachineType type : machineTypes.all()) {
       for (String zone : type.zones()) {
-        if (!isRefused(new CapacityPool(type.name(), machines.zone(zone), spot))) {
+        if (!isRefused(new CapacityPool(type.name(), machines.zoneIndex(zone), spot))) {
           return false;
         }
       }
--- a/src/main/java/org/snowturn/core/autoscaling/MachineInventory.java
+++ b/src/main/java/org/snowturn/core/autoscaling/MachineInventory.java
@@ -130,7 +130,7 @@
   }
 
   private void update(Machine machine, CloudMachine cloudMachine) {
-    if (machine.isTerminated()) {
+    if (machine.isGone()) {
       log(LogEvent.MACHINE_RELISTED, machine);
       machines.restore(machine);
     }
@@ -164,11 +164,11 @@
 
   private void describe(Machine machine, CloudMachine cloudMachine) {
     machine.setType(cloudMachine.type());
-    assignments.setZone(machine, machines.zone(cloudMachine.zone()));
+    assignments.setZone(machine, machines.zoneIndex(cloudMachine.zone()));
     machine.setSpot(cloudMachine.spot());
     machine.setMachineType(machineTypes.get(cloudMachine.type()));
     if (cloudMachine.address() != null) {
-      machine.setAddr(cloudMachine.address());
+      machine.setAddress(cloudMachine.address());
     }
   }
 
--- a/src/main/java/org/snowturn/core/autoscaling/MachineRentals.java
+++ b/src/main/java/org/snowturn/core/autoscaling/MachineRentals.java
@@ -150,7 +150,7 @@
 
   private void addMachine(String id, CapacityPool pool) {
     Machine machine = machines.getOrAdd(id);
-    machine.markRentedByThisTerm();
+    machine.markRentedInThisTerm();
     if (machine.type() == null) {
       machine.setType(pool.type());
       assignments.setZone(machine, pool.zone());
--- a/src/main/java/org/snowturn/core/autoscaling/MachineTermination.java
+++ b/src/main/java/org/snowturn/core/autoscaling/MachineTermination.java
@@ -57,7 +57,7 @@
 
   /** Marks a machine for deletion: once the cloud confirms it, all that was there has ended. */
   void terminate(Machine machine, String reason) {
-    if (!machine.isTerminating() && !machine.isTerminated()) {
+    if (!machine.isTerminating() && !machine.isGone()) {
       runtime
           .events()
           .info(LogEvent.MACHINE_TERMINATING)
--- a/src/main/java/org/snowturn/core/autoscaling/PoolSelector.java
+++ b/src/main/java/org/snowturn/core/autoscaling/PoolSelector.java
@@ -43,7 +43,7 @@
     double lowestCost = Double.MAX_VALUE;
     for (MachineType type : machineTypes.all()) {
       for (String zoneName : type.zones()) {
-        CapacityPool pool = new CapacityPool(type.name(), machines.zone(zoneName), spot);
+        CapacityPool pool = new CapacityPool(type.name(), machines.zoneIndex(zoneName), spot);
         if (!isEligible(pool)) {
           continue;
         }
@@ -61,7 +61,7 @@
     int zone = pool.zone();
     // One machine in a zone with an outage tells when it is over; more would be idle.
     boolean idle = zoneOutages.hasOutage(zone) && capacity.hasMachineIn(zone);
-    return machines.zoneKnown(zone)
+    return machines.isZoneConfigured(zone)
         && !refusals.isRefused(pool)
         && !idle
         && !openRequests.isOpenFor(pool);
--- a/src/main/java/org/snowturn/core/autoscaling/ProvisionedCapacity.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ProvisionedCapacity.java
@@ -53,7 +53,7 @@
     for (Machine machine : machines.present()) {
       machinesInZone[machine.zone()]++;
       boolean up = machine.lastHeartbeatAt() != MonotonicTime.NEVER;
-      if (up && !machine.isSpot() && !machine.isRentedByThisTerm()) {
+      if (up && !machine.isSpot() && !machine.isRentedInThisTerm()) {
         notRentedByThisTerm++;
       }
       if (counts(machine)) {
@@ -77,7 +77,7 @@
   }
 
   private static boolean isLeaving(Machine machine) {
-    return machine.isTerminated()
+    return machine.isGone()
         || machine.isTerminating()
         || machine.isScalingIn()
         || machine.preemptionAt() != Long.MAX_VALUE;
--- a/src/main/java/org/snowturn/core/autoscaling/ScaleIn.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ScaleIn.java
@@ -88,7 +88,7 @@
   private boolean isIdle(Machine machine, long now) {
     return machine.isScalingIn()
         && machine.assigned.isEmpty()
-        && machine.unaccounted() == 0
+        && machine.unaccountedTasks() == 0
         && now - machine.firstSeenAt() > MIN_BILLED_MS - BILLING_MARGIN_MS
         && now - machine.idleSince() > tunables.idleReturnS() * 1000;
   }
@@ -138,7 +138,7 @@
 
   private boolean isAnyArrayWaiting() {
     for (Job job : assignments.jobs()) {
-      if (job.wantsRoom() && !job.spec.service() && !job.failures.isSuspect()) {
+      if (job.hasPlaceableTasks() && !job.spec.service() && !job.failures.isSuspect()) {
         return true;
       }
     }
--- a/src/main/java/org/snowturn/core/dependency/DependencyGraph.java
+++ b/src/main/java/org/snowturn/core/dependency/DependencyGraph.java
@@ -183,12 +183,12 @@
   }
 
   private void release(Job job) {
-    job.setReleasedWall(runtime.wallMs());
+    job.setReleasedWallMs(runtime.wallMs());
     runtime
         .events()
         .info(LogEvent.JOB_RELEASED)
         .with(LogField.JOB, job.spec.id())
-        .with(LogField.WAITED_S, (job.releasedWall() - job.submittedWall) / 1000.0)
+        .with(LogField.WAITED_S, (job.releasedWallMs() - job.submittedWallMs) / 1000.0)
         .write();
     assignments.markChanged();
   }
@@ -321,8 +321,8 @@
   private void recompute() {
     for (Job job : assignments.jobs()) {
       assignments.reprioritize(job, job.spec.priority());
-      job.setDependentsDeadline(Double.MAX_VALUE);
-      job.setDependentsLateDeadline(Double.MAX_VALUE);
+      job.setDependentsDeadlineWallMs(Double.MAX_VALUE);
+      job.setDependentsLateDeadlineWallMs(Double.MAX_VALUE);
     }
     for (Job job : List.copyOf(assignments.jobs())) {
       if (job.awaitsDependencies() && live(job)) {
@@ -351,13 +351,14 @@
   private boolean lendTo(Job needed, Priority priority, double due, double lateDue) {
     boolean more =
         priority.compareTo(needed.priority()) < 0
-            || due < needed.dependentsDeadline()
-            || lateDue < needed.dependentsLateDeadline();
+            || due < needed.dependentsDeadlineWallMs()
+            || lateDue < needed.dependentsLateDeadlineWallMs();
     if (priority.compareTo(needed.priority()) < 0) {
       assignments.reprioritize(needed, priority);
     }
-    needed.setDependentsDeadline(Math.min(needed.dependentsDeadline(), due));
-    needed.setDependentsLateDeadline(Math.min(needed.dependentsLateDeadline(), lateDue));
+    needed.setDependentsDeadlineWallMs(Math.min(needed.dependentsDeadlineWallMs(), due));
+    needed.setDependentsLateDeadlineWallMs(
+        Math.min(needed.dependentsLateDeadlineWallMs(), lateDue));
     return more;
   }
 }
--- a/src/main/java/org/snowturn/core/dispatch/CommandLog.java
+++ b/src/main/java/org/snowturn/core/dispatch/CommandLog.java
@@ -36,7 +36,7 @@
           .with(LogField.AGENT_EPOCH, session)
           .with(LogField.TOKEN, token)
           .with(LogField.PATH, path)
-          .with(LogField.NEWEST_HEARTBEAT, machine.session.heartbeatSeq())
+          .with(LogField.NEWEST_HEARTBEAT, machine.session.heartbeatSequence())
           .write();
     }
   }
--- a/src/main/java/org/snowturn/core/dispatch/CommandQueue.java
+++ b/src/main/java/org/snowturn/core/dispatch/CommandQueue.java
@@ -113,12 +113,12 @@
   }
 
   @Override
-  public void drop() {
+  public void discardUnsent() {
     queue.clear();
   }
 
   @Override
-  public boolean idle() {
+  public boolean isIdle() {
     return !busy && queue.isEmpty();
   }
 
@@ -142,9 +142,9 @@
 
   private boolean maySend() {
     return !busy
-        && machine.addr() != null
+        && machine.address() != null
         && (!queue.isEmpty() || probe)
-        && !machine.isTerminated()
+        && !machine.isGone()
         && host.hasAuthority();
   }
 
@@ -171,7 +171,7 @@
     long sentAt = runtime.now();
     runtime.call(
         Effect.Target.WORKER,
-        machine.addr(),
+        machine.address(),
         "POST",
         "/commands",
         Command.direct(host.token(), session, commands),
--- a/src/main/java/org/snowturn/core/leader/ClusterSummary.java
+++ b/src/main/java/org/snowturn/core/leader/ClusterSummary.java
@@ -75,13 +75,13 @@
     Map<String, Integer> downReasons = new TreeMap<>();
     for (Machine machine : services.machines().present()) {
       Capacity capacity = machine.isSpot() ? spot : onDemand;
-      if (machine.usable(runtime.now())) {
+      if (machine.isUsable(runtime.now())) {
         capacity.up++;
         capacity.cpus += machine.machineType().cpus();
         capacity.cpusUsed += machine.cpusUsed();
       } else {
         capacity.down++;
-        downReasons.merge(machine.whyNotUsable(runtime.now()), 1, Integer::sum);
+        downReasons.merge(machine.unusableReason(runtime.now()), 1, Integer::sum);
       }
     }
     line.with(LogField.ON_DEMAND_UP, onDemand.up)
--- a/src/main/java/org/snowturn/core/leader/HealthSweep.java
+++ b/src/main/java/org/snowturn/core/leader/HealthSweep.java
@@ -145,7 +145,7 @@
   }
 
   private void checkHeard(Machine machine, boolean silent) {
-    boolean missesHeartbeats = machine.missesHeartbeats(runtime.now());
+    boolean missesHeartbeats = machine.isMissingHeartbeats(runtime.now());
     boolean lost = silent || missesHeartbeats;
     countSilent += lost && !machine.isTerminating() ? 1 : 0;
     countHeard += lost ? 0 : 1;
@@ -195,15 +195,15 @@
   }
 
   private void probeOrReplaceSilent(Machine machine) {
-    if (machine.isProbing() || machine.isTerminating() || machine.addr() == null) {
+    if (machine.isProbing() || machine.isTerminating() || machine.address() == null) {
       return;
     }
     if (runtime.now() > machine.preemptionAt()) {
       if (silence.mayReplace()) {
         scheduling.autoscaler().terminate(machine, "taken back");
       }
-    } else if (machine.commands().idle()) {
-      machine.probeSent();
+    } else if (machine.commands().isIdle()) {
+      machine.beginProbe();
       machine.commands().probe();
     }
   }
@@ -223,7 +223,7 @@
     List<Machine> all = size == 0 ? List.of() : machines.present();
     for (int i = 0; i < all.size(); i += Math.max(1, all.size() / size)) {
       Machine machine = all.get(i);
-      if (machine.addr() != null && MachineSilence.hasBeenUp(machine)) {
+      if (machine.address() != null && MachineSilence.hasBeenUp(machine)) {
         machine.commands().probe();
       }
     }
--- a/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
+++ b/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
@@ -52,12 +52,12 @@
       return;
     }
     Machine machine = machines.getOrAdd(heartbeat.machine());
-    if (machine.isTerminated()
+    if (machine.isGone()
         && !machine.isTerminationConfirmed()
         && heartbeat.agentEpoch() > machine.epoch()) {
       machines.restore(machine);
     }
-    if (machine.isTerminated() || heartbeat.agentEpoch() <= machine.session.endedEpoch()) {
+    if (machine.isGone() || heartbeat.agentEpoch() <= machine.session.endedEpoch()) {
       // Terminated, or an agent epoch that has certainly ended: nothing may renew its lease.
       refuse(exchange, heartbeat, "session_over");
     } else if (!recovery.loaded()) {
@@ -92,7 +92,7 @@
   /** Handles the heartbeat with which a worker has answered a direct message. */
   void handleReply(Heartbeat heartbeat) {
     Machine machine = machines.find(heartbeat.machine());
-    if (term.ended() || !recovery.loaded() || machine == null || machine.isTerminated()) {
+    if (term.ended() || !recovery.loaded() || machine == null || machine.isGone()) {
       return;
     }
     reachability.messageAnswered(machine, heartbeat);
@@ -105,7 +105,7 @@
 
   /** Applies what a machine reports to the term's state. */
   void apply(Machine machine, Heartbeat heartbeat) {
-    if (machine.addr() == null || machine.machineType() == null || !machine.isRegistered()) {
+    if (machine.address() == null || machine.machineType() == null || !machine.isRegistered()) {
       services.heartbeats().describe(machine, heartbeat);
       if (machine.firstSeenAt() == 0) {
         machine.setFirstSeenAt(runtime.now());
@@ -128,7 +128,7 @@
         .register(
             machine,
             () -> {
-              machine.registered();
+              machine.markRegistered();
               services.assignments().markChanged();
             });
   }
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -69,7 +69,7 @@
     jobWatch.startAt(recovery.watchFrom());
     early.forEach(
         (machine, heartbeat) -> {
-          if (!machine.isTerminated()) {
+          if (!machine.isGone()) {
             heartbeatHandler.apply(machine, heartbeat);
           }
         });
@@ -117,7 +117,7 @@
       sweep();
     }
     services.dependencies().step();
-    if (node.machineTypes().known() && assignments.consumeChanged()) {
+    if (node.machineTypes().isLoaded() && assignments.consumeChanged()) {
       schedule(now);
     }
     summary.tick();
@@ -172,8 +172,8 @@
     int first = (int) (runtime.now() % step);
     for (int i = first; i < all.size() && addresses.size() < most; i += step) {
       Machine machine = all.get(i);
-      if (machine.addr() != null && machine.usable(runtime.now())) {
-        addresses.add(machine.addr());
+      if (machine.address() != null && machine.isUsable(runtime.now())) {
+        addresses.add(machine.address());
       }
     }
     return addresses;
--- a/src/main/java/org/snowturn/core/leader/MachineSilence.java
+++ b/src/main/java/org/snowturn/core/leader/MachineSilence.java
@@ -67,7 +67,7 @@
   /** Whether a machine that has been up should have been heard again by now. */
   boolean isSilent(Machine machine) {
     return isHeard(machine)
-        ? runtime.now() > machine.session.silentFrom()
+        ? runtime.now() > machine.session.silentAt()
         : recovery.isUnresponsive(machine) || workersReassigned();
   }
 
--- a/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
+++ b/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
@@ -75,7 +75,7 @@
   void messageAnswered(Machine machine, Heartbeat heartbeat) {
     silence.workerHeard();
     connectivity.workerHeard();
-    machine.probeSettled();
+    machine.endProbe();
     if (machine.reachability.replyShowsNewIncarnation(isOutdated(machine, heartbeat))) {
       autoscaler.terminate(machine, "has started anew");
     }
@@ -85,7 +85,7 @@
   private static boolean isOutdated(Machine machine, Heartbeat heartbeat) {
     return heartbeat.agentEpoch() < machine.epoch()
         || (heartbeat.agentEpoch() == machine.epoch()
-            && heartbeat.sequence() + MAX_OVERTAKEN < machine.session.heartbeatSeq());
+            && heartbeat.sequence() + MAX_OVERTAKEN < machine.session.heartbeatSequence());
   }
 
   /**
@@ -99,8 +99,8 @@
             || (recovery.mostHeard()
                 && machine.reachability.answeredAgoMs(runtime.now()) > NEXT_HEARTBEAT_MS);
     if (inTurn
-        && machine.addr() != null
-        && machine.commands().idle()
+        && machine.address() != null
+        && machine.commands().isIdle()
         && machine.reachability.claimProbe(runtime.now())) {
       machine.commands().probe();
     }
@@ -129,11 +129,11 @@
 
   /** A second failed probe of a machine that was heard replaces it. */
   private void suspect(Machine machine) {
-    machine.probeSettled();
+    machine.endProbe();
     if (machine.isSuspected() && MachineSilence.isHeard(machine) && silence.mayReplace()) {
       autoscaler.terminate(machine, "silent");
     }
-    machine.suspect();
+    machine.markSuspected();
   }
 
   /** The gauges of these checks by name. */
--- a/src/main/java/org/snowturn/core/leader/RecoveryProber.java
+++ b/src/main/java/org/snowturn/core/leader/RecoveryProber.java
@@ -71,7 +71,7 @@
     double replicaCpus = Double.MAX_VALUE;
     double batchTaskCpus = Double.MAX_VALUE;
     for (Job job : assignments.jobs()) {
-      if (job.wantsRoom() && job.pending() > 0) {
+      if (job.hasPlaceableTasks() && job.pending() > 0) {
         if (job.spec.service()) {
           replicaCpus = Math.min(replicaCpus, job.spec.cpus());
         } else {
@@ -119,9 +119,9 @@
     int next;
     while ((next = probes.next(runtime.now())) >= 0) {
       Machine machine = machines.get(next);
-      if (machine.isTerminated() || machine.isTerminating()) {
+      if (machine.isGone() || machine.isTerminating()) {
         probes.drop(next);
-      } else if (machine.addr() == null) {
+      } else if (machine.address() == null) {
         probes.unanswered(next, runtime.now(), false);
       } else {
         machine.commands().probe();
--- a/src/main/java/org/snowturn/core/leader/SchedulingServices.java
+++ b/src/main/java/org/snowturn/core/leader/SchedulingServices.java
@@ -35,7 +35,7 @@
     ExternallyManagedMachines externallyManaged =
         new ExternallyManagedMachines(runtime, services.writer());
     ScalingPolicy scalingPolicy =
-        ScalingPolicy.of(settings, node.machineTypes()::quickestBootS, externallyManaged::present);
+        ScalingPolicy.of(settings, node.machineTypes()::shortestBootS, externallyManaged::present);
     TaskScheduler scheduler = newScheduler(node, services, scalingPolicy, mayPreempt);
     Speculator speculator =
         new Speculator(
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
@@ -106,7 +106,7 @@
     machine.images.markStored();
     machine.session.setLastAnswerAt(Math.max(machine.session.lastAnswerAt(), runtime.now()));
     machine.setFirstSeenAt(runtime.now());
-    machine.registered();
+    machine.markRegistered();
   }
 
   /**
--- a/src/main/java/org/snowturn/core/leader/TaskCounts.java
+++ b/src/main/java/org/snowturn/core/leader/TaskCounts.java
@@ -14,7 +14,7 @@
     int waiting = 0;
     int assigned = 0;
     for (Job job : jobs) {
-      waiting += job.wantsRoom() ? job.pending() : 0;
+      waiting += job.hasPlaceableTasks() ? job.pending() : 0;
       assigned += job.assigned();
     }
     return new TaskCounts(waiting, assigned);
--- a/src/main/java/org/snowturn/core/model/AgentSession.java
+++ b/src/main/java/org/snowturn/core/model/AgentSession.java
@@ -8,10 +8,10 @@
  */
 public final class AgentSession {
   private long epoch;
-  private long heartbeatSeq = -1;
+  private long heartbeatSequence = -1;
   private long endedEpoch = -1;
   private long lastHeartbeatAt = MonotonicTime.NEVER;
-  private long silentFrom = MonotonicTime.NEVER;
+  private long silentAt = MonotonicTime.NEVER;
   private long heartbeatDueAt = Long.MAX_VALUE;
   private long lastAnswerAt;
   private boolean acknowledged;
@@ -27,8 +27,8 @@
   }
 
   /** The number of the newest heartbeat of the epoch; -1 if there is none. */
-  public long heartbeatSeq() {
-    return heartbeatSeq;
+  public long heartbeatSequence() {
+    return heartbeatSequence;
   }
 
   /** The highest epoch in which everything has certainly ended; -1 if none. */
@@ -37,7 +37,7 @@
   }
 
   /** Everything has certainly ended in this epoch and those before. */
-  public void endedUntil(long ended) {
+  public void markEndedThrough(long ended) {
     endedEpoch = Math.max(endedEpoch, ended);
   }
 
@@ -51,15 +51,15 @@
    *
    * @param silentAfterMs without another one for so long, the machine may have died
    */
-  public void heartbeat(long seq, long now, long silentAfterMs) {
-    heartbeatSeq = seq;
+  public void recordHeartbeat(long seq, long now, long silentAfterMs) {
+    heartbeatSequence = seq;
     lastHeartbeatAt = now;
-    silentFrom = now + silentAfterMs;
+    silentAt = now + silentAfterMs;
   }
 
   /** From then on, without another heartbeat, the machine may have died: nothing new goes there. */
-  public long silentFrom() {
-    return silentFrom;
+  public long silentAt() {
+    return silentAt;
   }
 
   /**
--- a/src/main/java/org/snowturn/core/model/CommandChannel.java
+++ b/src/main/java/org/snowturn/core/model/CommandChannel.java
@@ -17,8 +17,8 @@
   void resume();
 
   /** Forgets what has not been sent. */
-  void drop();
+  void discardUnsent();
 
   /** Whether nothing is under way or waits to be sent. */
-  boolean idle();
+  boolean isIdle();
 }
--- a/src/main/java/org/snowturn/core/model/ImageCache.java
+++ b/src/main/java/org/snowturn/core/model/ImageCache.java
@@ -24,7 +24,7 @@
   }
 
   /** The images with their sizes in GB, least recently used first. */
-  public Iterable<Map.Entry<String, Double>> leastRecentFirst() {
+  public Iterable<Map.Entry<String, Double>> leastRecentlyUsedFirst() {
     return Collections.unmodifiableSet(sizes.entrySet());
   }
 
@@ -39,7 +39,7 @@
   }
 
   /** An image is used; those that no longer fit go, least recently used first. */
-  void use(String image, double gb, double capacityGb) {
+  void touch(String image, double gb, double capacityGb) {
     if (sizes.get(image) != null) {
       return; // and it is the most recently used one now
     }
--- a/src/main/java/org/snowturn/core/model/Usage.java
+++ b/src/main/java/org/snowturn/core/model/IntendedUse.java
@@ -1,7 +1,7 @@
 package org.snowturn.core.model;
 
 /** What a machine is meant for. */
-enum Usage {
+enum IntendedUse {
   /** It takes work. */
   IN_USE,
   /** It is drained, since it is not needed. */
--- a/src/main/java/org/snowturn/core/model/Job.java
+++ b/src/main/java/org/snowturn/core/model/Job.java
@@ -27,7 +27,7 @@
 
   public final int index;
   public final JobSpec spec;
-  public final long submittedWall;
+  public final long submittedWallMs;
   private final TaskTable tasks;
   private final JobTaskRecords records;
 
@@ -66,18 +66,18 @@
   private Priority priority;
 
   /** What those that need it leave of their deadlines, and of one and a half times those. */
-  private double dependentsDeadline = Double.MAX_VALUE;
+  private double dependentsDeadlineWallMs = Double.MAX_VALUE;
 
-  private double dependentsLateDeadline = Double.MAX_VALUE;
+  private double dependentsLateDeadlineWallMs = Double.MAX_VALUE;
 
   /** When the last job that it needs was done; from then on its times count. */
-  private long releasedWall;
+  private long releasedWallMs;
 
   private long version;
   private Cancellation cancellation = Cancellation.NONE;
 
   /** Before this moment no user was told that the job is cancelled. */
-  private long notConfirmedBefore = MonotonicTime.NEVER;
+  private long earliestConfirmationAt = MonotonicTime.NEVER;
 
   private boolean finishing;
   private int restarts;
@@ -86,7 +86,7 @@
   private long preemptingUntil = MonotonicTime.NEVER;
 
   /** When a task was last placed. */
-  private long placedWall;
+  private long placedWallMs;
 
   /** The dense index of its team's class, or -1 until it is known. */
   private int shareGroup = -1;
@@ -106,8 +106,8 @@
   public Job(int index, JobSpec spec, long submittedWall, int zones) {
     this.index = index;
     this.spec = spec;
-    this.submittedWall = submittedWall;
-    this.releasedWall = submittedWall;
+    this.submittedWallMs = submittedWall;
+    this.releasedWallMs = submittedWall;
     this.priority = spec.priority();
     this.unmetDependencies =
         spec.dependencies().isEmpty() ? Set.of() : new LinkedHashSet<>(spec.dependencies());
@@ -137,12 +137,12 @@
   }
 
   /** Whether it has tasks that could be placed now, room and quota aside. */
-  public boolean wantsRoom() {
+  public boolean hasPlaceableTasks() {
     return tasks.pending() > 0 && !isCancelled() && !awaitsDependencies();
   }
 
   /** One number for a task of a job, both by their indices. */
-  public static long ref(int job, int task) {
+  public static long taskReference(int job, int task) {
     return ((long) job << 32) | task;
   }
 
@@ -196,7 +196,7 @@
   }
 
   /** How many of a service's tasks may be on the machine. */
-  public int tasksOn(Machine machine) {
+  public int replicasOn(Machine machine) {
     return onMachine.get(machine.index);
   }
 
@@ -213,7 +213,7 @@
         && stateOf(task) == TaskState.RUNNING
         && !stopping.get(task)
         && tasks.pending() == 0
-        && now - tasks.stateSince(task) > SETTLED_MS;
+        && now - tasks.runningSince(task) > SETTLED_MS;
   }
 
   /** A pending task whose record can take its placement, or -1. */
@@ -232,7 +232,7 @@
   }
 
   /** The median run time of finished tasks in seconds; NaN before there are any. */
-  public double median() {
+  public double medianRunTimeS() {
     return runTimes.median();
   }
 
@@ -241,8 +241,8 @@
     double own =
         Double.isNaN(spec.deadlineS())
             ? Double.MAX_VALUE
-            : submittedWall + spec.deadlineS() * 1000 * times;
-    return Math.min(own, times > 1 ? dependentsLateDeadline : dependentsDeadline);
+            : submittedWallMs + spec.deadlineS() * 1000 * times;
+    return Math.min(own, times > 1 ? dependentsLateDeadlineWallMs : dependentsDeadlineWallMs);
   }
 
   /** Whether nothing of it is to run any more. */
@@ -253,7 +253,12 @@
   /** The record that it has once it is cancelled, without what only its starts need. */
   public JobRecord cancelledRecord() {
     return new JobRecord(
-        JobStatus.Phase.ABORTED, submittedWall, spec.withoutStart(), submission, chunkCount, false);
+        JobStatus.Phase.ABORTED,
+        submittedWallMs,
+        spec.withoutStart(),
+        submission,
+        chunkCount,
+        false);
   }
 
   /** How many of its tasks may be in each zone, to be changed by the caller. */
@@ -274,8 +279,8 @@
   /** The stored form of one of its records. */
   public JsonNode taskRecordJson(int chunk, MachineIndex machines) {
     return records.isSecondFormat()
-        ? TaskRecords.second(this, chunk, machines)
-        : TaskRecords.first(this, chunk, machines);
+        ? TaskRecords.secondFormatJson(this, chunk, machines)
+        : TaskRecords.firstFormatJson(this, chunk, machines);
   }
 
   /** Where the task stands. */
@@ -299,13 +304,13 @@
   }
 
   /** Since when the task runs; {@link MonotonicTime#NEVER} if that is not known. */
-  public long stateSince(int task) {
-    return tasks.stateSince(task);
+  public long runningSince(int task) {
+    return tasks.runningSince(task);
   }
 
   /** The task runs since then; {@link MonotonicTime#NEVER} if that is not known. */
-  public void setStateSince(int task, long since) {
-    tasks.setStateSince(task, since);
+  public void setRunningSince(int task, long since) {
+    tasks.setRunningSince(task, since);
   }
 
   /** Which tasks share a record. */
@@ -335,7 +340,7 @@
 
   /** Records of the first format that stay until the job is over, after it uses the second. */
   public List<PendingRecord> firstFormatRecords() {
-    return records.firstFormat();
+    return records.firstFormatRecords();
   }
 
   /** How many of its tasks may be in the zone. */
@@ -374,33 +379,33 @@
   }
 
   /** What those that need it leave of their deadlines, and of one and a half times those. */
-  public double dependentsDeadline() {
-    return dependentsDeadline;
+  public double dependentsDeadlineWallMs() {
+    return dependentsDeadlineWallMs;
   }
 
   /** What those that need it leave of their deadlines, as a time of day. */
-  public void setDependentsDeadline(double dependentsDeadline) {
-    this.dependentsDeadline = dependentsDeadline;
+  public void setDependentsDeadlineWallMs(double dependentsDeadline) {
+    this.dependentsDeadlineWallMs = dependentsDeadline;
   }
 
   /** The same with one and a half times the deadlines. */
-  public double dependentsLateDeadline() {
-    return dependentsLateDeadline;
+  public double dependentsLateDeadlineWallMs() {
+    return dependentsLateDeadlineWallMs;
   }
 
   /** What those that need it leave of one and a half times their deadlines. */
-  public void setDependentsLateDeadline(double dependentsLateDeadline) {
-    this.dependentsLateDeadline = dependentsLateDeadline;
+  public void setDependentsLateDeadlineWallMs(double dependentsLateDeadline) {
+    this.dependentsLateDeadlineWallMs = dependentsLateDeadline;
   }
 
   /** When the last job that it needs was done; from then on its times count. */
-  public long releasedWall() {
-    return releasedWall;
+  public long releasedWallMs() {
+    return releasedWallMs;
   }
 
   /** The last job that it needs was done at this time of day. */
-  public void setReleasedWall(long releasedWall) {
-    this.releasedWall = releasedWall;
+  public void setReleasedWallMs(long releasedWall) {
+    this.releasedWallMs = releasedWall;
   }
 
   /** The version of its stored record. */
@@ -427,7 +432,7 @@
   public void confirmCancellation(long notBefore) {
     if (cancellation == Cancellation.NONE) {
       cancellation = Cancellation.CONFIRMED;
-      notConfirmedBefore = notBefore;
+      earliestConfirmationAt = notBefore;
     }
   }
 
@@ -442,8 +447,8 @@
   }
 
   /** Before this moment no user was told that the job is cancelled. */
-  public long notConfirmedBefore() {
-    return notConfirmedBefore;
+  public long earliestConfirmationAt() {
+    return earliestConfirmationAt;
   }
 
   /** Whether the move of its record to the finished jobs is under way. */
@@ -457,7 +462,7 @@
   }
 
   /** The move did not go through and may be tried again. */
-  public void finishingFailed() {
+  public void abortFinishing() {
     finishing = false;
   }
 
@@ -507,13 +512,13 @@
   }
 
   /** When a task was last placed. */
-  public long placedWall() {
-    return placedWall;
+  public long placedWallMs() {
+    return placedWallMs;
   }
 
   /** A task was placed at this time of day. */
-  public void setPlacedWall(long placedWall) {
-    this.placedWall = placedWall;
+  public void setPlacedWallMs(long placedWall) {
+    this.placedWallMs = placedWall;
   }
 
   /** The dense index of its team's class, or -1 until it is known. */
@@ -537,12 +542,12 @@
   }
 
   /** Whether it was let go before others since its group had too little: it keeps what it got. */
-  public boolean isByMinimumShare() {
+  public boolean hasPreemptionProtection() {
     return byMinimumShare;
   }
 
   /** Whether it goes before others since its group has too little. */
-  public void setByMinimumShare(boolean byMinimumShare) {
+  public void setPreemptionProtection(boolean byMinimumShare) {
     this.byMinimumShare = byMinimumShare;
   }
 
--- a/src/main/java/org/snowturn/core/model/JobFailures.java
+++ b/src/main/java/org/snowturn/core/model/JobFailures.java
@@ -18,7 +18,7 @@
   private long backOffUntil;
 
   /** The task has failed on the machine. */
-  public void failed(int task, int machine) {
+  public void recordFailure(int task, int machine) {
     count++;
     excludedMachine.put(task, machine);
     if (failedOn.size() >= MAX_MACHINES) {
@@ -38,7 +38,7 @@
   }
 
   /** Its tasks seem to fail wherever they run. */
-  public void suspect() {
+  public void markSuspect() {
     suspect = true;
   }
 
@@ -55,7 +55,7 @@
   }
 
   /** A trial was in vain. */
-  public void probeFailed() {
+  public void recordFailedProbe() {
     probeCount++;
   }
 
--- a/src/main/java/org/snowturn/core/model/JobTaskRecords.java
+++ b/src/main/java/org/snowturn/core/model/JobTaskRecords.java
@@ -17,7 +17,7 @@
   private TaskLayout layout;
   private boolean secondFormat;
   private PendingRecord[] records;
-  private final List<PendingRecord> firstFormat = new ArrayList<>();
+  private final List<PendingRecord> firstFormatRecords = new ArrayList<>();
 
   /** Bytes that the assignments of each record take; second format only. */
   private int[] bytes;
@@ -40,7 +40,7 @@
   /** The bytes of what is assigned are to be added next. */
   void useSecondFormat(RecordSizes spans, int valueBytes) {
     if (records != null) {
-      Arrays.stream(records).filter(Objects::nonNull).forEach(firstFormat::add);
+      Arrays.stream(records).filter(Objects::nonNull).forEach(firstFormatRecords::add);
     }
     secondFormat = true;
     layout = TaskLayout.second(tasks, spans);
@@ -52,7 +52,7 @@
   /** Keeps account of how full the records are, so that no assignment makes one too long. */
   void adjustSize(int task, Machine machine, int sign) {
     if (secondFormat) {
-      int entryBytes = TaskRecords.bytes(machine);
+      int entryBytes = TaskRecords.maxEntryBytes(machine);
       maxEntryBytes = Math.max(maxEntryBytes, entryBytes);
       bytes[layout.recordOf(task)] += sign * entryBytes;
     }
@@ -75,7 +75,7 @@
     return records;
   }
 
-  List<PendingRecord> firstFormat() {
-    return firstFormat;
+  List<PendingRecord> firstFormatRecords() {
+    return firstFormatRecords;
   }
 }
--- a/src/main/java/org/snowturn/core/model/LiveJobs.java
+++ b/src/main/java/org/snowturn/core/model/LiveJobs.java
@@ -17,11 +17,11 @@
   /**
    * What there is to know of a live record.
    *
-   * @param awaits the jobs that it was submitted to wait for
+   * @param dependencies the jobs that it was submitted to wait for
    */
-  public record Seen(long stamp, boolean cancelled, List<String> awaits) {}
+  public record CachedJob(long version, boolean cancelled, List<String> dependencies) {}
 
-  private final Map<String, Seen> live = new HashMap<>();
+  private final Map<String, CachedJob> live = new HashMap<>();
   private final String prefix;
   private final Predicate<JsonNode> cancelled;
   private final Function<JsonNode, List<String>> awaits;
@@ -42,7 +42,7 @@
   }
 
   /** Whether there is a cache at all. */
-  public boolean known() {
+  public boolean isLoaded() {
     return revision >= 0;
   }
 
@@ -52,14 +52,14 @@
   }
 
   /** Forgets everything. */
-  public void drop() {
+  public void clear() {
     live.clear();
     revision = -1;
   }
 
   /** Starts anew from a whole range, none of whose pages is older than {@code epoch}. */
   public void load(List<StateMessage.Entry> entries, long epoch) {
-    drop();
+    clear();
     entries.forEach(this::take);
     revision = epoch;
   }
@@ -68,7 +68,7 @@
    * All changes since {@link #revision}, up to {@code epoch}. An answer that is older than the
    * cache changes nothing.
    */
-  public void follow(List<StateMessage.Entry> changes, long epoch) {
+  public void applyChanges(List<StateMessage.Entry> changes, long epoch) {
     if (epoch < revision) {
       return;
     }
@@ -81,9 +81,9 @@
       return;
     }
     String id = entry.key().substring(prefix.length());
-    Seen known = live.get(id);
+    CachedJob known = live.get(id);
     // A page may be younger than the changes that are told after it.
-    if (known != null && known.stamp >= entry.version()) {
+    if (known != null && known.version >= entry.version()) {
       return;
     }
     if (entry.value() == null) {
@@ -91,12 +91,13 @@
     } else {
       live.put(
           id,
-          new Seen(entry.version(), cancelled.test(entry.value()), awaits.apply(entry.value())));
+          new CachedJob(
+              entry.version(), cancelled.test(entry.value()), awaits.apply(entry.value())));
     }
   }
 
   /** A job's live record; null if there is none. */
-  public Seen get(String id) {
+  public CachedJob get(String id) {
     return live.get(id);
   }
 
--- a/src/main/java/org/snowturn/core/model/Machine.java
+++ b/src/main/java/org/snowturn/core/model/Machine.java
@@ -12,14 +12,14 @@
 public final class Machine {
   public final int index;
   public final String id;
-  private String addr;
+  private String address;
   private String type;
   private int zone;
   private boolean spot;
   private final ResourceUsage resources = new ResourceUsage();
   private Registration registration = Registration.NONE;
   private Presence presence = Presence.PRESENT;
-  private Usage usage = Usage.IN_USE;
+  private IntendedUse usage = IntendedUse.IN_USE;
   private long terminateRetryAt;
   private boolean probing;
   private boolean suspected;
@@ -38,7 +38,7 @@
   public final LongHashSet assigned = new LongHashSet();
 
   /** Tasks that run there of jobs that are left alone since a record cannot be read. */
-  private int unaccounted;
+  private int unaccountedTasks;
 
   private final PriorityCounts assignedByPriority = new PriorityCounts();
 
@@ -101,7 +101,7 @@
   }
 
   /** Memory in GB that assigned tasks use. */
-  public double memoryUsed() {
+  public double memoryUsedGb() {
     return resources.memoryGb();
   }
 
@@ -134,27 +134,27 @@
   }
 
   /** It was taken for gone since it was neither heard nor listed, and yet it is there. */
-  public void restart() {
+  public void restore() {
     presence = Presence.PRESENT;
     session.clearAcknowledgement();
     registration = Registration.NONE;
-    session.endedUntil(session.epoch());
+    session.markEndedThrough(session.epoch());
     reachability.revokeProof(session.lastHeartbeatAt());
   }
 
   /** Whether new work may go there. */
-  public boolean usable(long now) {
-    return whyNotUsable(now) == null;
+  public boolean isUsable(long now) {
+    return unusableReason(now) == null;
   }
 
   /** Whether it seems to reach no controller, though it may answer direct messages. */
-  public boolean missesHeartbeats(long now) {
+  public boolean isMissingHeartbeats(long now) {
     return now >= session.heartbeatDueAt();
   }
 
   /** Why no new work may go there, in a word for operators; null if it may. */
-  public String whyNotUsable(long now) {
-    if (presence != Presence.PRESENT || usage != Usage.IN_USE) {
+  public String unusableReason(long now) {
+    if (presence != Presence.PRESENT || usage != IntendedUse.IN_USE) {
       return "leaving";
     }
     String silence = whySilent(now);
@@ -182,17 +182,17 @@
     if (quarantined) {
       return "quarantined";
     }
-    if (suspected || now >= session.silentFrom()) {
+    if (suspected || now >= session.silentAt()) {
       return "silent";
     }
-    return missesHeartbeats(now) ? "missing_heartbeats" : null;
+    return isMissingHeartbeats(now) ? "missing_heartbeats" : null;
   }
 
   private String whyBlocked(long now) {
     if (!isRegistered()) {
       return "unrecorded";
     }
-    if (unaccounted > 0) {
+    if (unaccountedTasks > 0) {
       return "unaccounted";
     }
     if (now < failures.blockedUntil()) {
@@ -203,11 +203,11 @@
 
   /** An image is used there, of this size in GB. */
   public void touchImage(String image, double gb) {
-    images.use(image, gb, machineType() == null ? Double.MAX_VALUE : machineType().cacheGb());
+    images.touch(image, gb, machineType() == null ? Double.MAX_VALUE : machineType().cacheGb());
   }
 
   /** A task has finished; its run time over the median of its array. */
-  public void finishedWork(double ratio) {
+  public void recordRunTimeRatio(double ratio) {
     runTimes.add(ratio);
   }
 
@@ -217,18 +217,18 @@
   }
 
   /** How many tasks have finished there. */
-  public int workDone() {
+  public int finishedTaskCount() {
     return runTimes.count();
   }
 
   /** Where it is reached; null if that is not known. */
-  public String addr() {
-    return addr;
+  public String address() {
+    return address;
   }
 
   /** It is reached there. */
-  public void setAddr(String addr) {
-    this.addr = addr;
+  public void setAddress(String addr) {
+    this.address = addr;
   }
 
   /** The name of its type; null if that is not known. */
@@ -297,12 +297,12 @@
   }
 
   /** Its entry in the stored registry is durable. */
-  public void registered() {
+  public void markRegistered() {
     registration = Registration.DURABLE;
   }
 
   /** Whether it is taken for gone, whether or not the cloud has confirmed that. */
-  public boolean isTerminated() {
+  public boolean isGone() {
     return presence != Presence.PRESENT;
   }
 
@@ -325,27 +325,27 @@
 
   /** Whether it is to be deleted; once it is, that stays so. */
   public boolean isTerminating() {
-    return usage == Usage.TERMINATING;
+    return usage == IntendedUse.TERMINATING;
   }
 
   /** It is to be deleted. */
   public void beginTermination() {
-    usage = Usage.TERMINATING;
+    usage = IntendedUse.TERMINATING;
   }
 
   /** Whether it is drained since it is not needed, and not to be deleted yet. */
   public boolean isScalingIn() {
-    return usage == Usage.SCALING_IN;
+    return usage == IntendedUse.SCALING_IN;
   }
 
   /** It is not needed any more and gets no new work, unless it is to be deleted anyway. */
   public void beginScaleIn() {
-    usage = usage == Usage.IN_USE ? Usage.SCALING_IN : usage;
+    usage = usage == IntendedUse.IN_USE ? IntendedUse.SCALING_IN : usage;
   }
 
   /** It is needed after all. */
   public void cancelScaleIn() {
-    usage = usage == Usage.SCALING_IN ? Usage.IN_USE : usage;
+    usage = usage == IntendedUse.SCALING_IN ? IntendedUse.IN_USE : usage;
   }
 
   /** Before this time no deletion is sent to the cloud. */
@@ -364,12 +364,12 @@
   }
 
   /** A message that is to find out whether it is up has been queued. */
-  public void probeSent() {
+  public void beginProbe() {
     probing = true;
   }
 
   /** That message was answered, or was in vain. */
-  public void probeSettled() {
+  public void endProbe() {
     probing = false;
   }
 
@@ -379,7 +379,7 @@
   }
 
   /** It left a message unanswered while no heartbeat of it came. */
-  public void suspect() {
+  public void markSuspected() {
     suspected = true;
   }
 
@@ -419,12 +419,12 @@
   }
 
   /** Whether this leader has rented it. */
-  public boolean isRentedByThisTerm() {
+  public boolean isRentedInThisTerm() {
     return rentedByThisTerm;
   }
 
   /** This leader has rented it. */
-  public void markRentedByThisTerm() {
+  public void markRentedInThisTerm() {
     rentedByThisTerm = true;
   }
 
@@ -479,13 +479,13 @@
   }
 
   /** Tasks that run there of jobs that are left alone since a record cannot be read. */
-  public int unaccounted() {
-    return unaccounted;
+  public int unaccountedTasks() {
+    return unaccountedTasks;
   }
 
   /** So many tasks run there of jobs that are left alone. */
-  public void setUnaccounted(int unaccounted) {
-    this.unaccounted = unaccounted;
+  public void setUnaccountedTasks(int unaccounted) {
+    this.unaccountedTasks = unaccounted;
   }
 
   /** How many of them an earlier leader bound and this one has not seen yet. */
--- a/src/main/java/org/snowturn/core/model/MachineFailures.java
+++ b/src/main/java/org/snowturn/core/model/MachineFailures.java
@@ -12,7 +12,7 @@
   }
 
   /** Whether work has succeeded there and no sound job has failed since. */
-  public boolean isSound() {
+  public boolean isHealthy() {
     return sound;
   }
 
@@ -22,14 +22,14 @@
   }
 
   /** A task has succeeded there, or keeps running. */
-  public void succeeded() {
+  public void recordSuccess() {
     unexplained = 0;
     sound = true;
     blockedUntil = 0;
   }
 
   /** A task has failed there; whether the machine is sound by now. */
-  public void failed(boolean stillSound) {
+  public void recordFailure(boolean stillSound) {
     sound = stillSound;
   }
 
--- a/src/main/java/org/snowturn/core/model/MachineIndex.java
+++ b/src/main/java/org/snowturn/core/model/MachineIndex.java
@@ -26,19 +26,19 @@
   }
 
   /** The zone's index; all zones that the settings do not name share the last one. */
-  public int zone(String name) {
+  public int zoneIndex(String name) {
     int index = zoneNames.indexOf(name);
     return index >= 0 ? index : zoneNames.size();
   }
 
   /** Whether the settings name the zone with this index. */
-  public boolean zoneKnown(int zone) {
+  public boolean isZoneConfigured(int zone) {
     return zone < zoneNames.size();
   }
 
   /** The zone's name; "?" if the settings do not name it. */
   public String zoneName(int zone) {
-    return zoneKnown(zone) ? zoneNames.get(zone) : "?";
+    return isZoneConfigured(zone) ? zoneNames.get(zone) : "?";
   }
 
   /** How many indices there are, the last one for unknown zones. */
@@ -74,7 +74,7 @@
   /** The machines that are not known to be gone: a list that no later change alters. */
   public List<Machine> present() {
     if (present == null) {
-      present = all.stream().filter(machine -> !machine.isTerminated()).toList();
+      present = all.stream().filter(machine -> !machine.isGone()).toList();
     }
     return present;
   }
@@ -87,7 +87,7 @@
 
   /** The machine was taken for gone, and yet it is there. */
   public void restore(Machine machine) {
-    machine.restart();
+    machine.restore();
     present = null;
   }
 }
--- a/src/main/java/org/snowturn/core/model/MachineTypes.java
+++ b/src/main/java/org/snowturn/core/model/MachineTypes.java
@@ -30,7 +30,7 @@
   }
 
   /** Whether the types have been fetched. */
-  public boolean known() {
+  public boolean isLoaded() {
     return !types.isEmpty();
   }
 
@@ -45,7 +45,7 @@
   }
 
   /** How long the type that is up soonest takes; 0 while none is known. */
-  public double quickestBootS() {
+  public double shortestBootS() {
     double least = types.isEmpty() ? 0 : Double.MAX_VALUE;
     for (MachineType type : types.values()) {
       least = Math.min(least, type.bootS());
--- a/src/main/java/org/snowturn/core/model/RestartRecords.java
+++ b/src/main/java/org/snowturn/core/model/RestartRecords.java
@@ -20,7 +20,7 @@
   private RestartRecords() {}
 
   /** The stored form, in the format that the job's records have. */
-  public static JsonNode json(Job job) {
+  public static JsonNode toJson(Job job) {
     ObjectNode object =
         Json.object()
             .put("v", job.isSecondFormat() ? StorageKeys.SECOND_FORMAT : StorageKeys.FIRST_FORMAT);
--- a/src/main/java/org/snowturn/core/model/TaskRecords.java
+++ b/src/main/java/org/snowturn/core/model/TaskRecords.java
@@ -20,12 +20,12 @@
   private TaskRecords() {}
 
   /** Bytes that a placement on this machine takes at the most. */
-  public static int bytes(Machine machine) {
+  public static int maxEntryBytes(Machine machine) {
     return TaskLayout.entryBytes(Json.bytes(Json.array().add(machine.id)).length - 4);
   }
 
   /** The stored form of a record in the first format. */
-  public static JsonNode first(Job job, int record, MachineIndex machines) {
+  public static JsonNode firstFormatJson(Job job, int record, MachineIndex machines) {
     int from = job.layout().from(record);
     ObjectNode object = Json.object().put("v", StorageKeys.FIRST_FORMAT);
     ArrayNode placed = object.putArray("p");
@@ -43,7 +43,7 @@
   }
 
   /** The stored form of a record in the second format. */
-  public static JsonNode second(Job job, int record, MachineIndex machines) {
+  public static JsonNode secondFormatJson(Job job, int record, MachineIndex machines) {
     int from = job.layout().from(record);
     long base = Long.MAX_VALUE;
     for (int task = from; task < job.layout().to(record); task++) {
@@ -79,12 +79,12 @@
   }
 
   /** What a record tells of its tasks. */
-  public interface Reader {
+  public interface Visitor {
     /** The task has its result. */
-    void done(int task);
+    void onDone(int task);
 
     /** The task was placed on the machine in this session of its agent. */
-    void placed(int task, long attempt, String machine, long session);
+    void onPlaced(int task, long attempt, String machine, long session);
   }
 
   /**
@@ -92,20 +92,20 @@
    *
    * @throws IllegalArgumentException if it cannot be read; some of it may have been told by then
    */
-  public static void read(JsonNode value, int from, Reader to) {
+  public static void read(JsonNode value, int from, Visitor to) {
     if (!value.isObject()) {
       throw new IllegalArgumentException("not an object");
     }
     boolean second = value.path("v").asInt(StorageKeys.FIRST_FORMAT) >= StorageKeys.SECOND_FORMAT;
     BitSet finished = BitSet.valueOf(Base64.getDecoder().decode(value.path("d").asText("")));
-    finished.stream().forEach(i -> to.done(from + i));
+    finished.stream().forEach(i -> to.onDone(from + i));
     long base = second ? value.path("a").asLong(0) : 0;
     for (JsonNode p : value.path("p")) {
       if (!p.path(0).isInt() || !p.path(1).isIntegralNumber() || !p.path(2).isTextual()) {
         throw new IllegalArgumentException("a placement that is none");
       }
       int task = p.path(0).asInt();
-      to.placed(
+      to.onPlaced(
           second && task >= 0 ? from + task : task,
           base + p.path(1).asLong(),
           p.path(2).asText(),
--- a/src/main/java/org/snowturn/core/model/TaskTable.java
+++ b/src/main/java/org/snowturn/core/model/TaskTable.java
@@ -11,7 +11,7 @@
   private final int[] machines;
   private final long[] attempts;
   private final long[] epochs;
-  private final long[] stateSince;
+  private final long[] runningSince;
   private int pending;
   private int assigned;
   private int running;
@@ -22,7 +22,7 @@
     machines = new int[tasks];
     attempts = new long[tasks];
     epochs = new long[tasks];
-    stateSince = new long[tasks];
+    runningSince = new long[tasks];
     Arrays.fill(machines, NO_MACHINE);
     pending = tasks;
   }
@@ -60,12 +60,12 @@
     return epochs[task];
   }
 
-  long stateSince(int task) {
-    return stateSince[task];
+  long runningSince(int task) {
+    return runningSince[task];
   }
 
-  void setStateSince(int task, long since) {
-    stateSince[task] = since;
+  void setRunningSince(int task, long since) {
+    runningSince[task] = since;
   }
 
   /** A pending task is assigned to a machine. */
@@ -73,7 +73,7 @@
     machines[task] = machine;
     attempts[task] = attempt;
     epochs[task] = epoch;
-    stateSince[task] = MonotonicTime.NEVER;
+    runningSince[task] = MonotonicTime.NEVER;
     pending--;
     assigned++;
     setState(task, state);
--- a/src/main/java/org/snowturn/core/scheduling/Aging.java
+++ b/src/main/java/org/snowturn/core/scheduling/Aging.java
@@ -53,7 +53,7 @@
   }
 
   private static double waitedMs(Job job, double wallMs) {
-    return wallMs - Math.max(job.releasedWall(), job.placedWall());
+    return wallMs - Math.max(job.releasedWallMs(), job.placedWallMs());
   }
 
   /** Starts a round: which of the waiting jobs have waited for long, the longest first. */
--- a/src/main/java/org/snowturn/core/scheduling/FairOrdering.java
+++ b/src/main/java/org/snowturn/core/scheduling/FairOrdering.java
@@ -35,7 +35,7 @@
       job.setShareGroup(minimumShares.group(job.spec.jobClass(), job.spec.team()));
       minimumShares.recordArrivals(job.shareGroup(), job.taskCount());
     }
-    double waitedS = (wallMs - job.releasedWall()) / 1000.0;
+    double waitedS = (wallMs - job.releasedWallMs()) / 1000.0;
     minimumShares.recordWaiting(job.shareGroup(), waitedS, job.pending());
   }
 
@@ -67,7 +67,7 @@
       boolean matches =
           (job.priority() == Priority.PRODUCTION) == production && !job.isWithinGuarantee();
       if (matches && minimumShares.isBelowMinimum(job.shareGroup()) == first) {
-        job.setByMinimumShare(job.isByMinimumShare() || first);
+        job.setPreemptionProtection(job.hasPreemptionProtection() || first);
         sorted.add(job);
       }
     }
@@ -106,7 +106,7 @@
 
     @Override
     public long submitted() {
-      return job.submittedWall;
+      return job.submittedWallMs;
     }
 
     @Override
--- a/src/main/java/org/snowturn/core/scheduling/LongWaitPlacement.java
+++ b/src/main/java/org/snowturn/core/scheduling/LongWaitPlacement.java
@@ -51,7 +51,7 @@
       placing = true;
       boolean hadRoom = placement.place(job, usable, Aging.batchSize(job));
       placing = false;
-      job.setByMinimumShare(job.isByMinimumShare() || job.pending() < pendingBefore);
+      job.setPreemptionProtection(job.hasPreemptionProtection() || job.pending() < pendingBefore);
       if (!hadRoom && job.pending() == pendingBefore && aging.mayReserve(now)) {
         aging.reserve(job, machineToReserve(job, usable), now);
       }
--- a/src/main/java/org/snowturn/core/scheduling/PlacementConstraints.java
+++ b/src/main/java/org/snowturn/core/scheduling/PlacementConstraints.java
@@ -38,7 +38,7 @@
     if (spec.types() != null && !spec.types().contains(machine.type())) {
       return false;
     }
-    return spec.zone() == null || machines.zone(spec.zone()) == machine.zone();
+    return spec.zone() == null || machines.zoneIndex(spec.zone()) == machine.zone();
   }
 
   private static boolean isWithinZoneLimit(Job job, Machine machine) {
@@ -62,7 +62,7 @@
     for (Machine machine : machines.present()) {
       boolean ready =
           machine != from
-              && machine.usable(runtime.now())
+              && machine.isUsable(runtime.now())
               && machine.hasRoom(job.spec)
               && machine.images.containsKey(job.spec.image());
       if (ready && (machine.zone() == from.zone() || isAllowed(job, machine))) {
--- a/src/main/java/org/snowturn/core/scheduling/PlacementScore.java
+++ b/src/main/java/org/snowturn/core/scheduling/PlacementScore.java
@@ -87,7 +87,7 @@
     double score = base;
     // Even a short fetch is worse than any difference in how full machines are.
     score += machine.images.containsKey(job.spec.image()) ? 0 : FETCH_PENALTY_S;
-    score += SAME_MACHINE_PENALTY_S * job.tasksOn(machine);
+    score += SAME_MACHINE_PENALTY_S * job.replicasOn(machine);
     score += SAME_ZONE_PENALTY_S * job.assignedInZone(machine.zone());
     return score;
   }
--- a/src/main/java/org/snowturn/core/scheduling/Preemptor.java
+++ b/src/main/java/org/snowturn/core/scheduling/Preemptor.java
@@ -75,7 +75,7 @@
 
   /** Makes room, or waits for room being made, on a machine that has a new service's image. */
   boolean makeRoomWithImage(Job job, List<Machine> usable) {
-    if (runtime.wallMs() - job.releasedWall() > IMAGE_PATIENCE_MS
+    if (runtime.wallMs() - job.releasedWallMs() > IMAGE_PATIENCE_MS
         || !preemptionAllowed.getAsBoolean()) {
       return false;
     }
@@ -260,7 +260,7 @@
     if (job.isWithinGuarantee() && !sameTeam) {
       return true;
     }
-    boolean isProtected = victim.isByMinimumShare() && job.priority() != Priority.PRODUCTION;
+    boolean isProtected = victim.hasPreemptionProtection() && job.priority() != Priority.PRODUCTION;
     return victim.priority().compareTo(job.priority()) > 0 && !isProtected;
   }
 
@@ -268,7 +268,7 @@
   private List<Long> victims(Job job, Machine machine) {
     double cpus = job.spec.cpus() - machine.cpusFree();
     double memoryGb =
-        job.spec.memoryGb() - (machine.machineType().memoryGb() - machine.memoryUsed());
+        job.spec.memoryGb() - (machine.machineType().memoryGb() - machine.memoryUsedGb());
     double gpus = job.spec.gpus() - (machine.machineType().gpus() - machine.gpusUsed());
     List<Long> victims = new ArrayList<>();
     for (long ref : preemptibleTasks(job, machine)) {
@@ -301,7 +301,8 @@
     tasks.sort(
         Comparator.<Long, Priority>comparing(
                 ref -> assignments.job(ref).priority(), Comparator.reverseOrder())
-            .thenComparingLong(ref -> -assignments.job(ref).stateSince(TaskAssignments.task(ref))));
+            .thenComparingLong(
+                ref -> -assignments.job(ref).runningSince(TaskAssignments.task(ref))));
     return tasks;
   }
 }
--- a/src/main/java/org/snowturn/core/scheduling/ProbePlacement.java
+++ b/src/main/java/org/snowturn/core/scheduling/ProbePlacement.java
@@ -79,7 +79,7 @@
   private double score(Job job, Machine machine) {
     // Where nearly all machines have failed, those that seem sound are not: every other probe goes
     // to one of which nothing is known.
-    boolean informative = machine.failures.isSound() == (job.failures.probeCount() % 2 == 0);
+    boolean informative = machine.failures.isHealthy() == (job.failures.probeCount() % 2 == 0);
     return score.score(job, machine)
         + (informative ? 0 : UNINFORMATIVE_PENALTY_S)
         + (job.failures.hasFailedOn(machine.index) ? 2 * UNINFORMATIVE_PENALTY_S : 0);
--- a/src/main/java/org/snowturn/core/scheduling/SchedulingOrder.java
+++ b/src/main/java/org/snowturn/core/scheduling/SchedulingOrder.java
@@ -68,7 +68,7 @@
       int order = Integer.compare(rank, other.rank);
       order = order != 0 ? order : urgency.compareTo(other.urgency);
       order = order != 0 ? order : Double.compare(remainingWork, other.remainingWork);
-      order = order != 0 ? order : Long.compare(job.submittedWall, other.job.submittedWall);
+      order = order != 0 ? order : Long.compare(job.submittedWallMs, other.job.submittedWallMs);
       return order != 0 ? order : job.spec.id().compareTo(other.job.spec.id());
     }
   }
@@ -102,10 +102,10 @@
             slack(job.deadlineWallMs(1) - endMs),
             slack(job.deadlineWallMs(LATE_DEADLINE_FACTOR) - endMs));
     for (double withinS : objectives.startWithinS) {
-      slackMs = Math.min(slackMs, slack(job.releasedWall() + withinS * 1000 - wallMs));
+      slackMs = Math.min(slackMs, slack(job.releasedWallMs() + withinS * 1000 - wallMs));
     }
     for (double withinS : objectives.doneWithinS) {
-      slackMs = Math.min(slackMs, slack(job.releasedWall() + withinS * 1000 - endMs));
+      slackMs = Math.min(slackMs, slack(job.releasedWallMs() + withinS * 1000 - endMs));
     }
     if (slackMs < urgentSlackMs) {
       return Urgency.URGENT;
--- a/src/main/java/org/snowturn/core/scheduling/Speculator.java
+++ b/src/main/java/org/snowturn/core/scheduling/Speculator.java
@@ -81,7 +81,7 @@
             writer.pendingRecord(
                 StorageKeys.restarts(id),
                 0,
-                () -> RestartRecords.json(job),
+                () -> RestartRecords.toJson(job),
                 () -> new Condition(StorageKeys.job(id), job.version())));
   }
 
@@ -171,12 +171,12 @@
   }
 
   private double totalWork(Machine machine) {
-    double work = machine.workDone();
+    double work = machine.finishedTaskCount();
     for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
       Job job = assignments.job(ref);
       int task = TaskAssignments.task(ref);
       if (!job.spec.service()
-          && job.stateSince(task) != MonotonicTime.NEVER
+          && job.runningSince(task) != MonotonicTime.NEVER
           && !job.runTimes.isEmpty()) {
         work += Math.min(1, relativeRunTime(runS(job, task), expectedS(job, machine)));
       }
@@ -189,7 +189,7 @@
     List<Machine> usable = new ArrayList<>();
     DoubleSamples work = new DoubleSamples();
     for (Machine machine : machines.present()) {
-      if (machine.usable(runtime.now())) {
+      if (machine.isUsable(runtime.now())) {
         usable.add(machine);
         work.add(totalWork(machine));
       }
@@ -205,11 +205,11 @@
   }
 
   private double runS(Job job, int task) {
-    return (runtime.now() - job.stateSince(task)) / 1000.0;
+    return (runtime.now() - job.runningSince(task)) / 1000.0;
   }
 
   private double expectedS(Job job, Machine machine) {
-    return Math.max(MIN_RUN_S, job.median() * machine.slowness());
+    return Math.max(MIN_RUN_S, job.medianRunTimeS() * machine.slowness());
   }
 
   /** Adds the array's tasks that are slow by the thresholds of the tunables. */
@@ -251,7 +251,7 @@
   }
 
   private static boolean isRunning(Job job, int task) {
-    return job.stateOf(task) == TaskState.RUNNING && job.stateSince(task) != MonotonicTime.NEVER;
+    return job.stateOf(task) == TaskState.RUNNING && job.runningSince(task) != MonotonicTime.NEVER;
   }
 
   /** Whether a restart on the best fast machine would end sufficiently sooner. */
@@ -298,7 +298,7 @@
         .with(LogField.TASK, task)
         .with(LogField.MACHINE, current.id)
         .with(LogField.RUN_TIME_S, runS(job, task))
-        .with(LogField.MEDIAN_S, job.median())
+        .with(LogField.MEDIAN_S, job.medianRunTimeS())
         .with(LogField.SLOWNESS, current.slowness())
         .write();
     // The record is durable before the stop, so no later leader restarts the task again.
--- a/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
+++ b/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
@@ -94,7 +94,7 @@
   private List<Machine> usableMachines(long now) {
     List<Machine> usable = new ArrayList<>();
     for (Machine machine : machines.present()) {
-      if (machine.usable(now) && machines.zoneKnown(machine.zone())) {
+      if (machine.isUsable(now) && machines.isZoneConfigured(machine.zone())) {
         usable.add(machine);
       }
     }
@@ -104,7 +104,7 @@
   private void collectJobs(long now, List<Job> waiting, List<Job> suspected) {
     for (Job job : assignments.jobs()) {
       score.considerReplica(job.spec);
-      if (!job.wantsRoom()) {
+      if (!job.hasPlaceableTasks()) {
         continue;
       }
       if (job.failures.isSuspect()) {
--- a/src/test/java/org/snowturn/core/RecordsTest.java
+++ b/src/test/java/org/snowturn/core/RecordsTest.java
@@ -60,14 +60,14 @@
       TaskRecords.read(
           job.taskRecordJson(r, machines),
           job.layout().from(r),
-          new TaskRecords.Reader() {
+          new TaskRecords.Visitor() {
             @Override
-            public void done(int task) {
+            public void onDone(int task) {
               out.add(task + " done");
             }
 
             @Override
-            public void placed(int task, long attempt, String machine, long session) {
+            public void onPlaced(int task, long attempt, String machine, long session) {
               out.add(task + " " + attempt + " " + machine + " " + session);
             }
           });
@@ -161,9 +161,9 @@
       job.addRestarts(1);
     }
     assertTrue(job.restarts() > 200);
-    assertTrue(Json.bytes(RestartRecords.json(job)).length <= VALUE);
+    assertTrue(Json.bytes(RestartRecords.toJson(job)).length <= VALUE);
     Job next = new Job(0, spec(100_000, "i"), 0, 2);
-    RestartRecords.load(next, RestartRecords.json(job));
+    RestartRecords.load(next, RestartRecords.toJson(job));
     assertEquals(job.restarted, next.restarted);
   }
 }
--- a/src/test/java/org/snowturn/core/assignment/AttemptGuardTest.java
+++ b/src/test/java/org/snowturn/core/assignment/AttemptGuardTest.java
@@ -47,10 +47,10 @@
     public void resume() {}
 
     @Override
-    public void drop() {}
+    public void discardUnsent() {}
 
     @Override
-    public boolean idle() {
+    public boolean isIdle() {
       return true;
     }
   }
--- a/src/test/java/org/snowturn/core/model/LiveJobsTest.java
+++ b/src/test/java/org/snowturn/core/model/LiveJobsTest.java
@@ -48,7 +48,7 @@
       @ForAll @Size(max = 20) List<@IntRange(max = 100) Integer> after) {
     before.forEach(this::step);
     LiveJobs jobs = new LiveJobs(PREFIX, JsonNode::asBoolean, value -> List.of(value.asText()));
-    assertFalse(jobs.known());
+    assertFalse(jobs.isLoaded());
     List<Entry> pages = new ArrayList<>(stored.headMap(PREFIX + "3").values());
     final long oldest = epoch;
     between.forEach(this::step);
@@ -57,13 +57,13 @@
     after.forEach(this::step);
     List<Entry> late = since(jobs.revision());
     final long lateEpoch = epoch;
-    jobs.follow(since(jobs.revision()), epoch);
+    jobs.applyChanges(since(jobs.revision()), epoch);
     check(jobs);
     // An answer that was overtaken changes nothing.
     step(3);
     step(60);
-    jobs.follow(since(jobs.revision()), epoch);
-    jobs.follow(late, lateEpoch);
+    jobs.applyChanges(since(jobs.revision()), epoch);
+    jobs.applyChanges(late, lateEpoch);
     check(jobs);
   }
 
@@ -71,10 +71,10 @@
     assertEquals(stored.size(), jobs.size());
     assertEquals(epoch, jobs.revision());
     for (Map.Entry<String, Entry> e : stored.entrySet()) {
-      LiveJobs.Seen seen = jobs.get(e.getKey().substring(PREFIX.length()));
+      LiveJobs.CachedJob seen = jobs.get(e.getKey().substring(PREFIX.length()));
       JsonNode value = e.getValue().value();
       List<String> awaits = List.of(value.asText());
-      assertEquals(new LiveJobs.Seen(e.getValue().version(), value.asBoolean(), awaits), seen);
+      assertEquals(new LiveJobs.CachedJob(e.getValue().version(), value.asBoolean(), awaits), seen);
     }
   }
 }
--- a/src/test/java/org/snowturn/core/scheduling/AgingTest.java
+++ b/src/test/java/org/snowturn/core/scheduling/AgingTest.java
@@ -56,7 +56,7 @@
         for (int i = 0; i < Aging.batchSize(job) && room > 0 && job.pending() > 0; i++, room--) {
           begunAt[job.index] = begunAt[job.index] == 0 ? now : begunAt[job.index];
           job.assign(job.nextPending(), MACHINE, 1, 1, TaskState.PLACING);
-          job.setPlacedWall(now);
+          job.setPlacedWallMs(now);
           aging.recordPlacement(1, true, now);
           given++;
           toLongWaiting++;
--- a/src/test/java/org/snowturn/core/scheduling/SpeculatorTest.java
+++ b/src/test/java/org/snowturn/core/scheduling/SpeculatorTest.java
@@ -40,7 +40,7 @@
     Machine machine = new Machine(0, "i-1");
     assertEquals(1, machine.slowness());
     for (double ratio : new double[] {3, 1, 2}) {
-      machine.finishedWork(ratio);
+      machine.recordRunTimeRatio(ratio);
     }
     assertEquals(2, machine.slowness());
   }
