--- a/src/main/java/org/snowturn/core/model/AgentSession.java
+++ b/src/main/java/org/snowturn/core/model/AgentSession.java
@@ -3,8 +3,8 @@
 import org.snowturn.core.MonotonicTime;
 
 /**
- * What is known of the session of a machine's agent: its epoch, which the agent raises whenever it
- * starts anew, and its heartbeats. Times are those of the core's clock.
+ * The leader's view of a machine's agent: its current epoch, which the agent increments at each
+ * start, and its heartbeats. Times are milliseconds of the core's clock ({@link MonotonicTime}).
  */
 public final class AgentSession {
   private long epoch;
@@ -16,86 +16,98 @@
   private long lastAnswerAt;
   private boolean acknowledged;
 
-  /** The highest epoch heard of; 0 if none. */
+  /** Returns the highest known epoch of the agent; 0 if none is known. */
   public long epoch() {
     return epoch;
   }
 
-  /** An agent with this epoch was on the machine, by a heartbeat or a stored record. */
+  /** Sets the highest known epoch of the agent, which a heartbeat or a stored record showed. */
   public void setEpoch(long epoch) {
     this.epoch = epoch;
   }
 
-  /** The number of the newest heartbeat of the epoch; -1 if there is none. */
+  /** Returns the sequence number of the newest heartbeat of the epoch; -1 if there is none. */
   public long heartbeatSequence() {
     return heartbeatSequence;
   }
 
-  /** The highest epoch in which everything has certainly ended; -1 if none. */
+  /** Returns the highest epoch whose tasks have all provably ended; -1 if there is none. */
   public long endedEpoch() {
     return endedEpoch;
   }
 
-  /** Everything has certainly ended in this epoch and those before. */
-  public void markEndedThrough(long ended) {
-    endedEpoch = Math.max(endedEpoch, ended);
+  /** Records that all tasks of this epoch and of all earlier ones have provably ended. */
+  public void markEndedThrough(long lastEpoch) {
+    endedEpoch = Math.max(endedEpoch, lastEpoch);
   }
 
-  /** When this leader took in its newest heartbeat; {@link MonotonicTime#NEVER} if none. */
+  /**
+   * Returns the time at which this leader applied the newest heartbeat; {@link MonotonicTime#NEVER}
+   * if there was none.
+   */
   public long lastHeartbeatAt() {
     return lastHeartbeatAt;
   }
 
   /**
-   * Takes in the newest heartbeat.
+   * Records the newest heartbeat.
    *
-   * @param silentAfterMs without another one for so long, the machine may have died
+   * @param sequence the sequence number of the heartbeat
+   * @param now the current time, in milliseconds of the core's clock
+   * @param silentAfterMs the time without another heartbeat after which the machine may be dead, in
+   *     milliseconds
    */
-  public void recordHeartbeat(long seq, long now, long silentAfterMs) {
-    heartbeatSequence = seq;
+  public void recordHeartbeat(long sequence, long now, long silentAfterMs) {
+    heartbeatSequence = sequence;
     lastHeartbeatAt = now;
     silentAt = now + silentAfterMs;
   }
 
-  /** From then on, without another heartbeat, the machine may have died: nothing new goes there. */
+  /**
+   * Returns the time from which the machine may be dead and gets no new tasks, unless another
+   * heartbeat arrives earlier.
+   */
   public long silentAt() {
     return silentAt;
   }
 
   /**
-   * By then a heartbeat should have been sent here. What it answers to direct messages renews no
-   * lease, so from then on nothing new goes there.
+   * Returns the time by which the machine should have sent its next heartbeat to this leader. From
+   * then on it gets no new tasks, even if it answers direct messages, since they renew no lease.
    */
   public long heartbeatDueAt() {
     return heartbeatDueAt;
   }
 
-  /** Its next heartbeat should be sent here by then. */
+  /** Sets the time by which the machine should have sent its next heartbeat to this leader. */
   public void setHeartbeatDueAt(long dueAt) {
     heartbeatDueAt = dueAt;
   }
 
-  /** When a 200 that may have renewed the lease could last have been sent, by any leader. */
+  /**
+   * Returns the latest time at which any leader may have sent an answer that may renew the lease:
+   * status 200 to a heartbeat.
+   */
   public long lastAnswerAt() {
     return lastAnswerAt;
   }
 
-  /** An answer that may renew the lease was or may have been sent then. */
+  /** Sets the latest time at which an answer that may renew the lease may have been sent. */
   public void setLastAnswerAt(long answerAt) {
     lastAnswerAt = answerAt;
   }
 
-  /** Whether a heartbeat of the current epoch carried this leader's token. */
+  /** Returns whether a heartbeat of the current epoch has carried this leader's token. */
   public boolean isAcknowledged() {
     return acknowledged;
   }
 
-  /** A heartbeat of the current epoch carried this leader's token. */
+  /** Records that a heartbeat of the current epoch has carried this leader's token. */
   public void acknowledge() {
     acknowledged = true;
   }
 
-  /** What is known of this leader's token may be of an earlier epoch. */
+  /** Discards the acknowledgement, which may have come from an earlier epoch. */
   public void clearAcknowledgement() {
     acknowledged = false;
   }
--- a/src/main/java/org/snowturn/core/model/CommandChannel.java
+++ b/src/main/java/org/snowturn/core/model/CommandChannel.java
@@ -2,23 +2,23 @@
 
 import org.snowturn.wire.Command;
 
-/** The way in which a machine is given commands. */
+/** An outgoing queue of commands to one machine. */
 public interface CommandChannel {
-  /** Sends a command with the next message, once however often it is added. */
+  /** Adds a command to the next message; adding the same command again has no effect. */
   void add(Command command);
 
-  /** Takes back a command that has not been sent yet. */
+  /** Removes a command that has not been sent yet. */
   void withdraw(Command command);
 
-  /** Sends a message even without commands, to learn what the machine runs. */
+  /** Requests a message even if there are no commands, to learn which tasks the machine runs. */
   void probe();
 
-  /** The machine's address has become known. */
+  /** Resumes sending, once the machine's address is known. */
   void resume();
 
-  /** Forgets what has not been sent. */
+  /** Discards all commands that have not been sent. */
   void discardUnsent();
 
-  /** Whether nothing is under way or waits to be sent. */
+  /** Returns whether there is neither a message in flight nor a command to send. */
   boolean isIdle();
 }
--- a/src/main/java/org/snowturn/core/model/ImageCache.java
+++ b/src/main/java/org/snowturn/core/model/ImageCache.java
@@ -4,54 +4,67 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Images that a machine should have, most recently used last, with their sizes in GB. */
+/**
+ * The images that a machine's disk cache is expected to hold, with their sizes in GB: a model of
+ * the cache in the machine, with eviction of the least recently used images.
+ */
 public final class ImageCache {
   private static final int INITIAL_CAPACITY = 16;
   private static final float LOAD_FACTOR = 0.75f;
 
-  private final Map<String, Double> sizes =
+  /** Sizes in GB by image, in the order of access. */
+  private final Map<String, Double> sizesGb =
       new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
+
+  /** Whether the images have changed since the list of them was last stored. */
   private boolean changed;
 
-  /** Whether the machine should have the image. Does not count as a use. */
+  /** Returns whether the machine should hold the image. Does not count as a use. */
   public boolean containsKey(String image) {
-    return sizes.containsKey(image);
+    return sizesGb.containsKey(image);
   }
 
-  /** How many images there are. */
+  /** Returns the number of images. */
   public int size() {
-    return sizes.size();
+    return sizesGb.size();
   }
 
-  /** The images with their sizes in GB, least recently used first. */
+  /** Returns the images with their sizes in GB, the least recently used first. */
   public Iterable<Map.Entry<String, Double>> leastRecentlyUsedFirst() {
-    return Collections.unmodifiableSet(sizes.entrySet());
+    return Collections.unmodifiableSet(sizesGb.entrySet());
   }
 
-  /** Whether the stored list of images is behind. */
+  /** Returns whether the images have changed since the list of them was last stored. */
   public boolean isChanged() {
     return changed;
   }
 
-  /** The stored list of images has been brought up to date, or is about to be. */
+  /** Records that the current list of images is stored, or about to be. */
   public void markStored() {
     changed = false;
   }
 
-  /** An image is used; those that no longer fit go, least recently used first. */
-  void touch(String image, double gb, double capacityGb) {
-    if (sizes.get(image) != null) {
-      return; // and it is the most recently used one now
+  /**
+   * Records a use of an image and, if it is new, evicts the least recently used images until the
+   * others fit. The new image itself is never evicted, even if it is larger than the cache.
+   *
+   * @param image the name of the image
+   * @param sizeGb the size of the image in GB
+   * @param capacityGb the size of the cache in GB
+   */
+  void touch(String image, double sizeGb, double capacityGb) {
+    if (sizesGb.get(image) != null) {
+      return; // the lookup has made it the most recently used image
     }
-    sizes.put(image, gb);
+    sizesGb.put(image, sizeGb);
     changed = true;
-    double total = 0;
-    for (double size : sizes.values()) {
-      total += size;
+    double totalGb = 0;
+    for (double size : sizesGb.values()) {
+      totalGb += size;
     }
-    var oldest = sizes.entrySet().iterator();
-    while (total > capacityGb && sizes.size() > 1 && oldest.hasNext()) {
-      total -= oldest.next().getValue();
+    var oldest = sizesGb.entrySet().iterator();
+    while (totalGb > capacityGb && sizesGb.size() > 1 && oldest.hasNext()) {
+      totalGb -= oldest.next().getValue();
       oldest.remove();
     }
   }
--- a/src/main/java/org/snowturn/core/model/IntendedUse.java
+++ b/src/main/java/org/snowturn/core/model/IntendedUse.java
@@ -1,11 +1,11 @@
 package org.snowturn.core.model;
 
-/** What a machine is meant for. */
+/** What the leader intends to do with a machine. */
 enum IntendedUse {
-  /** It takes work. */
+  /** The machine runs tasks. */
   IN_USE,
-  /** It is drained, since it is not needed. */
+  /** The machine is drained, since it is not needed. */
   SCALING_IN,
-  /** It is to be deleted. */
+  /** The machine is to be deleted. */
   TERMINATING
 }
--- a/src/main/java/org/snowturn/core/model/Machine.java
+++ b/src/main/java/org/snowturn/core/model/Machine.java
@@ -8,10 +8,17 @@
 import org.snowturn.wire.MachineType;
 import org.snowturn.wire.Priority;
 
-/** A machine as the leader sees it: its session, what may be on it, and how it has been doing. */
+/**
+ * A machine as the leader sees it: its agent's session, the tasks that may be on it, and its
+ * health. Times are milliseconds of the core's clock ({@link MonotonicTime}).
+ */
 public final class Machine {
+  /** The dense index of this machine among all machines of the leader's term. */
   public final int index;
+
+  /** The id of the machine, which the cloud and the machine's agent use. */
   public final String id;
+
   private String address;
   private String type;
   private int zone;
@@ -19,7 +26,7 @@
   private final ResourceUsage resources = new ResourceUsage();
   private Registration registration = Registration.NONE;
   private Presence presence = Presence.PRESENT;
-  private IntendedUse usage = IntendedUse.IN_USE;
+  private IntendedUse intendedUse = IntendedUse.IN_USE;
   private long terminateRetryAt;
   private boolean probing;
   private boolean suspected;
@@ -27,7 +34,7 @@
   private long preemptionAt = Long.MAX_VALUE;
   private long firstSeenAt;
 
-  private boolean rentedByThisTerm;
+  private boolean rentedInThisTerm;
 
   private long listedAt = MonotonicTime.NEVER;
   private CloudMachine.State cloudState = CloudMachine.State.STARTING;
@@ -35,84 +42,106 @@
   private long idleSince;
   private long preemptingUntil;
 
+  /** The tasks assigned to the machine, as references by {@link Job#taskReference}. */
   public final LongHashSet assigned = new LongHashSet();
 
-  /** Tasks that run there of jobs that are left alone since a record cannot be read. */
+  /**
+   * Number of tasks running on the machine whose jobs are quarantined, since a record is
+   * unreadable.
+   */
   private int unaccountedTasks;
 
   private final PriorityCounts assignedByPriority = new PriorityCounts();
 
-  /** How many of them an earlier leader bound and this one has not seen yet. */
+  /** Number of tasks that an earlier leader assigned and that this leader has not seen yet. */
   private int adoptedTasks;
 
-  /** The images that it should have. */
+  /** The images that the machine should hold. */
   public final ImageCache images = new ImageCache();
 
-  /** The page of the registry that it is on, or -1. */
+  /** The page of the stored registry that lists the machine; -1 if none does. */
   private int registryPage = -1;
 
-  /** The session of its agent. */
+  /** The session of the machine's agent. */
   public final AgentSession session = new AgentSession();
 
-  /** What failures of tasks tell of it. */
+  /** The failure history of tasks on the machine. */
   public final MachineFailures failures = new MachineFailures();
 
-  /** Whether it receives what it is sent. */
+  /** Whether messages to the machine arrive. */
   public final Reachability reachability = new Reachability();
 
-  private final RunTimeRatios runTimes = new RunTimeRatios();
+  private final RunTimeRatios runTimeRatios = new RunTimeRatios();
 
   /**
-   * Attempts whose direct start got no answer: it may still arrive, so they are never forgotten.
+   * Attempts whose direct start command was not answered. Since the command may still arrive, the
+   * machine is not sent a command to forget them.
    */
   public final LongHashSet startsInDoubt = new LongHashSet();
 
   private CommandChannel commands;
 
-  /** A machine of which nothing else is known yet. */
+  /**
+   * Creates a machine of which only the id is known.
+   *
+   * @param index the dense index of the machine
+   * @param id the id of the machine
+   */
   public Machine(int index, String id) {
     this.index = index;
     this.id = id;
   }
 
-  /** Whether one more task of the job fits beside what is there. */
+  /** Returns whether one more task of the job fits beside the assigned ones. */
   public boolean hasRoom(JobSpec spec) {
     return resources.hasRoom(spec);
   }
 
-  /** How many tasks of the job fit beside what is there. */
+  /** Returns how many more tasks of the job fit beside the assigned ones. */
   public int roomFor(JobSpec spec) {
     return resources.roomFor(spec);
   }
 
-  /** CPUs that no assigned task uses; 0 while its type is unknown. */
+  /** Returns the number of CPUs that no assigned task uses; 0 while the type is unknown. */
   public double cpusFree() {
     return resources.cpusFree();
   }
 
-  /** CPUs that assigned tasks use. */
+  /** Returns the number of CPUs that assigned tasks use. */
   public double cpusUsed() {
     return resources.cpus();
   }
 
-  /** GPUs that assigned tasks use. */
+  /** Returns the number of GPUs that assigned tasks use. */
   public double gpusUsed() {
     return resources.gpus();
   }
 
-  /** Memory in GB that assigned tasks use. */
+  /** Returns the memory that assigned tasks use, in GB. */
   public double memoryUsedGb() {
     return resources.memoryGb();
   }
 
-  /** A task is assigned to it; {@code reference} names the task. */
+  /**
+   * Assigns a task to the machine.
+   *
+   * @param reference the task, by {@link Job#taskReference}
+   * @param priority the priority of the job
+   * @param spec the specification of the job
+   */
   public void assign(long reference, Priority priority, JobSpec spec) {
     assigned.add(reference);
     assignedByPriority.add(priority, 1);
     resources.add(spec, 1);
   }
 
-  /** The task is not assigned to it any more. */
+  /**
+   * Removes an assigned task.
+   *
+   * @param reference the task, by {@link Job#taskReference}
+   * @param priority the priority of the job
+   * @param spec the specification of the job
+   */
   public void unassign(long reference, Priority priority, JobSpec spec) {
     assigned.remove(reference);
     assignedByPriority.add(priority, -1);
@@ -122,18 +151,21 @@
     }
   }
 
-  /** One of its tasks has another priority now. */
+  /** Counts one of the assigned tasks under another priority. */
   public void reprioritize(Priority from, Priority to) {
     assignedByPriority.add(from, -1);
     assignedByPriority.add(to, 1);
   }
 
-  /** How many of the tasks there are of lower priority than this. */
+  /** Returns the number of assigned tasks of lower priority than this. */
   public int assignedBelow(Priority priority) {
     return assignedByPriority.below(priority);
   }
 
-  /** It was taken for gone since it was neither heard nor listed, and yet it is there. */
+  /**
+   * Restores a machine that was presumed gone, since neither heartbeats nor the cloud's list showed
+   * it, and has appeared again. Its agent epochs up to the highest known one count as ended.
+   */
   public void restore() {
     presence = Presence.PRESENT;
     session.clearAcknowledgement();
@@ -142,24 +174,30 @@
     reachability.revokeProof(session.lastHeartbeatAt());
   }
 
-  /** Whether new work may go there. */
+  /** Returns whether the machine may get new tasks. */
   public boolean isUsable(long now) {
     return unusableReason(now) == null;
   }
 
-  /** Whether it seems to reach no controller, though it may answer direct messages. */
+  /**
+   * Returns whether heartbeats are overdue: the machine seems to reach no controller, though it may
+   * answer direct messages.
+   */
   public boolean isMissingHeartbeats(long now) {
     return now >= session.heartbeatDueAt();
   }
 
-  /** Why no new work may go there, in a word for operators; null if it may. */
+  /**
+   * Returns the reason why the machine gets no new tasks, as it is logged; null if the machine is
+   * usable.
+   */
   public String unusableReason(long now) {
-    if (presence != Presence.PRESENT || usage != IntendedUse.IN_USE) {
+    if (presence != Presence.PRESENT || intendedUse != IntendedUse.IN_USE) {
       return "leaving";
     }
-    String silence = whySilent(now);
-    if (silence != null) {
-      return silence;
+    String silenceReason = silenceReason(now);
+    if (silenceReason != null) {
+      return silenceReason;
     }
     if (!session.isAcknowledged()) {
       return "unacknowledged";
@@ -169,10 +207,10 @@
           ? "unreachable"
           : "unproven";
     }
-    return whyBlocked(now);
+    return blockedReason(now);
   }
 
-  private String whySilent(long now) {
+  private String silenceReason(long now) {
     if (session.lastHeartbeatAt() == MonotonicTime.NEVER) {
       return "unheard";
     }
@@ -188,7 +226,7 @@
     return isMissingHeartbeats(now) ? "missing_heartbeats" : null;
   }
 
-  private String whyBlocked(long now) {
+  private String blockedReason(long now) {
     if (!isRegistered()) {
       return "unrecorded";
     }
@@ -201,319 +239,349 @@
     return machineType() == null || now < blockedUntil ? "blocked" : null;
   }
 
-  /** An image is used there, of this size in GB. */
-  public void touchImage(String image, double gb) {
-    images.touch(image, gb, machineType() == null ? Double.MAX_VALUE : machineType().cacheGb());
+  /**
+   * Records that a task on the machine uses an image.
+   *
+   * @param image the name of the image
+   * @param sizeGb the size of the image in GB
+   */
+  public void touchImage(String image, double sizeGb) {
+    images.touch(image, sizeGb, machineType() == null ? Double.MAX_VALUE : machineType().cacheGb());
   }
 
-  /** A task has finished; its run time over the median of its array. */
+  /**
+   * Records the run time of a finished task.
+   *
+   * @param ratio the run time divided by the median run time of the task's array
+   */
   public void recordRunTimeRatio(double ratio) {
-    runTimes.add(ratio);
+    runTimeRatios.add(ratio);
   }
 
-  /** The median of finished run times over their arrays' medians; 1 before there are any. */
+  /**
+   * Returns how slow the machine is: the median ratio of a task's run time to the median run time
+   * of the task's array; 1 if no task has finished.
+   */
   public double slowness() {
-    return runTimes.median();
+    return runTimeRatios.median();
   }
 
-  /** How many tasks have finished there. */
+  /** Returns the number of tasks that have finished on the machine. */
   public int finishedTaskCount() {
-    return runTimes.count();
+    return runTimeRatios.count();
   }
 
-  /** Where it is reached; null if that is not known. */
+  /** Returns the network address of the agent; null if unknown. */
   public String address() {
     return address;
   }
 
-  /** It is reached there. */
-  public void setAddress(String addr) {
-    this.address = addr;
+  /** Sets the network address of the agent. */
+  public void setAddress(String address) {
+    this.address = address;
   }
 
-  /** The name of its type; null if that is not known. */
+  /** Returns the name of the machine type; null if unknown. */
   public String type() {
     return type;
   }
 
-  /** Its type has this name. */
+  /** Sets the name of the machine type. */
   public void setType(String type) {
     this.type = type;
   }
 
-  /** The dense index of its zone. */
+  /** Returns the index of the zone. */
   public int zone() {
     return zone;
   }
 
-  /** It is in this zone. */
+  /** Sets the index of the zone. */
   public void setZone(int zone) {
     this.zone = zone;
   }
 
-  /** Whether the cloud may take it back at any time. */
+  /** Returns whether the machine is a spot machine, which the cloud may take back at any time. */
   public boolean isSpot() {
     return spot;
   }
 
-  /** Whether the cloud may take it back at any time. */
+  /** Sets whether the machine is a spot machine. */
   public void setSpot(boolean spot) {
     this.spot = spot;
   }
 
-  /** Its type; null if that is not known. */
+  /** Returns the machine type; null if unknown. */
   public MachineType machineType() {
     return resources.type();
   }
 
-  /** It is of this type. */
+  /** Sets the machine type. */
   public void setMachineType(MachineType machineType) {
     resources.type(machineType);
   }
 
-  /** The highest epoch heard of its agent; 0 if none. */
+  /** Returns the highest known epoch of the agent; 0 if none is known. */
   public long epoch() {
     return session.epoch();
   }
 
-  /** When this leader took in its newest heartbeat; {@link MonotonicTime#NEVER} if none. */
+  /**
+   * Returns the time at which this leader applied the newest heartbeat; {@link MonotonicTime#NEVER}
+   * if there was none.
+   */
   public long lastHeartbeatAt() {
     return session.lastHeartbeatAt();
   }
 
-  /** Whether its entry in the stored registry is durable. */
+  /** Returns whether the entry in the stored registry is durable. */
   public boolean isRegistered() {
     return registration == Registration.DURABLE;
   }
 
-  /** Whether nothing has been done yet to enter it in the stored registry. */
+  /** Returns whether the write of the entry in the stored registry has yet to begin. */
   public boolean needsRegistration() {
     return registration == Registration.NONE;
   }
 
-  /** Its entry in the stored registry is being written. */
+  /** Records that the entry in the stored registry is being written. */
   public void beginRegistration() {
     registration = Registration.IN_PROGRESS;
   }
 
-  /** Its entry in the stored registry is durable. */
+  /** Records that the entry in the stored registry is durable. */
   public void markRegistered() {
     registration = Registration.DURABLE;
   }
 
-  /** Whether it is taken for gone, whether or not the cloud has confirmed that. */
+  /** Returns whether the machine is presumed gone or confirmed as terminated. */
   public boolean isGone() {
     return presence != Presence.PRESENT;
   }
 
-  /** Whether the cloud has confirmed that it is gone for good. */
+  /** Returns whether the cloud has confirmed the termination. */
   public boolean isTerminationConfirmed() {
     return presence == Presence.TERMINATED;
   }
 
-  /** It is taken for gone. */
+  /** Marks the machine as presumed gone, unless its termination is confirmed. */
   void presumeGone() {
     if (presence == Presence.PRESENT) {
       presence = Presence.PRESUMED_GONE;
     }
   }
 
-  /** The cloud has confirmed that it is gone for good. */
+  /** Records that the cloud has confirmed the termination. */
   public void confirmTermination() {
     presence = Presence.TERMINATED;
   }
 
-  /** Whether it is to be deleted; once it is, that stays so. */
+  /** Returns whether the machine is to be terminated; this decision is never revoked. */
   public boolean isTerminating() {
-    return usage == IntendedUse.TERMINATING;
+    return intendedUse == IntendedUse.TERMINATING;
   }
 
-  /** It is to be deleted. */
+  /** Marks the machine as to be terminated. */
   public void beginTermination() {
-    usage = IntendedUse.TERMINATING;
+    intendedUse = IntendedUse.TERMINATING;
   }
 
-  /** Whether it is drained since it is not needed, and not to be deleted yet. */
+  /**
+   * Returns whether the machine is drained because it is not needed, with no termination decided.
+   */
   public boolean isScalingIn() {
-    return usage == IntendedUse.SCALING_IN;
+    return intendedUse == IntendedUse.SCALING_IN;
   }
 
-  /** It is not needed any more and gets no new work, unless it is to be deleted anyway. */
+  /** Begins to drain the machine, unless it is to be terminated already. */
   public void beginScaleIn() {
-    usage = usage == IntendedUse.IN_USE ? IntendedUse.SCALING_IN : usage;
+    intendedUse = intendedUse == IntendedUse.IN_USE ? IntendedUse.SCALING_IN : intendedUse;
   }
 
-  /** It is needed after all. */
+  /** Stops draining the machine, unless it is to be terminated already. */
   public void cancelScaleIn() {
-    usage = usage == IntendedUse.SCALING_IN ? IntendedUse.IN_USE : usage;
+    intendedUse = intendedUse == IntendedUse.SCALING_IN ? IntendedUse.IN_USE : intendedUse;
   }
 
-  /** Before this time no deletion is sent to the cloud. */
+  /** Returns the time before which no request to delete the machine is sent to the cloud. */
   public long terminateRetryAt() {
     return terminateRetryAt;
   }
 
-  /** No deletion is to be sent to the cloud before this time. */
+  /** Sets the time before which no request to delete the machine is sent to the cloud. */
   public void setTerminateRetryAt(long terminateRetryAt) {
     this.terminateRetryAt = terminateRetryAt;
   }
 
-  /** Whether a message that is to find out whether it is up has no answer yet. */
+  /**
+   * Returns whether a probe, which is a message to check that the machine is up, awaits its answer.
+   */
   public boolean isProbing() {
     return probing;
   }
 
-  /** A message that is to find out whether it is up has been queued. */
+  /** Records that a probe has been queued. */
   public void beginProbe() {
     probing = true;
   }
 
-  /** That message was answered, or was in vain. */
+  /** Records that the probe was answered or has failed. */
   public void endProbe() {
     probing = false;
   }
 
-  /** Whether it left a message unanswered while no heartbeat of it came. */
+  /** Returns whether the machine left a message unanswered while it sent no heartbeats. */
   public boolean isSuspected() {
     return suspected;
   }
 
-  /** It left a message unanswered while no heartbeat of it came. */
+  /** Records that the machine left a message unanswered while it sent no heartbeats. */
   public void markSuspected() {
     suspected = true;
   }
 
-  /** It has been heard. */
+  /** Clears the suspicion after a heartbeat. */
   public void clearSuspicion() {
     suspected = false;
   }
 
-  /** Whether tasks of sound jobs fail there: it gets no more work. */
+  /** Returns whether the machine gets no more tasks, since tasks of healthy jobs fail on it. */
   public boolean isQuarantined() {
     return quarantined;
   }
 
-  /** It gets no more work, since tasks of sound jobs fail there. */
+  /** Excludes the machine from new tasks for good, since tasks of healthy jobs fail on it. */
   public void quarantine() {
     quarantined = true;
   }
 
-  /** When the cloud takes it back, by its notice; {@link Long#MAX_VALUE} without one. */
+  /**
+   * Returns the time at which the cloud will take the machine back, according to a preemption
+   * notice; {@link Long#MAX_VALUE} if there is no notice.
+   */
   public long preemptionAt() {
     return preemptionAt;
   }
 
-  /** The cloud takes it back then. */
+  /** Sets the time at which the cloud will take the machine back. */
   public void setPreemptionAt(long preemptionAt) {
     this.preemptionAt = preemptionAt;
   }
 
-  /** Since when it is known to exist; 0 if not known. */
+  /** Returns the earliest time at which the machine is known to have existed; 0 if unknown. */
   public long firstSeenAt() {
     return firstSeenAt;
   }
 
-  /** It is known to exist since then. */
+  /** Sets the earliest time at which the machine is known to have existed. */
   public void setFirstSeenAt(long firstSeenAt) {
     this.firstSeenAt = firstSeenAt;
   }
 
-  /** Whether this leader has rented it. */
+  /** Returns whether this leader has rented the machine. */
   public boolean isRentedInThisTerm() {
-    return rentedByThisTerm;
+    return rentedInThisTerm;
   }
 
-  /** This leader has rented it. */
+  /** Records that this leader has rented the machine. */
   public void markRentedInThisTerm() {
-    rentedByThisTerm = true;
+    rentedInThisTerm = true;
   }
 
-  /** When the cloud listed it last; {@link MonotonicTime#NEVER} if it did not. */
+  /**
+   * Returns the time at which the cloud last listed the machine; {@link MonotonicTime#NEVER} if it
+   * was never listed.
+   */
   public long listedAt() {
     return listedAt;
   }
 
-  /** The cloud has listed it. */
+  /** Sets the time at which the cloud last listed the machine. */
   public void setListedAt(long listedAt) {
     this.listedAt = listedAt;
   }
 
-  /** Its state when the cloud listed it last. */
+  /** Returns the state in the last list of the cloud. */
   public CloudMachine.State cloudState() {
     return cloudState;
   }
 
-  /** The cloud has listed it in this state. */
+  /** Sets the state in the last list of the cloud. */
   public void setCloudState(CloudMachine.State cloudState) {
     this.cloudState = cloudState;
   }
 
-  /** Nothing new goes there before, since it has refused a task or not answered. */
+  /**
+   * Returns the time before which the machine gets no new tasks, after a refusal or a missing
+   * answer.
+   */
   public long blockedUntil() {
     return blockedUntil;
   }
 
-  /** Nothing new goes there before this time. */
+  /** Sets the time before which the machine gets no new tasks. */
   public void setBlockedUntil(long blockedUntil) {
     this.blockedUntil = blockedUntil;
   }
 
-  /** Since when no task is assigned to it; 0 if it has never been heard. */
+  /**
+   * Returns the time since which no task is assigned to the machine; 0 before its first heartbeat.
+   */
   public long idleSince() {
     return idleSince;
   }
 
-  /** No task is assigned to it since then. */
+  /** Sets the time since which no task is assigned to the machine. */
   public void setIdleSince(long idleSince) {
     this.idleSince = idleSince;
   }
 
-  /** Room is being made there, so none more is made until then. */
+  /** Returns the time until which preemption on the machine is under way; none starts before. */
   public long preemptingUntil() {
     return preemptingUntil;
   }
 
-  /** Room is being made there until then. */
+  /** Sets the time until which preemption on the machine is under way. */
   public void setPreemptingUntil(long preemptingUntil) {
     this.preemptingUntil = preemptingUntil;
   }
 
-  /** Tasks that run there of jobs that are left alone since a record cannot be read. */
+  /** Returns the number of tasks running on the machine whose jobs are quarantined. */
   public int unaccountedTasks() {
     return unaccountedTasks;
   }
 
-  /** So many tasks run there of jobs that are left alone. */
-  public void setUnaccountedTasks(int unaccounted) {
-    this.unaccountedTasks = unaccounted;
+  /** Sets the number of tasks running on the machine whose jobs are quarantined. */
+  public void setUnaccountedTasks(int unaccountedTasks) {
+    this.unaccountedTasks = unaccountedTasks;
   }
 
-  /** How many of them an earlier leader bound and this one has not seen yet. */
+  /** Returns the number of tasks that an earlier leader assigned and this leader has not seen. */
   public int adoptedTasks() {
     return adoptedTasks;
   }
 
-  /** So many tasks that an earlier leader assigned are to be seen there, or are no more. */
+  /** Adds to the number of tasks that an earlier leader assigned and this leader has not seen. */
   public void addAdoptedTasks(int delta) {
     adoptedTasks += delta;
   }
 
-  /** The page of the registry that it is on, or -1. */
+  /** Returns the page of the stored registry that lists the machine; -1 if none does. */
   public int registryPage() {
     return registryPage;
   }
 
-  /** It is on this page of the registry; -1 if on none. */
+  /** Sets the page of the stored registry that lists the machine; -1 if none does. */
   public void setRegistryPage(int registryPage) {
     this.registryPage = registryPage;
   }
 
-  /** The way to give it commands. */
+  /** Returns the channel for commands to the machine. */
   public CommandChannel commands() {
     return commands;
   }
 
-  /** The way to give it commands. */
+  /** Sets the channel for commands to the machine. */
   public void setCommands(CommandChannel commands) {
     this.commands = commands;
   }
--- a/src/main/java/org/snowturn/core/model/MachineFailures.java
+++ b/src/main/java/org/snowturn/core/model/MachineFailures.java
@@ -1,44 +1,51 @@
 package org.snowturn.core.model;
 
-/** What failures of tasks tell of a machine. Times are those of the core's clock. */
+/** The failure history of tasks on one machine. Times are milliseconds of the core's clock. */
 public final class MachineFailures {
   private int unexplained;
-  private boolean sound;
+  private boolean healthy;
   private long blockedUntil;
 
-  /** Failures there since the last success that no suspect job explains. */
+  /** Returns the number of failures since the last success that no suspected job explains. */
   public int unexplained() {
     return unexplained;
   }
 
-  /** Whether work has succeeded there and no sound job has failed since. */
+  /** Returns whether a task has succeeded and no task of a healthy job has failed since. */
   public boolean isHealthy() {
-    return sound;
+    return healthy;
   }
 
-  /** Nothing new goes there before, since what failed there last may be the machine's fault. */
+  /**
+   * Returns the time before which the machine gets no new tasks, since it may be the cause of the
+   * last failure.
+   */
   public long blockedUntil() {
     return blockedUntil;
   }
 
-  /** A task has succeeded there, or keeps running. */
+  /** Records that a task on the machine has succeeded or has been running for a while. */
   public void recordSuccess() {
     unexplained = 0;
-    sound = true;
+    healthy = true;
     blockedUntil = 0;
   }
 
-  /** A task has failed there; whether the machine is sound by now. */
-  public void recordFailure(boolean stillSound) {
-    sound = stillSound;
+  /**
+   * Records that a task on the machine has failed.
+   *
+   * @param stillHealthy whether the machine is healthy in spite of this failure
+   */
+  public void recordFailure(boolean stillHealthy) {
+    healthy = stillHealthy;
   }
 
-  /** So many failures there are not explained by suspect jobs. */
+  /** Sets the number of failures since the last success that no suspected job explains. */
   public void setUnexplained(int count) {
     unexplained = count;
   }
 
-  /** Nothing new goes there before this time; 0 if nothing speaks against it. */
+  /** Sets the time before which the machine gets no new tasks; 0 ends the block. */
   public void blockUntil(long until) {
     blockedUntil = until;
   }
--- a/src/main/java/org/snowturn/core/model/MachineIndex.java
+++ b/src/main/java/org/snowturn/core/model/MachineIndex.java
@@ -6,64 +6,69 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** All machines, by name at the door and by dense index inside; likewise the zones. */
+/**
+ * All machines and zones. Messages and records refer to machines by id and to zones by name;
+ * internally both have dense indices.
+ */
 public final class MachineIndex {
   private final Map<String, Integer> byId = new HashMap<>();
   private final List<Machine> all = new ArrayList<>();
   private final List<String> zoneNames;
-  private final Function<Machine, CommandChannel> channels;
+  private final Function<Machine, CommandChannel> channelFactory;
+
+  /** The result of {@link #present}; null after a change. */
   private List<Machine> present;
 
   /**
-   * Knows no machine yet.
+   * Creates an index without machines.
    *
-   * @param zones the names of the zones that the settings name
-   * @param channels makes the way to give a machine commands
+   * @param zones the names of the configured zones
+   * @param channelFactory factory for the command channel of a machine
    */
-  public MachineIndex(List<String> zones, Function<Machine, CommandChannel> channels) {
+  public MachineIndex(List<String> zones, Function<Machine, CommandChannel> channelFactory) {
     this.zoneNames = List.copyOf(zones);
-    this.channels = channels;
+    this.channelFactory = channelFactory;
   }
 
-  /** The zone's index; all zones that the settings do not name share the last one. */
+  /** Returns the index of a zone; all zones that are not configured share the last index. */
   public int zoneIndex(String name) {
     int index = zoneNames.indexOf(name);
     return index >= 0 ? index : zoneNames.size();
   }
 
-  /** Whether the settings name the zone with this index. */
+  /** Returns whether the zone with this index is configured. */
   public boolean isZoneConfigured(int zone) {
     return zone < zoneNames.size();
   }
 
-  /** The zone's name; "?" if the settings do not name it. */
+  /** Returns the name of the zone with this index; "?" if it is not configured. */
   public String zoneName(int zone) {
     return isZoneConfigured(zone) ? zoneNames.get(zone) : "?";
   }
 
-  /** How many indices there are, the last one for unknown zones. */
+  /** Returns the number of zone indices, including the last one for zones not configured. */
   public int zoneCount() {
     return zoneNames.size() + 1;
   }
 
-  /** The machine with this name; null if there is none. */
+  /** Returns the machine with this id; null if there is none. */
   public Machine find(String id) {
     Integer index = byId.get(id);
     return index == null ? null : all.get(index);
   }
 
-  /** The machine with this index. */
+  /** Returns the machine with this index. */
   public Machine get(int index) {
     return all.get(index);
   }
 
-  /** The machine with this name, which is added if there is none. */
+  /** Returns the machine with this id, and adds it if there is none. */
   public Machine getOrAdd(String id) {
     Machine machine = find(id);
     if (machine == null) {
       machine = new Machine(all.size(), id);
       machine.setZone(zoneNames.size());
-      machine.setCommands(channels.apply(machine));
+      machine.setCommands(channelFactory.apply(machine));
       all.add(machine);
       present = null;
       byId.put(id, machine.index);
@@ -71,7 +76,7 @@
     return machine;
   }
 
-  /** The machines that are not known to be gone: a list that no later change alters. */
+  /** Returns the machines that are not gone, as a list that later changes do not affect. */
   public List<Machine> present() {
     if (present == null) {
       present = all.stream().filter(machine -> !machine.isGone()).toList();
@@ -79,13 +84,13 @@
     return present;
   }
 
-  /** The machine is taken for gone. */
+  /** Marks a machine as presumed gone, so that it is no longer listed as present. */
   public void remove(Machine machine) {
     machine.presumeGone();
     present = null;
   }
 
-  /** The machine was taken for gone, and yet it is there. */
+  /** Restores a machine that was presumed gone and has appeared again. */
   public void restore(Machine machine) {
     machine.restore();
     present = null;
--- a/src/main/java/org/snowturn/core/model/MachineTypes.java
+++ b/src/main/java/org/snowturn/core/model/MachineTypes.java
@@ -13,47 +13,51 @@
 import org.snowturn.wire.MachineType;
 import org.snowturn.wire.MalformedException;
 
-/** The machine types, fetched at start and again now and then for the prices. */
+/** The cloud's catalog of machine types, fetched at start and refreshed for current prices. */
 public final class MachineTypes {
   private static final String CATALOG_PATH = "/catalog";
-  private static final long REFRESH_MS = 60_000;
-  private static final int TIMEOUT_MS = 3_000;
-  private static final long RETRY_MS = 1_000;
+  private static final long REFRESH_INTERVAL_MS = 60_000;
+  private static final int REQUEST_TIMEOUT_MS = 3_000;
+  private static final long RETRY_DELAY_MS = 1_000;
+  private static final int STATUS_OK = 200;
+
   private final CoreRuntime runtime;
   private Map<String, MachineType> types = Map.of();
-  private long nextAt;
-  private boolean requested;
+  private long nextRequestAt;
+  private boolean requestInFlight;
 
-  /** Knows no type yet. */
+  /** Creates an empty catalog; the first {@link #tick} fetches it. */
   public MachineTypes(CoreRuntime runtime) {
     this.runtime = runtime;
   }
 
-  /** Whether the types have been fetched. */
+  /** Returns whether the types have been fetched. */
   public boolean isLoaded() {
     return !types.isEmpty();
   }
 
-  /** All types, in the order of the catalog. */
+  /** Returns all types, in the order of the catalog. */
   public Iterable<MachineType> all() {
     return types.values();
   }
 
-  /** The type with this name; null if there is none. */
+  /** Returns the type with this name; null if there is none. */
   public MachineType get(String name) {
     return types.get(name);
   }
 
-  /** How long the type that is up soonest takes; 0 while none is known. */
+  /** Returns the shortest boot time of any type, in seconds; 0 while no type is known. */
   public double shortestBootS() {
-    double least = types.isEmpty() ? 0 : Double.MAX_VALUE;
+    double shortestS = types.isEmpty() ? 0 : Double.MAX_VALUE;
     for (MachineType type : types.values()) {
-      least = Math.min(least, type.bootS());
+      shortestS = Math.min(shortestS, type.bootS());
     }
-    return least;
+    return shortestS;
   }
 
-  /** Whether some allowed type, offered in an allowed zone, can hold one task. */
+  /**
+   * Returns whether a type that the job allows, in a zone that it allows, fits one of its tasks.
+   */
   public boolean canHold(JobSpec spec) {
     for (MachineType type : types.values()) {
       boolean allowed = spec.types() == null || spec.types().contains(type.name());
@@ -66,28 +70,29 @@
     return false;
   }
 
-  /** Fetches the types when it is time. */
+  /** Fetches the types if a refresh or a retry is due. */
   public void tick() {
-    if (requested || runtime.now() < nextAt) {
+    if (requestInFlight || runtime.now() < nextRequestAt) {
       return;
     }
-    requested = true;
-    runtime.call(Effect.Target.CLOUD, null, "GET", CATALOG_PATH, null, TIMEOUT_MS, this::onReply);
+    requestInFlight = true;
+    runtime.call(
+        Effect.Target.CLOUD, null, "GET", CATALOG_PATH, null, REQUEST_TIMEOUT_MS, this::onReply);
   }
 
   private void onReply(Outcome outcome, int status, JsonNode body) {
-    requested = false;
-    nextAt = runtime.now() + RETRY_MS;
-    if (outcome != Outcome.ANSWERED || status != 200) {
+    requestInFlight = false;
+    nextRequestAt = runtime.now() + RETRY_DELAY_MS;
+    if (outcome != Outcome.ANSWERED || status != STATUS_OK) {
       return;
     }
     try {
       List<MachineType> list = MachineType.parseCatalog(body);
       if (!list.isEmpty()) {
-        Map<String, MachineType> next = new LinkedHashMap<>();
-        list.forEach(type -> next.put(type.name(), type));
-        types = next;
-        nextAt = runtime.now() + REFRESH_MS;
+        Map<String, MachineType> byName = new LinkedHashMap<>();
+        list.forEach(type -> byName.put(type.name(), type));
+        types = byName;
+        nextRequestAt = runtime.now() + REFRESH_INTERVAL_MS;
       }
     } catch (MalformedException e) {
       runtime
--- a/src/main/java/org/snowturn/core/model/PreemptionRate.java
+++ b/src/main/java/org/snowturn/core/model/PreemptionRate.java
@@ -1,27 +1,30 @@
 package org.snowturn.core.model;
 
 /**
- * How often the cloud takes spot machines back, as this leader has seen it; until it has seen
- * enough, once an hour each.
+ * An estimate of how often the cloud preempts a spot machine, from what this leader has observed.
+ * It starts from a prior of one preemption per machine and hour.
  */
 public final class PreemptionRate {
-  private static final double PRIOR_S = 3600;
+  /** Machine time of the prior, which assumes one preemption. */
+  private static final double PRIOR_MACHINE_S = 3600;
+
+  private static final double PRIOR_PREEMPTIONS = 1;
 
   private double machineS;
-  private double recordPreemption;
+  private double preemptions;
 
-  /** So many spot machines were up for so long. */
+  /** Records the time for which a number of spot machines were up. */
   public void recordUptime(int count, double seconds) {
     machineS += count * seconds;
   }
 
-  /** One was taken, with notice or without. */
+  /** Records the preemption of one spot machine, with or without notice. */
   public void recordPreemption() {
-    recordPreemption++;
+    preemptions++;
   }
 
-  /** How many of one machine to expect in a second. */
+  /** Returns the expected number of preemptions of one machine per second. */
   public double perSecond() {
-    return (1 + recordPreemption) / (PRIOR_S + machineS);
+    return (PRIOR_PREEMPTIONS + preemptions) / (PRIOR_MACHINE_S + machineS);
   }
 }
--- a/src/main/java/org/snowturn/core/model/Presence.java
+++ b/src/main/java/org/snowturn/core/model/Presence.java
@@ -1,11 +1,11 @@
 package org.snowturn.core.model;
 
-/** Whether a machine exists, as far as the leader knows. */
+/** Whether a machine exists, from the point of view of the leader. */
 enum Presence {
-  /** It exists. */
+  /** The machine exists. */
   PRESENT,
-  /** It is neither heard nor listed; it may turn up again. */
+  /** Neither heartbeats nor the list of the cloud show the machine; it may appear again. */
   PRESUMED_GONE,
-  /** The cloud has confirmed its deletion. */
+  /** The cloud has confirmed that the machine is deleted. */
   TERMINATED
 }
--- a/src/main/java/org/snowturn/core/model/Registration.java
+++ b/src/main/java/org/snowturn/core/model/Registration.java
@@ -1,11 +1,11 @@
 package org.snowturn.core.model;
 
-/** Whether a machine is entered in the stored registry of machines in use. */
+/** The state of a machine's entry in the stored registry of machines in use. */
 enum Registration {
-  /** Not yet. */
+  /** There is no entry. */
   NONE,
-  /** Its entry is being written. */
+  /** The entry is being written. */
   IN_PROGRESS,
-  /** Its entry is durable. */
+  /** The entry is durable. */
   DURABLE
 }
--- a/src/main/java/org/snowturn/core/model/ResourceUsage.java
+++ b/src/main/java/org/snowturn/core/model/ResourceUsage.java
@@ -3,12 +3,12 @@
 import org.snowturn.wire.JobSpec;
 import org.snowturn.wire.MachineType;
 
-/** What of a machine's resources its tasks use; nothing fits while its type is unknown. */
+/** The resources of a machine that its tasks use. Nothing fits while its type is unknown. */
 final class ResourceUsage {
-  /** Sums of fractions may be off by this much. */
-  private static final double SLACK = 1e-6;
+  /** Tolerance for rounding errors in sums of fractions. */
+  private static final double TOLERANCE = 1e-6;
 
-  /** Enough for any machine; stands for "as many as you like". */
+  /** Upper bound of {@link #roomFor}, above what any machine can run; stands for no limit. */
   private static final double MAX_TASKS = 1000;
 
   private MachineType type;
@@ -40,35 +40,38 @@
     return type == null ? 0 : type.cpus() - cpus;
   }
 
+  /** Returns whether one more task of the job fits. */
   boolean hasRoom(JobSpec spec) {
     return type != null
-        && cpus + spec.cpus() <= type.cpus() + SLACK
-        && gpus + spec.gpus() <= type.gpus() + SLACK
-        && memoryGb + spec.memoryGb() <= type.memoryGb() + SLACK;
+        && cpus + spec.cpus() <= type.cpus() + TOLERANCE
+        && gpus + spec.gpus() <= type.gpus() + TOLERANCE
+        && memoryGb + spec.memoryGb() <= type.memoryGb() + TOLERANCE;
   }
 
+  /** Returns how many more tasks of the job fit. */
   int roomFor(JobSpec spec) {
     if (type == null) {
       return 0;
     }
     double count = MAX_TASKS;
-    count = Math.min(count, fitting(type.cpus() - cpus, spec.cpus()));
-    count = Math.min(count, fitting(type.gpus() - gpus, spec.gpus()));
-    count = Math.min(count, fitting(type.memoryGb() - memoryGb, spec.memoryGb()));
+    count = Math.min(count, maxTasks(type.cpus() - cpus, spec.cpus()));
+    count = Math.min(count, maxTasks(type.gpus() - gpus, spec.gpus()));
+    count = Math.min(count, maxTasks(type.memoryGb() - memoryGb, spec.memoryGb()));
     return (int) Math.max(0, Math.floor(count));
   }
 
-  private static double fitting(double free, double each) {
-    return each > 0 ? (free + SLACK) / each : MAX_TASKS;
+  private static double maxTasks(double free, double perTask) {
+    return perTask > 0 ? (free + TOLERANCE) / perTask : MAX_TASKS;
   }
 
+  /** Adds the use of a task of the job, or subtracts it if {@code sign} is -1. */
   void add(JobSpec spec, int sign) {
     cpus += sign * spec.cpus();
     gpus += sign * spec.gpus();
     memoryGb += sign * spec.memoryGb();
   }
 
-  /** No task is left: what rounding has left behind goes too. */
+  /** Resets the use to zero once no task is left, to discard accumulated rounding errors. */
   void clear() {
     cpus = 0;
     gpus = 0;
--- a/src/main/java/org/snowturn/core/model/RunTimeRatios.java
+++ b/src/main/java/org/snowturn/core/model/RunTimeRatios.java
@@ -2,14 +2,18 @@
 
 import java.util.Arrays;
 
-/** The last finished run times on a machine, each over the median of its array. */
+/**
+ * The run times of the last tasks that finished on a machine, each divided by the median run time
+ * of the task's array.
+ */
 final class RunTimeRatios {
-  private static final int REMEMBERED = 32;
+  /** Maximum number of run times kept; a new one then replaces the oldest. */
+  private static final int MAX_RATIOS = 32;
 
-  private final double[] ratios = new double[REMEMBERED];
+  private final double[] ratios = new double[MAX_RATIOS];
   private int count;
 
-  /** NaN until it is worked out again. */
+  /** The cached median; NaN until it is computed again. */
   private double median = 1;
 
   void add(double ratio) {
@@ -17,12 +21,12 @@
     median = Double.NaN;
   }
 
-  /** How many run times were ever added. */
+  /** Returns the number of run times ever added. */
   int count() {
     return count;
   }
 
-  /** 1 before there are any. */
+  /** Returns the median of the kept ratios; 1 if there are none. */
   double median() {
     if (Double.isNaN(median)) {
       double[] sorted = Arrays.copyOf(ratios, Math.min(count, ratios.length));
