--- a/src/main/java/org/snowturn/core/model/Cancellation.java
+++ b/src/main/java/org/snowturn/core/model/Cancellation.java
@@ -1,11 +1,11 @@
 package org.snowturn.core.model;
 
-/** What is known of a job's cancellation. */
+/** What the leader knows about the cancellation of a job. */
 enum Cancellation {
-  /** Nothing. */
+  /** No cancellation is known. */
   NONE,
-  /** A user was told of it, but the job's record has not been read since. */
+  /** A user has received a confirmation, but the job's record has not been read since. */
   CONFIRMED,
-  /** The job's stored record says so. */
+  /** The job's stored record says that the job is cancelled. */
   RECORDED
 }
--- a/src/main/java/org/snowturn/core/model/DoubleSamples.java
+++ b/src/main/java/org/snowturn/core/model/DoubleSamples.java
@@ -2,13 +2,18 @@
 
 import java.util.Arrays;
 
-/** A growing list of numbers without boxing. */
+/** A growable list of {@code double} samples, stored without boxing. */
 public final class DoubleSamples {
-  private double[] values = new double[8];
+  private static final int INITIAL_CAPACITY = 8;
+  private static final double MEDIAN_PERCENTILE = 50;
+
+  private double[] values = new double[INITIAL_CAPACITY];
   private int size;
+
+  /** Sorted copy of the samples; null until it is needed after a change. */
   private double[] sorted;
 
-  /** Adds a number. */
+  /** Adds a sample. */
   public void add(double value) {
     if (size == values.length) {
       values = Arrays.copyOf(values, size * 2);
@@ -17,27 +22,31 @@
     sorted = null;
   }
 
-  /** How many numbers there are. */
+  /** Returns the number of samples. */
   public int size() {
     return size;
   }
 
-  /** Whether there are no numbers yet. */
+  /** Returns whether there are no samples. */
   public boolean isEmpty() {
     return size == 0;
   }
 
-  /** The number that was added so many numbers after the first. */
+  /** Returns the sample at an index, in the order in which they were added. */
   public double get(int index) {
     return values[index];
   }
 
-  /** The median; NaN if there are no numbers. */
+  /** Returns the median; NaN if there are no samples. */
   public double median() {
-    return percentile(50);
+    return percentile(MEDIAN_PERCENTILE);
   }
 
-  /** The value below which {@code percent} of the numbers lie; NaN if there are none. */
+  /**
+   * Returns the sample at a percentile; NaN if there are no samples.
+   *
+   * @param percent the share of the samples below the returned one, from 0 to 100
+   */
   public double percentile(double percent) {
     if (size == 0) {
       return Double.NaN;
--- a/src/main/java/org/snowturn/core/model/Job.java
+++ b/src/main/java/org/snowturn/core/model/Job.java
@@ -16,98 +16,120 @@
 import org.snowturn.wire.Priority;
 
 /**
- * A live job as the leader sees it: dense arrays over its tasks, so that 100,000 tasks fit.
+ * A live job as the leader sees it. The state of its tasks is kept in dense arrays, so that a job
+ * may have 100,000 tasks.
  *
- * <p>A task is bound while it may be on a machine: from before its placement is written until there
- * is proof that it has ended.
+ * <p>A task is assigned while it may be on a machine: from before its placement is written until
+ * there is proof that its attempt has ended. Wall-clock times ({@code ...WallMs}) are milliseconds
+ * since the epoch of the system clock; other times are those of the core's clock ({@link
+ * MonotonicTime}).
  */
 public final class Job {
-  /** A replica that has only just started is left alone. */
-  private static final long SETTLED_MS = 40_000;
+  /** Time that a replica must have been running before it may be moved. */
+  private static final long MIN_RUN_BEFORE_MOVE_MS = 40_000;
 
+  private static final int MS_PER_S = 1000;
+
+  /** The dense index of this job among all jobs of the leader's term. */
   public final int index;
+
+  /** The specification of the job. */
   public final JobSpec spec;
+
+  /** The time of submission. */
   public final long submittedWallMs;
+
   private final TaskTable tasks;
   private final JobTaskRecords records;
 
-  /** What failures of its tasks tell of it. */
+  /** The failure history of the tasks. */
   public final JobFailures failures = new JobFailures();
 
-  /** Tasks told to stop. */
+  /** The tasks for which a stop command was issued. */
   public final BitSet stopping = new BitSet();
 
-  /** Tasks bound by an earlier leader and not yet seen by this one. */
+  /** The tasks that an earlier leader assigned and that this leader has not seen yet. */
   public final BitSet adopted = new BitSet();
 
-  /** Tasks that were restarted once; counted by the stored record. */
+  /** The tasks that were restarted once, as the stored record lists them. */
   public final BitSet restarted = new BitSet();
 
-  /** Results not yet known to be durable. */
+  /** The tasks whose results are not known to be durable yet. */
   public final BitSet resultPending = new BitSet();
 
-  /** Seconds that finished tasks have run. */
+  /** The run times of finished tasks, in seconds. */
   public final DoubleSamples runTimes = new DoubleSamples();
 
+  /** Number of assigned tasks by zone index. */
   private final int[] assignedInZone;
 
-  /** How many tasks of a service may be on each machine. */
-  private final Int2IntHashMap onMachine = new Int2IntHashMap(0);
+  /** Number of assigned tasks by machine index; used for services only. */
+  private final Int2IntHashMap replicasByMachine = new Int2IntHashMap(0);
 
-  /** The jobs that it awaits and that are not known to be durably done. */
+  /** The ids of the jobs that this job depends on and that are not known to be durably done. */
   public final Set<String> unmetDependencies;
 
-  /** Names the parts of a record that is longer than a value, or null. */
+  /** The name of the stored chunks if the record is longer than a value; null otherwise. */
   private String submission;
 
+  /** The number of stored chunks; 0 if the record fits in one value. */
   private int chunkCount;
 
-  /** The highest priority of the job itself and of all that need it. */
+  /** The highest priority among the job itself and the jobs that depend on it. */
   private Priority priority;
 
-  /** What those that need it leave of their deadlines, and of one and a half times those. */
+  /** The latest end of the job that lets the jobs depending on it meet their deadlines. */
   private double dependentsDeadlineWallMs = Double.MAX_VALUE;
 
+  /** The latest such end for deadlines extended to one and a half times their length. */
   private double dependentsLateDeadlineWallMs = Double.MAX_VALUE;
 
-  /** When the last job that it needs was done; from then on its times count. */
+  /** The time at which the last dependency was done; waiting times are counted from then on. */
   private long releasedWallMs;
 
   private long version;
   private Cancellation cancellation = Cancellation.NONE;
 
-  /** Before this moment no user was told that the job is cancelled. */
+  /** The earliest time at which a user may have received a confirmation of the cancellation. */
   private long earliestConfirmationAt = MonotonicTime.NEVER;
 
   private boolean finishing;
   private int restarts;
 
-  /** Room is being made for waiting tasks, so none more is made until then. */
+  /** The time until which preemption on behalf of this job is under way; none starts before. */
   private long preemptingUntil = MonotonicTime.NEVER;
 
-  /** When a task was last placed. */
+  /** The time at which a task was last placed. */
   private long placedWallMs;
 
-  /** The dense index of its team's class, or -1 until it is known. */
+  /** The dense index of the minimum-share group (job class and team); -1 until it is known. */
   private int shareGroup = -1;
 
-  /** Whether it is within its team's guarantee, as the last plan had it. */
+  /** Whether the last scheduling round found the job within its team's guarantee. */
   private boolean withinGuarantee;
 
-  /** Whether it was let go before others since its group had too little: it keeps what it got. */
-  private boolean byMinimumShare;
+  /** Whether the tasks are protected from preemption, see {@link #hasPreemptionProtection}. */
+  private boolean preemptionProtected;
 
-  /** The zone chosen for the whole of a gang, or -1. */
+  /** The index of the zone chosen for all tasks of a gang; -1 if none is chosen. */
   private int gangZone = -1;
 
-  private int cursor;
+  /** The task at which the search for the next pending task begins. */
+  private int nextPendingHint;
 
-  /** A job that was submitted at this time of day; none of its tasks is on a machine yet. */
-  public Job(int index, JobSpec spec, long submittedWall, int zones) {
+  /**
+   * Creates a job whose tasks are all pending.
+   *
+   * @param index the dense index of the job
+   * @param spec the specification of the job
+   * @param submittedWallMs the time of submission
+   * @param zones the number of zone indices
+   */
+  public Job(int index, JobSpec spec, long submittedWallMs, int zones) {
     this.index = index;
     this.spec = spec;
-    this.submittedWallMs = submittedWall;
-    this.releasedWallMs = submittedWall;
+    this.submittedWallMs = submittedWallMs;
+    this.releasedWallMs = submittedWallMs;
     this.priority = spec.priority();
     this.unmetDependencies =
         spec.dependencies().isEmpty() ? Set.of() : new LinkedHashSet<>(spec.dependencies());
@@ -116,14 +138,26 @@
     assignedInZone = new int[zones];
   }
 
-  /** Starts with records of the first format, as the version in production writes them. */
-  public void useFirstFormat(int span) {
-    records.useFirstFormat(span);
+  /**
+   * Stores the tasks in records of the first format, which is what the version in production
+   * writes.
+   *
+   * @param tasksPerRecord the number of tasks that share a record
+   */
+  public void useFirstFormat(int tasksPerRecord) {
+    records.useFirstFormat(tasksPerRecord);
   }
 
-  /** Goes on with records of the second format; those of the first stay until the job is over. */
-  public void useSecondFormat(RecordSizes spans, int valueBytes, MachineIndex machines) {
-    records.useSecondFormat(spans, valueBytes);
+  /**
+   * Stores the tasks in records of the second format from now on. Records of the first format stay
+   * until the job is over.
+   *
+   * @param recordSizes the number of tasks per record in each format
+   * @param valueBytes the maximum size of a stored value in bytes
+   * @param machines the machines that tasks are assigned to
+   */
+  public void useSecondFormat(RecordSizes recordSizes, int valueBytes, MachineIndex machines) {
+    records.useSecondFormat(recordSizes, valueBytes);
     for (int task = 0; task < tasks.size(); task++) {
       if (isAssigned(task)) {
         records.adjustSize(task, machines.get(tasks.machine(task)), 1);
@@ -131,126 +165,148 @@
     }
   }
 
-  /** Whether it still waits for other jobs, and so has no part in anything yet. */
+  /** Returns whether the job waits for other jobs; until they are done it is not scheduled. */
   public boolean awaitsDependencies() {
     return !unmetDependencies.isEmpty();
   }
 
-  /** Whether it has tasks that could be placed now, room and quota aside. */
+  /** Returns whether the job has tasks to place, regardless of free capacity and quota. */
   public boolean hasPlaceableTasks() {
     return tasks.pending() > 0 && !isCancelled() && !awaitsDependencies();
   }
 
-  /** One number for a task of a job, both by their indices. */
+  /**
+   * Returns a reference that identifies a task across all jobs.
+   *
+   * @param job the index of the job
+   * @param task the index of the task within the job
+   */
   public static long taskReference(int job, int task) {
     return ((long) job << 32) | task;
   }
 
-  /** Changes a task's state, and the count of running tasks with it. */
+  /** Sets a task's state and updates the count of running tasks. */
   public void setState(int task, TaskState next) {
     tasks.setState(task, next);
   }
 
-  /** A pending task is assigned to a machine, by this leader or an earlier one. */
+  /**
+   * Assigns a pending task to a machine; the assignment may be one of an earlier leader.
+   *
+   * @param task the index of the task
+   * @param machine the machine
+   * @param attempt the number of the attempt
+   * @param epoch the epoch of the machine's agent
+   * @param state the first state of the assigned task
+   */
   public void assign(int task, Machine machine, long attempt, long epoch, TaskState state) {
     tasks.assign(task, machine.index, attempt, epoch, state);
     assignedInZone[machine.zone()]++;
-    adjustOnMachine(machine.index, 1);
+    adjustReplicas(machine.index, 1);
     records.adjustSize(task, machine, 1);
   }
 
-  /** A task is on no machine any more; {@link #requeue} or {@link #complete} comes next. */
+  /** Removes a task from its machine. {@link #requeue} or {@link #complete} must follow. */
   public void unassign(int task, Machine machine) {
     tasks.unassign(task);
     assignedInZone[machine.zone()]--;
-    adjustOnMachine(machine.index, -1);
+    adjustReplicas(machine.index, -1);
     records.adjustSize(task, machine, -1);
     stopping.clear(task);
   }
 
-  /** A task that was unassigned waits again. */
+  /** Makes an unassigned task pending again. */
   public void requeue(int task) {
     tasks.requeue(task);
   }
 
-  /** A task that waits or was unassigned has its result. */
+  /** Marks a pending or unassigned task as done. */
   public void complete(int task) {
     tasks.complete(task);
   }
 
-  /** The zone of a machine that one of its tasks is assigned to has become known. */
+  /** Counts an assigned task in another zone, after its machine's zone has become known. */
   public void moveZone(int from, int to) {
     assignedInZone[from]--;
     assignedInZone[to]++;
   }
 
-  private void adjustOnMachine(int machineIndex, int sign) {
+  private void adjustReplicas(int machineIndex, int sign) {
     if (spec.service()) {
-      int count = onMachine.get(machineIndex) + sign;
+      int count = replicasByMachine.get(machineIndex) + sign;
       if (count == 0) {
-        onMachine.remove(machineIndex);
+        replicasByMachine.remove(machineIndex);
       } else {
-        onMachine.put(machineIndex, count);
+        replicasByMachine.put(machineIndex, count);
       }
     }
   }
 
-  /** How many of a service's tasks may be on the machine. */
+  /** Returns how many of a service's tasks are assigned to the machine; 0 for other jobs. */
   public int replicasOn(Machine machine) {
-    return onMachine.get(machine.index);
+    return replicasByMachine.get(machine.index);
   }
 
-  /** Whether the task may be on a machine. */
+  /** Returns whether the task is assigned, so that it may be on a machine. */
   public boolean isAssigned(int task) {
     return stateOf(task).isAssigned();
   }
 
   /**
-   * Whether the task is a replica that may be moved: not just started, and no other of it waits.
+   * Returns whether the task is a replica that may be moved: it has been running for a while, and
+   * no other task of the service is pending.
    */
   public boolean isMovable(int task, long now) {
     return spec.service()
         && stateOf(task) == TaskState.RUNNING
         && !stopping.get(task)
         && tasks.pending() == 0
-        && now - tasks.runningSince(task) > SETTLED_MS;
+        && now - tasks.runningSince(task) > MIN_RUN_BEFORE_MOVE_MS;
   }
 
-  /** A pending task whose record can take its placement, or -1. */
+  /** Returns a pending task whose record has space for its placement; -1 if there is none. */
   public int nextPending() {
     if (tasks.pending() == 0) {
       return -1;
     }
     for (int i = 0; i < tasks.size(); i++) {
-      int task = cursor + i < tasks.size() ? cursor + i : cursor + i - tasks.size();
+      int task =
+          nextPendingHint + i < tasks.size()
+              ? nextPendingHint + i
+              : nextPendingHint + i - tasks.size();
       if (stateOf(task) == TaskState.PENDING && records.hasRoom(task)) {
-        cursor = task;
+        nextPendingHint = task;
         return task;
       }
     }
     return -1;
   }
 
-  /** The median run time of finished tasks in seconds; NaN before there are any. */
+  /** Returns the median run time of finished tasks in seconds; NaN if there are none. */
   public double medianRunTimeS() {
     return runTimes.median();
   }
 
-  /** The wall-clock time by which it has to be done, or a far time. */
-  public double deadlineWallMs(double times) {
+  /**
+   * Returns the time by which the job must be done, for its own deadline and those of the jobs that
+   * depend on it; {@link Double#MAX_VALUE} if there is no deadline.
+   *
+   * @param factor the factor by which deadlines are extended; 1 for the submitted ones
+   */
+  public double deadlineWallMs(double factor) {
     double own =
         Double.isNaN(spec.deadlineS())
             ? Double.MAX_VALUE
-            : submittedWallMs + spec.deadlineS() * 1000 * times;
-    return Math.min(own, times > 1 ? dependentsLateDeadlineWallMs : dependentsDeadlineWallMs);
+            : submittedWallMs + spec.deadlineS() * MS_PER_S * factor;
+    return Math.min(own, factor > 1 ? dependentsLateDeadlineWallMs : dependentsDeadlineWallMs);
   }
 
-  /** Whether nothing of it is to run any more. */
+  /** Returns whether the job is cancelled: by a confirmation to a user or by the stored record. */
   public boolean isCancelled() {
     return cancellation != Cancellation.NONE;
   }
 
-  /** The record that it has once it is cancelled, without what only its starts need. */
+  /** Returns the job's record once cancelled, without the fields needed only to start tasks. */
   public JobRecord cancelledRecord() {
     return new JobRecord(
         JobStatus.Phase.ABORTED,
@@ -261,302 +317,319 @@
         false);
   }
 
-  /** How many of its tasks may be in each zone, to be changed by the caller. */
+  /** Returns the number of assigned tasks by zone index, as a copy that the caller may change. */
   public int[] copyOfAssignedInZone() {
     return assignedInZone.clone();
   }
 
-  /** Adds how many of its tasks are in each state to a count by state. */
+  /** Adds the number of tasks in each state to the counts. */
   public void countStates(TaskStateCounts counts) {
     tasks.countStates(counts);
   }
 
-  /** How many tasks it has. */
+  /** Returns the number of tasks. */
   public int taskCount() {
     return tasks.size();
   }
 
-  /** The stored form of one of its records. */
-  public JsonNode taskRecordJson(int chunk, MachineIndex machines) {
+  /** Returns the stored form of one of the task records, by the index of the record. */
+  public JsonNode taskRecordJson(int recordIndex, MachineIndex machines) {
     return records.isSecondFormat()
-        ? TaskRecords.secondFormatJson(this, chunk, machines)
-        : TaskRecords.firstFormatJson(this, chunk, machines);
+        ? TaskRecords.secondFormatJson(this, recordIndex, machines)
+        : TaskRecords.firstFormatJson(this, recordIndex, machines);
   }
 
-  /** Where the task stands. */
+  /** Returns the state of the task. */
   public TaskState stateOf(int task) {
     return tasks.state(task);
   }
 
-  /** The index of the machine that the task is assigned to, or -1. */
+  /** Returns the index of the machine that the task is assigned to; -1 if it is unassigned. */
   public int machineOf(int task) {
     return tasks.machine(task);
   }
 
-  /** The number of the task's last attempt. */
+  /** Returns the number of the task's last attempt. */
   public long attemptOf(int task) {
     return tasks.attempt(task);
   }
 
-  /** The epoch of the machine's agent for which the task was assigned. */
+  /** Returns the epoch of the machine's agent under which the task was assigned. */
   public long epochOf(int task) {
     return tasks.epoch(task);
   }
 
-  /** Since when the task runs; {@link MonotonicTime#NEVER} if that is not known. */
+  /** Returns the time since which the task is running; {@link MonotonicTime#NEVER} if unknown. */
   public long runningSince(int task) {
     return tasks.runningSince(task);
   }
 
-  /** The task runs since then; {@link MonotonicTime#NEVER} if that is not known. */
+  /** Sets the time since which the task is running; {@link MonotonicTime#NEVER} if unknown. */
   public void setRunningSince(int task, long since) {
     tasks.setRunningSince(task, since);
   }
 
-  /** Which tasks share a record. */
+  /** Returns the assignment of tasks to records. */
   public TaskLayout layout() {
     return records.layout();
   }
 
-  /** Whether its tasks' records are of the second format. */
+  /** Returns whether the task records are of the second format. */
   public boolean isSecondFormat() {
     return records.isSecondFormat();
   }
 
-  /** One of its tasks' records, or null as long as there is none. */
+  /** Returns one of the task records; null if it does not exist yet. */
   public PendingRecord taskRecord(int index) {
     return records.records()[index];
   }
 
-  /** There is such a record now. */
+  /** Sets one of the task records. */
   public void setTaskRecord(int index, PendingRecord record) {
     records.records()[index] = record;
   }
 
-  /** Its tasks' records; null where there is none yet. Not to be changed by callers. */
+  /** Returns all task records, null where there is none yet. Callers must not change the array. */
   public PendingRecord[] taskRecords() {
     return records.records();
   }
 
-  /** Records of the first format that stay until the job is over, after it uses the second. */
+  /** Returns the records of the first format that a job of the second format still has. */
   public List<PendingRecord> firstFormatRecords() {
     return records.firstFormatRecords();
   }
 
-  /** How many of its tasks may be in the zone. */
+  /** Returns the number of assigned tasks in the zone. */
   public int assignedInZone(int zone) {
     return assignedInZone[zone];
   }
 
-  /** Names the parts of a record that is longer than a value, or null. */
+  /** Returns the name of the stored chunks; null if the record fits in one value. */
   public String submission() {
     return submission;
   }
 
-  /** Names the parts of its record. */
+  /** Sets the name of the stored chunks. */
   public void setSubmission(String submission) {
     this.submission = submission;
   }
 
-  /** How many parts its record has; 0 if it is whole. */
+  /** Returns the number of stored chunks; 0 if the record fits in one value. */
   public int chunkCount() {
     return chunkCount;
   }
 
-  /** Its record has so many parts. */
+  /** Sets the number of stored chunks. */
   public void setChunkCount(int chunkCount) {
     this.chunkCount = chunkCount;
   }
 
-  /** The highest priority of the job itself and of all that need it. */
+  /** Returns the highest priority among the job itself and the jobs that depend on it. */
   public Priority priority() {
     return priority;
   }
 
-  /** Its own priority, or a higher one of a job that needs it. */
+  /** Sets the effective priority: the job's own, or a higher one of a job that depends on it. */
   public void setPriority(Priority priority) {
     this.priority = priority;
   }
 
-  /** What those that need it leave of their deadlines, and of one and a half times those. */
+  /**
+   * Returns the latest end of the job that lets the jobs depending on it meet their deadlines;
+   * {@link Double#MAX_VALUE} if they have none.
+   */
   public double dependentsDeadlineWallMs() {
     return dependentsDeadlineWallMs;
   }
 
-  /** What those that need it leave of their deadlines, as a time of day. */
-  public void setDependentsDeadlineWallMs(double dependentsDeadline) {
-    this.dependentsDeadlineWallMs = dependentsDeadline;
+  /** Sets the latest end of the job that lets the jobs depending on it meet their deadlines. */
+  public void setDependentsDeadlineWallMs(double dependentsDeadlineWallMs) {
+    this.dependentsDeadlineWallMs = dependentsDeadlineWallMs;
   }
 
-  /** The same with one and a half times the deadlines. */
+  /**
+   * Returns the latest end of the job that lets the jobs depending on it meet their deadlines when
+   * these are extended to one and a half times their length; {@link Double#MAX_VALUE} if they have
+   * none.
+   */
   public double dependentsLateDeadlineWallMs() {
     return dependentsLateDeadlineWallMs;
   }
 
-  /** What those that need it leave of one and a half times their deadlines. */
-  public void setDependentsLateDeadlineWallMs(double dependentsLateDeadline) {
-    this.dependentsLateDeadlineWallMs = dependentsLateDeadline;
+  /** Sets the latest end of the job for the extended deadlines of the jobs depending on it. */
+  public void setDependentsLateDeadlineWallMs(double dependentsLateDeadlineWallMs) {
+    this.dependentsLateDeadlineWallMs = dependentsLateDeadlineWallMs;
   }
 
-  /** When the last job that it needs was done; from then on its times count. */
+  /**
+   * Returns the time at which the last dependency was done, or the time of submission if there are
+   * none. Waiting times are counted from then on.
+   */
   public long releasedWallMs() {
     return releasedWallMs;
   }
 
-  /** The last job that it needs was done at this time of day. */
-  public void setReleasedWallMs(long releasedWall) {
-    this.releasedWallMs = releasedWall;
+  /** Sets the time at which the last dependency was done. */
+  public void setReleasedWallMs(long releasedWallMs) {
+    this.releasedWallMs = releasedWallMs;
   }
 
-  /** The version of its stored record. */
+  /** Returns the version of the stored record. */
   public long version() {
     return version;
   }
 
-  /** Its stored record has this version. */
+  /** Sets the version of the stored record. */
   public void setVersion(long version) {
     this.version = version;
   }
 
-  /** Whether its stored record says that it is cancelled. */
+  /** Returns whether the stored record says that the job is cancelled. */
   public boolean isCancellationRecorded() {
     return cancellation == Cancellation.RECORDED;
   }
 
   /**
-   * A user was told that the job is cancelled, but its record has not been read since: its tasks
-   * are stopped and none is placed, but nothing is written, forgotten or completed on that ground.
+   * Records that a user has received a confirmation of the cancellation, while the record has not
+   * been read since. The tasks are stopped and none is placed, but the confirmation alone is no
+   * reason to write, forget or complete anything.
    *
-   * @param notBefore before this moment no user was told so
+   * @param earliestAt the earliest time at which a user may have received the confirmation
    */
-  public void confirmCancellation(long notBefore) {
+  public void confirmCancellation(long earliestAt) {
     if (cancellation == Cancellation.NONE) {
       cancellation = Cancellation.CONFIRMED;
-      earliestConfirmationAt = notBefore;
+      earliestConfirmationAt = earliestAt;
     }
   }
 
   /**
-   * Its stored record says that it is cancelled.
+   * Records that the stored record says that the job is cancelled.
    *
-   * @param notBefore before this moment no user was told so, unless that is known already
+   * @param earliestAt the earliest time at which a user may have received the confirmation; ignored
+   *     if that is known already
    */
-  public void recordCancellation(long notBefore) {
-    confirmCancellation(notBefore);
+  public void recordCancellation(long earliestAt) {
+    confirmCancellation(earliestAt);
     cancellation = Cancellation.RECORDED;
   }
 
-  /** Before this moment no user was told that the job is cancelled. */
+  /** Returns the earliest time at which a user may have received the confirmation. */
   public long earliestConfirmationAt() {
     return earliestConfirmationAt;
   }
 
-  /** Whether the move of its record to the finished jobs is under way. */
+  /** Returns whether the record is being moved to the finished jobs. */
   public boolean isFinishing() {
     return finishing;
   }
 
-  /** The move of its record to the finished jobs begins. */
+  /** Records that the move of the record to the finished jobs begins. */
   public void beginFinishing() {
     finishing = true;
   }
 
-  /** The move did not go through and may be tried again. */
+  /** Records that the move of the record has failed, so that it may be retried. */
   public void abortFinishing() {
     finishing = false;
   }
 
-  /** How many tasks wait. */
+  /** Returns the number of pending tasks. */
   public int pending() {
     return tasks.pending();
   }
 
-  /** How many tasks may be on machines. */
+  /** Returns the number of assigned tasks. */
   public int assigned() {
     return tasks.assigned();
   }
 
-  /** How many tasks run. */
+  /** Returns the number of running tasks. */
   public int running() {
     return tasks.running();
   }
 
-  /** How many tasks have their results. */
+  /** Returns the number of done tasks. */
   public int done() {
     return tasks.done();
   }
 
-  /** How many of its tasks were restarted. */
+  /** Returns the number of restarts of tasks. */
   public int restarts() {
     return restarts;
   }
 
-  /** So many of its tasks were restarted. */
+  /** Sets the number of restarts of tasks. */
   public void setRestarts(int restarts) {
     this.restarts = restarts;
   }
 
-  /** So many more of its tasks were restarted. */
+  /** Increases the number of restarts of tasks. */
   public void addRestarts(int delta) {
     restarts += delta;
   }
 
-  /** Room is being made for waiting tasks, so none more is made until then. */
+  /** Returns the time until which preemption on behalf of this job is under way. */
   public long preemptingUntil() {
     return preemptingUntil;
   }
 
-  /** Room is being made for its waiting tasks until then. */
+  /** Sets the time until which preemption on behalf of this job is under way. */
   public void setPreemptingUntil(long preemptingUntil) {
     this.preemptingUntil = preemptingUntil;
   }
 
-  /** When a task was last placed. */
+  /** Returns the time at which a task was last placed; 0 if none was. */
   public long placedWallMs() {
     return placedWallMs;
   }
 
-  /** A task was placed at this time of day. */
-  public void setPlacedWallMs(long placedWall) {
-    this.placedWallMs = placedWall;
+  /** Sets the time at which a task was last placed. */
+  public void setPlacedWallMs(long placedWallMs) {
+    this.placedWallMs = placedWallMs;
   }
 
-  /** The dense index of its team's class, or -1 until it is known. */
+  /** Returns the index of the minimum-share group; -1 until it is known. */
   public int shareGroup() {
     return shareGroup;
   }
 
-  /** The dense index of its team's class. */
+  /** Sets the index of the minimum-share group. */
   public void setShareGroup(int shareGroup) {
     this.shareGroup = shareGroup;
   }
 
-  /** Whether it is within its team's guarantee, as the last plan had it. */
+  /** Returns whether the last scheduling round found the job within its team's guarantee. */
   public boolean isWithinGuarantee() {
     return withinGuarantee;
   }
 
-  /** Whether it is within its team's guarantee. */
+  /** Sets whether the job is within its team's guarantee. */
   public void setWithinGuarantee(boolean withinGuarantee) {
     this.withinGuarantee = withinGuarantee;
   }
 
-  /** Whether it was let go before others since its group had too little: it keeps what it got. */
+  /**
+   * Returns whether the tasks are protected from preemption by jobs of higher priority, except
+   * production jobs and jobs within a guarantee. The protection applies to jobs that were placed
+   * ahead of others, because their group was below its minimum share or because they had waited for
+   * long. Without it, jobs of higher priority would preempt them at once.
+   */
   public boolean hasPreemptionProtection() {
-    return byMinimumShare;
+    return preemptionProtected;
   }
 
-  /** Whether it goes before others since its group has too little. */
-  public void setPreemptionProtection(boolean byMinimumShare) {
-    this.byMinimumShare = byMinimumShare;
+  /** Sets whether the tasks are protected from preemption. */
+  public void setPreemptionProtection(boolean preemptionProtected) {
+    this.preemptionProtected = preemptionProtected;
   }
 
-  /** The zone chosen for the whole of a gang, or -1. */
+  /** Returns the index of the zone chosen for all tasks of a gang; -1 if none is chosen. */
   public int gangZone() {
     return gangZone;
   }
 
-  /** The zone chosen for the whole of a gang, or -1. */
+  /** Sets the index of the zone chosen for all tasks of a gang; -1 if none is chosen. */
   public void setGangZone(int gangZone) {
     this.gangZone = gangZone;
   }
--- a/src/main/java/org/snowturn/core/model/JobFailures.java
+++ b/src/main/java/org/snowturn/core/model/JobFailures.java
@@ -3,21 +3,30 @@
 import org.agrona.collections.Int2IntHashMap;
 import org.agrona.collections.IntHashSet;
 
-/** What failures of its tasks tell of a job. Times are those of the core's clock. */
+/** The failure history of one job's tasks. Times are milliseconds of the core's clock. */
 public final class JobFailures {
-  private static final int NONE = -1;
+  private static final int NO_MACHINE = -1;
 
-  /** So many machines are remembered on which the job failed. */
+  /** Maximum number of machines in {@link #failedOn}; it is cleared when it is full. */
   private static final int MAX_MACHINES = 64;
 
-  private final Int2IntHashMap excludedMachine = new Int2IntHashMap(NONE);
+  /** The machine that each task must not be placed on again, by task index. */
+  private final Int2IntHashMap excludedMachine = new Int2IntHashMap(NO_MACHINE);
+
+  /** The machines on which the job has failed recently. */
   private final IntHashSet failedOn = new IntHashSet();
+
   private int count;
   private boolean suspect;
   private int probeCount;
   private long backOffUntil;
 
-  /** The task has failed on the machine. */
+  /**
+   * Records that a task has failed on a machine, and excludes the machine for this task.
+   *
+   * @param task the index of the task
+   * @param machine the index of the machine
+   */
   public void recordFailure(int task, int machine) {
     count++;
     excludedMachine.put(task, machine);
@@ -27,59 +36,65 @@
     failedOn.add(machine);
   }
 
-  /** How many failures there were. */
+  /** Returns the number of failures. */
   public int count() {
     return count;
   }
 
-  /** Whether its tasks seem to fail wherever they run: it gets a trial now and then. */
+  /**
+   * Returns whether the job itself is suspected as the cause of its failures, since its tasks seem
+   * to fail on every machine. A suspected job gets only probes: single tasks, with growing pauses.
+   */
   public boolean isSuspect() {
     return suspect;
   }
 
-  /** Its tasks seem to fail wherever they run. */
+  /** Marks the job as suspected, since its tasks seem to fail on every machine. */
   public void markSuspect() {
     suspect = true;
   }
 
-  /** Its tasks do not fail wherever they run. */
+  /** Clears the suspicion and the pause between probes. */
   public void clearSuspicion() {
     suspect = false;
     probeCount = 0;
     backOffUntil = 0;
   }
 
-  /** Trials in vain since it became suspect. */
+  /**
+   * Returns the number of failed probes since the job became suspected; the failure that made it
+   * suspected counts as the first.
+   */
   public int probeCount() {
     return probeCount;
   }
 
-  /** A trial was in vain. */
+  /** Counts a failed probe. */
   public void recordFailedProbe() {
     probeCount++;
   }
 
-  /** None of its tasks is placed before this time. */
+  /** Returns the time before which no task of the job is placed. */
   public long backOffUntil() {
     return backOffUntil;
   }
 
-  /** None of its tasks is to be placed before this time. */
+  /** Sets the time before which no task of the job is placed. */
   public void backOff(long until) {
     backOffUntil = until;
   }
 
-  /** The task is not to go back to this machine. */
+  /** Excludes a machine for a task, in place of the one excluded before. */
   public void exclude(int task, int machine) {
     excludedMachine.put(task, machine);
   }
 
-  /** The index of the machine that the task is not to go back to, or -1. */
+  /** Returns the index of the machine that is excluded for the task; -1 if there is none. */
   public int excludedMachine(int task) {
     return excludedMachine.get(task);
   }
 
-  /** Whether it has failed lately on the machine with this index. */
+  /** Returns whether a task of the job has failed recently on the machine with this index. */
   public boolean hasFailedOn(int machine) {
     return failedOn.contains(machine);
   }
--- a/src/main/java/org/snowturn/core/model/JobTaskRecords.java
+++ b/src/main/java/org/snowturn/core/model/JobTaskRecords.java
@@ -9,58 +9,69 @@
 import org.snowturn.core.storage.TaskLayout;
 
 /**
- * The stored records of a job's tasks: which tasks share one, and how full each is. A job begins
- * with one of the two formats, and may go on from the first to the second.
+ * The stored records of a job's tasks: which tasks share a record, and how much of it their
+ * assignments take. A job starts in one of the two formats and may change from the first to the
+ * second.
  */
 final class JobTaskRecords {
-  private final int tasks;
+  private final int taskCount;
   private TaskLayout layout;
   private boolean secondFormat;
   private PendingRecord[] records;
+
+  /** Records of the first format that a job of the second format still has. */
   private final List<PendingRecord> firstFormatRecords = new ArrayList<>();
 
-  /** Bytes that the assignments of each record take; second format only. */
-  private int[] bytes;
+  /** Bytes that the assignments in each record take; second format only. */
+  private int[] usedBytes;
 
-  /** Bytes that the assignments of a record may take. */
+  /** Maximum number of bytes that the assignments in a record may take. */
   private int maxBytes = Integer.MAX_VALUE;
 
-  /** The most that one assignment took so far. */
+  /** Bytes of the largest assignment so far. */
   private int maxEntryBytes;
 
-  JobTaskRecords(int tasks) {
-    this.tasks = tasks;
+  JobTaskRecords(int taskCount) {
+    this.taskCount = taskCount;
   }
 
-  void useFirstFormat(int span) {
-    layout = TaskLayout.first(tasks, span);
+  void useFirstFormat(int tasksPerRecord) {
+    layout = TaskLayout.first(taskCount, tasksPerRecord);
     records = new PendingRecord[layout.records()];
   }
 
-  /** The bytes of what is assigned are to be added next. */
-  void useSecondFormat(RecordSizes spans, int valueBytes) {
+  /**
+   * Changes to the second format, with empty records. The caller then adds the sizes of the present
+   * assignments with {@link #adjustSize}.
+   */
+  void useSecondFormat(RecordSizes recordSizes, int valueBytes) {
     if (records != null) {
       Arrays.stream(records).filter(Objects::nonNull).forEach(firstFormatRecords::add);
     }
     secondFormat = true;
-    layout = TaskLayout.second(tasks, spans);
+    layout = TaskLayout.second(taskCount, recordSizes);
     records = new PendingRecord[layout.records()];
-    bytes = new int[layout.records()];
+    usedBytes = new int[layout.records()];
     maxBytes = TaskLayout.entryCapacityBytes(valueBytes, layout.piece());
   }
 
-  /** Keeps account of how full the records are, so that no assignment makes one too long. */
+  /**
+   * Adds the size of an assignment to that of its record, or subtracts it. The sizes keep records
+   * from growing beyond the maximum size of a stored value.
+   *
+   * @param sign 1 to add, -1 to subtract
+   */
   void adjustSize(int task, Machine machine, int sign) {
     if (secondFormat) {
       int entryBytes = TaskRecords.maxEntryBytes(machine);
       maxEntryBytes = Math.max(maxEntryBytes, entryBytes);
-      bytes[layout.recordOf(task)] += sign * entryBytes;
+      usedBytes[layout.recordOf(task)] += sign * entryBytes;
     }
   }
 
-  /** Whether the task's record can take its assignment. */
+  /** Returns whether the task's record has space for one more assignment. */
   boolean hasRoom(int task) {
-    return !secondFormat || bytes[layout.recordOf(task)] + maxEntryBytes <= maxBytes;
+    return !secondFormat || usedBytes[layout.recordOf(task)] + maxEntryBytes <= maxBytes;
   }
 
   TaskLayout layout() {
--- a/src/main/java/org/snowturn/core/model/Quota.java
+++ b/src/main/java/org/snowturn/core/model/Quota.java
@@ -5,9 +5,13 @@
 import org.snowturn.config.Settings;
 import org.snowturn.wire.JobSpec;
 
-/** What each team's tasks use, counting every task that may be on a machine. */
+/**
+ * The CPU and GPU limits of the teams, and how much of them is in use by tasks that may be on a
+ * machine.
+ */
 public final class Quota {
-  private static final double SLACK = 1e-6;
+  /** Tolerance for rounding errors in sums of fractions. */
+  private static final double TOLERANCE = 1e-6;
 
   private static final class TeamUsage {
     private final Settings.Team team;
@@ -19,41 +23,41 @@
     }
   }
 
-  private final Map<String, TeamUsage> teams = new HashMap<>();
+  private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
 
-  /** No team uses anything yet; teams that are not listed have no limit. */
+  /** Creates a quota with nothing in use; teams that are not listed have no limit. */
   public Quota(Iterable<Settings.Team> teams) {
     for (Settings.Team team : teams) {
-      this.teams.put(team.name(), new TeamUsage(team));
+      usageByTeam.put(team.name(), new TeamUsage(team));
     }
   }
 
-  /** Whether an amount is above a limit; a limit of 0 means none. */
+  /** Returns whether an amount exceeds a limit; a limit of 0 means that there is none. */
   public static boolean exceeds(double amount, double limit) {
-    return limit > 0 && amount > limit + SLACK;
+    return limit > 0 && amount > limit + TOLERANCE;
   }
 
-  /** Whether one more task of the job is within its team's limits. */
+  /** Returns whether one more task of the job is within its team's limits. */
   public boolean allows(JobSpec spec) {
-    TeamUsage usage = teams.get(spec.team());
+    TeamUsage usage = usageByTeam.get(spec.team());
     return usage == null
         || !(exceeds(usage.cpus + spec.cpus(), usage.team.cpusMax())
             || exceeds(usage.gpus + spec.gpus(), usage.team.gpusMax()));
   }
 
-  /** A task of the job may be on a machine from now on. */
+  /** Counts a task of the job, which may be on a machine from now on. */
   public void acquire(JobSpec spec) {
     add(spec, 1);
   }
 
-  /** A task of the job is on no machine any more. */
+  /** Stops counting a task of the job, which is no longer on a machine. */
   public void release(JobSpec spec) {
     add(spec, -1);
   }
 
   private void add(JobSpec spec, int sign) {
     TeamUsage usage =
-        teams.computeIfAbsent(
+        usageByTeam.computeIfAbsent(
             spec.team(), name -> new TeamUsage(new Settings.Team(name, 0, 0, 0, 0)));
     usage.cpus += sign * spec.cpus();
     usage.gpus += sign * spec.gpus();
--- a/src/main/java/org/snowturn/core/model/TaskRecords.java
+++ b/src/main/java/org/snowturn/core/model/TaskRecords.java
@@ -10,56 +10,80 @@
 import org.snowturn.wire.Json;
 
 /**
- * The stored form of some of a job's tasks: results as a bit set, and where each assigned task was
- * placed. The second format numbers tasks from the record's first one and attempts from a common
- * base, so that twice as many fit a value.
+ * The stored form of a range of a job's tasks: a bit set of the done tasks, and the placement of
+ * each assigned task. The second format numbers tasks from the first one of the record and attempts
+ * from a common base, so that a value holds twice as many tasks.
  */
 public final class TaskRecords {
-  private static final int SHIFT = TaskLayout.ATTEMPT_BITS;
+  /** Bits of an attempt's number below its leader's fencing token. */
+  private static final int ATTEMPT_BITS = TaskLayout.ATTEMPT_BITS;
+
+  /** Characters around the name of a machine in an array of one name: brackets and quotes. */
+  private static final int QUOTED_ARRAY_BYTES = 4;
+
+  /** The agent epoch that a placement of the second format omits. */
+  private static final long DEFAULT_EPOCH = 1;
 
   private TaskRecords() {}
 
-  /** Bytes that a placement on this machine takes at the most. */
+  /** Returns the maximum number of bytes that a placement on this machine takes. */
   public static int maxEntryBytes(Machine machine) {
-    return TaskLayout.entryBytes(Json.bytes(Json.array().add(machine.id)).length - 4);
+    return TaskLayout.entryBytes(
+        Json.bytes(Json.array().add(machine.id)).length - QUOTED_ARRAY_BYTES);
   }
 
-  /** The stored form of a record in the first format. */
+  /**
+   * Returns the stored form of a record in the first format.
+   *
+   * @param job the job
+   * @param record the index of the record
+   * @param machines the machines that tasks are assigned to
+   */
   public static JsonNode firstFormatJson(Job job, int record, MachineIndex machines) {
     int from = job.layout().from(record);
     ObjectNode object = Json.object().put("v", StorageKeys.FIRST_FORMAT);
-    ArrayNode placed = object.putArray("p");
+    ArrayNode placements = object.putArray("p");
     for (int task = from; task < job.layout().to(record); task++) {
       if (job.isAssigned(task)) {
-        placed
+        placements
             .addArray()
             .add(task)
             .add(job.attemptOf(task))
             .add(machines.get(job.machineOf(task)).id);
-        ((ArrayNode) placed.get(placed.size() - 1)).add(job.epochOf(task));
+        ((ArrayNode) placements.get(placements.size() - 1)).add(job.epochOf(task));
       }
     }
-    return object.put("d", finished(job, record));
+    return object.put("d", doneTasks(job, record));
   }
 
-  /** The stored form of a record in the second format. */
+  /**
+   * Returns the stored form of a record in the second format.
+   *
+   * @param job the job
+   * @param record the index of the record
+   * @param machines the machines that tasks are assigned to
+   */
   public static JsonNode secondFormatJson(Job job, int record, MachineIndex machines) {
     int from = job.layout().from(record);
-    long base = Long.MAX_VALUE;
+    long attemptBase = Long.MAX_VALUE;
     for (int task = from; task < job.layout().to(record); task++) {
-      base = job.isAssigned(task) ? Math.min(base, job.attemptOf(task) >> SHIFT << SHIFT) : base;
+      attemptBase =
+          job.isAssigned(task)
+              ? Math.min(attemptBase, job.attemptOf(task) >> ATTEMPT_BITS << ATTEMPT_BITS)
+              : attemptBase;
     }
     ObjectNode object =
-        Json.object().put("v", StorageKeys.SECOND_FORMAT).put("d", finished(job, record));
-    if (base == Long.MAX_VALUE) {
+        Json.object().put("v", StorageKeys.SECOND_FORMAT).put("d", doneTasks(job, record));
+    if (attemptBase == Long.MAX_VALUE) {
       return object;
     }
-    ArrayNode placed = object.put("a", base).putArray("p");
+    ArrayNode placements = object.put("a", attemptBase).putArray("p");
     for (int task = from; task < job.layout().to(record); task++) {
       if (job.isAssigned(task)) {
-        ArrayNode entry = placed.addArray().add(task - from).add(job.attemptOf(task) - base);
+        ArrayNode entry =
+            placements.addArray().add(task - from).add(job.attemptOf(task) - attemptBase);
         entry.add(machines.get(job.machineOf(task)).id);
-        if (job.epochOf(task) != 1) {
+        if (job.epochOf(task) != DEFAULT_EPOCH) {
           entry.add(job.epochOf(task));
         }
       }
@@ -67,49 +91,64 @@
     return object;
   }
 
-  private static String finished(Job job, int record) {
+  private static String doneTasks(Job job, int record) {
     int from = job.layout().from(record);
-    BitSet finished = new BitSet();
+    BitSet doneTasks = new BitSet();
     for (int task = from; task < job.layout().to(record); task++) {
       if (job.stateOf(task) == TaskState.DONE) {
-        finished.set(task - from);
+        doneTasks.set(task - from);
       }
     }
-    return Base64.getEncoder().encodeToString(finished.toByteArray());
+    return Base64.getEncoder().encodeToString(doneTasks.toByteArray());
   }
 
-  /** What a record tells of its tasks. */
+  /** Receives the contents of a record. */
   public interface Visitor {
-    /** The task has its result. */
+    /** Handles a done task. */
     void onDone(int task);
 
-    /** The task was placed on the machine in this session of its agent. */
-    void onPlaced(int task, long attempt, String machine, long session);
+    /**
+     * Handles the placement of a task.
+     *
+     * @param task the index of the task
+     * @param attempt the number of the attempt
+     * @param machine the id of the machine
+     * @param epoch the epoch of the machine's agent
+     */
+    void onPlaced(int task, long attempt, String machine, long epoch);
   }
 
   /**
-   * Reads a record of either format; {@code from} is its first task.
+   * Reads a record of either format.
    *
-   * @throws IllegalArgumentException if it cannot be read; some of it may have been told by then
+   * @param value the stored value
+   * @param from the index of the first task of the record
+   * @param visitor receives the contents
+   * @throws IllegalArgumentException if the record is malformed; the visitor may have received some
+   *     of the contents by then
    */
-  public static void read(JsonNode value, int from, Visitor to) {
+  public static void read(JsonNode value, int from, Visitor visitor) {
     if (!value.isObject()) {
       throw new IllegalArgumentException("not an object");
     }
-    boolean second = value.path("v").asInt(StorageKeys.FIRST_FORMAT) >= StorageKeys.SECOND_FORMAT;
-    BitSet finished = BitSet.valueOf(Base64.getDecoder().decode(value.path("d").asText("")));
-    finished.stream().forEach(i -> to.onDone(from + i));
-    long base = second ? value.path("a").asLong(0) : 0;
-    for (JsonNode p : value.path("p")) {
-      if (!p.path(0).isInt() || !p.path(1).isIntegralNumber() || !p.path(2).isTextual()) {
-        throw new IllegalArgumentException("a placement that is none");
+    boolean secondFormat =
+        value.path("v").asInt(StorageKeys.FIRST_FORMAT) >= StorageKeys.SECOND_FORMAT;
+    BitSet doneTasks = BitSet.valueOf(Base64.getDecoder().decode(value.path("d").asText("")));
+    doneTasks.stream().forEach(i -> visitor.onDone(from + i));
+    long attemptBase = secondFormat ? value.path("a").asLong(0) : 0;
+    for (JsonNode placement : value.path("p")) {
+      if (!placement.path(0).isInt()
+          || !placement.path(1).isIntegralNumber()
+          || !placement.path(2).isTextual()) {
+        throw new IllegalArgumentException(
+            "field p: expected entries [task, attempt, machine id, agent epoch]");
       }
-      int task = p.path(0).asInt();
-      to.onPlaced(
-          second && task >= 0 ? from + task : task,
-          base + p.path(1).asLong(),
-          p.path(2).asText(),
-          second ? p.path(3).asLong(1) : p.path(3).asLong());
+      int task = placement.path(0).asInt();
+      visitor.onPlaced(
+          secondFormat && task >= 0 ? from + task : task,
+          attemptBase + placement.path(1).asLong(),
+          placement.path(2).asText(),
+          secondFormat ? placement.path(3).asLong(DEFAULT_EPOCH) : placement.path(3).asLong());
     }
   }
 }
--- a/src/main/java/org/snowturn/core/model/TaskState.java
+++ b/src/main/java/org/snowturn/core/model/TaskState.java
@@ -1,18 +1,18 @@
 package org.snowturn.core.model;
 
-/** Where a task stands, as the leader knows it. Jobs store the code of each task's state. */
+/** The state of a task, as the leader knows it. Jobs store the code of each task's state. */
 public enum TaskState {
-  /** On no machine. */
+  /** The task waits to be placed. */
   PENDING(0),
-  /** Its assignment is being written; no start has been sent. */
+  /** Its placement is being written; no start command has been sent. */
   PLACING(1),
-  /** Its start may have been sent. */
+  /** Its start command may have been sent. */
   STARTING(2),
   /** Its image is being fetched. */
   FETCHING(3),
-  /** It runs, or saves a checkpoint. */
+  /** The task runs or saves a checkpoint. */
   RUNNING(4),
-  /** It has its result. */
+  /** The task has finished with a result. */
   DONE(5);
 
   private static final TaskState[] BY_CODE = values();
@@ -23,16 +23,17 @@
     this.code = (byte) code;
   }
 
-  /** The number under which the state is stored in dense arrays. */
+  /** Returns the code under which the state is stored in dense arrays. */
   byte code() {
     return code;
   }
 
+  /** Returns the state with this code. */
   static TaskState ofCode(byte code) {
     return BY_CODE[code];
   }
 
-  /** Whether the task may be on a machine. */
+  /** Returns whether the task may be on a machine. */
   public boolean isAssigned() {
     return this != PENDING && this != DONE;
   }
--- a/src/main/java/org/snowturn/core/model/TaskTable.java
+++ b/src/main/java/org/snowturn/core/model/TaskTable.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import org.snowturn.core.MonotonicTime;
 
-/** Where each task of a job stands, in dense arrays, so that 100,000 tasks fit. */
+/** The state of each task of a job, in dense arrays, so that a job may have 100,000 tasks. */
 final class TaskTable {
   private static final int NO_MACHINE = -1;
 
@@ -35,13 +35,14 @@
     return TaskState.ofCode(states[task]);
   }
 
-  /** Changes a task's state, and the count of running tasks with it. */
+  /** Sets a task's state and updates the count of running tasks. */
   void setState(int task, TaskState next) {
     running += next == TaskState.RUNNING ? 1 : 0;
     running -= state(task) == TaskState.RUNNING ? 1 : 0;
     states[task] = next.code();
   }
 
+  /** Adds the number of tasks in each state to the counts. */
   void countStates(TaskStateCounts counts) {
     for (byte code : states) {
       counts.add(TaskState.ofCode(code));
@@ -68,7 +69,7 @@
     runningSince[task] = since;
   }
 
-  /** A pending task is assigned to a machine. */
+  /** Assigns a pending task to a machine. */
   void assign(int task, int machine, long attempt, long epoch, TaskState state) {
     machines[task] = machine;
     attempts[task] = attempt;
@@ -79,19 +80,19 @@
     setState(task, state);
   }
 
-  /** A task is on no machine any more; its state is to be changed next. */
+  /** Removes a task from its machine. The caller then sets its state. */
   void unassign(int task) {
     assigned--;
     machines[task] = NO_MACHINE;
   }
 
-  /** A task that was unassigned waits again. */
+  /** Makes an unassigned task pending again. */
   void requeue(int task) {
     setState(task, TaskState.PENDING);
     pending++;
   }
 
-  /** A task that waits or was unassigned has its result. */
+  /** Marks a pending or unassigned task as done. */
   void complete(int task) {
     pending -= state(task) == TaskState.PENDING ? 1 : 0;
     setState(task, TaskState.DONE);
--- a/src/main/java/org/snowturn/core/model/package-info.java
+++ b/src/main/java/org/snowturn/core/model/package-info.java
@@ -1,2 +1,2 @@
-/** What a leader knows: jobs, machines, machine types, quota. */
+/** The leader's view of the cluster: jobs, machines, machine types and quotas. */
 package org.snowturn.core.model;
