--- a/src/main/java/org/snowturn/core/model/LiveJobs.java
+++ b/src/main/java/org/snowturn/core/model/LiveJobs.java
@@ -9,81 +9,94 @@
 import org.snowturn.wire.StateMessage;
 
 /**
- * Which jobs have a live record, and which of those are cancelled, as of a revision of the state
- * service. Built from a range that was read, page by page, and from the changes since: whatever the
- * order in which they come, the version of each record decides what is newer.
+ * A cache of the jobs that have a live record, as of a revision of the state service. It is loaded
+ * from a range read, which may have several pages, and then updated with the changes since. Pages
+ * and changes may overlap; of two contents of a record, the one with the higher version is kept.
  */
 public final class LiveJobs {
   /**
-   * What there is to know of a live record.
+   * The cached part of a live record.
    *
-   * @param dependencies the jobs that it was submitted to wait for
+   * @param version the version of the record
+   * @param cancelled whether the job is cancelled
+   * @param dependencies the ids of the jobs that the job was submitted to wait for
    */
   public record CachedJob(long version, boolean cancelled, List<String> dependencies) {}
 
   private final Map<String, CachedJob> live = new HashMap<>();
-  private final String prefix;
-  private final Predicate<JsonNode> cancelled;
-  private final Function<JsonNode, List<String>> awaits;
+  private final String keyPrefix;
+  private final Predicate<JsonNode> isCancelled;
+  private final Function<JsonNode, List<String>> dependencies;
   private long revision = -1;
 
   /**
-   * Knows nothing yet.
+   * Creates an empty cache.
    *
-   * @param prefix of the records' keys
-   * @param cancelled whether a record's value says that the job is cancelled
-   * @param awaits what a record's value names as awaited
+   * @param keyPrefix the prefix of the keys of live records; the rest of a key is the job's id
+   * @param isCancelled predicate for whether a record's value says that the job is cancelled
+   * @param dependencies function from a record's value to the ids of the jobs that its job waits
+   *     for
    */
   public LiveJobs(
-      String prefix, Predicate<JsonNode> cancelled, Function<JsonNode, List<String>> awaits) {
-    this.awaits = awaits;
-    this.prefix = prefix;
-    this.cancelled = cancelled;
+      String keyPrefix,
+      Predicate<JsonNode> isCancelled,
+      Function<JsonNode, List<String>> dependencies) {
+    this.dependencies = dependencies;
+    this.keyPrefix = keyPrefix;
+    this.isCancelled = isCancelled;
   }
 
-  /** Whether there is a cache at all. */
+  /** Returns whether the cache is loaded. */
   public boolean isLoaded() {
     return revision >= 0;
   }
 
-  /** The cache is complete up to here. */
+  /** Returns the revision up to which the cache is complete; -1 if it is not loaded. */
   public long revision() {
     return revision;
   }
 
-  /** Forgets everything. */
+  /** Empties the cache, so that it must be loaded again. */
   public void clear() {
     live.clear();
     revision = -1;
   }
 
-  /** Starts anew from a whole range, none of whose pages is older than {@code epoch}. */
-  public void load(List<StateMessage.Entry> entries, long epoch) {
+  /**
+   * Replaces the contents with a complete range read.
+   *
+   * @param entries the entries of all pages
+   * @param oldestRevision the revision of the oldest page
+   */
+  public void load(List<StateMessage.Entry> entries, long oldestRevision) {
     clear();
-    entries.forEach(this::take);
-    revision = epoch;
+    entries.forEach(this::apply);
+    revision = oldestRevision;
   }
 
   /**
-   * All changes since {@link #revision}, up to {@code epoch}. An answer that is older than the
-   * cache changes nothing.
+   * Applies all changes between {@link #revision} and a later revision. Changes whose new revision
+   * is older than that of the cache are ignored, as their response was delayed.
+   *
+   * @param changes the changed entries; those with a null value are removed
+   * @param newRevision the revision up to which the changes are complete
    */
-  public void applyChanges(List<StateMessage.Entry> changes, long epoch) {
-    if (epoch < revision) {
+  public void applyChanges(List<StateMessage.Entry> changes, long newRevision) {
+    if (newRevision < revision) {
       return;
     }
-    changes.forEach(this::take);
-    revision = epoch;
+    changes.forEach(this::apply);
+    revision = newRevision;
   }
 
-  private void take(StateMessage.Entry entry) {
-    if (!entry.key().startsWith(prefix)) {
+  private void apply(StateMessage.Entry entry) {
+    if (!entry.key().startsWith(keyPrefix)) {
       return;
     }
-    String id = entry.key().substring(prefix.length());
-    CachedJob known = live.get(id);
-    // A page may be younger than the changes that are told after it.
-    if (known != null && known.version >= entry.version()) {
+    String id = entry.key().substring(keyPrefix.length());
+    CachedJob cached = live.get(id);
+    // Pages are read at different revisions, so one may already contain a change that follows.
+    if (cached != null && cached.version >= entry.version()) {
       return;
     }
     if (entry.value() == null) {
@@ -92,16 +105,16 @@
       live.put(
           id,
           new CachedJob(
-              entry.version(), cancelled.test(entry.value()), awaits.apply(entry.value())));
+              entry.version(), isCancelled.test(entry.value()), dependencies.apply(entry.value())));
     }
   }
 
-  /** A job's live record; null if there is none. */
+  /** Returns the cached part of a job's live record; null if there is none. */
   public CachedJob get(String id) {
     return live.get(id);
   }
 
-  /** How many jobs are live. */
+  /** Returns the number of live jobs. */
   public int size() {
     return live.size();
   }
--- a/src/test/java/org/snowturn/core/model/LiveJobsTest.java
+++ b/src/test/java/org/snowturn/core/model/LiveJobsTest.java
@@ -15,20 +15,31 @@
 import net.jqwik.api.constraints.Size;
 import org.snowturn.wire.StateMessage.Entry;
 
-/** The cache that is read in pages and followed equals what is stored. */
+/**
+ * Guards against a cache that differs from the stored records: the pages of its load are read at
+ * different revisions while records change, and a delayed response may arrive after a newer one.
+ */
 class LiveJobsTest {
   private static final String PREFIX = "j/";
+  private static final int KEYS = 7;
+
+  /** The first key of the second page. */
+  private static final String SECOND_PAGE = PREFIX + "3";
+
+  /** Smallest choice that cancels an existing record; smaller ones remove it. */
+  private static final int MIN_CANCEL_CHOICE = 50;
 
   private final TreeMap<String, Entry> stored = new TreeMap<>();
   private final List<Entry> history = new ArrayList<>();
-  private long epoch;
+  private long revision;
 
-  /** One change: a job is entered, cancelled or over. */
-  private void step(int choice) {
-    String key = PREFIX + choice % 7;
-    Entry had = stored.get(key);
-    JsonNode value = had == null ? BooleanNode.FALSE : choice < 50 ? null : BooleanNode.TRUE;
-    Entry entry = new Entry(key, value, ++epoch);
+  /** Changes one record: adds it if it is missing, otherwise marks it cancelled or removes it. */
+  private void changeRecord(int choice) {
+    String key = PREFIX + choice % KEYS;
+    Entry previous = stored.get(key);
+    JsonNode value =
+        previous == null ? BooleanNode.FALSE : choice < MIN_CANCEL_CHOICE ? null : BooleanNode.TRUE;
+    Entry entry = new Entry(key, value, ++revision);
     if (value == null) {
       stored.remove(key);
     } else {
@@ -37,44 +48,46 @@
     history.add(entry);
   }
 
-  private List<Entry> since(long revision) {
-    return history.stream().filter(entry -> entry.version() > revision).toList();
+  private List<Entry> changesSince(long afterRevision) {
+    return history.stream().filter(entry -> entry.version() > afterRevision).toList();
   }
 
   @Property(seed = "4", tries = 400)
-  void whateverHappensBetweenPagesAndQuestions(
+  void equalsStoredRecordsWhenTheyChangeBetweenPagesAndResponses(
       @ForAll @Size(max = 20) List<@IntRange(max = 100) Integer> before,
       @ForAll @Size(max = 20) List<@IntRange(max = 100) Integer> between,
       @ForAll @Size(max = 20) List<@IntRange(max = 100) Integer> after) {
-    before.forEach(this::step);
+    before.forEach(this::changeRecord);
     LiveJobs jobs = new LiveJobs(PREFIX, JsonNode::asBoolean, value -> List.of(value.asText()));
     assertFalse(jobs.isLoaded());
-    List<Entry> pages = new ArrayList<>(stored.headMap(PREFIX + "3").values());
-    final long oldest = epoch;
-    between.forEach(this::step);
-    pages.addAll(stored.tailMap(PREFIX + "3").values());
-    jobs.load(pages, oldest);
-    after.forEach(this::step);
-    List<Entry> late = since(jobs.revision());
-    final long lateEpoch = epoch;
-    jobs.applyChanges(since(jobs.revision()), epoch);
-    check(jobs);
-    // An answer that was overtaken changes nothing.
-    step(3);
-    step(60);
-    jobs.applyChanges(since(jobs.revision()), epoch);
-    jobs.applyChanges(late, lateEpoch);
-    check(jobs);
+    List<Entry> pages = new ArrayList<>(stored.headMap(SECOND_PAGE).values());
+    final long oldestRevision = revision;
+    between.forEach(this::changeRecord);
+    pages.addAll(stored.tailMap(SECOND_PAGE).values());
+    jobs.load(pages, oldestRevision);
+    after.forEach(this::changeRecord);
+    List<Entry> delayedChanges = changesSince(jobs.revision());
+    final long delayedRevision = revision;
+    jobs.applyChanges(changesSince(jobs.revision()), revision);
+    assertEqualsStored(jobs);
+    // A delayed response changes nothing.
+    changeRecord(3);
+    changeRecord(60);
+    jobs.applyChanges(changesSince(jobs.revision()), revision);
+    jobs.applyChanges(delayedChanges, delayedRevision);
+    assertEqualsStored(jobs);
   }
 
-  private void check(LiveJobs jobs) {
+  private void assertEqualsStored(LiveJobs jobs) {
     assertEquals(stored.size(), jobs.size());
-    assertEquals(epoch, jobs.revision());
-    for (Map.Entry<String, Entry> e : stored.entrySet()) {
-      LiveJobs.CachedJob seen = jobs.get(e.getKey().substring(PREFIX.length()));
-      JsonNode value = e.getValue().value();
-      List<String> awaits = List.of(value.asText());
-      assertEquals(new LiveJobs.CachedJob(e.getValue().version(), value.asBoolean(), awaits), seen);
+    assertEquals(revision, jobs.revision());
+    for (Map.Entry<String, Entry> entry : stored.entrySet()) {
+      LiveJobs.CachedJob cached = jobs.get(entry.getKey().substring(PREFIX.length()));
+      JsonNode value = entry.getValue().value();
+      List<String> dependencies = List.of(value.asText());
+      assertEquals(
+          new LiveJobs.CachedJob(entry.getValue().version(), value.asBoolean(), dependencies),
+          cached);
     }
   }
 }
