--- a/src/main/java/org/snowturn/core/model/ImageCache.java
+++ b/src/main/java/org/snowturn/core/model/ImageCache.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * The images that a machine's disk cache is expected to hold, with their sizes in GB: a model of
- * the cache in the machine, with eviction of the least recently used images.
+ * The images that a machine is expected to have in its image cache, with their sizes in GB. Images
+ * that no longer fit are evicted, the least recently used first.
  */
 public final class ImageCache {
   private static final int INITIAL_CAPACITY = 16;
@@ -19,7 +19,7 @@
   /** Whether the images have changed since the list of them was last stored. */
   private boolean changed;
 
-  /** Returns whether the machine should hold the image. Does not count as a use. */
+  /** Returns whether the machine should have the image. The call does not count as a use. */
   public boolean containsKey(String image) {
     return sizesGb.containsKey(image);
   }
@@ -39,14 +39,14 @@
     return changed;
   }
 
-  /** Records that the current list of images is stored, or about to be. */
+  /** Records that the current list of images is stored or is about to be stored. */
   public void markStored() {
     changed = false;
   }
 
   /**
    * Records a use of an image and, if it is new, evicts the least recently used images until the
-   * others fit. The new image itself is never evicted, even if it is larger than the cache.
+   * rest fits. The new image itself is never evicted, even if it is larger than the cache.
    *
    * @param image the name of the image
    * @param sizeGb the size of the image in GB
--- a/src/main/java/org/snowturn/core/model/Machine.java
+++ b/src/main/java/org/snowturn/core/model/Machine.java
@@ -56,7 +56,7 @@
   /** Number of tasks that an earlier leader assigned and that this leader has not seen yet. */
   private int adoptedTasks;
 
-  /** The images that the machine should hold. */
+  /** The images that the machine should have. */
   public final ImageCache images = new ImageCache();
 
   /** The page of the stored registry that lists the machine; -1 if none does. */
@@ -68,7 +68,7 @@
   /** The failure history of tasks on the machine. */
   public final MachineFailures failures = new MachineFailures();
 
-  /** Whether messages to the machine arrive. */
+  /** The evidence of whether messages to the machine arrive. */
   public final Reachability reachability = new Reachability();
 
   private final RunTimeRatios runTimeRatios = new RunTimeRatios();
--- a/src/main/java/org/snowturn/core/model/MachineTypes.java
+++ b/src/main/java/org/snowturn/core/model/MachineTypes.java
@@ -56,7 +56,8 @@
   }
 
   /**
-   * Returns whether a type that the job allows, in a zone that it allows, fits one of its tasks.
+   * Returns whether one task of the job fits a type that the job allows and that is offered in a
+   * zone that the job allows.
    */
   public boolean canHold(JobSpec spec) {
     for (MachineType type : types.values()) {
--- a/src/main/java/org/snowturn/core/model/Quota.java
+++ b/src/main/java/org/snowturn/core/model/Quota.java
@@ -13,6 +13,7 @@
   /** Tolerance for rounding errors in sums of fractions. */
   private static final double TOLERANCE = 1e-6;
 
+  /** The limits of a team and what its tasks use. */
   private static final class TeamUsage {
     private final Settings.Team team;
     private double cpus;
--- a/src/main/java/org/snowturn/core/model/TaskState.java
+++ b/src/main/java/org/snowturn/core/model/TaskState.java
@@ -1,20 +1,21 @@
 package org.snowturn.core.model;
 
-/** The state of a task, as the leader knows it. Jobs store the code of each task's state. */
+/** The state of a task as the leader knows it. Jobs store the code of each task's state. */
 public enum TaskState {
   /** The task waits to be placed. */
   PENDING(0),
-  /** Its placement is being written; no start command has been sent. */
+  /** The placement of the task is being written; no start command has been sent. */
   PLACING(1),
-  /** Its start command may have been sent. */
+  /** The start command of the task may have been sent. */
   STARTING(2),
-  /** Its image is being fetched. */
+  /** The image of the task is being fetched. */
   FETCHING(3),
   /** The task runs or saves a checkpoint. */
   RUNNING(4),
   /** The task has finished with a result. */
   DONE(5);
 
+  /** The states by code, which equals the ordinal. */
   private static final TaskState[] BY_CODE = values();
 
   private final byte code;
