--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -79,7 +79,10 @@
     election.deferClaimIf(connectivity::hasBetterPeer);
     stateRequestRelay =
         new StateRequestRelay(
-            settings, runtime, connectivity, () -> connectivity.ownConnectivity().canReachStateService());
+            settings,
+            runtime,
+            connectivity,
+            () -> connectivity.ownConnectivity().canReachStateService());
     JobApi.Services services =
         new JobApi.Services(
             machineTypes,
--- a/src/main/java/org/snowturn/core/api/JobStatusReader.java
+++ b/src/main/java/org/snowturn/core/api/JobStatusReader.java
@@ -67,10 +67,10 @@
   }
 
   private void readFromCache(long exchange, String id, Consumer<JobStatus> onStatus) {
-    LiveJobs.Seen live = liveJobs.get(id);
+    LiveJobs.CachedJob live = liveJobs.get(id);
     if (live == null) {
       readFinalRecord(exchange, id, () -> readRecords(exchange, id, onStatus), onStatus);
-    } else if (!live.cancelled() && mayHaveCancelledDependency(live.awaits())) {
+    } else if (!live.cancelled() && mayHaveCancelledDependency(live.dependencies())) {
       responses.refuse(exchange);
     } else {
       JobStatus.Phase phase = live.cancelled() ? JobStatus.Phase.ABORTED : JobStatus.Phase.QUEUED;
@@ -166,8 +166,8 @@
       if (cancelled.isKnownCancelled(id)) {
         return true;
       }
-      LiveJobs.Seen live = liveJobs.get(id);
-      for (String dependency : live == null ? List.<String>of() : live.awaits()) {
+      LiveJobs.CachedJob live = liveJobs.get(id);
+      for (String dependency : live == null ? List.<String>of() : live.dependencies()) {
         if (visited.add(dependency)) {
           pending.add(dependency);
         }
--- a/src/main/java/org/snowturn/core/api/LiveJobCache.java
+++ b/src/main/java/org/snowturn/core/api/LiveJobCache.java
@@ -107,11 +107,11 @@
 
   /** Returns whether the live jobs are loaded, so that a single read can validate the cache. */
   public boolean isLoaded() {
-    return jobs.known();
+    return jobs.isLoaded();
   }
 
   /** Returns a live job as of the last validation, or null if there was none with this id. */
-  public LiveJobs.Seen get(String id) {
+  public LiveJobs.CachedJob get(String id) {
     return jobs.get(id);
   }
 
@@ -153,7 +153,7 @@
     }
     isRequestOpen = true;
     nextRequestAt = now + minRequestIntervalMs;
-    if (jobs.known()) {
+    if (jobs.isLoaded()) {
       readChanges();
     } else {
       load();
@@ -180,7 +180,7 @@
             return;
           }
           if (outcome == Outcome.ANSWERED && status == CHANGES_GONE) {
-            jobs.drop();
+            jobs.clear();
           }
           covered.addAll(waiters);
           waiters = covered;
@@ -200,7 +200,7 @@
         return false;
       }
       List<StateMessage.Entry> changes = StateMessage.changes(body);
-      jobs.follow(changes, revision);
+      jobs.applyChanges(changes, revision);
       changes.forEach(this::notifyIfCancelled);
       return true;
     } catch (MalformedException e) {
@@ -210,7 +210,7 @@
           .with(LogField.REQUEST, "watch jobs")
           .with(LogField.ERROR, e.getMessage())
           .write();
-      jobs.drop();
+      jobs.clear();
       return false;
     }
   }
--- a/src/main/java/org/snowturn/core/api/SubmissionValidator.java
+++ b/src/main/java/org/snowturn/core/api/SubmissionValidator.java
@@ -19,7 +19,7 @@
 
   /** Returns whether the machine types are known, which the checks need. */
   boolean isReady() {
-    return machineTypes.known();
+    return machineTypes.isLoaded();
   }
 
   /**
--- a/src/main/java/org/snowturn/core/assignment/FailureHandler.java
+++ b/src/main/java/org/snowturn/core/assignment/FailureHandler.java
@@ -54,7 +54,7 @@
     }
     attribution.onTaskSucceeded(job.index, machine.index);
     job.failures.clearSuspicion();
-    machine.failures.succeeded();
+    machine.failures.recordSuccess();
   }
 
   /** Records that a task has failed on the machine, before it is queued again. */
@@ -67,17 +67,18 @@
         .with(LogField.MACHINE, machine.id)
         .write();
     if (job.done() > 0) {
-      attribution.markJobHealthy(job.index); // done tasks may also have been recorded by earlier leaders
+      attribution.markJobHealthy(
+          job.index); // done tasks may also have been recorded by earlier leaders
     }
     attribution.onTaskFailed(job.index, machine.index);
-    job.failures.failed(task, machine.index);
-    machine.failures.failed(attribution.isMachineHealthy(machine.index));
+    job.failures.recordFailure(task, machine.index);
+    machine.failures.recordFailure(attribution.isMachineHealthy(machine.index));
     if (attribution.isJobSuspected(job.index)) {
       backOffSuspect(job);
     }
     machine.failures.setUnexplained(attribution.unexplainedFailures(machine.index));
     quarantineIfFaulty(machine);
-    if (!machine.failures.isSound() && machine.failures.unexplained() > 0) {
+    if (!machine.failures.isHealthy() && machine.failures.unexplained() > 0) {
       int doublings = Math.min(MAX_MACHINE_BACKOFF_DOUBLINGS, machine.failures.unexplained() - 1);
       machine.failures.blockUntil(runtime.now() + (MIN_MACHINE_BACKOFF_MS << doublings));
     } else {
@@ -100,7 +101,7 @@
 
   private void backOffSuspect(Job job) {
     if (!job.failures.isSuspect()) {
-      job.failures.suspect();
+      job.failures.markSuspect();
       runtime
           .events()
           .info(LogEvent.JOB_SUSPECTED)
@@ -109,7 +110,7 @@
           .write();
     }
     int doublings = Math.min(MAX_JOB_BACKOFF_DOUBLINGS, job.failures.probeCount());
-    job.failures.probeFailed();
+    job.failures.recordFailedProbe();
     job.failures.backOff(
         runtime.now() + Math.min(MAX_JOB_BACKOFF_MS, MIN_JOB_BACKOFF_MS << doublings));
   }
@@ -124,8 +125,8 @@
     boolean hasUnresolvedFailures =
         machine.failures.unexplained() > 0 || (job.failures.count() > 0 && job.done() == 0);
     if (hasUnresolvedFailures
-        && job.stateSince(task) != MonotonicTime.NEVER
-        && runtime.now() - job.stateSince(task) >= MIN_HEALTHY_RUN_MS) {
+        && job.runningSince(task) != MonotonicTime.NEVER
+        && runtime.now() - job.runningSince(task) >= MIN_HEALTHY_RUN_MS) {
       onTaskSucceeded(machine, job);
     }
   }
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
@@ -54,7 +54,7 @@
     List<Command> commands = new ArrayList<>();
     boolean newest =
         heartbeat.agentEpoch() == machine.epoch()
-            && heartbeat.sequence() == machine.session.heartbeatSeq();
+            && heartbeat.sequence() == machine.session.heartbeatSequence();
     LongHashSet listed = addCommandsForListed(machine, heartbeat, newest, commands);
     boolean renewsLease = true;
     for (long reference : HeartbeatProcessor.copy(machine.assigned)) {
@@ -83,7 +83,7 @@
       boolean assignedHere =
           job != null && ReconciliationCases.isAssignedHere(machine, job, status);
       if (assignedHere) {
-        listed.add(Job.ref(job.index, status.task()));
+        listed.add(Job.taskReference(job.index, status.task()));
       }
       Command command =
           newest
@@ -149,7 +149,7 @@
       // The task may be on the machine: a newer heartbeat may have listed it.
       commands.add(assignments.stopCommand(job, task));
       return !ReconciliationCases.isStartInDoubt(machine, job.attemptOf(task), task)
-          || cancellations.leaseExpiresInTime(job.notConfirmedBefore());
+          || cancellations.leaseExpiresInTime(job.earliestConfirmationAt());
     }
     if (verdict == Verdict.START) {
       repeatStart(machine, job, task, commands);
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
@@ -141,7 +141,7 @@
     if (machine.lastHeartbeatAt() == MonotonicTime.NEVER) {
       machine.session.setHeartbeatDueAt(runtime.now() + maxLeaderDiscoveryMs(settings));
     }
-    machine.session.heartbeat(
+    machine.session.recordHeartbeat(
         heartbeat.sequence(), runtime.now(), maxHeartbeatIntervalMs(settings));
     machine.clearSuspicion();
     boolean carriesToken = heartbeat.token() == token;
@@ -165,7 +165,7 @@
     boolean overtaken =
         heartbeat.agentEpoch() < machine.epoch()
             || (heartbeat.agentEpoch() == machine.epoch()
-                && heartbeat.sequence() <= machine.session.heartbeatSeq());
+                && heartbeat.sequence() <= machine.session.heartbeatSequence());
     // A delayed heartbeat of an agent epoch whose lease has expired is rejected, too.
     return !overtaken && heartbeat.agentEpoch() > machine.session.endedEpoch();
   }
@@ -177,7 +177,7 @@
     machine.session.setLastAnswerAt(Math.max(machine.session.lastAnswerAt(), runtime.now()));
     machine.session.clearAcknowledgement();
     machine.startsInDoubt.clear();
-    machine.commands().drop();
+    machine.commands().discardUnsent();
     machine.reachability.onNewAgentEpoch(runtime.now());
     releaseEarlierEpochs(machine, epoch);
   }
@@ -222,13 +222,13 @@
       }
       Verdict verdict = Reconciliation.decide(cases.caseOfListed(machine, heartbeat, status, job));
       if (ReconciliationCases.isAssignedHere(machine, job, status)) {
-        listed.add(Job.ref(job.index, status.task()));
+        listed.add(Job.taskReference(job.index, status.task()));
         reportedTasks.apply(machine, job, status, verdict, heartbeat);
       } else if (verdict == Verdict.COMPLETE) {
         assignments.completePending(job, status.task());
       }
     }
-    machine.setUnaccounted(unaccounted);
+    machine.setUnaccountedTasks(unaccounted);
     return listed;
   }
 
@@ -279,9 +279,9 @@
         .with(LogField.MACHINE, machine.id)
         .with(LogField.ASSIGNED, machine.assigned.size())
         .write();
-    machine.session.endedUntil(machine.epoch());
+    machine.session.markEndedThrough(machine.epoch());
     for (long reference : copy(machine.assigned)) {
-      machine.session.endedUntil(
+      machine.session.markEndedThrough(
           assignments.job(reference).epochOf(TaskAssignments.task(reference)));
     }
     machine.session.clearAcknowledgement();
@@ -302,16 +302,16 @@
     for (long reference : copy(machine.assigned)) {
       assignments.release(assignments.job(reference), TaskAssignments.task(reference), evidence);
     }
-    machine.commands().drop();
+    machine.commands().discardUnsent();
   }
 
   /** Updates a machine's address, type, zone and spot property from its heartbeat. */
   public void updateDescription(Machine machine, Heartbeat heartbeat) {
-    machine.setAddr(heartbeat.address());
+    machine.setAddress(heartbeat.address());
     machine.commands().resume();
     machine.setType(heartbeat.type());
     machine.setSpot(heartbeat.spot());
     machine.setMachineType(machineTypes.get(heartbeat.type()));
-    assignments.setZone(machine, machines.zone(heartbeat.zone()));
+    assignments.setZone(machine, machines.zoneIndex(heartbeat.zone()));
   }
 }
--- a/src/main/java/org/snowturn/core/assignment/JobRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/JobRegistry.java
@@ -88,7 +88,7 @@
     return jobs.get(id);
   }
 
-  /** Returns the job of a task reference made by {@link Job#ref}. */
+  /** Returns the job of a task reference made by {@link Job#taskReference}. */
   Job byReference(long reference) {
     return jobsByIndex.get((int) (reference >>> 32));
   }
--- a/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
@@ -109,7 +109,7 @@
       remainingBytes -=
           SECOND_FORMAT_ENTRY_OVERHEAD_BYTES
               + machine.id.length()
-              + (machine.addr() == null ? 0 : machine.addr().length());
+              + (machine.address() == null ? 0 : machine.address().length());
       if (remainingBytes < 0) {
         break;
       }
@@ -163,7 +163,7 @@
       ArrayNode entry = all.addArray();
       entry
           .add(machine.id)
-          .add(machine.addr())
+          .add(machine.address())
           .add(machine.type())
           .add(machines.zoneName(machine.zone()))
           .add(machine.isSpot());
@@ -193,7 +193,7 @@
         kinds.add(kind);
         kindNumber = kindNumbers.size() - 1;
       }
-      names.add(machine, all.addArray().add(machine.id).add(machine.addr()).add(kindNumber));
+      names.add(machine, all.addArray().add(machine.id).add(machine.address()).add(kindNumber));
     }
     return object;
   }
@@ -216,7 +216,7 @@
       }
       ArrayNode imageNumbers = entry.addArray();
       int skipped = Math.max(0, machine.images.size() - maxImages);
-      for (Map.Entry<String, Double> image : machine.images.leastRecentFirst()) {
+      for (Map.Entry<String, Double> image : machine.images.leastRecentlyUsedFirst()) {
         if (skipped-- > 0) {
           continue;
         }
@@ -276,9 +276,9 @@
       // An entry contains type, zone and spot in the first format, and the number of their
       // combination in field k in the second format.
       JsonNode kinds = entry.value().path("k").path(value.path(2).asInt());
-      machine.setAddr(value.path(1).asText(null));
+      machine.setAddress(value.path(1).asText(null));
       machine.setType((second ? kinds.path(0) : value.path(2)).asText(null));
-      machine.setZone(machines.zone((second ? kinds.path(1) : value.path(3)).asText()));
+      machine.setZone(machines.zoneIndex((second ? kinds.path(1) : value.path(3)).asText()));
       machine.setSpot((second ? kinds.path(2) : value.path(4)).asBoolean());
       for (JsonNode node : value.path(second ? 3 : 5)) {
         JsonNode image = entry.value().path("i").path(node.asInt());
@@ -329,7 +329,7 @@
   private static void removeTerminated(Page page) {
     for (Iterator<Machine> iterator = page.machines.iterator(); iterator.hasNext(); ) {
       Machine machine = iterator.next();
-      if (machine.isTerminated() && machine.assigned.isEmpty()) {
+      if (machine.isGone() && machine.assigned.isEmpty()) {
         iterator.remove();
         machine.setRegistryPage(NO_PAGE);
         page.hasRemovals = true;
--- a/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
+++ b/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
@@ -65,7 +65,7 @@
   private void applyRunning(Machine machine, Job job, int task) {
     if (job.stateOf(task) != TaskState.RUNNING) {
       // The start time is unknown if an earlier leader started the task: it never counts as slow.
-      job.setStateSince(task, job.adopted.get(task) ? MonotonicTime.NEVER : runtime.now());
+      job.setRunningSince(task, job.adopted.get(task) ? MonotonicTime.NEVER : runtime.now());
       job.setState(task, TaskState.RUNNING);
       logLateReplica(machine, job, task);
     }
@@ -74,7 +74,7 @@
   }
 
   private void logLateReplica(Machine machine, Job job, int task) {
-    double waitedS = (runtime.wallMs() - job.releasedWall()) / 1000.0;
+    double waitedS = (runtime.wallMs() - job.releasedWallMs()) / 1000.0;
     if (job.spec.service()
         && waitedS > MIN_LOGGED_WAIT_S
         && job.failures.count() == 0
@@ -112,11 +112,11 @@
   }
 
   private void handleResult(Machine machine, Job job, int task, ReportedEnded evidence) {
-    if (job.stateSince(task) != MonotonicTime.NEVER) {
-      double runTimeS = (runtime.now() - job.stateSince(task)) / 1000.0;
+    if (job.runningSince(task) != MonotonicTime.NEVER) {
+      double runTimeS = (runtime.now() - job.runningSince(task)) / 1000.0;
       job.runTimes.add(runTimeS);
-      double median = job.median();
-      machine.finishedWork(median > 0 && job.runTimes.size() > 1 ? runTimeS / median : 1);
+      double median = job.medianRunTimeS();
+      machine.recordRunTimeRatio(median > 0 && job.runTimes.size() > 1 ? runTimeS / median : 1);
     }
     failureHandler.onTaskSucceeded(machine, job);
     assignments.complete(job, task, evidence);
@@ -161,7 +161,9 @@
         continue;
       }
       double expectedRunS =
-          job.runTimes.size() >= MIN_RUN_TIME_SAMPLES ? job.median() : job.spec.estimateS() / 2;
+          job.runTimes.size() >= MIN_RUN_TIME_SAMPLES
+              ? job.medianRunTimeS()
+              : job.spec.estimateS() / 2;
       if (runtime.now() + (expectedRunS - elapsedRunS(job, task, expectedRunS)) * 1000
           > machine.preemptionAt()) {
         runtime
@@ -184,8 +186,8 @@
     if (job.stateOf(task) != TaskState.RUNNING) {
       return 0;
     }
-    return job.stateSince(task) == MonotonicTime.NEVER
+    return job.runningSince(task) == MonotonicTime.NEVER
         ? expectedRunS
-        : (runtime.now() - job.stateSince(task)) / 1000.0;
+        : (runtime.now() - job.runningSince(task)) / 1000.0;
   }
 }
--- a/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
@@ -85,12 +85,12 @@
     return registry.find(id);
   }
 
-  /** Returns the job of a task reference made by {@link Job#ref}. */
+  /** Returns the job of a task reference made by {@link Job#taskReference}. */
   public Job job(long reference) {
     return registry.byReference(reference);
   }
 
-  /** Returns the task index of a task reference made by {@link Job#ref}. */
+  /** Returns the task index of a task reference made by {@link Job#taskReference}. */
   public static int task(long reference) {
     return (int) reference;
   }
@@ -182,7 +182,7 @@
       Job job, int task, Machine machine, long attempt, long agentEpoch, TaskState state) {
     job.assign(task, machine, attempt, agentEpoch, state);
     assignedByPriority.add(job.priority(), 1);
-    machine.assign(Job.ref(job.index, task), job.priority(), job.spec);
+    machine.assign(Job.taskReference(job.index, task), job.priority(), job.spec);
     quota.acquire(job.spec);
   }
 
@@ -256,7 +256,7 @@
   /** Assigns a pending task to a machine. Its start is sent once the placement is durable. */
   public void assign(Job job, int task, Machine machine, long attempt) {
     addAssignment(job, task, machine, attempt, machine.epoch(), TaskState.PLACING);
-    job.setPlacedWall(runtime.wallMs());
+    job.setPlacedWallMs(runtime.wallMs());
     placements++;
     machine.touchImage(job.spec.image(), job.spec.imageGb());
     writer.enqueue(
@@ -271,7 +271,7 @@
       return;
     }
     Machine machine = machines.get(job.machineOf(task));
-    if (job.isCancelled() || job.epochOf(task) != machine.epoch() || machine.isTerminated()) {
+    if (job.isCancelled() || job.epochOf(task) != machine.epoch() || machine.isGone()) {
       release(job, task, new EndEvidence.NeverSent());
       return;
     }
@@ -403,7 +403,7 @@
     Machine machine = machines.get(job.machineOf(task));
     // A start that is still queued would begin an attempt that the machine was told to forget.
     machine.commands().withdraw(startCommand(job, task));
-    machine.unassign(Job.ref(job.index, task), job.priority(), job.spec);
+    machine.unassign(Job.taskReference(job.index, task), job.priority(), job.spec);
     if (machine.assigned.isEmpty()) {
       machine.setIdleSince(runtime.now());
     }
--- a/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
@@ -90,7 +90,7 @@
     TaskRecords.read(
         value,
         firstTask,
-        new TaskRecords.Reader() {
+        new TaskRecords.Visitor() {
           /**
            * Returns whether the machine was removed from the registry. A leader that writes the
            * second format registers a machine before its first placement and removes it only after
@@ -115,14 +115,14 @@
           }
 
           @Override
-          public void done(int task) {
+          public void onDone(int task) {
             if (isApplicable(task)) {
               job.complete(task);
             }
           }
 
           @Override
-          public void placed(int task, long attempt, String machine, long agentEpoch) {
+          public void onPlaced(int task, long attempt, String machine, long agentEpoch) {
             if (isApplicable(task) && !isRemovedMachine(machine)) {
               Machine assignedMachine = machines.getOrAdd(machine);
               // An earlier leader may have renewed its lease until now, even if the machine is
--- a/src/main/java/org/snowturn/core/leader/HealthSweep.java
+++ b/src/main/java/org/snowturn/core/leader/HealthSweep.java
@@ -155,7 +155,7 @@
   }
 
   private void checkHeard(Machine machine, boolean isSilent) {
-    boolean missesHeartbeats = machine.missesHeartbeats(runtime.now());
+    boolean missesHeartbeats = machine.isMissingHeartbeats(runtime.now());
     boolean isLost = isSilent || missesHeartbeats;
     silentCount += isLost && !machine.isTerminating() ? 1 : 0;
     heardCount += isLost ? 0 : 1;
@@ -210,15 +210,15 @@
   }
 
   private void probeOrReplaceSilent(Machine machine) {
-    if (machine.isProbing() || machine.isTerminating() || machine.addr() == null) {
+    if (machine.isProbing() || machine.isTerminating() || machine.address() == null) {
       return;
     }
     if (runtime.now() > machine.preemptionAt()) {
       if (machineSilence.canReplaceHeard()) {
         scheduling.autoscaler().terminate(machine, "silent after the end of its preemption notice");
       }
-    } else if (machine.commands().idle()) {
-      machine.probeSent();
+    } else if (machine.commands().isIdle()) {
+      machine.beginProbe();
       machine.commands().probe();
     }
   }
@@ -245,7 +245,7 @@
     List<Machine> all = size == 0 ? List.of() : machines.present();
     for (int i = 0; i < all.size(); i += Math.max(1, all.size() / size)) {
       Machine machine = all.get(i);
-      if (machine.addr() != null && MachineSilence.hasBeenUp(machine)) {
+      if (machine.address() != null && MachineSilence.hasBeenUp(machine)) {
         machine.commands().probe();
       }
     }
--- a/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
+++ b/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
@@ -56,12 +56,12 @@
       return;
     }
     Machine machine = machines.getOrAdd(heartbeat.machine());
-    if (machine.isTerminated()
+    if (machine.isGone()
         && !machine.isTerminationConfirmed()
         && heartbeat.agentEpoch() > machine.epoch()) {
       machines.restore(machine);
     }
-    if (machine.isTerminated() || heartbeat.agentEpoch() <= machine.session.endedEpoch()) {
+    if (machine.isGone() || heartbeat.agentEpoch() <= machine.session.endedEpoch()) {
       // The machine is terminated or its agent epoch has ended, so its lease must not be renewed.
       refuse(exchange, heartbeat, "session_over");
     } else if (!recovery.isLoaded()) {
@@ -96,7 +96,7 @@
   /** Handles the heartbeat that a worker has sent in reply to a direct message. */
   void handleReply(Heartbeat heartbeat) {
     Machine machine = machines.find(heartbeat.machine());
-    if (term.hasEnded() || !recovery.isLoaded() || machine == null || machine.isTerminated()) {
+    if (term.hasEnded() || !recovery.isLoaded() || machine == null || machine.isGone()) {
       return;
     }
     reachability.onMessageAnswered(machine, heartbeat);
@@ -109,7 +109,7 @@
 
   /** Applies a heartbeat to the term's state, and registers its machine if that is needed. */
   void apply(Machine machine, Heartbeat heartbeat) {
-    if (machine.addr() == null || machine.machineType() == null || !machine.isRegistered()) {
+    if (machine.address() == null || machine.machineType() == null || !machine.isRegistered()) {
       services.heartbeatProcessor().updateDescription(machine, heartbeat);
       if (machine.firstSeenAt() == 0) {
         machine.setFirstSeenAt(runtime.now());
@@ -132,7 +132,7 @@
         .register(
             machine,
             () -> {
-              machine.registered();
+              machine.markRegistered();
               services.assignments().markChanged();
             });
   }
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -76,7 +76,7 @@
     jobWatch.startFrom(recovery.jobWatchRevision());
     earlyHeartbeats.forEach(
         (machine, heartbeat) -> {
-          if (!machine.isTerminated()) {
+          if (!machine.isGone()) {
             heartbeatHandler.apply(machine, heartbeat);
           }
         });
@@ -132,7 +132,7 @@
       sweep();
     }
     services.dependencyGraph().step();
-    if (shared.machineTypes().known() && assignments.consumeChanged()) {
+    if (shared.machineTypes().isLoaded() && assignments.consumeChanged()) {
       schedule(now);
     }
     clusterSummary.tick();
@@ -187,8 +187,8 @@
     int first = (int) (runtime.now() % step);
     for (int i = first; i < all.size() && addresses.size() < maxAddresses; i += step) {
       Machine machine = all.get(i);
-      if (machine.addr() != null && machine.usable(runtime.now())) {
-        addresses.add(machine.addr());
+      if (machine.address() != null && machine.isUsable(runtime.now())) {
+        addresses.add(machine.address());
       }
     }
     return addresses;
--- a/src/main/java/org/snowturn/core/leader/MachineSilence.java
+++ b/src/main/java/org/snowturn/core/leader/MachineSilence.java
@@ -25,7 +25,8 @@
     this.settings = shared.settings();
     this.zoneOutages = zoneOutages;
     this.recovery = recovery;
-    this.workerSilence = new WorkerSilenceDetector(HealthSweep.INTERVAL_MS, settings.workers().reportS());
+    this.workerSilence =
+        new WorkerSilenceDetector(HealthSweep.INTERVAL_MS, settings.workers().reportS());
     this.termStartedAt = runtime.now();
   }
 
@@ -67,7 +68,7 @@
   /** Returns whether a machine that has been up has not been heard in time. */
   boolean isSilent(Machine machine) {
     return hasBeenHeard(machine)
-        ? runtime.now() > machine.session.silentFrom()
+        ? runtime.now() > machine.session.silentAt()
         : recovery.isUnresponsive(machine) || isReassignmentPeriodOver();
   }
 
--- a/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
+++ b/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
@@ -75,7 +75,9 @@
   void onHeartbeatApplied(Machine machine, Heartbeat heartbeat) {
     if (heartbeat.agentEpoch() == machine.epoch()) {
       machine.reachability.onHeartbeatReceived(
-          heartbeat.sequence(), runtime.now(), HeartbeatProcessor.maxAnsweredHeartbeatIntervalMs(settings));
+          heartbeat.sequence(),
+          runtime.now(),
+          HeartbeatProcessor.maxAnsweredHeartbeatIntervalMs(settings));
     }
     probeIfDue(machine);
   }
@@ -88,7 +90,7 @@
   void onMessageAnswered(Machine machine, Heartbeat heartbeat) {
     machineSilence.onWorkerHeard();
     connectivity.onWorkerHeard();
-    machine.probeSettled();
+    machine.endProbe();
     if (machine.reachability.detectNewIncarnation(isOutdated(machine, heartbeat))) {
       autoscaler.terminate(machine, "has started anew");
     }
@@ -101,7 +103,7 @@
   private static boolean isOutdated(Machine machine, Heartbeat heartbeat) {
     return heartbeat.agentEpoch() < machine.epoch()
         || (heartbeat.agentEpoch() == machine.epoch()
-            && heartbeat.sequence() + MAX_SEQUENCE_LAG < machine.session.heartbeatSeq());
+            && heartbeat.sequence() + MAX_SEQUENCE_LAG < machine.session.heartbeatSequence());
   }
 
   /**
@@ -115,10 +117,11 @@
     boolean canProbe =
         machine.session.isAcknowledged()
             || (recovery.hasHeardMostMachines()
-                && machine.reachability.sinceHeartbeatAnswerMs(runtime.now()) > MAX_NEXT_HEARTBEAT_MS);
+                && machine.reachability.sinceHeartbeatAnswerMs(runtime.now())
+                    > MAX_NEXT_HEARTBEAT_MS);
     if (canProbe
-        && machine.addr() != null
-        && machine.commands().idle()
+        && machine.address() != null
+        && machine.commands().isIdle()
         && machine.reachability.claimProbe(runtime.now())) {
       machine.commands().probe();
     }
@@ -150,13 +153,13 @@
    * and has been heard by this leader is replaced.
    */
   private void suspectOrReplace(Machine machine) {
-    machine.probeSettled();
+    machine.endProbe();
     if (machine.isSuspected()
         && MachineSilence.hasBeenHeard(machine)
         && machineSilence.canReplaceHeard()) {
       autoscaler.terminate(machine, "silent");
     }
-    machine.suspect();
+    machine.markSuspected();
   }
 
   /** Returns the gauges of these checks, by metric name. */
--- a/src/main/java/org/snowturn/core/leader/RecoveryProber.java
+++ b/src/main/java/org/snowturn/core/leader/RecoveryProber.java
@@ -79,7 +79,7 @@
     double minReplicaCpus = Double.MAX_VALUE;
     double minBatchTaskCpus = Double.MAX_VALUE;
     for (Job job : assignments.jobs()) {
-      if (job.wantsRoom() && job.pending() > 0) {
+      if (job.hasPlaceableTasks() && job.pending() > 0) {
         if (job.spec.service()) {
           minReplicaCpus = Math.min(minReplicaCpus, job.spec.cpus());
         } else {
@@ -133,9 +133,9 @@
     int next;
     while ((next = probes.nextMachine(runtime.now())) >= 0) {
       Machine machine = machines.get(next);
-      if (machine.isTerminated() || machine.isTerminating()) {
+      if (machine.isGone() || machine.isTerminating()) {
         probes.remove(next);
-      } else if (machine.addr() == null) {
+      } else if (machine.address() == null) {
         probes.onUnanswered(next, runtime.now(), false);
       } else {
         machine.commands().probe();
--- a/src/main/java/org/snowturn/core/leader/SchedulingServices.java
+++ b/src/main/java/org/snowturn/core/leader/SchedulingServices.java
@@ -46,7 +46,7 @@
     ExternallyManagedMachines externalMachines =
         new ExternallyManagedMachines(runtime, services.writer());
     ScalingPolicy scalingPolicy =
-        ScalingPolicy.of(settings, shared.machineTypes()::quickestBootS, externalMachines::present);
+        ScalingPolicy.of(settings, shared.machineTypes()::shortestBootS, externalMachines::present);
     TaskScheduler scheduler = newScheduler(shared, services, scalingPolicy, canPreempt);
     Speculator speculator =
         new Speculator(
--- a/src/main/java/org/snowturn/core/model/TaskTable.java
+++ b/src/main/java/org/snowturn/core/model/TaskTable.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import org.snowturn.core.MonotonicTime;
 
-/** Where each task of a job stands, in dense arrays, so that 100,000 tasks fit. */
+/** The state of each task of a job, in dense arrays, so that a job may have 100,000 tasks. */
 final class TaskTable {
   private static final int NO_MACHINE = -1;
 
@@ -11,7 +11,7 @@
   private final int[] machines;
   private final long[] attempts;
   private final long[] epochs;
-  private final long[] stateSince;
+  private final long[] runningSince;
   private int pending;
   private int assigned;
   private int running;
@@ -22,7 +22,7 @@
     machines = new int[tasks];
     attempts = new long[tasks];
     epochs = new long[tasks];
-    stateSince = new long[tasks];
+    runningSince = new long[tasks];
     Arrays.fill(machines, NO_MACHINE);
     pending = tasks;
   }
@@ -35,13 +35,14 @@
     return TaskState.ofCode(states[task]);
   }
 
-  /** Changes a task's state, and the count of running tasks with it. */
+  /** Sets a task's state and updates the count of running tasks. */
   void setState(int task, TaskState next) {
     running += next == TaskState.RUNNING ? 1 : 0;
     running -= state(task) == TaskState.RUNNING ? 1 : 0;
     states[task] = next.code();
   }
 
+  /** Adds the number of tasks in each state to the counts. */
   void countStates(TaskStateCounts counts) {
     for (byte code : states) {
       counts.add(TaskState.ofCode(code));
@@ -60,38 +61,38 @@
     return epochs[task];
   }
 
-  long stateSince(int task) {
-    return stateSince[task];
+  long runningSince(int task) {
+    return runningSince[task];
   }
 
-  void setStateSince(int task, long since) {
-    stateSince[task] = since;
+  void setRunningSince(int task, long since) {
+    runningSince[task] = since;
   }
 
-  /** A pending task is assigned to a machine. */
+  /** Assigns a pending task to a machine. */
   void assign(int task, int machine, long attempt, long epoch, TaskState state) {
     machines[task] = machine;
     attempts[task] = attempt;
     epochs[task] = epoch;
-    stateSince[task] = MonotonicTime.NEVER;
+    runningSince[task] = MonotonicTime.NEVER;
     pending--;
     assigned++;
     setState(task, state);
   }
 
-  /** A task is on no machine any more; its state is to be changed next. */
+  /** Removes a task from its machine. The caller then sets its state. */
   void unassign(int task) {
     assigned--;
     machines[task] = NO_MACHINE;
   }
 
-  /** A task that was unassigned waits again. */
+  /** Makes an unassigned task pending again. */
   void requeue(int task) {
     setState(task, TaskState.PENDING);
     pending++;
   }
 
-  /** A task that waits or was unassigned has its result. */
+  /** Marks a pending or unassigned task as done. */
   void complete(int task) {
     pending -= state(task) == TaskState.PENDING ? 1 : 0;
     setState(task, TaskState.DONE);
