--- a/src/main/java/org/snowturn/core/storage/TaskLayout.java
+++ b/src/main/java/org/snowturn/core/storage/TaskLayout.java
@@ -1,16 +1,16 @@
 package org.snowturn.core.storage;
 
 /**
- * Which tasks of a job share a stored record. In the first format a record holds {@code first}
+ * Which tasks of a job share a stored record. In the first format a record holds {@code tasksPerFirstRecord}
  * tasks; in the second each of those is cut into equal pieces that a smaller value can hold, so
  * that a piece never lies in two records of the first format.
  *
  * @param tasks how many tasks the job has
- * @param first how many of them a record of the first format holds
+ * @param tasksPerFirstRecord how many of them a record of the first format holds
  * @param pieces into how many records each of those is cut
  * @param piece how many tasks a piece holds, except for the last one, which may hold fewer
  */
-public record TaskLayout(int tasks, int first, int pieces, int piece) {
+public record TaskLayout(int tasks, int tasksPerFirstRecord, int pieces, int piece) {
   /** An attempt's number is its leader's fencing token, shifted by so many bits, plus a count. */
   public static final int ATTEMPT_BITS = 20;
 
@@ -66,17 +66,17 @@
 
   /** The record that holds a task. */
   public int recordOf(int task) {
-    return task / first * pieces + task % first / piece;
+    return task / tasksPerFirstRecord * pieces + task % tasksPerFirstRecord / piece;
   }
 
   /** The first task of a record. */
   public int from(int record) {
-    return record / pieces * first + record % pieces * piece;
+    return record / pieces * tasksPerFirstRecord + record % pieces * piece;
   }
 
   /** One past the last task of a record. */
   public int to(int record) {
-    int inPiece = record % pieces == pieces - 1 ? first - record % pieces * piece : piece;
+    int inPiece = record % pieces == pieces - 1 ? tasksPerFirstRecord - record % pieces * piece : piece;
     return Math.min(tasks, from(record) + inPiece);
   }
 }
