--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -183,7 +183,7 @@
   /** Figures for operators. */
   public Map<String, Double> gauges() {
     Map<String, Double> gauges = new HashMap<>();
-    gauges.put("snowturn.format.gate", formatGate.open() ? 1.0 : 0.0);
+    gauges.put("snowturn.format.gate", formatGate.isOpen() ? 1.0 : 0.0);
     gauges.put("snowturn.state.requests.relayed", (double) relay.relayed());
     gauges.putAll(connectivity.gauges());
     gauges.putAll(watermark.gauges());
--- a/src/main/java/org/snowturn/core/api/ChunkedSubmission.java
+++ b/src/main/java/org/snowturn/core/api/ChunkedSubmission.java
@@ -58,7 +58,7 @@
     this.job = job;
     this.chunks = chunks;
     this.listener = listener;
-    this.prefix = StorageKeys.submissionParts(spec.id(), job.submission());
+    this.prefix = StorageKeys.submissionChunks(spec.id(), job.submissionHash());
   }
 
   /** Reads which chunks an earlier try has stored, and writes the others. */
@@ -101,7 +101,7 @@
     BitSet written = nextToWrite();
     services.admission().charge(written.cardinality(), runtime.now());
     if (written.isEmpty()) {
-      listener.stored(job.live(), firstUnchanged);
+      listener.stored(job.liveJson(), firstUnchanged);
       return;
     }
     List<Condition> conditions = new ArrayList<>(JobSubmission.isNew(spec.id()));
--- a/src/main/java/org/snowturn/core/api/JobCancellation.java
+++ b/src/main/java/org/snowturn/core/api/JobCancellation.java
@@ -78,7 +78,7 @@
 
   private void write(long exchange, String id, StateMessage.Entry live, int triesLeft) {
     admission.charge(1, runtime.now());
-    JsonNode value = JobRecord.cancelled(live.value(), format.limits().valueBytes());
+    JsonNode value = JobRecord.cancelledJson(live.value(), format.limits().valueBytes());
     JsonNode txn =
         StateMessage.transaction(
             List.of(new Condition(StorageKeys.job(id), live.version())),
--- a/src/main/java/org/snowturn/core/api/JobStatusReader.java
+++ b/src/main/java/org/snowturn/core/api/JobStatusReader.java
@@ -87,7 +87,7 @@
           if (live == null) {
             readFinalRecord(exchange, id, () -> then.accept(null), then);
           } else if (!JobRecord.phaseOf(live.value()).terminal()
-              && mayNeedCancelled(JobRecord.awaits(live.value()))) {
+              && mayNeedCancelled(JobRecord.dependencies(live.value()))) {
             responses.refuse(exchange);
           } else {
             then.accept(statuses.ofRecord(id, live.value()));
--- a/src/main/java/org/snowturn/core/api/JobSubmission.java
+++ b/src/main/java/org/snowturn/core/api/JobSubmission.java
@@ -63,7 +63,7 @@
       reject(exchange, spec, rejection);
     } else if (spec.dependencies().isEmpty()) {
       write(exchange, spec);
-    } else if (!services.format().open()) {
+    } else if (!services.format().isOpen()) {
       // A node of the previous version would not make the job wait for its dependencies.
       answerIfKnown(exchange, spec);
     } else {
@@ -113,7 +113,7 @@
         unknown,
         DEPENDENCY_LOOKUP_MS,
         (found, complete) -> {
-          found.forEach((id, fact) -> serviceByJob.put(id, fact.service()));
+          found.forEach((id, fact) -> serviceByJob.put(id, fact.isService()));
           statuses.addAccepted(serviceByJob);
           if (complete) {
             writeOrReject(
@@ -140,14 +140,14 @@
     }
     JobRecord job = new JobRecord(JobStatus.Phase.QUEUED, runtime.wallMs(), spec);
     int maxBytes = services.format().limits().valueBytes();
-    ObjectNode record = job.live();
-    if (!services.format().open() || Json.bytes(record).length <= maxBytes) {
+    ObjectNode record = job.liveJson();
+    if (!services.format().isOpen() || Json.bytes(record).length <= maxBytes) {
       commit(exchange, spec, record, List.of());
       return;
     }
     String text = Json.text(spec.toJson());
     List<ObjectNode> chunks = JobRecord.split(text, maxBytes);
-    JobRecord chunked = job.inParts(JobRecord.submissionName(text, maxBytes), chunks.size());
+    JobRecord chunked = job.toChunked(JobRecord.hashSubmission(text, maxBytes), chunks.size());
     new ChunkedSubmission(runtime, services, spec, chunked, chunks, chunkListener(exchange, spec))
         .start();
   }
--- a/src/main/java/org/snowturn/core/api/LiveJobCache.java
+++ b/src/main/java/org/snowturn/core/api/LiveJobCache.java
@@ -71,7 +71,7 @@
   private final long minIntervalMs;
   private final long refreshMs;
   private final LiveJobs jobs =
-      new LiveJobs(StorageKeys.JOBS, LiveJobCache::isCancelled, JobRecord::awaits);
+      new LiveJobs(StorageKeys.JOBS, LiveJobCache::isCancelled, JobRecord::dependencies);
   private final Backoff backoff;
   private ArrayDeque<Waiter> waiting = new ArrayDeque<>();
   private boolean requestOpen;
@@ -216,7 +216,7 @@
             StorageKeys.JOBS,
             range -> {
               requestOpen = false;
-              jobs.load(range.entries(), range.epoch());
+              jobs.load(range.entries(), range.oldestRevision());
               range.entries().forEach(this::tellIfCancelled);
               listener.complete(sentAt);
               backoff.reset();
--- a/src/main/java/org/snowturn/core/assignment/JobCompletion.java
+++ b/src/main/java/org/snowturn/core/assignment/JobCompletion.java
@@ -41,7 +41,7 @@
       return;
     }
     for (PendingRecord record : job.taskRecords()) {
-      if (record != null && record.inFlight()) {
+      if (record != null && record.isInFlight()) {
         return; // retried when that write is settled
       }
     }
@@ -51,7 +51,7 @@
     List<Change> apply = moves(job, phase);
     List<Change> drops = drops(job);
     // Where many jobs end together, what is only to be cleared away leaves the rate to others.
-    int room = writer.backlogged() ? 0 : gate.limits().txnOps() - apply.size();
+    int room = writer.isBacklogged() ? 0 : gate.limits().txnOps() - apply.size();
     int now = Math.min(drops.size(), Math.max(0, room));
     apply.addAll(drops.subList(0, now));
     write(job, phase, apply, drops.subList(now, drops.size()));
@@ -65,7 +65,7 @@
   private static List<Change> moves(Job job, JobStatus.Phase phase) {
     String id = job.spec.id();
     List<Change> apply = new ArrayList<>();
-    apply.add(Change.put(StorageKeys.finishedJob(id), JobRecord.over(phase, job.spec)));
+    apply.add(Change.put(StorageKeys.finishedJob(id), JobRecord.finishedJson(phase, job.spec)));
     apply.add(Change.delete(StorageKeys.job(id)));
     if (job.restarts() > 0) {
       apply.add(Change.delete(StorageKeys.restarts(id)));
@@ -76,11 +76,11 @@
   /** What is only to be cleared away. */
   private List<Change> drops(Job job) {
     List<Change> drops = new ArrayList<>();
-    JobRecord.partKeys(job.spec.id(), job.submission(), job.chunkCount())
+    JobRecord.chunkKeys(job.spec.id(), job.submission(), job.chunkCount())
         .forEach(key -> drops.add(Change.delete(key)));
     for (PendingRecord record : job.taskRecords()) {
       if (record != null) {
-        writer.cancel(record);
+        writer.cancelWrite(record);
         dropIfStored(record, drops);
       }
     }
@@ -117,7 +117,7 @@
   }
 
   private static void dropIfStored(PendingRecord record, List<Change> drops) {
-    if (record.stored()) {
+    if (record.isStored()) {
       drops.add(Change.delete(record.key()));
     }
   }
--- a/src/main/java/org/snowturn/core/assignment/JobRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/JobRegistry.java
@@ -97,7 +97,7 @@
       quarantined.remove(id); // cancelled: whatever runs of it may be stopped
     }
     Job job = jobs.get(id);
-    if (job == null && stored.needsParts()) {
+    if (job == null && stored.needsChunks()) {
       chunks.read(id, stored, stamp, texts -> addChunked(id, stored, stamp, texts));
       return;
     }
@@ -113,13 +113,13 @@
   private Job create(String id, JobRecord stored) {
     chunks.forget(id);
     int zones = Math.max(machines.zoneCount(), 1);
-    Job job = new Job(byIndex.size(), stored.spec(), stored.submittedWall(), zones);
-    job.setSubmission(stored.submission());
-    job.setChunkCount(stored.parts());
-    if (gate.open()) {
-      job.useSecondFormat(gate.recordSizes(), gate.limits().valueBytes(), machines);
+    Job job = new Job(byIndex.size(), stored.spec(), stored.submittedWallMs(), zones);
+    job.setSubmission(stored.submissionHash());
+    job.setChunkCount(stored.chunkCount());
+    if (gate.isOpen()) {
+      job.useSecondFormat(gate.tasksPerRecord(), gate.limits().valueBytes(), machines);
     } else {
-      job.useFirstFormat(gate.recordSizes().first());
+      job.useFirstFormat(gate.tasksPerRecord().firstFormat());
     }
     byIndex.add(job);
     jobs.put(id, job);
@@ -131,7 +131,7 @@
   /** Takes in a record whose parts have been read. */
   public void addChunked(String id, JobRecord stored, long stamp, Map<String, String> texts) {
     try {
-      add(id, stored.withParts(id, texts), stamp);
+      add(id, stored.joinChunks(id, texts), stamp);
     } catch (MalformedException e) {
       runtime
           .events()
@@ -193,10 +193,10 @@
     assignments.detachAll(job);
     for (PendingRecord record : job.taskRecords()) {
       if (record != null) {
-        writer.forget(record);
+        writer.remove(record);
       }
     }
-    job.firstFormatRecords().forEach(writer::forget);
+    job.firstFormatRecords().forEach(writer::remove);
     byIndex.set(job.index, null);
     assignments.markChanged();
   }
--- a/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
@@ -84,7 +84,7 @@
 
   /** How many of these machines, from the first on, may share a page. */
   private int fitting(List<Machine> list) {
-    if (!gate.open()) {
+    if (!gate.isOpen()) {
       return Math.max(1, (maxBytes() - NAMES_BYTES) / ENTRY_BYTES);
     }
     double left = maxBytes() * MACHINES_SHARE;
@@ -113,7 +113,7 @@
       int next = pages.size();
       pages.add(
           new Page(
-              writer.pendingRecord(
+              writer.getOrAddRecord(
                   StorageKeys.REGISTRY + next, 0, () -> content(pages.get(next)), () -> null)));
     }
     return pages.get(number);
@@ -132,7 +132,7 @@
   }
 
   private ObjectNode content(Page page, int maxImages) {
-    return gate.open() ? second(page, maxImages) : first(page, maxImages);
+    return gate.isOpen() ? second(page, maxImages) : first(page, maxImages);
   }
 
   private ObjectNode first(Page page, int maxImages) {
@@ -306,7 +306,7 @@
    */
   private boolean split(Page page) {
     int fitting = fitting(page.machines);
-    if (!gate.open() || page.machines.size() <= fitting) {
+    if (!gate.isOpen() || page.machines.size() <= fitting) {
       return false;
     }
     page.splitting = true;
--- a/src/main/java/org/snowturn/core/assignment/SubmissionChunks.java
+++ b/src/main/java/org/snowturn/core/assignment/SubmissionChunks.java
@@ -39,11 +39,11 @@
     wanted.put(id, stamp);
     new RangeReader(runtime, () -> false)
         .read(
-            StorageKeys.submissionParts(id, stored.submission()),
+            StorageKeys.submissionChunks(id, stored.submissionHash()),
             range -> {
               // Not if it has been cancelled or has ended meanwhile.
               if (wanted.remove(id, stamp)) {
-                then.accept(JobRecord.texts(range.entries()));
+                then.accept(JobRecord.chunkTexts(range.entries()));
               }
             });
   }
@@ -72,8 +72,8 @@
   private void dropSubmission(String name, List<StateMessage.Entry> entries) {
     String id =
         name.substring(
-            StorageKeys.SUBMISSION_PARTS.length(),
-            name.indexOf('/', StorageKeys.SUBMISSION_PARTS.length()));
+            StorageKeys.SUBMISSION_CHUNKS.length(),
+            name.indexOf('/', StorageKeys.SUBMISSION_CHUNKS.length()));
     String first = name + "0";
     long version = 0;
     for (StateMessage.Entry entry : entries) {
--- a/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
@@ -114,10 +114,10 @@
       String id = job.spec.id();
       job.setTaskRecord(
           chunk,
-          writer.pendingRecord(
+          writer.getOrAddRecord(
               job.isSecondFormat()
                   ? StorageKeys.secondFormatTasks(id, chunk)
-                  : StorageKeys.tasks(id, chunk),
+                  : StorageKeys.firstFormatTasks(id, chunk),
               0,
               () -> job.taskRecordJson(chunk, machines),
               () -> new Condition(StorageKeys.job(id), job.version())));
@@ -217,7 +217,7 @@
 
   /** A number that no attempt under any leader has had. */
   public long newAttempt() {
-    return (guard.token() << TaskLayout.ATTEMPT_BITS) + ++attempts;
+    return (guard.token() << TaskLayout.ATTEMPT_COUNTER_BITS) + ++attempts;
   }
 
   /** Assigns a pending task; its start is sent when the placement is durable. */
@@ -330,7 +330,7 @@
           continue;
         }
         job.failures.backOff(runtime.now() + NOT_RECORDED_MS);
-        for (int task = job.layout().from(index); task < job.layout().to(index); task++) {
+        for (int task = job.layout().firstTask(index); task < job.layout().endTask(index); task++) {
           if (job.stateOf(task) == TaskState.PLACING) {
             release(job, task, new EndEvidence.NeverSent());
           }
--- a/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
@@ -49,7 +49,7 @@
       return;
     }
     assignments.taskRecord(job, chunk).setVersion(stamp);
-    load(job, value, job.layout().from(chunk), job.isSecondFormat(), task -> true);
+    load(job, value, job.layout().firstTask(chunk), job.isSecondFormat(), task -> true);
   }
 
   /**
@@ -59,17 +59,17 @@
    */
   void loadOlderChunk(Job job, int chunk, JsonNode value, long stamp) {
     PendingRecord record =
-        writer.pendingRecord(
-            StorageKeys.tasks(job.spec.id(), chunk), stamp, () -> null, () -> null);
+        writer.getOrAddRecord(
+            StorageKeys.firstFormatTasks(job.spec.id(), chunk), stamp, () -> null, () -> null);
     job.firstFormatRecords().add(record);
     load(
         job,
         value,
-        chunk * gate.recordSizes().first(),
+        chunk * gate.tasksPerRecord().firstFormat(),
         false,
         task -> {
           PendingRecord newer = job.taskRecord(job.layout().recordOf(task));
-          return newer == null || !newer.stored();
+          return newer == null || !newer.isStored();
         });
   }
 
@@ -129,7 +129,7 @@
       }
       boolean unsettled = job.isFinishing();
       for (PendingRecord record : job.taskRecords()) {
-        unsettled |= record != null && record.inFlight();
+        unsettled |= record != null && record.isInFlight();
       }
       left |= unsettled;
       if (!unsettled) {
@@ -141,17 +141,17 @@
 
   private void useSecondFormat(Job job) {
     PendingRecord[] older = job.taskRecords();
-    job.useSecondFormat(gate.recordSizes(), gate.limits().valueBytes(), machines);
+    job.useSecondFormat(gate.tasksPerRecord(), gate.limits().valueBytes(), machines);
     for (int c = 0; c < older.length; c++) {
-      if (older[c] == null || !older[c].queued()) {
+      if (older[c] == null || !older[c].isQueued()) {
         continue;
       }
       // What waited for the old record waits for every piece of it now.
       int urgency = older[c].urgency();
       List<Runnable> actions = older[c].durableActions();
-      writer.cancel(older[c]);
-      int first = c * job.layout().pieces();
-      int end = Math.min(first + job.layout().pieces(), job.taskRecords().length);
+      writer.cancelWrite(older[c]);
+      int first = c * job.layout().piecesPerFirstRecord();
+      int end = Math.min(first + job.layout().piecesPerFirstRecord(), job.taskRecords().length);
       int[] missing = {end - first};
       for (int p = first; p < end; p++) {
         writer.enqueue(
--- a/src/main/java/org/snowturn/core/autoscaling/ExternallyManagedMachines.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ExternallyManagedMachines.java
@@ -59,7 +59,7 @@
     }
     if (outcome == Outcome.ANSWERED && status == STATUS_NOT_FOUND) {
       recordAbsent = true;
-    } else if (!writer.over()) {
+    } else if (!writer.isTermOver()) {
       runtime.retry(backoff, this::load);
     }
   }
--- a/src/main/java/org/snowturn/core/dependency/DependencyGraph.java
+++ b/src/main/java/org/snowturn/core/dependency/DependencyGraph.java
@@ -226,7 +226,7 @@
     JobLookup.find(
         runtime,
         RequestClass.WORK,
-        JobLookup.OVER_FIRST,
+        JobLookup.FINISHED_FIRST,
         ids,
         LOOKUP_TIMEOUT_MS,
         (found, complete) -> {
@@ -248,7 +248,7 @@
       // Accepted before the job that names it, so it must be there.
       lookupAt = runtime.now() + LOOKUP_RETRY_MS;
       runtime.events().info(LogEvent.DEPENDENCY_MISSING).with(LogField.JOB, id).write();
-    } else if (!fact.live()) {
+    } else if (!fact.isLive()) {
       over(id, fact.phase());
     } else if (assignments.job(id) != null) {
       unknown.remove(id);
@@ -284,7 +284,7 @@
     for (Job job : batch) {
       String key = StorageKeys.job(job.spec.id());
       when.add(new Condition(key, job.version()));
-      apply.add(Change.put(key, job.cancelledRecord().live()));
+      apply.add(Change.put(key, job.cancelledRecord().liveJson()));
     }
     writer.submit(
         RecordWriter.TransactionPriority.IMMEDIATE,
--- a/src/main/java/org/snowturn/core/leader/ClusterSummary.java
+++ b/src/main/java/org/snowturn/core/leader/ClusterSummary.java
@@ -48,7 +48,7 @@
     addJobs(line);
     addMachines(line);
     line.with(LogField.RESTARTS, scheduling.speculator().restarts())
-        .with(LogField.WRITES_WAITING, services.writer().queuedRecords())
+        .with(LogField.WRITES_WAITING, services.writer().queuedRecordCount())
         .write();
   }
 
--- a/src/main/java/org/snowturn/core/leader/JobWatch.java
+++ b/src/main/java/org/snowturn/core/leader/JobWatch.java
@@ -100,7 +100,7 @@
                 return;
               }
               inFlight = false;
-              nextRevision = range.epoch();
+              nextRevision = range.oldestRevision();
               range.entries().forEach(this::apply);
             });
   }
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -126,7 +126,7 @@
   }
 
   private void sweep() {
-    if (node.gate().open() && !secondFormat) {
+    if (node.gate().isOpen() && !secondFormat) {
       secondFormat = !assignments.useSecondFormat();
     }
     String resignReason = healthSweep.sweep();
@@ -195,7 +195,7 @@
   }
 
   @Override
-  public boolean over() {
+  public boolean isTermOver() {
     return term.ended();
   }
 
@@ -205,19 +205,19 @@
   }
 
   @Override
-  public void leaderKeyLost() {
+  public void onLeaderKeyLost() {
     term.leaderKeyLost();
   }
 
   @Override
-  public void guardFailed(String key) {
+  public void onGuardFailed(String key) {
     if (key.startsWith(StorageKeys.JOBS)) {
       assignments.registry().reread(key.substring(StorageKeys.JOBS.length()));
     }
   }
 
   @Override
-  public void recordRejected(String key) {
+  public void onRecordRejected(String key) {
     assignments.placementRejected(key);
   }
 
--- a/src/main/java/org/snowturn/core/leader/LeaderGauges.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderGauges.java
@@ -44,7 +44,7 @@
     gauges.putAll(services.failureHandler().gauges());
     gauges.putAll(services.guard().gauges());
     gauges.put("snowturn.speculative.restarts", (double) scheduling.speculator().restarts());
-    gauges.put("snowturn.writes.waiting", (double) services.writer().queuedRecords());
+    gauges.put("snowturn.writes.waiting", (double) services.writer().queuedRecordCount());
     gauges.put("snowturn.placements", (double) assignments.placements());
     gauges.put(
         "snowturn.placements.evaluations", (double) scheduling.scheduler().machineEvaluations());
--- a/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderRecovery.java
@@ -86,7 +86,7 @@
   }
 
   private void load(StoredRecords records, Consumer<Map<Machine, Heartbeat>> whenLoaded) {
-    watchFrom = records.jobs().epoch();
+    watchFrom = records.jobs().oldestRevision();
     loader.load(records);
     enter(RecoveryPhase.PROBING);
     runtime
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
@@ -73,7 +73,7 @@
     loadJobs(records);
     List<StateMessage.Change> orphans = new ArrayList<>();
     loadTasks(records.tasks(), StorageKeys.SECOND_FORMAT_TASKS, orphans);
-    loadTasks(records.firstFormatTasks(), StorageKeys.TASKS, orphans);
+    loadTasks(records.firstFormatTasks(), StorageKeys.FIRST_FORMAT_TASKS, orphans);
     quarantined.forEach(assignments.registry()::quarantine);
     for (StateMessage.Entry entry : records.restarts().entries()) {
       String job = entry.key().substring(StorageKeys.RESTARTS.length());
@@ -116,7 +116,7 @@
    */
   private void loadJobs(StoredRecords records) {
     List<StateMessage.Entry> chunks = records.submissionChunks().entries();
-    Map<String, String> texts = JobRecord.texts(chunks);
+    Map<String, String> texts = JobRecord.chunkTexts(chunks);
     Set<String> used = new HashSet<>();
     for (StateMessage.Entry entry : records.jobs().entries()) {
       String id = entry.key().substring(StorageKeys.JOBS.length());
@@ -127,7 +127,7 @@
       boolean loaded = load(entry, () -> loadJob(id, entry, texts, used));
       if (!loaded && !aborted) {
         quarantined.add(id);
-        String prefix = StorageKeys.SUBMISSION_PARTS + id + "/";
+        String prefix = StorageKeys.SUBMISSION_CHUNKS + id + "/";
         chunks.stream()
             .map(StateMessage.Entry::key)
             .filter(key -> key.startsWith(prefix))
@@ -141,9 +141,9 @@
       String id, StateMessage.Entry entry, Map<String, String> texts, Set<String> used)
       throws MalformedException {
     JobRecord stored = JobRecord.parse(entry.value());
-    List<String> keys = JobRecord.partKeys(id, stored.submission(), stored.parts());
+    List<String> keys = JobRecord.chunkKeys(id, stored.submissionHash(), stored.chunkCount());
     used.addAll(keys);
-    if (stored.needsParts() && texts.keySet().containsAll(keys)) {
+    if (stored.needsChunks() && texts.keySet().containsAll(keys)) {
       assignments.registry().addChunked(id, stored, entry.version(), texts);
     } else {
       assignments.registry().add(id, stored, entry.version());
@@ -151,7 +151,7 @@
   }
 
   private void loadTasks(Range range, String prefix, List<StateMessage.Change> orphans) {
-    boolean firstFormat = node.gate().open() && prefix.equals(StorageKeys.TASKS);
+    boolean firstFormat = node.gate().isOpen() && prefix.equals(StorageKeys.FIRST_FORMAT_TASKS);
     for (StateMessage.Entry entry : range.entries()) {
       String rest = entry.key().substring(prefix.length());
       int slash = rest.lastIndexOf('/');
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsReader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsReader.java
@@ -43,7 +43,7 @@
 
   /** Starts to read. The gate comes first: it tells which format is to be written. */
   void start() {
-    gate.check(
+    gate.refresh(
         () -> {
           if (!term.ended()) {
             readRanges();
@@ -54,10 +54,10 @@
   private void readRanges() {
     read(StorageKeys.REGISTRY, () -> {});
     read(StorageKeys.SECOND_FORMAT_TASKS, () -> {});
-    read(StorageKeys.TASKS, () -> {});
+    read(StorageKeys.FIRST_FORMAT_TASKS, () -> {});
     read(StorageKeys.RESTARTS, () -> {});
     read(
-        StorageKeys.SUBMISSION_PARTS,
+        StorageKeys.SUBMISSION_CHUNKS,
         () -> {
           jobsReadAt = runtime.now();
           read(StorageKeys.JOBS, () -> {});
@@ -88,7 +88,7 @@
         .events()
         .info(LogEvent.RECORDS_READ)
         .with(LogField.PREFIX, prefix)
-        .with(LogField.REVISION, range.epoch())
+        .with(LogField.REVISION, range.oldestRevision())
         .with(LogField.RECORDS, range.entries().size())
         .with(LogField.TOOK_MS, runtime.now() - sentAt)
         .write();
@@ -99,9 +99,9 @@
         new StoredRecords(
             ranges.get(StorageKeys.REGISTRY),
             ranges.get(StorageKeys.SECOND_FORMAT_TASKS),
-            ranges.get(StorageKeys.TASKS),
+            ranges.get(StorageKeys.FIRST_FORMAT_TASKS),
             ranges.get(StorageKeys.RESTARTS),
-            ranges.get(StorageKeys.SUBMISSION_PARTS),
+            ranges.get(StorageKeys.SUBMISSION_CHUNKS),
             ranges.get(StorageKeys.JOBS),
             jobsReadAt);
     ranges.clear();
--- a/src/main/java/org/snowturn/core/model/Job.java
+++ b/src/main/java/org/snowturn/core/model/Job.java
@@ -9,8 +9,8 @@
 import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.storage.JobRecord;
 import org.snowturn.core.storage.PendingRecord;
-import org.snowturn.core.storage.RecordSizes;
 import org.snowturn.core.storage.TaskLayout;
+import org.snowturn.core.storage.TasksPerRecord;
 import org.snowturn.wire.JobSpec;
 import org.snowturn.wire.JobStatus;
 import org.snowturn.wire.Priority;
@@ -122,7 +122,7 @@
   }
 
   /** Goes on with records of the second format; those of the first stay until the job is over. */
-  public void useSecondFormat(RecordSizes spans, int valueBytes, MachineIndex machines) {
+  public void useSecondFormat(TasksPerRecord spans, int valueBytes, MachineIndex machines) {
     records.useSecondFormat(spans, valueBytes);
     for (int task = 0; task < tasks.size(); task++) {
       if (isAssigned(task)) {
--- a/src/main/java/org/snowturn/core/model/JobTaskRecords.java
+++ b/src/main/java/org/snowturn/core/model/JobTaskRecords.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Objects;
 import org.snowturn.core.storage.PendingRecord;
-import org.snowturn.core.storage.RecordSizes;
 import org.snowturn.core.storage.TaskLayout;
+import org.snowturn.core.storage.TasksPerRecord;
 
 /**
  * The stored records of a job's tasks: which tasks share one, and how full each is. A job begins
@@ -33,20 +33,20 @@
   }
 
   void useFirstFormat(int span) {
-    layout = TaskLayout.first(tasks, span);
-    records = new PendingRecord[layout.records()];
+    layout = TaskLayout.firstFormat(tasks, span);
+    records = new PendingRecord[layout.recordCount()];
   }
 
   /** The bytes of what is assigned are to be added next. */
-  void useSecondFormat(RecordSizes spans, int valueBytes) {
+  void useSecondFormat(TasksPerRecord spans, int valueBytes) {
     if (records != null) {
       Arrays.stream(records).filter(Objects::nonNull).forEach(firstFormat::add);
     }
     secondFormat = true;
-    layout = TaskLayout.second(tasks, spans);
-    records = new PendingRecord[layout.records()];
-    bytes = new int[layout.records()];
-    maxBytes = TaskLayout.entryCapacityBytes(valueBytes, layout.piece());
+    layout = TaskLayout.secondFormat(tasks, spans);
+    records = new PendingRecord[layout.recordCount()];
+    bytes = new int[layout.recordCount()];
+    maxBytes = TaskLayout.entryCapacityBytes(valueBytes, layout.tasksPerPiece());
   }
 
   /** Keeps account of how full the records are, so that no assignment makes one too long. */
--- a/src/main/java/org/snowturn/core/model/TaskRecords.java
+++ b/src/main/java/org/snowturn/core/model/TaskRecords.java
@@ -15,21 +15,21 @@
  * base, so that twice as many fit a value.
  */
 public final class TaskRecords {
-  private static final int SHIFT = TaskLayout.ATTEMPT_BITS;
+  private static final int SHIFT = TaskLayout.ATTEMPT_COUNTER_BITS;
 
   private TaskRecords() {}
 
   /** Bytes that a placement on this machine takes at the most. */
   public static int bytes(Machine machine) {
-    return TaskLayout.entryBytes(Json.bytes(Json.array().add(machine.id)).length - 4);
+    return TaskLayout.maxEntryBytes(Json.bytes(Json.array().add(machine.id)).length - 4);
   }
 
   /** The stored form of a record in the first format. */
   public static JsonNode first(Job job, int record, MachineIndex machines) {
-    int from = job.layout().from(record);
+    int from = job.layout().firstTask(record);
     ObjectNode object = Json.object().put("v", StorageKeys.FIRST_FORMAT);
     ArrayNode placed = object.putArray("p");
-    for (int task = from; task < job.layout().to(record); task++) {
+    for (int task = from; task < job.layout().endTask(record); task++) {
       if (job.isAssigned(task)) {
         placed
             .addArray()
@@ -44,9 +44,9 @@
 
   /** The stored form of a record in the second format. */
   public static JsonNode second(Job job, int record, MachineIndex machines) {
-    int from = job.layout().from(record);
+    int from = job.layout().firstTask(record);
     long base = Long.MAX_VALUE;
-    for (int task = from; task < job.layout().to(record); task++) {
+    for (int task = from; task < job.layout().endTask(record); task++) {
       base = job.isAssigned(task) ? Math.min(base, job.attemptOf(task) >> SHIFT << SHIFT) : base;
     }
     ObjectNode object =
@@ -55,7 +55,7 @@
       return object;
     }
     ArrayNode placed = object.put("a", base).putArray("p");
-    for (int task = from; task < job.layout().to(record); task++) {
+    for (int task = from; task < job.layout().endTask(record); task++) {
       if (job.isAssigned(task)) {
         ArrayNode entry = placed.addArray().add(task - from).add(job.attemptOf(task) - base);
         entry.add(machines.get(job.machineOf(task)).id);
@@ -68,9 +68,9 @@
   }
 
   private static String finished(Job job, int record) {
-    int from = job.layout().from(record);
+    int from = job.layout().firstTask(record);
     BitSet finished = new BitSet();
-    for (int task = from; task < job.layout().to(record); task++) {
+    for (int task = from; task < job.layout().endTask(record); task++) {
       if (job.stateOf(task) == TaskState.DONE) {
         finished.set(task - from);
       }
--- a/src/main/java/org/snowturn/core/scheduling/Speculator.java
+++ b/src/main/java/org/snowturn/core/scheduling/Speculator.java
@@ -78,7 +78,7 @@
     return restartRecords.computeIfAbsent(
         job.spec.id(),
         id ->
-            writer.pendingRecord(
+            writer.getOrAddRecord(
                 StorageKeys.restarts(id),
                 0,
                 () -> RestartRecords.json(job),
--- a/src/main/java/org/snowturn/core/storage/BatchSettlement.java
+++ b/src/main/java/org/snowturn/core/storage/BatchSettlement.java
@@ -31,7 +31,7 @@
   }
 
   /** Handles the reply to a batch that has been sent. */
-  void settle(RecordBatch batch, StateReply reply) {
+  void onReply(RecordBatch batch, StateReply reply) {
     if (reply.ok() && succeeded(batch, reply)) {
       return;
     }
@@ -64,7 +64,7 @@
       return false;
     }
     for (RecordBatch.Write write : batch.writes()) {
-      write.record().endWrite(write.deletion() ? 0 : revision);
+      write.record().endWrite(write.isDeletion() ? 0 : revision);
     }
     batch.writes().forEach(write -> write.onDurable().forEach(Runnable::run));
     return true;
@@ -75,14 +75,14 @@
     PendingRecord record = write.record();
     record.restoreDurableActions(write.onDurable());
     record.endWrite();
-    budget.unlimitBatchSize(); // it was this value, not the number of changes
+    budget.removeBatchSizeLimit(); // it was this value, not the number of changes
     runtime
         .events()
         .info(LogEvent.RECORD_REJECTED)
         .with(LogField.KEY, record.key())
         .with(LogField.BODY, String.valueOf(reply.body()))
         .write();
-    host.recordRejected(record.key());
+    host.onRecordRejected(record.key());
   }
 
   private void requeue(RecordBatch batch) {
@@ -110,12 +110,12 @@
 
   private void conflictOrUnknown(RecordBatch batch, List<String> failedKeys) {
     if (failedKeys.contains(StorageKeys.LEADER)) {
-      host.leaderKeyLost();
+      host.onLeaderKeyLost();
       return;
     }
     for (String key : failedKeys) {
       if (batch.isGuard(key)) {
-        host.guardFailed(key);
+        host.onGuardFailed(key);
       }
     }
     if (failedKeys.isEmpty()) {
@@ -137,7 +137,7 @@
         StateMessage.keyPath(record.key()),
         RecordWriter.TIMEOUT_MS,
         reply -> {
-          if (!versionRead(record, reply) && !host.over()) {
+          if (!versionRead(record, reply) && !host.isTermOver()) {
             runtime.retry(backoff, () -> reread(record, backoff));
           }
         });
--- a/src/main/java/org/snowturn/core/storage/FormatGate.java
+++ b/src/main/java/org/snowturn/core/storage/FormatGate.java
@@ -42,10 +42,10 @@
   private final CoreRuntime runtime;
   private final List<Runnable> waiting = new ArrayList<>();
   private boolean announcing;
-  private boolean open;
+  private boolean isOpen;
   private boolean reading;
   private long nextCheckAt;
-  private RecordSizes sizes;
+  private TasksPerRecord tasksPerRecord;
 
   /** Takes the gate for shut until the state service has been read. */
   public FormatGate(Settings settings, CoreRuntime runtime) {
@@ -54,22 +54,23 @@
     int first =
         Math.max(
             MIN_FIRST_FORMAT_TASKS, settings.stateLimits().valueBytes() / FIRST_FORMAT_ENTRY_BYTES);
-    sizes = new RecordSizes(first, TaskLayout.tasksPerRecord(smallerLimits().valueBytes()));
+    tasksPerRecord =
+        new TasksPerRecord(first, TaskLayout.tasksPerRecord(smallerLimits().valueBytes()));
   }
 
   /** Whether all nodes read the second format, as far as is known here. */
-  public boolean open() {
-    return open;
+  public boolean isOpen() {
+    return isOpen;
   }
 
   /** How many tasks share a record; final once the gate is open. */
-  public RecordSizes recordSizes() {
-    return sizes;
+  public TasksPerRecord tasksPerRecord() {
+    return tasksPerRecord;
   }
 
   /** The limits that writes have to keep now: once the gate is open, the smaller of both. */
   public Settings.StateLimits limits() {
-    return open ? smallerLimits() : settings.stateLimits();
+    return isOpen ? smallerLimits() : settings.stateLimits();
   }
 
   private Settings.StateLimits smallerLimits() {
@@ -78,15 +79,15 @@
 
   /** Reads the announcements again when it is time, until the gate is open. */
   public void tick() {
-    boolean wanted = !waiting.isEmpty() || !open;
+    boolean wanted = !waiting.isEmpty() || !isOpen;
     if (wanted && !reading && runtime.now() >= nextCheckAt) {
       readAnnouncements();
     }
   }
 
   /** Reads the announcements, and calls {@code then} once they are known. */
-  public void check(Runnable then) {
-    if (open) {
+  public void refresh(Runnable then) {
+    if (isOpen) {
       then.run();
       return;
     }
@@ -146,7 +147,7 @@
         readers.add(entry.key().substring(StorageKeys.FORMAT_READERS.length()));
       }
     }
-    if (open) {
+    if (isOpen) {
       return;
     }
     if (!readers.contains(settings.node())) {
@@ -183,8 +184,8 @@
     JsonNode value =
         Json.object()
             .put("v", StorageKeys.SECOND_FORMAT)
-            .put("first", sizes.first())
-            .put("second", sizes.second());
+            .put("first", tasksPerRecord.firstFormat())
+            .put("second", tasksPerRecord.secondFormat());
     create(
         StorageKeys.FORMAT_GATE,
         value,
@@ -207,13 +208,13 @@
   }
 
   private void setOpen(JsonNode gate) {
-    if (open) {
+    if (isOpen) {
       return;
     }
-    int first = gate.path("first").asInt(sizes.first());
-    int second = gate.path("second").asInt(sizes.second());
-    sizes = new RecordSizes(Math.max(1, first), Math.max(1, second));
-    open = true;
+    int first = gate.path("first").asInt(tasksPerRecord.firstFormat());
+    int second = gate.path("second").asInt(tasksPerRecord.secondFormat());
+    tasksPerRecord = new TasksPerRecord(Math.max(1, first), Math.max(1, second));
+    isOpen = true;
     runtime
         .events()
         .info(LogEvent.FORMAT_GATE_OPENED)
--- a/src/main/java/org/snowturn/core/storage/JobLookup.java
+++ b/src/main/java/org/snowturn/core/storage/JobLookup.java
@@ -27,7 +27,7 @@
       List.of(StorageKeys.JOBS, StorageKeys.FINISHED_JOBS);
 
   /** The order for the leader: most jobs that it does not know are over. */
-  public static final List<String> OVER_FIRST =
+  public static final List<String> FINISHED_FIRST =
       List.of(StorageKeys.FINISHED_JOBS, StorageKeys.JOBS);
 
   private static final int MAX_SINGLE_READS = 12;
@@ -35,11 +35,11 @@
   private static final int TIMEOUT_MS = 1_500;
 
   /** What a record tells: whether it is live, the job's phase, and whether it is a service. */
-  public record StoredJob(boolean live, JobStatus.Phase phase, boolean service) {
+  public record StoredJob(boolean isLive, JobStatus.Phase phase, boolean isService) {
     private static StoredJob of(StateMessage.Entry entry) {
       boolean live = entry.key().startsWith(StorageKeys.JOBS);
       return new StoredJob(
-          live, JobRecord.phaseOf(entry.value()), JobRecord.service(entry.value()));
+          live, JobRecord.phaseOf(entry.value()), JobRecord.isService(entry.value()));
     }
   }
 
@@ -51,7 +51,7 @@
      * @param found what is stored, by job id
      * @param complete whether jobs that were not found do not exist; false if a read failed
      */
-    void found(Map<String, StoredJob> found, boolean complete);
+    void onResult(Map<String, StoredJob> found, boolean complete);
   }
 
   private final CoreRuntime runtime;
@@ -68,7 +68,7 @@
    * Finds some jobs and hands over what is stored of each that was ever accepted, by its id.
    *
    * @param purpose what the reads are for
-   * @param prefixes {@link #LIVE_FIRST} or {@link #OVER_FIRST}
+   * @param prefixes {@link #LIVE_FIRST} or {@link #FINISHED_FIRST}
    * @param withinMs the time after which nobody wants to know any more
    */
   public static void find(
@@ -104,14 +104,14 @@
   private void fail() {
     if (!finished) {
       finished = true;
-      then.found(found, false);
+      then.onResult(found, false);
     }
   }
 
   private void finishIfAllAnswered() {
     if (unanswered == 0 && !finished) {
       finished = true;
-      then.found(found, true);
+      then.onResult(found, true);
     }
   }
 
--- a/src/main/java/org/snowturn/core/storage/JobRecord.java
+++ b/src/main/java/org/snowturn/core/storage/JobRecord.java
@@ -21,17 +21,17 @@
  * A job's record in the state service. A submission that is longer than a value is stored in parts,
  * under keys of its own; the record then names them and holds only what must be known without them.
  *
- * @param submission names the parts, or null if there are none
- * @param parts how many there are
- * @param whole whether {@code spec} is the whole submission
+ * @param submissionHash names the parts, or null if there are none
+ * @param chunkCount how many there are
+ * @param isComplete whether {@code spec} is the whole submission
  */
 public record JobRecord(
     JobStatus.Phase phase,
-    long submittedWall,
+    long submittedWallMs,
     JobSpec spec,
-    String submission,
-    int parts,
-    boolean whole) {
+    String submissionHash,
+    int chunkCount,
+    boolean isComplete) {
   private static final String FORMAT = "v";
   private static final String PHASE = "p";
   private static final String SUBMITTED_AT = "at";
@@ -50,8 +50,8 @@
   private static final int SUBMISSION_NAME_BYTES = 16;
 
   /** A record that holds the whole submission. */
-  public JobRecord(JobStatus.Phase phase, long submittedWall, JobSpec spec) {
-    this(phase, submittedWall, spec, null, 0, true);
+  public JobRecord(JobStatus.Phase phase, long submittedWallMs, JobSpec spec) {
+    this(phase, submittedWallMs, spec, null, 0, true);
   }
 
   /**
@@ -87,7 +87,7 @@
    * The ids of the jobs that a live record depends on. One whose submission is kept in parts names
    * none here.
    */
-  public static List<String> awaits(JsonNode value) {
+  public static List<String> dependencies(JsonNode value) {
     JsonNode all = value.path(SPEC).path("awaits");
     if (all.isEmpty()) {
       return List.of();
@@ -98,65 +98,66 @@
   }
 
   /** Whether a live or short record is that of a service; older short records do not tell. */
-  public static boolean service(JsonNode value) {
+  public static boolean isService(JsonNode value) {
     return value.path(SERVICE).asBoolean(false)
         || value.path(SPEC).path("shape").asText().equals("service");
   }
 
   /** Whether the parts have to be read before the job can be started. */
-  public boolean needsParts() {
-    return !whole && phase == JobStatus.Phase.QUEUED;
+  public boolean needsChunks() {
+    return !isComplete && phase == JobStatus.Phase.QUEUED;
   }
 
   /** The keys of a submission's parts in their order; none for a submission that has none. */
-  public static List<String> partKeys(String id, String submission, int parts) {
+  public static List<String> chunkKeys(String id, String submission, int parts) {
     return submission == null
         ? List.of()
         : IntStream.range(0, parts)
-            .mapToObj(i -> StorageKeys.submissionParts(id, submission) + i)
+            .mapToObj(i -> StorageKeys.submissionChunks(id, submission) + i)
             .toList();
   }
 
   /** The texts of stored parts, by their keys. */
-  public static Map<String, String> texts(List<StateMessage.Entry> entries) {
+  public static Map<String, String> chunkTexts(List<StateMessage.Entry> entries) {
     Map<String, String> texts = new HashMap<>();
     entries.forEach(entry -> texts.put(entry.key(), entry.value().path(PART_TEXT).asText("")));
     return texts;
   }
 
   /** The stored form of a job that is not over. */
-  public ObjectNode live() {
+  public ObjectNode liveJson() {
     ObjectNode object = Json.object();
-    object.put(FORMAT, submission == null ? StorageKeys.FIRST_FORMAT : StorageKeys.SECOND_FORMAT);
-    object.put(PHASE, phase.wire()).put(SUBMITTED_AT, submittedWall);
+    object.put(
+        FORMAT, submissionHash == null ? StorageKeys.FIRST_FORMAT : StorageKeys.SECOND_FORMAT);
+    object.put(PHASE, phase.wire()).put(SUBMITTED_AT, submittedWallMs);
     object.set(SPEC, spec.toJson());
-    if (submission != null) {
-      object.put(PART_TEXT, submission).put(PART_COUNT, parts);
+    if (submissionHash != null) {
+      object.put(PART_TEXT, submissionHash).put(PART_COUNT, chunkCount);
     }
     return object;
   }
 
   /** The same with the submission elsewhere. */
-  public JobRecord inParts(String name, int count) {
-    return new JobRecord(phase, submittedWall, spec.withoutStart(), name, count, false);
+  public JobRecord toChunked(String name, int count) {
+    return new JobRecord(phase, submittedWallMs, spec.withoutStart(), name, count, false);
   }
 
   /** Puts the whole submission in place of what the record holds of it. */
-  public JobRecord withParts(String id, Map<String, String> texts) throws MalformedException {
+  public JobRecord joinChunks(String id, Map<String, String> texts) throws MalformedException {
     StringBuilder text = new StringBuilder();
-    for (String key : partKeys(id, submission, parts)) {
+    for (String key : chunkKeys(id, submissionHash, chunkCount)) {
       text.append(texts.getOrDefault(key, ""));
     }
     try {
       JobSpec whole = JobSpec.parse(Json.parse(text.toString()));
-      return new JobRecord(phase, submittedWall, whole, submission, parts, true);
+      return new JobRecord(phase, submittedWallMs, whole, submissionHash, chunkCount, true);
     } catch (IOException e) {
       throw new MalformedException("not JSON");
     }
   }
 
   /** The record of a job that is cancelled; what only starts need goes if a value is too short. */
-  public static ObjectNode cancelled(JsonNode live, int valueBytes) {
+  public static ObjectNode cancelledJson(JsonNode live, int valueBytes) {
     ObjectNode object = live.deepCopy();
     object.put(PHASE, JobStatus.Phase.ABORTED.wire());
     if (Json.bytes(object).length > valueBytes) {
@@ -170,7 +171,7 @@
   }
 
   /** The short record that remains of a job that is over. */
-  public static ObjectNode over(JobStatus.Phase phase, JobSpec spec) {
+  public static ObjectNode finishedJson(JobStatus.Phase phase, JobSpec spec) {
     ObjectNode object =
         Json.object().put(FORMAT, StorageKeys.FIRST_FORMAT).put(PHASE, phase.wire());
     object.put(TASKS, spec.tasks());
@@ -178,7 +179,7 @@
   }
 
   /** A name for the parts of a text that is cut to this size; depends on nothing else. */
-  public static String submissionName(String text, int valueBytes) {
+  public static String hashSubmission(String text, int valueBytes) {
     try {
       MessageDigest digest = MessageDigest.getInstance("SHA-256");
       byte[] hash = digest.digest(Json.bytes(Json.array().add(text).add(valueBytes)));
--- a/src/main/java/org/snowturn/core/storage/PendingRecord.java
+++ b/src/main/java/org/snowturn/core/storage/PendingRecord.java
@@ -58,17 +58,17 @@
   }
 
   /** Whether the key exists in the state service, as far as is known. */
-  public boolean stored() {
+  public boolean isStored() {
     return version != 0;
   }
 
   /** Whether a write was sent whose effect is not known yet. */
-  public boolean inFlight() {
+  public boolean isInFlight() {
     return state == State.IN_FLIGHT || state == State.IN_FLIGHT_AND_QUEUED;
   }
 
   /** Whether there is something to write that has not been sent. */
-  public boolean queued() {
+  public boolean isQueued() {
     return state == State.QUEUED || state == State.IN_FLIGHT_AND_QUEUED;
   }
 
@@ -107,13 +107,13 @@
   }
 
   void enqueue(int newUrgency, long sinceMs) {
-    state = inFlight() ? State.IN_FLIGHT_AND_QUEUED : State.QUEUED;
+    state = isInFlight() ? State.IN_FLIGHT_AND_QUEUED : State.QUEUED;
     urgency = newUrgency;
     queuedSinceMs = sinceMs;
   }
 
   void dequeue() {
-    state = inFlight() ? State.IN_FLIGHT : State.IDLE;
+    state = isInFlight() ? State.IN_FLIGHT : State.IDLE;
     urgency = Integer.MAX_VALUE;
   }
 
@@ -127,7 +127,7 @@
 
   /** The effect of what was sent is known. */
   void endWrite() {
-    state = queued() ? State.QUEUED : State.IDLE;
+    state = isQueued() ? State.QUEUED : State.IDLE;
   }
 
   /** The effect of what was sent is known, and with it the key's version. */
--- a/src/main/java/org/snowturn/core/storage/RangeReader.java
+++ b/src/main/java/org/snowturn/core/storage/RangeReader.java
@@ -44,8 +44,8 @@
     this.backoff = runtime.backoff();
   }
 
-  /** All keys of a range; {@code epoch} is the oldest revision that any page showed. */
-  public record Range(List<StateMessage.Entry> entries, long epoch) {}
+  /** All keys of a range; {@code oldestRevision} is the oldest revision that any page showed. */
+  public record Range(List<StateMessage.Entry> entries, long oldestRevision) {}
 
   /** Reads all keys with a prefix; {@code then} is called once all pages are there. */
   public void read(String prefix, Consumer<Range> then) {
--- a/src/main/java/org/snowturn/core/storage/RecordBatch.java
+++ b/src/main/java/org/snowturn/core/storage/RecordBatch.java
@@ -22,7 +22,7 @@
   private static final int DELETION_BYTES = 50;
 
   /** A record with what was sent of it. */
-  record Write(PendingRecord record, int urgency, boolean deletion, List<Runnable> onDurable) {}
+  record Write(PendingRecord record, int urgency, boolean isDeletion, List<Runnable> onDurable) {}
 
   private final List<PendingRecord> records = new ArrayList<>();
   private final List<Condition> conditions = new ArrayList<>();
@@ -46,14 +46,14 @@
     if (overdue != null) {
       batch.addIfItFits(overdue);
     }
-    for (var records : queue.byUrgency()) {
+    for (var records : queue.recordsByUrgency()) {
       for (PendingRecord record : records.values()) {
         boolean deferrable = record.urgency() >= RecordWriter.DEFERRABLE_URGENCY;
         int max = deferrable ? Math.min(maxRecords, maxIfDeferrable) : maxRecords;
         if (batch.size() >= max || batch.bytes > MAX_BYTES) {
           return batch;
         }
-        if (!record.inFlight() && record != overdue) {
+        if (!record.isInFlight() && record != overdue) {
           batch.addIfItFits(record);
         }
       }
@@ -78,7 +78,7 @@
   }
 
   /** Takes the records out of the queue and marks them as sent. */
-  void begin(WriteQueue queue) {
+  void beginWrites(WriteQueue queue) {
     for (int i = 0; i < records.size(); i++) {
       PendingRecord record = records.get(i);
       int urgency = record.urgency();
--- a/src/main/java/org/snowturn/core/storage/RecordWriter.java
+++ b/src/main/java/org/snowturn/core/storage/RecordWriter.java
@@ -63,19 +63,19 @@
     boolean hasAuthority();
 
     /** Whether the term is over for good. */
-    boolean over();
+    boolean isTermOver();
 
     /** The term's fencing token: the version of the leader key. */
     long token();
 
     /** The leader key has changed: the term is over. */
-    void leaderKeyLost();
+    void onLeaderKeyLost();
 
     /** A guard of a record has another version than was thought. */
-    void guardFailed(String key);
+    void onGuardFailed(String key);
 
     /** The state service finds a value too long, or wrong in another way. */
-    void recordRejected(String key);
+    void onRecordRejected(String key);
   }
 
   private final CoreRuntime runtime;
@@ -112,8 +112,8 @@
   }
 
   /** Whether the term that it writes for is over. */
-  public boolean over() {
-    return host.over();
+  public boolean isTermOver() {
+    return host.isTermOver();
   }
 
   /**
@@ -123,13 +123,13 @@
    * @param content the value to write when its turn comes; null deletes the key
    * @param guard a condition on another key, under which alone this one may be written; null: none
    */
-  public PendingRecord pendingRecord(
+  public PendingRecord getOrAddRecord(
       String key, long stamp, Supplier<JsonNode> content, Supplier<Condition> guard) {
     return records.computeIfAbsent(key, k -> new PendingRecord(k, stamp, content, guard));
   }
 
   /** Writes the record no more. */
-  public void forget(PendingRecord record) {
+  public void remove(PendingRecord record) {
     queue.remove(record);
     records.remove(record.key());
   }
@@ -165,13 +165,13 @@
   }
 
   /** Takes a record out of the queue: its content is about to be removed. */
-  public void cancel(PendingRecord record) {
+  public void cancelWrite(PendingRecord record) {
     queue.remove(record);
     record.clearDurableActions();
   }
 
   /** Whether what is not deferrable is queueing up. */
-  public boolean backlogged() {
+  public boolean isBacklogged() {
     return transactions.get(TransactionPriority.NORMAL).size() > 1
         || (budget.available() < budget.reserved() && queue.hasUrgent());
   }
@@ -182,7 +182,7 @@
   }
 
   /** How many records wait to be written. */
-  public int queuedRecords() {
+  public int queuedRecordCount() {
     return queue.size();
   }
 
@@ -190,7 +190,7 @@
   public void flush() {
     long now = runtime.now();
     budget.refill(now);
-    while (budget.maySend(now) && host.hasAuthority() && sendOne()) {
+    while (budget.canSend(now) && host.hasAuthority() && sendOne()) {
       // each pass sends one transaction
     }
   }
@@ -261,12 +261,12 @@
   }
 
   private void settle(Transaction transaction, StateReply reply) {
-    budget.callEnded();
+    budget.onCallEnded();
     if (reply.notExecuted()) {
       budget.pauseUntil(runtime.now() + PAUSE_AFTER_REFUSAL_MS);
       transactions.get(transaction.turn).addFirst(transaction);
     } else if (reply.failedKeys().contains(StorageKeys.LEADER)) {
-      host.leaderKeyLost();
+      host.onLeaderKeyLost();
     } else {
       transaction.onReply.on(reply.outcome(), reply.status(), reply.body());
     }
@@ -275,21 +275,21 @@
   private boolean sendRecords() {
     int maxRecords = budget.maxChanges();
     int maxIfDeferrable = budget.maxChangesIfDeferrable(queue.size());
-    PendingRecord overdue = maxRecords < 1 ? null : queue.overdue(runtime.now());
+    PendingRecord overdue = maxRecords < 1 ? null : queue.findOverdue(runtime.now());
     RecordBatch batch = RecordBatch.collect(queue, overdue, maxRecords, maxIfDeferrable);
     if (batch.isEmpty()) {
       return false;
     }
-    queue.recordSent(batch.size(), batch.first() == overdue);
+    queue.countSent(batch.size(), batch.first() == overdue);
     budget.spend(batch.size(), runtime.now());
-    batch.begin(queue);
+    batch.beginWrites(queue);
     runtime.writeState(
         batch.conditions(leaderCondition()),
         batch.changes(),
         TIMEOUT_MS,
         reply -> {
-          budget.callEnded();
-          settlement.settle(batch, reply);
+          budget.onCallEnded();
+          settlement.onReply(batch, reply);
         });
     return true;
   }
--- a/src/main/java/org/snowturn/core/storage/StorageKeys.java
+++ b/src/main/java/org/snowturn/core/storage/StorageKeys.java
@@ -17,7 +17,7 @@
   public static final String FINISHED_JOBS = "d/";
 
   /** Results and assignments of tasks in the first format. */
-  public static final String TASKS = "t/";
+  public static final String FIRST_FORMAT_TASKS = "t/";
 
   /** The machines that tasks may be on. */
   public static final String REGISTRY = "r/";
@@ -44,7 +44,7 @@
   public static final String SECOND_FORMAT_TASKS = "p/";
 
   /** Submissions that are too long for a value. */
-  public static final String SUBMISSION_PARTS = "x/";
+  public static final String SUBMISSION_CHUNKS = "x/";
 
   /** How many on-demand machines the operators kept up when the first leader took office. */
   public static final String EXTERNALLY_MANAGED_MACHINES = "o/standing";
@@ -62,8 +62,8 @@
   }
 
   /** One record of tasks in the first format. */
-  public static String tasks(String id, int chunk) {
-    return TASKS + id + "/" + chunk;
+  public static String firstFormatTasks(String id, int chunk) {
+    return FIRST_FORMAT_TASKS + id + "/" + chunk;
   }
 
   /** One record of tasks in the second format. */
@@ -77,7 +77,7 @@
   }
 
   /** All parts of one submission of a job whose record is too long for a value. */
-  public static String submissionParts(String id, String submission) {
-    return SUBMISSION_PARTS + id + "/" + submission + "/";
+  public static String submissionChunks(String id, String submission) {
+    return SUBMISSION_CHUNKS + id + "/" + submission + "/";
   }
 }
--- a/src/main/java/org/snowturn/core/storage/TaskLayout.java
+++ b/src/main/java/org/snowturn/core/storage/TaskLayout.java
@@ -1,18 +1,19 @@
 package org.snowturn.core.storage;
 
 /**
- * Which tasks of a job share a stored record. In the first format a record holds {@code tasksPerFirstRecord}
- * tasks; in the second each of those is cut into equal pieces that a smaller value can hold, so
- * that a piece never lies in two records of the first format.
+ * Which tasks of a job share a stored record. In the first format a record holds {@code
+ * tasksPerFirstRecord} tasks; in the second each of those is cut into equal pieces that a smaller
+ * value can hold, so that a piece never lies in two records of the first format.
  *
- * @param tasks how many tasks the job has
+ * @param taskCount how many tasks the job has
  * @param tasksPerFirstRecord how many of them a record of the first format holds
- * @param pieces into how many records each of those is cut
- * @param piece how many tasks a piece holds, except for the last one, which may hold fewer
+ * @param piecesPerFirstRecord into how many records each of those is cut
+ * @param tasksPerPiece how many tasks a piece holds, except for the last one, which may hold fewer
  */
-public record TaskLayout(int tasks, int tasksPerFirstRecord, int pieces, int piece) {
+public record TaskLayout(
+    int taskCount, int tasksPerFirstRecord, int piecesPerFirstRecord, int tasksPerPiece) {
   /** An attempt's number is its leader's fencing token, shifted by so many bits, plus a count. */
-  public static final int ATTEMPT_BITS = 20;
+  public static final int ATTEMPT_COUNTER_BITS = 20;
 
   /** An assignment in the second format, beside the machine's name: numbers and punctuation. */
   private static final int ENTRY_BYTES = 28;
@@ -38,7 +39,7 @@
   }
 
   /** The most bytes that an assignment takes, with a machine's name of this length. */
-  public static int entryBytes(int nameBytes) {
+  public static int maxEntryBytes(int nameBytes) {
     return ENTRY_BYTES + nameBytes;
   }
 
@@ -49,34 +50,40 @@
   }
 
   /** The layout of a job in the first format, with so many tasks to a record. */
-  public static TaskLayout first(int tasks, int first) {
+  public static TaskLayout firstFormat(int tasks, int first) {
     return new TaskLayout(tasks, first, 1, first);
   }
 
   /** The layout of a job in the second format. */
-  public static TaskLayout second(int tasks, RecordSizes spans) {
-    int pieces = (spans.first() + spans.second() - 1) / spans.second();
-    return new TaskLayout(tasks, spans.first(), pieces, (spans.first() + pieces - 1) / pieces);
+  public static TaskLayout secondFormat(int tasks, TasksPerRecord spans) {
+    int pieces = (spans.firstFormat() + spans.secondFormat() - 1) / spans.secondFormat();
+    return new TaskLayout(
+        tasks, spans.firstFormat(), pieces, (spans.firstFormat() + pieces - 1) / pieces);
   }
 
   /** How many records the job has. */
-  public int records() {
-    return tasks == 0 ? 0 : recordOf(tasks - 1) + 1;
+  public int recordCount() {
+    return taskCount == 0 ? 0 : recordOf(taskCount - 1) + 1;
   }
 
   /** The record that holds a task. */
   public int recordOf(int task) {
-    return task / tasksPerFirstRecord * pieces + task % tasksPerFirstRecord / piece;
+    return task / tasksPerFirstRecord * piecesPerFirstRecord
+        + task % tasksPerFirstRecord / tasksPerPiece;
   }
 
   /** The first task of a record. */
-  public int from(int record) {
-    return record / pieces * tasksPerFirstRecord + record % pieces * piece;
+  public int firstTask(int record) {
+    return record / piecesPerFirstRecord * tasksPerFirstRecord
+        + record % piecesPerFirstRecord * tasksPerPiece;
   }
 
   /** One past the last task of a record. */
-  public int to(int record) {
-    int inPiece = record % pieces == pieces - 1 ? tasksPerFirstRecord - record % pieces * piece : piece;
-    return Math.min(tasks, from(record) + inPiece);
+  public int endTask(int record) {
+    int inPiece =
+        record % piecesPerFirstRecord == piecesPerFirstRecord - 1
+            ? tasksPerFirstRecord - record % piecesPerFirstRecord * tasksPerPiece
+            : tasksPerPiece;
+    return Math.min(taskCount, firstTask(record) + inPiece);
   }
 }
--- a/src/main/java/org/snowturn/core/storage/WriteBudget.java
+++ b/src/main/java/org/snowturn/core/storage/WriteBudget.java
@@ -68,7 +68,7 @@
     return left < enough ? 0 : left;
   }
 
-  boolean maySend(long nowMs) {
+  boolean canSend(long nowMs) {
     return inFlight < MAX_IN_FLIGHT && nowMs >= pausedUntilMs;
   }
 
@@ -80,7 +80,7 @@
   }
 
   /** The call of a transaction has ended, whatever its result. */
-  void callEnded() {
+  void onCallEnded() {
     inFlight--;
   }
 
@@ -95,7 +95,7 @@
   }
 
   /** Groups as many records as the limits allow. */
-  void unlimitBatchSize() {
+  void removeBatchSizeLimit() {
     maxBatchSize = Integer.MAX_VALUE;
   }
 
--- a/src/main/java/org/snowturn/core/storage/WriteQueue.java
+++ b/src/main/java/org/snowturn/core/storage/WriteQueue.java
@@ -22,8 +22,8 @@
 
   /** Queues a record, or moves it forward if it is queued with less urgency. */
   void add(PendingRecord record, int urgency, long nowMs) {
-    if (!record.queued() || urgency < record.urgency()) {
-      long sinceMs = record.queued() ? record.queuedSinceMs() : nowMs;
+    if (!record.isQueued() || urgency < record.urgency()) {
+      long sinceMs = record.isQueued() ? record.queuedSinceMs() : nowMs;
       remove(record);
       record.enqueue(urgency, sinceMs);
       queues.computeIfAbsent(urgency, u -> new LinkedHashMap<>()).put(record.key(), record);
@@ -31,7 +31,7 @@
   }
 
   void remove(PendingRecord record) {
-    if (record.queued()) {
+    if (record.isQueued()) {
       LinkedHashMap<String, PendingRecord> queue = queues.get(record.urgency());
       queue.remove(record.key());
       if (queue.isEmpty()) {
@@ -55,12 +55,12 @@
   }
 
   /** The records of each urgency, the most urgent first. */
-  Collection<? extends Map<String, PendingRecord>> byUrgency() {
+  Collection<? extends Map<String, PendingRecord>> recordsByUrgency() {
     return queues.values();
   }
 
   /** Counts records that were sent, to tell when an overdue one may go first again. */
-  void recordSent(int count, boolean overdueFirst) {
+  void countSent(int count, boolean overdueFirst) {
     sentSinceOverdue = overdueFirst ? 0 : sentSinceOverdue + count;
   }
 
@@ -68,7 +68,7 @@
    * The record that exceeds its longest wait by the greatest factor; null if there is none, or if
    * one went first only just now. The most urgent records wait for no others.
    */
-  PendingRecord overdue(long nowMs) {
+  PendingRecord findOverdue(long nowMs) {
     if (sentSinceOverdue < OVERDUE_INTERVAL - 1) {
       return null;
     }
@@ -93,7 +93,7 @@
 
   private static PendingRecord firstSendable(Collection<PendingRecord> records) {
     for (PendingRecord record : records) {
-      if (!record.inFlight()) {
+      if (!record.isInFlight()) {
         return record;
       }
     }
--- a/src/test/java/org/snowturn/core/ChunkCleanupTest.java
+++ b/src/test/java/org/snowturn/core/ChunkCleanupTest.java
@@ -16,7 +16,7 @@
 
 /** A user's next try may go on from parts that a leader is clearing away: one of them must fail. */
 class ChunkCleanupTest {
-  private static final String PARTS = StorageKeys.submissionParts("wk-000001", "s");
+  private static final String PARTS = StorageKeys.submissionChunks("wk-000001", "s");
 
   private static StateMessage.Entry part(int n, long version) {
     return new StateMessage.Entry(PARTS + n, Json.object(), version);
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void theOtherPartsGoOnlyWhileTheFirstIsNotThereAgain() {
+  void deletesOtherChunksOnlyWhileTheFirstIsAbsent() {
     Settings settings = TestSettings.with();
     Settings.StateLimits limits = settings.stateLimits();
     CoreRuntime runtime = new CoreRuntime(1);
--- a/src/test/java/org/snowturn/core/TestWriterHost.java
+++ b/src/test/java/org/snowturn/core/TestWriterHost.java
@@ -5,7 +5,7 @@
 /** A term with authority that never ends, for tests of what writes under it. */
 public record TestWriterHost(long token) implements RecordWriter.Host {
   @Override
-  public boolean over() {
+  public boolean isTermOver() {
     return false;
   }
 
@@ -15,11 +15,11 @@
   }
 
   @Override
-  public void leaderKeyLost() {}
+  public void onLeaderKeyLost() {}
 
   @Override
-  public void guardFailed(String key) {}
+  public void onGuardFailed(String key) {}
 
   @Override
-  public void recordRejected(String key) {}
+  public void onRecordRejected(String key) {}
 }
