--- a/src/test/java/org/snowturn/core/ChunkCleanupTest.java
+++ b/src/test/java/org/snowturn/core/ChunkCleanupTest.java
@@ -14,12 +14,15 @@
 import org.snowturn.wire.Json;
 import org.snowturn.wire.StateMessage;
 
-/** A user's next try may go on from parts that a leader is clearing away: one of them must fail. */
+/**
+ * Guards against a repeated submission that counts on stored chunks while a leader deletes them as
+ * unused. One of the two transactions must fail.
+ */
 class ChunkCleanupTest {
-  private static final String PARTS = StorageKeys.submissionChunks("wk-000001", "s");
+  private static final String CHUNKS = StorageKeys.submissionChunks("wk-000001", "s");
 
-  private static StateMessage.Entry part(int n, long version) {
-    return new StateMessage.Entry(PARTS + n, Json.object(), version);
+  private static StateMessage.Entry chunk(int number, long version) {
+    return new StateMessage.Entry(CHUNKS + number, Json.object(), version);
   }
 
   private static Effect.Call onlyCall(CoreRuntime runtime) {
@@ -28,9 +31,9 @@
     return (Effect.Call) effects.get(0);
   }
 
-  private static String when(Effect.Call call) {
-    JsonNode all = call.body().path("when");
-    return all.toString();
+  private static String conditions(Effect.Call call) {
+    JsonNode conditions = call.body().path("when");
+    return conditions.toString();
   }
 
   @Test
@@ -40,19 +43,19 @@
     CoreRuntime runtime = new CoreRuntime(1);
     RecordWriter writer = new RecordWriter(runtime, new TestWriterHost(7), () -> limits, r -> r);
 
-    new SubmissionChunks(runtime, writer).dropUnused(List.of(part(0, 41), part(1, 42)), Set.of());
+    new SubmissionChunks(runtime, writer).dropUnused(List.of(chunk(0, 41), chunk(1, 42)), Set.of());
     writer.flush();
     Effect.Call first = onlyCall(runtime);
     assertEquals(
         "[{\"path\":\"l/leader\",\"stamp\":7},{\"path\":\"j/wk-000001\",\"stamp\":0},"
             + "{\"path\":\"x/wk-000001/s/0\",\"stamp\":41}]",
-        when(first));
+        conditions(first));
     runtime.handleReply(
         new Input.Reply(first.id(), Outcome.ANSWERED, 200, Json.object().put("epoch", 50)));
     writer.flush();
     Effect.Call rest = onlyCall(runtime);
     assertEquals(
         "[{\"path\":\"l/leader\",\"stamp\":7},{\"path\":\"x/wk-000001/s/0\",\"stamp\":0}]",
-        when(rest));
+        conditions(rest));
   }
 }
--- a/src/test/java/org/snowturn/core/RecordsTest.java
+++ b/src/test/java/org/snowturn/core/RecordsTest.java
@@ -24,9 +24,12 @@
 import org.snowturn.wire.Json;
 import org.snowturn.wire.Submissions;
 
-/** The stored forms: that both formats say the same, and that they fit their values. */
+/**
+ * Guards against stored records that lose tasks, restarts or submissions when they are read back,
+ * and against records that are longer than a value.
+ */
 class RecordsTest {
-  private static final int VALUE = 2048;
+  private static final int VALUE_BYTES = 2048;
 
   private final MachineIndex machines = new MachineIndex(List.of("z"), machine -> null);
 
@@ -34,115 +37,122 @@
     return JobSpec.parse(Submissions.array("wk-000001", tasks).put("bundle", image));
   }
 
-  /** Every third task done, the others placed, by leaders with tokens far apart. */
-  private Job busy(TasksPerRecord spans, boolean second, String machine) throws Exception {
+  /**
+   * Returns a job in which every third task is done and the others are running. They were assigned
+   * by two leaders whose fencing tokens differ widely.
+   */
+  private Job jobWithTasks(TasksPerRecord tasksPerRecord, boolean isSecondFormat, String machine)
+      throws Exception {
     Job job = new Job(0, spec(120, "i"), 0, 2);
-    if (second) {
-      job.useSecondFormat(spans, VALUE, machines);
+    if (isSecondFormat) {
+      job.useSecondFormat(tasksPerRecord, VALUE_BYTES, machines);
     } else {
-      job.useFirstFormat(spans.firstFormat());
+      job.useFirstFormat(tasksPerRecord.firstFormat());
     }
-    for (int t = 0; t < 120; t++) {
-      Machine on = machines.getOrAdd(machine + t);
-      long attempt = ((t < 60 ? 7L : 9_000L) << TaskLayout.ATTEMPT_COUNTER_BITS) + t;
-      job.assign(t, on, attempt, t % 5 == 0 ? 12 : 1, TaskState.RUNNING);
-      if (t % 3 == 0) {
-        job.unassign(t, on);
-        job.complete(t);
+    for (int task = 0; task < 120; task++) {
+      Machine assigned = machines.getOrAdd(machine + task);
+      long attempt = ((task < 60 ? 7L : 9_000L) << TaskLayout.ATTEMPT_COUNTER_BITS) + task;
+      job.assign(task, assigned, attempt, task % 5 == 0 ? 12 : 1, TaskState.RUNNING);
+      if (task % 3 == 0) {
+        job.unassign(task, assigned);
+        job.complete(task);
       }
     }
     return job;
   }
 
-  private List<String> told(Job job) {
-    List<String> out = new ArrayList<>();
-    for (int r = 0; r < job.layout().recordCount(); r++) {
+  private List<String> readTasks(Job job) {
+    List<String> tasks = new ArrayList<>();
+    for (int record = 0; record < job.layout().recordCount(); record++) {
       TaskRecords.read(
-          job.taskRecordJson(r, machines),
-          job.layout().firstTask(r),
+          job.taskRecordJson(record, machines),
+          job.layout().firstTask(record),
           new TaskRecords.Reader() {
             @Override
             public void done(int task) {
-              out.add(task + " done");
+              tasks.add(task + " done");
             }
 
             @Override
             public void placed(int task, long attempt, String machine, long session) {
-              out.add(task + " " + attempt + " " + machine + " " + session);
+              tasks.add(task + " " + attempt + " " + machine + " " + session);
             }
           });
     }
-    out.sort(null);
-    return out;
+    tasks.sort(null);
+    return tasks;
   }
 
   @Test
   void bothFormatsReadBackTheSameTasks() throws Exception {
-    TasksPerRecord spans = new TasksPerRecord(51, 20);
-    assertEquals(told(busy(spans, false, "i-0000")), told(busy(spans, true, "i-0000")));
-    assertEquals(120, told(busy(spans, true, "i-0000")).size());
+    TasksPerRecord tasksPerRecord = new TasksPerRecord(51, 20);
+    assertEquals(
+        readTasks(jobWithTasks(tasksPerRecord, false, "i-0000")),
+        readTasks(jobWithTasks(tasksPerRecord, true, "i-0000")));
+    assertEquals(120, readTasks(jobWithTasks(tasksPerRecord, true, "i-0000")).size());
   }
 
   @Test
   void noPieceOfTheSecondFormatSpansTwoRecordsOfTheFirst() {
     for (int first : new int[] {8, 51, 101, 204}) {
       for (int second : new int[] {4, 25, 53, 400}) {
-        TaskLayout l = TaskLayout.secondFormat(1000, new TasksPerRecord(first, second));
-        int next = 0;
-        for (int r = 0; r < l.recordCount(); r++) {
-          assertEquals(next, l.firstTask(r));
-          assertTrue(l.endTask(r) - l.firstTask(r) <= second);
-          assertEquals(l.firstTask(r) / first, (l.endTask(r) - 1) / first);
-          for (int t = l.firstTask(r); t < l.endTask(r); t++) {
-            assertEquals(r, l.recordOf(t));
+        TaskLayout layout = TaskLayout.secondFormat(1000, new TasksPerRecord(first, second));
+        int nextTask = 0;
+        for (int record = 0; record < layout.recordCount(); record++) {
+          assertEquals(nextTask, layout.firstTask(record));
+          assertTrue(layout.endTask(record) - layout.firstTask(record) <= second);
+          assertEquals(layout.firstTask(record) / first, (layout.endTask(record) - 1) / first);
+          for (int task = layout.firstTask(record); task < layout.endTask(record); task++) {
+            assertEquals(record, layout.recordOf(task));
           }
-          next = l.endTask(r);
+          nextTask = layout.endTask(record);
         }
-        assertEquals(1000, next);
+        assertEquals(1000, nextTask);
       }
     }
   }
 
   @Test
   void aRecordTakesNoMoreAssignmentsThanItsValueHolds() throws Exception {
-    int span = TaskLayout.tasksPerRecord(VALUE);
+    int tasksPerRecord = TaskLayout.tasksPerRecord(VALUE_BYTES);
     for (String name : new String[] {"i-0000", "machine-with-a-very-long-name-indeed-"}) {
-      Job job = new Job(0, spec(span, "i"), 0, 2);
-      job.useSecondFormat(new TasksPerRecord(span, span), VALUE, machines);
-      int n = 0;
-      for (int t = job.nextPending(); t >= 0; t = job.nextPending()) {
-        Machine machine = machines.getOrAdd(name + (10 + t));
-        long attempt = ((t == 0 ? 1L : 90_000L) << TaskLayout.ATTEMPT_COUNTER_BITS) + t;
-        job.assign(t, machine, attempt, 100, TaskState.PLACING);
-        n++;
+      Job job = new Job(0, spec(tasksPerRecord, "i"), 0, 2);
+      job.useSecondFormat(
+          new TasksPerRecord(tasksPerRecord, tasksPerRecord), VALUE_BYTES, machines);
+      int assigned = 0;
+      for (int task = job.nextPending(); task >= 0; task = job.nextPending()) {
+        Machine machine = machines.getOrAdd(name + (10 + task));
+        long attempt = ((task == 0 ? 1L : 90_000L) << TaskLayout.ATTEMPT_COUNTER_BITS) + task;
+        job.assign(task, machine, attempt, 100, TaskState.PLACING);
+        assigned++;
       }
-      assertTrue(Json.bytes(job.taskRecordJson(0, machines)).length <= VALUE, name);
-      assertEquals(name.length() < 8, n == span, name + " " + n);
+      assertTrue(Json.bytes(job.taskRecordJson(0, machines)).length <= VALUE_BYTES, name);
+      assertEquals(name.length() < 8, assigned == tasksPerRecord, name + " " + assigned);
     }
   }
 
   @Test
-  void aLongSubmissionIsRestoredFromItsChunks() throws Exception {
+  void aLongSubmissionWithAnyCharactersIsRestoredFromItsChunks() throws Exception {
     String image = "\u0001\"\\\ud83d\ude00é".repeat(30);
-    JobSpec s = spec(3, image);
-    JobRecord whole = new JobRecord(JobStatus.Phase.QUEUED, 5, s);
-    List<ObjectNode> parts = JobRecord.split(Json.text(s.toJson()), 120);
-    JobRecord stored = JobRecord.parse(whole.toChunked("n", parts.size()).liveJson());
+    JobSpec spec = spec(3, image);
+    JobRecord whole = new JobRecord(JobStatus.Phase.QUEUED, 5, spec);
+    List<ObjectNode> chunks = JobRecord.split(Json.text(spec.toJson()), 120);
+    JobRecord stored = JobRecord.parse(whole.toChunked("n", chunks.size()).liveJson());
     assertTrue(stored.needsChunks());
     Map<String, String> texts = new HashMap<>();
-    List<String> keys = JobRecord.chunkKeys("wk-000001", "n", parts.size());
-    for (int i = 0; i < parts.size(); i++) {
-      assertTrue(Json.bytes(parts.get(i)).length <= 120);
-      JsonNode read = Json.parse(Json.bytes(parts.get(i)));
-      texts.put(keys.get(i), read.path("x").asText());
+    List<String> keys = JobRecord.chunkKeys("wk-000001", "n", chunks.size());
+    for (int i = 0; i < chunks.size(); i++) {
+      assertTrue(Json.bytes(chunks.get(i)).length <= 120);
+      JsonNode chunk = Json.parse(Json.bytes(chunks.get(i)));
+      texts.put(keys.get(i), chunk.path("x").asText());
     }
-    assertEquals(s, stored.joinChunks("wk-000001", texts).spec());
+    assertEquals(spec, stored.joinChunks("wk-000001", texts).spec());
   }
 
   @Test
   void aCancelledRecordFitsASmallerValueLimit() throws Exception {
-    JobSpec s = spec(3, "i".repeat(200));
-    JsonNode live = new JobRecord(JobStatus.Phase.QUEUED, 5, s).liveJson();
+    JobSpec spec = spec(3, "i".repeat(200));
+    JsonNode live = new JobRecord(JobStatus.Phase.QUEUED, 5, spec).liveJson();
     ObjectNode cancelled = JobRecord.cancelledJson(live, 350);
     assertTrue(Json.bytes(cancelled).length <= 350);
     assertEquals(JobStatus.Phase.ABORTED, JobRecord.parse(cancelled).phase());
@@ -153,17 +163,17 @@
   void restartsAreListedOnlyInTheSecondFormatAndWhileTheyFit() throws Exception {
     Job job = new Job(0, spec(100_000, "i"), 0, 2);
     job.useFirstFormat(51);
-    assertTrue(RestartRecords.fits(job, 500, VALUE));
-    assertTrue(!RestartRecords.fits(job, 99_999, VALUE));
-    job.useSecondFormat(new TasksPerRecord(51, 51), VALUE, machines);
-    for (int t = 99_999; RestartRecords.fits(job, t, VALUE); t--) {
-      job.restarted.set(t);
+    assertTrue(RestartRecords.fits(job, 500, VALUE_BYTES));
+    assertTrue(!RestartRecords.fits(job, 99_999, VALUE_BYTES));
+    job.useSecondFormat(new TasksPerRecord(51, 51), VALUE_BYTES, machines);
+    for (int task = 99_999; RestartRecords.fits(job, task, VALUE_BYTES); task--) {
+      job.restarted.set(task);
       job.addRestarts(1);
     }
     assertTrue(job.restarts() > 200);
-    assertTrue(Json.bytes(RestartRecords.json(job)).length <= VALUE);
-    Job next = new Job(0, spec(100_000, "i"), 0, 2);
-    RestartRecords.load(next, RestartRecords.json(job));
-    assertEquals(job.restarted, next.restarted);
+    assertTrue(Json.bytes(RestartRecords.json(job)).length <= VALUE_BYTES);
+    Job loaded = new Job(0, spec(100_000, "i"), 0, 2);
+    RestartRecords.load(loaded, RestartRecords.json(job));
+    assertEquals(job.restarted, loaded.restarted);
   }
 }
--- a/src/test/java/org/snowturn/core/TestSettings.java
+++ b/src/test/java/org/snowturn/core/TestSettings.java
@@ -6,16 +6,16 @@
 import java.util.stream.Stream;
 import org.snowturn.config.Settings;
 
-/** Settings of a node of its own, for tests that need only some of them. */
+/** Settings of one node, for tests that use only a few of them. */
 public final class TestSettings {
   private TestSettings() {}
 
-  /** One zone and small limits, with these aims. */
+  /** Returns settings with one zone, small limits, and the given objectives. */
   public static Settings with(Settings.Objective... objectives) {
     return of("a", List.of(), objectives);
   }
 
-  /** The same, with one peer. */
+  /** Returns settings with one zone, small limits, and one peer. */
   public static Settings withPeer(String name) {
     return of(
         "a",
@@ -23,15 +23,19 @@
             new Settings.Peer(name, new InetSocketAddress(InetAddress.getLoopbackAddress(), 1))));
   }
 
-  /** One of three nodes, n0 to n2. */
+  /**
+   * Returns the settings of one of three nodes.
+   *
+   * @param node n0, n1 or n2
+   */
   public static Settings of(String node) {
     List<Settings.Peer> peers =
         Stream.of("n0", "n1", "n2")
-            .filter(n -> !n.equals(node))
+            .filter(name -> !name.equals(node))
             .map(
-                n ->
+                name ->
                     new Settings.Peer(
-                        n, new InetSocketAddress(InetAddress.getLoopbackAddress(), 1)))
+                        name, new InetSocketAddress(InetAddress.getLoopbackAddress(), 1)))
             .toList();
     return of(node, peers);
   }
--- a/src/test/java/org/snowturn/core/TestWriterHost.java
+++ b/src/test/java/org/snowturn/core/TestWriterHost.java
@@ -2,7 +2,7 @@
 
 import org.snowturn.core.storage.RecordWriter;
 
-/** A term with authority that never ends, for tests of what writes under it. */
+/** A leader's term that never ends and always has authority, for tests that write records. */
 public record TestWriterHost(long token) implements RecordWriter.Host {
   @Override
   public boolean isTermOver() {
