--- a/src/main/java/org/snowturn/core/storage/BatchSettlement.java
+++ b/src/main/java/org/snowturn/core/storage/BatchSettlement.java
@@ -10,8 +10,8 @@
 import org.snowturn.wire.StateMessage;
 
 /**
- * Settles the replies to {@linkplain RecordBatch batches}. A record whose write has an unknown
- * effect stays in flight until its present version has been read.
+ * Handles the replies to {@linkplain RecordBatch batches}. A record whose write may or may not have
+ * been executed stays in flight until its current version has been read.
  */
 final class BatchSettlement {
   private static final long PAUSE_AFTER_REFUSAL_MS = 200;
@@ -30,27 +30,32 @@
     this.budget = budget;
   }
 
-  /** Handles the reply to a batch that has been sent. */
+  /** Handles the reply to a batch that was sent. */
   void onReply(RecordBatch batch, StateReply reply) {
-    if (reply.ok() && succeeded(batch, reply)) {
+    if (reply.ok() && endSuccessfulWrites(batch, reply)) {
       return;
     }
     if (reply.rejected() && batch.size() == 1) {
-      recordRejected(batch.writes().get(0), reply);
+      onRecordRejected(batch.writes().get(0), reply);
       return;
     }
     requeue(batch);
     if (reply.rejected()) {
-      batchRejected(batch, reply);
+      onBatchRejected(batch, reply);
     } else if (reply.notExecuted()) {
       endWrites(batch);
       budget.pauseUntil(runtime.now() + PAUSE_AFTER_REFUSAL_MS);
     } else {
-      conflictOrUnknown(batch, reply.failedKeys());
+      onConflictOrUnknownOutcome(batch, reply.failedKeys());
     }
   }
 
-  private boolean succeeded(RecordBatch batch, StateReply reply) {
+  /**
+   * Ends the writes of an executed batch and runs their actions.
+   *
+   * @return whether the reply contains the revision; if not, nothing is changed
+   */
+  private boolean endSuccessfulWrites(RecordBatch batch, StateReply reply) {
     long revision;
     try {
       revision = StateMessage.revision(reply.body());
@@ -70,12 +75,15 @@
     return true;
   }
 
-  /** The same again would be rejected for ever: it waits until there is something else to write. */
-  private void recordRejected(RecordBatch.Write write, StateReply reply) {
+  /**
+   * Ends the write of a rejected record. The service would reject the same content again, so the
+   * record is written again only after it has changed.
+   */
+  private void onRecordRejected(RecordBatch.Write write, StateReply reply) {
     PendingRecord record = write.record();
     record.restoreDurableActions(write.onDurable());
     record.endWrite();
-    budget.removeBatchSizeLimit(); // it was this value, not the number of changes
+    budget.removeBatchSizeLimit(); // the value was rejected, not the number of changes
     runtime
         .events()
         .info(LogEvent.RECORD_REJECTED)
@@ -92,8 +100,11 @@
     }
   }
 
-  /** Too many changes, or one of them too long: smaller batches tell which. */
-  private void batchRejected(RecordBatch batch, StateReply reply) {
+  /**
+   * Halves the batch size. The batch has too many changes or one of its values is too long; smaller
+   * batches find out which.
+   */
+  private void onBatchRejected(RecordBatch batch, StateReply reply) {
     budget.limitBatchSize(Math.max(1, batch.size() / 2));
     runtime
         .events()
@@ -108,7 +119,12 @@
     batch.writes().forEach(write -> write.record().endWrite());
   }
 
-  private void conflictOrUnknown(RecordBatch batch, List<String> failedKeys) {
+  /**
+   * Handles a batch whose conditions failed, or whose outcome is unknown.
+   *
+   * @param failedKeys keys of the conditions that failed; empty if the outcome is unknown
+   */
+  private void onConflictOrUnknownOutcome(RecordBatch batch, List<String> failedKeys) {
     if (failedKeys.contains(StorageKeys.LEADER)) {
       host.onLeaderKeyLost();
       return;
@@ -131,19 +147,24 @@
     }
   }
 
-  /** Learns a key's present version; the record stays in flight until then. */
+  /** Reads a key's current version, with retries; the record stays in flight until then. */
   private void reread(PendingRecord record, Backoff backoff) {
     runtime.readState(
         StateMessage.keyPath(record.key()),
         RecordWriter.TIMEOUT_MS,
         reply -> {
-          if (!versionRead(record, reply) && !host.isTermOver()) {
+          if (!endWriteAtVersionRead(record, reply) && !host.isTermOver()) {
             runtime.retry(backoff, () -> reread(record, backoff));
           }
         });
   }
 
-  private boolean versionRead(PendingRecord record, StateReply reply) {
+  /**
+   * Ends a write with the version that was read.
+   *
+   * @return whether the reply contains the version, or says that the key does not exist
+   */
+  private boolean endWriteAtVersionRead(PendingRecord record, StateReply reply) {
     if (reply.notFound()) {
       record.endWrite(0);
       return true;
--- a/src/main/java/org/snowturn/core/storage/FormatGate.java
+++ b/src/main/java/org/snowturn/core/storage/FormatGate.java
@@ -19,13 +19,14 @@
 import org.snowturn.wire.StateMessage.Condition;
 
 /**
- * Whether records may be written in the second format. Each node that reads it announces that in
- * the state service, once and for good; when all nodes of the settings have, whoever sees it first
- * writes the gate's own record. Until then the version before this one may come back on any node
- * that has not announced it, and has to be able to read everything.
+ * Tracks whether records may be written in the second format. Each node that can read the second
+ * format writes a permanent announcement to the state service. The first node that sees the
+ * announcements of all configured nodes opens the gate by writing its record. Until then a node
+ * without an announcement may be rolled back to a version that reads only the first format, so
+ * every record is written in the first format.
  *
- * <p>The gate's record keeps the record sizes of both formats: results are numbered by them, so
- * neither may follow later settings.
+ * <p>The gate's record stores the number of tasks per record of both formats. Stored results are
+ * numbered by it, so later settings must not change it.
  */
 public final class FormatGate {
   private static final long CHECK_INTERVAL_MS = 1_000;
@@ -33,21 +34,21 @@
   private static final int TIMEOUT_MS = 1_500;
   private static final int MAX_ENTRIES = 500;
 
-  /** The first format reserves so many bytes of a value for each placement. */
+  /** Bytes of a value that the first format reserves for each assigned task. */
   private static final int FIRST_FORMAT_ENTRY_BYTES = 80;
 
   private static final int MIN_FIRST_FORMAT_TASKS = 8;
 
   private final Settings settings;
   private final CoreRuntime runtime;
-  private final List<Runnable> waiting = new ArrayList<>();
-  private boolean announcing;
+  private final List<Runnable> waitingCallers = new ArrayList<>();
+  private boolean isAnnouncing;
   private boolean isOpen;
-  private boolean reading;
-  private long nextCheckAt;
+  private boolean isReading;
+  private long nextCheckAtMs;
   private TasksPerRecord tasksPerRecord;
 
-  /** Takes the gate for shut until the state service has been read. */
+  /** Creates a gate that is closed until the state service has been read. */
   public FormatGate(Settings settings, CoreRuntime runtime) {
     this.settings = settings;
     this.runtime = runtime;
@@ -58,17 +59,20 @@
         new TasksPerRecord(first, TaskLayout.tasksPerRecord(smallerLimits().valueBytes()));
   }
 
-  /** Whether all nodes read the second format, as far as is known here. */
+  /** Returns whether this node has seen that all nodes read the second format. */
   public boolean isOpen() {
     return isOpen;
   }
 
-  /** How many tasks share a record; final once the gate is open. */
+  /** Returns how many tasks share a record. This no longer changes once the gate is open. */
   public TasksPerRecord tasksPerRecord() {
     return tasksPerRecord;
   }
 
-  /** The limits that writes have to keep now: once the gate is open, the smaller of both. */
+  /**
+   * Returns the limits that writes must keep. Once the gate is open, each is the smaller of the
+   * current and the next limit in the settings.
+   */
   public Settings.StateLimits limits() {
     return isOpen ? smallerLimits() : settings.stateLimits();
   }
@@ -77,48 +81,52 @@
     return settings.stateLimits().least(settings.nextStateLimits());
   }
 
-  /** Reads the announcements again when it is time, until the gate is open. */
+  /** Reads the announcements when a read is due, until the gate is open. */
   public void tick() {
-    boolean wanted = !waiting.isEmpty() || !isOpen;
-    if (wanted && !reading && runtime.now() >= nextCheckAt) {
+    boolean isReadNeeded = !waitingCallers.isEmpty() || !isOpen;
+    if (isReadNeeded && !isReading && runtime.now() >= nextCheckAtMs) {
       readAnnouncements();
     }
   }
 
-  /** Reads the announcements, and calls {@code then} once they are known. */
-  public void refresh(Runnable then) {
+  /**
+   * Reads the announcements unless the gate is open.
+   *
+   * @param onRefreshed called once the announcements have been read, at once if the gate is open
+   */
+  public void refresh(Runnable onRefreshed) {
     if (isOpen) {
-      then.run();
+      onRefreshed.run();
       return;
     }
-    waiting.add(then);
-    if (!reading) {
+    waitingCallers.add(onRefreshed);
+    if (!isReading) {
       readAnnouncements();
     }
   }
 
   private void readAnnouncements() {
-    reading = true;
-    nextCheckAt = runtime.now() + CHECK_INTERVAL_MS;
-    // Callers from now on want a newer answer than this one.
-    List<Runnable> callers = List.copyOf(waiting);
-    waiting.clear();
+    isReading = true;
+    nextCheckAtMs = runtime.now() + CHECK_INTERVAL_MS;
+    // A caller that comes later needs a read that starts later.
+    List<Runnable> callers = List.copyOf(waitingCallers);
+    waitingCallers.clear();
     runtime.readState(
         RequestClass.REST,
         new StateMessage.RangePath(StorageKeys.FORMAT).limit(MAX_ENTRIES).toString(),
         TIMEOUT_MS,
         reply -> {
-          reading = false;
-          if (evaluated(reply)) {
+          isReading = false;
+          if (tryEvaluate(reply)) {
             callers.forEach(Runnable::run);
           } else {
-            waiting.addAll(callers);
-            nextCheckAt = runtime.now() + RETRY_DELAY_MS;
+            waitingCallers.addAll(callers);
+            nextCheckAtMs = runtime.now() + RETRY_DELAY_MS;
           }
         });
   }
 
-  private boolean evaluated(StateReply reply) {
+  private boolean tryEvaluate(StateReply reply) {
     if (!reply.ok()) {
       return false;
     }
@@ -140,7 +148,7 @@
     Set<String> readers = new HashSet<>();
     for (StateMessage.Entry entry : entries) {
       if (entry.key().equals(StorageKeys.FORMAT_GATE)) {
-        setOpen(entry.value());
+        markOpen(entry.value());
         return;
       }
       if (entry.value().path("reads").asInt(0) >= StorageKeys.SECOND_FORMAT) {
@@ -158,24 +166,24 @@
   }
 
   private void announce() {
-    if (announcing) {
+    if (isAnnouncing) {
       return;
     }
-    announcing = true;
+    isAnnouncing = true;
     JsonNode value =
         Json.object().put("v", StorageKeys.FIRST_FORMAT).put("reads", StorageKeys.SECOND_FORMAT);
     create(
         StorageKeys.FORMAT_READERS + settings.node(),
         value,
         reply -> {
-          announcing = false;
+          isAnnouncing = false;
           if (reply.ok()) {
             runtime
                 .events()
                 .info(LogEvent.FORMAT_SUPPORTED)
                 .with(LogField.FORMAT, StorageKeys.SECOND_FORMAT)
                 .write();
-            nextCheckAt = runtime.now();
+            nextCheckAtMs = runtime.now();
           }
         });
   }
@@ -191,23 +199,23 @@
         value,
         reply -> {
           if (reply.ok()) {
-            setOpen(value);
+            markOpen(value);
           } else {
-            nextCheckAt = runtime.now(); // another node was first, or the effect is unknown
+            nextCheckAtMs = runtime.now(); // another node was first, or the outcome is unknown
           }
         });
   }
 
-  private void create(String key, JsonNode value, Consumer<StateReply> then) {
+  private void create(String key, JsonNode value, Consumer<StateReply> onReply) {
     runtime.writeState(
         RequestClass.REST,
         List.of(new Condition(key, 0)),
         List.of(Change.put(key, value)),
         TIMEOUT_MS,
-        then);
+        onReply);
   }
 
-  private void setOpen(JsonNode gate) {
+  private void markOpen(JsonNode gate) {
     if (isOpen) {
       return;
     }
--- a/src/main/java/org/snowturn/core/storage/JobLookup.java
+++ b/src/main/java/org/snowturn/core/storage/JobLookup.java
@@ -16,17 +16,21 @@
 import org.snowturn.wire.StateMessage;
 
 /**
- * Reads what is stored of some jobs, live or over. A few are read one by one; many by ranges that
- * begin at the next id wanted, so that neither thousands of ids nor thousands of other jobs take
- * thousands of requests. Records only move from live to over, so live ones are read first; only the
- * leader, which moves them, may begin with those that are over.
+ * Reads the stored records of some jobs, live or finished. A few jobs are read one by one. Many are
+ * read by key ranges, each of which begins at the next wanted id, so that neither thousands of
+ * wanted ids nor thousands of other jobs between them take thousands of requests.
+ *
+ * <p>Records move only from live to finished, so a node that reads the live ones first misses none.
+ * Only the leader, which moves them, may read the finished ones first.
  */
 public final class JobLookup {
-  /** The order for nodes that do not lead. */
+  /** The order of key prefixes for nodes that are not the leader. */
   public static final List<String> LIVE_FIRST =
       List.of(StorageKeys.JOBS, StorageKeys.FINISHED_JOBS);
 
-  /** The order for the leader: most jobs that it does not know are over. */
+  /**
+   * The order of key prefixes for the leader: most jobs that are not in its memory are finished.
+   */
   public static final List<String> FINISHED_FIRST =
       List.of(StorageKeys.FINISHED_JOBS, StorageKeys.JOBS);
 
@@ -34,7 +38,13 @@
   private static final int PAGE_KEYS = 500;
   private static final int TIMEOUT_MS = 1_500;
 
-  /** What a record tells: whether it is live, the job's phase, and whether it is a service. */
+  /**
+   * The stored state of a job.
+   *
+   * @param isLive whether the job has a live record, as opposed to a finished one
+   * @param phase the job's phase
+   * @param isService whether the job is a service
+   */
   public record StoredJob(boolean isLive, JobStatus.Phase phase, boolean isService) {
     private static StoredJob of(StateMessage.Entry entry) {
       boolean live = entry.key().startsWith(StorageKeys.JOBS);
@@ -43,15 +53,16 @@
     }
   }
 
-  /** Takes the result of a lookup. */
+  /** Handler for the result of a lookup. */
   public interface ResultHandler {
     /**
-     * Called once.
+     * Handles the result; called once.
      *
-     * @param found what is stored, by job id
-     * @param complete whether jobs that were not found do not exist; false if a read failed
+     * @param found the stored jobs by id
+     * @param isComplete whether all reads succeeded, so that a job that was not found does not
+     *     exist
      */
-    void onResult(Map<String, StoredJob> found, boolean complete);
+    void onResult(Map<String, StoredJob> found, boolean isComplete);
   }
 
   private final CoreRuntime runtime;
@@ -59,31 +70,34 @@
   private final List<String> prefixes;
   private final Map<String, StoredJob> found = new HashMap<>();
   private final TreeSet<String> absent = new TreeSet<>();
-  private final ResultHandler then;
-  private final long until;
-  private int unanswered;
-  private boolean finished;
+  private final ResultHandler handler;
+  private final long deadlineMs;
+  private int pendingReads;
+  private boolean isFinished;
 
   /**
-   * Finds some jobs and hands over what is stored of each that was ever accepted, by its id.
+   * Looks up jobs by id. Every job that was ever accepted has a record.
    *
-   * @param purpose what the reads are for
+   * @param purpose the class that the reads are budgeted under
    * @param prefixes {@link #LIVE_FIRST} or {@link #FINISHED_FIRST}
-   * @param withinMs the time after which nobody wants to know any more
+   * @param ids the ids of the jobs to look up
+   * @param timeLimitMs time in milliseconds after which no further range is read
+   * @param handler called with the result
    */
   public static void find(
       CoreRuntime runtime,
       RequestClass purpose,
       List<String> prefixes,
       Collection<String> ids,
-      long withinMs,
-      ResultHandler then) {
-    JobLookup lookup = new JobLookup(runtime, purpose, prefixes, runtime.now() + withinMs, then);
+      long timeLimitMs,
+      ResultHandler handler) {
+    JobLookup lookup =
+        new JobLookup(runtime, purpose, prefixes, runtime.now() + timeLimitMs, handler);
     if (ids.size() > MAX_SINGLE_READS) {
       lookup.readRange(0, new TreeSet<>(ids));
       return;
     }
-    lookup.unanswered = ids.size();
+    lookup.pendingReads = ids.size();
     List.copyOf(ids).forEach(id -> lookup.readOne(0, id));
     lookup.finishIfAllAnswered();
   }
@@ -92,69 +106,69 @@
       CoreRuntime runtime,
       RequestClass purpose,
       List<String> prefixes,
-      long until,
-      ResultHandler then) {
+      long deadlineMs,
+      ResultHandler handler) {
     this.purpose = purpose;
     this.runtime = runtime;
     this.prefixes = prefixes;
-    this.until = until;
-    this.then = then;
+    this.deadlineMs = deadlineMs;
+    this.handler = handler;
   }
 
-  private void fail() {
-    if (!finished) {
-      finished = true;
-      then.onResult(found, false);
+  private void finishIncomplete() {
+    if (!isFinished) {
+      isFinished = true;
+      handler.onResult(found, false);
     }
   }
 
   private void finishIfAllAnswered() {
-    if (unanswered == 0 && !finished) {
-      finished = true;
-      then.onResult(found, true);
+    if (pendingReads == 0 && !isFinished) {
+      isFinished = true;
+      handler.onResult(found, true);
     }
   }
 
-  private void readOne(int step, String id) {
+  private void readOne(int prefixIndex, String id) {
     runtime.readState(
         purpose,
-        StateMessage.keyPath(prefixes.get(step) + id),
+        StateMessage.keyPath(prefixes.get(prefixIndex) + id),
         TIMEOUT_MS,
         reply -> {
-          if (reply.notFound() && step + 1 < prefixes.size()) {
-            readOne(step + 1, id);
+          if (reply.notFound() && prefixIndex + 1 < prefixes.size()) {
+            readOne(prefixIndex + 1, id);
             return;
           }
           if (!reply.notFound()) {
-            takeOne(id, reply);
+            onRecordRead(id, reply);
           }
-          unanswered--;
+          pendingReads--;
           finishIfAllAnswered();
         });
   }
 
-  private void takeOne(String id, StateReply reply) {
+  private void onRecordRead(String id, StateReply reply) {
     if (!reply.ok()) {
-      fail();
+      finishIncomplete();
       return;
     }
     try {
       found.put(id, StoredJob.of(StateMessage.entry(reply.body())));
     } catch (MalformedException e) {
-      fail();
+      finishIncomplete();
     }
   }
 
-  private void readRange(int step, NavigableSet<String> wanted) {
+  private void readRange(int prefixIndex, NavigableSet<String> wanted) {
     if (wanted.isEmpty()) {
       finishIfAllAnswered();
       return;
     }
-    if (runtime.now() > until) {
-      fail();
+    if (runtime.now() > deadlineMs) {
+      finishIncomplete();
       return;
     }
-    String prefix = prefixes.get(step);
+    String prefix = prefixes.get(prefixIndex);
     runtime.readState(
         purpose,
         new StateMessage.RangePath(prefix)
@@ -164,44 +178,52 @@
         TIMEOUT_MS,
         reply -> {
           if (!reply.ok()) {
-            fail();
+            finishIncomplete();
             return;
           }
           try {
             JsonNode body = reply.body();
-            takePage(step, wanted, StateMessage.entries(body), StateMessage.more(body));
+            onPageRead(prefixIndex, wanted, StateMessage.entries(body), StateMessage.more(body));
           } catch (MalformedException e) {
-            fail();
+            finishIncomplete();
           }
         });
   }
 
-  /** A text that sorts before this key and after all lesser ids, since every id ends in a digit. */
+  /**
+   * Returns the key to begin a range after: it sorts before the given key and after the keys of all
+   * smaller ids. Every id ends in a digit, and a tilde sorts after all digits.
+   */
   private static String lastKeyBefore(String key) {
     int end = key.length() - 1;
     return key.substring(0, end) + (char) (key.charAt(end) - 1) + "~";
   }
 
-  private void takePage(
-      int step, NavigableSet<String> wanted, List<StateMessage.Entry> page, boolean more) {
-    String last = null;
+  private void onPageRead(
+      int prefixIndex,
+      NavigableSet<String> wanted,
+      List<StateMessage.Entry> page,
+      boolean isTruncated) {
+    String lastId = null;
     for (StateMessage.Entry entry : page) {
-      last = entry.key().substring(prefixes.get(step).length());
-      if (wanted.contains(last)) {
-        found.put(last, StoredJob.of(entry));
+      lastId = entry.key().substring(prefixes.get(prefixIndex).length());
+      if (wanted.contains(lastId)) {
+        found.put(lastId, StoredJob.of(entry));
       }
     }
     TreeSet<String> left =
-        more && last != null ? new TreeSet<>(wanted.tailSet(last, false)) : new TreeSet<>();
+        isTruncated && lastId != null
+            ? new TreeSet<>(wanted.tailSet(lastId, false))
+            : new TreeSet<>();
     List<String> missing = new ArrayList<>(wanted);
     missing.removeIf(id -> found.containsKey(id) || left.contains(id));
     absent.addAll(missing);
-    if (left.isEmpty() && step + 1 < prefixes.size()) {
-      TreeSet<String> rest = new TreeSet<>(absent);
+    if (left.isEmpty() && prefixIndex + 1 < prefixes.size()) {
+      TreeSet<String> notInPrefix = new TreeSet<>(absent);
       absent.clear();
-      readRange(step + 1, rest);
+      readRange(prefixIndex + 1, notInPrefix);
     } else {
-      readRange(step, left);
+      readRange(prefixIndex, left);
     }
   }
 }
--- a/src/main/java/org/snowturn/core/storage/JobRecord.java
+++ b/src/main/java/org/snowturn/core/storage/JobRecord.java
@@ -18,11 +18,16 @@
 import org.snowturn.wire.StateMessage;
 
 /**
- * A job's record in the state service. A submission that is longer than a value is stored in parts,
- * under keys of its own; the record then names them and holds only what must be known without them.
+ * A job's record in the state service. A submission that is longer than a value is stored in chunks
+ * under keys of their own. The record then holds the hash and the number of the chunks, and only
+ * those fields of the submission that are needed without them.
  *
- * @param submissionHash names the parts, or null if there are none
- * @param chunkCount how many there are
+ * @param phase the stored phase; a job that is not over is stored as queued
+ * @param submittedWallMs wall-clock time of the submission, in milliseconds since the epoch
+ * @param spec the submission, without the fields that only starts need if it is stored in chunks;
+ *     null if the record holds none, as in the short record of a finished job
+ * @param submissionHash hash that is part of the chunks' keys; null if there are no chunks
+ * @param chunkCount number of chunks
  * @param isComplete whether {@code spec} is the whole submission
  */
 public record JobRecord(
@@ -39,25 +44,33 @@
   private static final String SERVICE = "service";
   private static final String TASKS = "n";
 
-  /** In a job's record the name of its submission; in a part the part's text. */
-  private static final String PART_TEXT = "x";
+  private static final String SUBMISSION_HASH = "x";
+  private static final String CHUNK_COUNT = "k";
 
-  private static final String PART_COUNT = "k";
+  /** Field of a chunk's value, as opposed to a job's record. */
+  private static final String CHUNK_TEXT = "x";
 
-  /** A part's size beside its text. */
-  private static final int PART_OVERHEAD_BYTES = 40;
+  /** Size of a chunk's value without its text. */
+  private static final int CHUNK_OVERHEAD_BYTES = 40;
 
-  private static final int SUBMISSION_NAME_BYTES = 16;
+  private static final int SUBMISSION_HASH_BYTES = 16;
 
-  /** A record that holds the whole submission. */
+  /**
+   * Creates a record that holds the whole submission.
+   *
+   * @param phase the stored phase
+   * @param submittedWallMs wall-clock time of the submission, in milliseconds since the epoch
+   * @param spec the whole submission
+   */
   public JobRecord(JobStatus.Phase phase, long submittedWallMs, JobSpec spec) {
     this(phase, submittedWallMs, spec, null, 0, true);
   }
 
   /**
-   * Reads a live or a short record.
+   * Parses the record of a live or a finished job.
    *
-   * @throws MalformedException if it cannot be read; it is to be left alone then
+   * @throws MalformedException if the value is not a readable record; the record must not be
+   *     changed then
    */
   public static JobRecord parse(JsonNode value) throws MalformedException {
     JobStatus.Phase phase = phaseOf(value);
@@ -69,12 +82,15 @@
         phase,
         value.path(SUBMITTED_AT).asLong(0),
         spec,
-        value.path(PART_TEXT).asText(null),
-        value.path(PART_COUNT).asInt(0),
-        !value.has(PART_TEXT));
+        value.path(SUBMISSION_HASH).asText(null),
+        value.path(CHUNK_COUNT).asInt(0),
+        !value.has(SUBMISSION_HASH));
   }
 
-  /** The phase of a live or short record; a phase that is not terminal counts as queued. */
+  /**
+   * Returns the phase in the record of a live or a finished job. Every phase that is not terminal
+   * is returned as queued.
+   */
   public static JobStatus.Phase phaseOf(JsonNode value) {
     return switch (value.path(PHASE).asText()) {
       case "done" -> JobStatus.Phase.DONE;
@@ -84,47 +100,57 @@
   }
 
   /**
-   * The ids of the jobs that a live record depends on. One whose submission is kept in parts names
-   * none here.
+   * Returns the ids of the jobs that a live job depends on. The list is empty if the submission is
+   * stored in chunks, since its dependencies are then in the chunks.
    */
   public static List<String> dependencies(JsonNode value) {
-    JsonNode all = value.path(SPEC).path("awaits");
-    if (all.isEmpty()) {
+    JsonNode nodes = value.path(SPEC).path("awaits");
+    if (nodes.isEmpty()) {
       return List.of();
     }
-    List<String> ids = new ArrayList<>(all.size());
-    all.forEach(node -> ids.add(node.asText()));
+    List<String> ids = new ArrayList<>(nodes.size());
+    nodes.forEach(node -> ids.add(node.asText()));
     return ids;
   }
 
-  /** Whether a live or short record is that of a service; older short records do not tell. */
+  /**
+   * Returns whether the record of a live or a finished job is that of a service. Older versions
+   * wrote finished records without this field; for those it returns false.
+   */
   public static boolean isService(JsonNode value) {
     return value.path(SERVICE).asBoolean(false)
         || value.path(SPEC).path("shape").asText().equals("service");
   }
 
-  /** Whether the parts have to be read before the job can be started. */
+  /** Returns whether the chunks must be read before the job can be started. */
   public boolean needsChunks() {
     return !isComplete && phase == JobStatus.Phase.QUEUED;
   }
 
-  /** The keys of a submission's parts in their order; none for a submission that has none. */
-  public static List<String> chunkKeys(String id, String submission, int parts) {
-    return submission == null
+  /**
+   * Returns the keys of a submission's chunks, in order.
+   *
+   * @param id the job's id
+   * @param submissionHash the hash that names the chunks; null for a submission without chunks,
+   *     which gives an empty list
+   * @param chunkCount number of chunks
+   */
+  public static List<String> chunkKeys(String id, String submissionHash, int chunkCount) {
+    return submissionHash == null
         ? List.of()
-        : IntStream.range(0, parts)
-            .mapToObj(i -> StorageKeys.submissionChunks(id, submission) + i)
+        : IntStream.range(0, chunkCount)
+            .mapToObj(i -> StorageKeys.submissionChunks(id, submissionHash) + i)
             .toList();
   }
 
-  /** The texts of stored parts, by their keys. */
+  /** Returns the texts of stored chunks by key. */
   public static Map<String, String> chunkTexts(List<StateMessage.Entry> entries) {
     Map<String, String> texts = new HashMap<>();
-    entries.forEach(entry -> texts.put(entry.key(), entry.value().path(PART_TEXT).asText("")));
+    entries.forEach(entry -> texts.put(entry.key(), entry.value().path(CHUNK_TEXT).asText("")));
     return texts;
   }
 
-  /** The stored form of a job that is not over. */
+  /** Returns the JSON form of this record for a live job. */
   public ObjectNode liveJson() {
     ObjectNode object = Json.object();
     object.put(
@@ -132,31 +158,54 @@
     object.put(PHASE, phase.wire()).put(SUBMITTED_AT, submittedWallMs);
     object.set(SPEC, spec.toJson());
     if (submissionHash != null) {
-      object.put(PART_TEXT, submissionHash).put(PART_COUNT, chunkCount);
+      object.put(SUBMISSION_HASH, submissionHash).put(CHUNK_COUNT, chunkCount);
     }
     return object;
   }
 
-  /** The same with the submission elsewhere. */
-  public JobRecord toChunked(String name, int count) {
-    return new JobRecord(phase, submittedWallMs, spec.withoutStart(), name, count, false);
+  /**
+   * Returns this record for a submission that is stored in chunks.
+   *
+   * @param newHash the hash of the submission, from {@link #hashSubmission}
+   * @param newChunkCount number of chunks
+   */
+  public JobRecord toChunked(String newHash, int newChunkCount) {
+    return new JobRecord(
+        phase, submittedWallMs, spec.withoutStart(), newHash, newChunkCount, false);
   }
 
-  /** Puts the whole submission in place of what the record holds of it. */
+  /**
+   * Returns this record with the whole submission, joined from its chunks.
+   *
+   * @param id the job's id
+   * @param texts the chunks' texts by key
+   * @throws MalformedException if the joined texts are not a submission
+   */
   public JobRecord joinChunks(String id, Map<String, String> texts) throws MalformedException {
     StringBuilder text = new StringBuilder();
     for (String key : chunkKeys(id, submissionHash, chunkCount)) {
       text.append(texts.getOrDefault(key, ""));
     }
     try {
-      JobSpec whole = JobSpec.parse(Json.parse(text.toString()));
-      return new JobRecord(phase, submittedWallMs, whole, submissionHash, chunkCount, true);
+      JobSpec wholeSpec = JobSpec.parse(Json.parse(text.toString()));
+      return new JobRecord(phase, submittedWallMs, wholeSpec, submissionHash, chunkCount, true);
     } catch (IOException e) {
-      throw new MalformedException("not JSON");
+      throw new MalformedException(
+          "x: the "
+              + chunkCount
+              + " chunks of submission "
+              + submissionHash
+              + " are not valid JSON");
     }
   }
 
-  /** The record of a job that is cancelled; what only starts need goes if a value is too short. */
+  /**
+   * Returns the JSON form of a cancelled live job. If it is longer than a value, the fields that
+   * only starts need are left out.
+   *
+   * @param live the job's record before the cancellation
+   * @param valueBytes maximum size of a value
+   */
   public static ObjectNode cancelledJson(JsonNode live, int valueBytes) {
     ObjectNode object = live.deepCopy();
     object.put(PHASE, JobStatus.Phase.ABORTED.wire());
@@ -170,7 +219,7 @@
     return object;
   }
 
-  /** The short record that remains of a job that is over. */
+  /** Returns the JSON form of a finished job's short record, which stays for good. */
   public static ObjectNode finishedJson(JobStatus.Phase phase, JobSpec spec) {
     ObjectNode object =
         Json.object().put(FORMAT, StorageKeys.FIRST_FORMAT).put(PHASE, phase.wire());
@@ -178,39 +227,50 @@
     return spec.service() ? object.put(SERVICE, true) : object;
   }
 
-  /** A name for the parts of a text that is cut to this size; depends on nothing else. */
+  /**
+   * Returns the hash that names the chunks of a submission. It depends on nothing but the
+   * parameters, so that a repeated submission uses the chunks that are already stored.
+   *
+   * @param text the submission's JSON text
+   * @param valueBytes maximum size of a value, which the text is split by
+   */
   public static String hashSubmission(String text, int valueBytes) {
     try {
       MessageDigest digest = MessageDigest.getInstance("SHA-256");
       byte[] hash = digest.digest(Json.bytes(Json.array().add(text).add(valueBytes)));
-      return HexFormat.of().formatHex(hash, 0, SUBMISSION_NAME_BYTES);
+      return HexFormat.of().formatHex(hash, 0, SUBMISSION_HASH_BYTES);
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException(e); // every Java platform has it
     }
   }
 
-  /** Cuts a text into parts, each of which a value can hold. */
+  /**
+   * Splits a submission into chunks that each fit in a value.
+   *
+   * @param text the submission's JSON text
+   * @param valueBytes maximum size of a value
+   */
   public static List<ObjectNode> split(String text, int valueBytes) {
-    List<ObjectNode> parts = new ArrayList<>();
+    List<ObjectNode> chunks = new ArrayList<>();
     int from = 0;
     while (from < text.length()) {
-      // Most characters take one byte; one that is escaped takes up to six.
-      int to = Math.min(text.length(), from + Math.max(1, valueBytes - PART_OVERHEAD_BYTES));
-      while (to > from + 1 && Json.bytes(part(text, from, to)).length > valueBytes) {
+      // Assumes one byte per character. Escaped characters take up to six, hence the loop below.
+      int to = Math.min(text.length(), from + Math.max(1, valueBytes - CHUNK_OVERHEAD_BYTES));
+      while (to > from + 1 && Json.bytes(chunk(text, from, to)).length > valueBytes) {
         to = from + (to - from) * 3 / 4;
       }
       if (to < text.length() && Character.isHighSurrogate(text.charAt(to - 1))) {
         to = to - 1 > from ? to - 1 : to + 1;
       }
-      parts.add(part(text, from, to));
+      chunks.add(chunk(text, from, to));
       from = to;
     }
-    return parts;
+    return chunks;
   }
 
-  private static ObjectNode part(String text, int from, int to) {
+  private static ObjectNode chunk(String text, int from, int to) {
     return Json.object()
         .put(FORMAT, StorageKeys.SECOND_FORMAT)
-        .put(PART_TEXT, text.substring(from, to));
+        .put(CHUNK_TEXT, text.substring(from, to));
   }
 }
--- a/src/main/java/org/snowturn/core/storage/PendingRecord.java
+++ b/src/main/java/org/snowturn/core/storage/PendingRecord.java
@@ -7,20 +7,20 @@
 import org.snowturn.wire.StateMessage.Condition;
 
 /**
- * One key that the leader writes: its last known version, how far its writing is, and what is to be
- * done once its present content is durable. The content is produced when it is sent, so that a
- * record that changes several times before its turn is written once.
+ * A key that the leader writes: its last known version, the state of its write, and the actions to
+ * run once its current content is durable. The content is produced when it is sent, so that several
+ * changes of a queued record take one write.
  */
 public final class PendingRecord {
-  /** How far the writing of a record is. */
+  /** The state of a record's write. */
   private enum State {
-    /** Nothing to write. */
+    /** There is nothing to write. */
     IDLE,
-    /** In the queue. */
+    /** The record is in the write queue. */
     QUEUED,
-    /** Sent, and the reply is not known. */
+    /** The record was sent, and the outcome is unknown. */
     IN_FLIGHT,
-    /** Sent, and changed again since. */
+    /** The record was sent, the outcome is unknown, and the record has been queued again. */
     IN_FLIGHT_AND_QUEUED
   }
 
@@ -34,11 +34,12 @@
   private List<Runnable> onDurable = new ArrayList<>();
 
   /**
-   * Not written yet.
+   * Creates a record with nothing to write.
    *
-   * @param version the key's version, as it was read; 0: it does not exist
-   * @param content the value to write; null deletes the key
-   * @param guard a condition on another key, under which alone this one may be written; null: none
+   * @param version the key's version in the state service; 0 if the key does not exist
+   * @param content supplies the value to write; a null value deletes the key
+   * @param guard supplies a condition on another key that every write of this key requires; a null
+   *     condition requires nothing
    */
   PendingRecord(String key, long version, Supplier<JsonNode> content, Supplier<Condition> guard) {
     this.key = key;
@@ -47,37 +48,44 @@
     this.guard = guard;
   }
 
-  /** The key in the state service. */
+  /** Returns the key in the state service. */
   public String key() {
     return key;
   }
 
-  /** Takes over the version that the key has in the state service; 0: it does not exist. */
+  /**
+   * Sets the last known version of the key.
+   *
+   * @param newVersion the key's version in the state service; 0 if the key does not exist
+   */
   public void setVersion(long newVersion) {
     version = newVersion;
   }
 
-  /** Whether the key exists in the state service, as far as is known. */
+  /** Returns whether the key exists in the state service, by its last known version. */
   public boolean isStored() {
     return version != 0;
   }
 
-  /** Whether a write was sent whose effect is not known yet. */
+  /** Returns whether a write was sent and its outcome is still unknown. */
   public boolean isInFlight() {
     return state == State.IN_FLIGHT || state == State.IN_FLIGHT_AND_QUEUED;
   }
 
-  /** Whether there is something to write that has not been sent. */
+  /** Returns whether the record is queued to be written. */
   public boolean isQueued() {
     return state == State.QUEUED || state == State.IN_FLIGHT_AND_QUEUED;
   }
 
-  /** The urgency with which it is queued; smaller ones go first. */
+  /**
+   * Returns the urgency with which the record is queued; smaller numbers are written first. It is
+   * {@link Integer#MAX_VALUE} while the record is not queued.
+   */
   public int urgency() {
     return urgency;
   }
 
-  /** What waits for the queued content to be durable. */
+  /** Returns the actions to run once the queued content is durable. */
   public List<Runnable> durableActions() {
     return List.copyOf(onDurable);
   }
@@ -117,7 +125,11 @@
     urgency = Integer.MAX_VALUE;
   }
 
-  /** Marks a dequeued record as sent; returns the actions that wait for what was sent. */
+  /**
+   * Marks a dequeued record as sent.
+   *
+   * @return the actions to run once the sent content is durable
+   */
   List<Runnable> beginWrite() {
     state = State.IN_FLIGHT;
     List<Runnable> actions = onDurable;
@@ -125,18 +137,25 @@
     return actions;
   }
 
-  /** The effect of what was sent is known. */
+  /** Ends a write whose outcome is known. */
   void endWrite() {
     state = isQueued() ? State.QUEUED : State.IDLE;
   }
 
-  /** The effect of what was sent is known, and with it the key's version. */
+  /**
+   * Ends a write whose outcome is known, and sets the key's version.
+   *
+   * @param newVersion the key's version in the state service; 0 if the key does not exist
+   */
   void endWrite(long newVersion) {
     version = newVersion;
     endWrite();
   }
 
-  /** The write did not happen: its actions wait for the next one, before those added since. */
+  /**
+   * Puts back the actions of a write that may not have been executed, so that they run after the
+   * next write, before the actions that were added since.
+   */
   void restoreDurableActions(List<Runnable> actions) {
     onDurable.addAll(0, actions);
   }
--- a/src/main/java/org/snowturn/core/storage/RangeReader.java
+++ b/src/main/java/org/snowturn/core/storage/RangeReader.java
@@ -14,8 +14,8 @@
 import org.snowturn.wire.StateMessage;
 
 /**
- * Reads whole ranges of the state service, page by page, until it has them. A page that fails is
- * read again with exponential backoff.
+ * Reads all keys with a prefix from the state service, page by page. A read that fails is retried
+ * with exponential backoff.
  */
 public final class RangeReader {
   private static final int TIMEOUT_MS = 2_500;
@@ -24,40 +24,54 @@
   private final CoreRuntime runtime;
   private final RequestClass purpose;
   private final Backoff backoff;
-  private final BooleanSupplier over;
+  private final BooleanSupplier shouldStop;
 
-  /** Reads for a term. */
-  public RangeReader(CoreRuntime runtime, BooleanSupplier over) {
-    this(runtime, RequestClass.WORK, over);
+  /**
+   * Creates a reader for a leader's term.
+   *
+   * @param shouldStop stops the retries of failed reads once it returns true
+   */
+  public RangeReader(CoreRuntime runtime, BooleanSupplier shouldStop) {
+    this(runtime, RequestClass.WORK, shouldStop);
   }
 
   /**
-   * Has read nothing yet.
+   * Creates a reader.
    *
-   * @param purpose what the reads are for
-   * @param over whether nobody wants to know any more: nothing is tried again then
+   * @param purpose the class that the reads are budgeted under
+   * @param shouldStop stops the retries of failed reads once it returns true
    */
-  public RangeReader(CoreRuntime runtime, RequestClass purpose, BooleanSupplier over) {
+  public RangeReader(CoreRuntime runtime, RequestClass purpose, BooleanSupplier shouldStop) {
     this.purpose = purpose;
-    this.over = over;
+    this.shouldStop = shouldStop;
     this.runtime = runtime;
     this.backoff = runtime.backoff();
   }
 
-  /** All keys of a range; {@code oldestRevision} is the oldest revision that any page showed. */
+  /**
+   * All keys with a prefix.
+   *
+   * @param entries the keys, with their values and versions
+   * @param oldestRevision the oldest revision of the state service among the pages
+   */
   public record Range(List<StateMessage.Entry> entries, long oldestRevision) {}
 
-  /** Reads all keys with a prefix; {@code then} is called once all pages are there. */
-  public void read(String prefix, Consumer<Range> then) {
-    page(prefix, null, new ArrayList<>(), Long.MAX_VALUE, then);
+  /**
+   * Reads all keys with a prefix.
+   *
+   * @param prefix the common prefix of the keys
+   * @param onRange called once all pages have been read
+   */
+  public void read(String prefix, Consumer<Range> onRange) {
+    readPage(prefix, null, new ArrayList<>(), Long.MAX_VALUE, onRange);
   }
 
-  private void page(
+  private void readPage(
       String prefix,
       String after,
-      List<StateMessage.Entry> entriesBefore,
-      long revision,
-      Consumer<Range> then) {
+      List<StateMessage.Entry> entries,
+      long oldestRevision,
+      Consumer<Range> onRange) {
     StateMessage.RangePath path = new StateMessage.RangePath(prefix).limit(PAGE_KEYS);
     if (after != null) {
       path.after(after);
@@ -69,7 +83,7 @@
         reply -> {
           if (reply.ok()) {
             try {
-              take(prefix, reply.body(), entriesBefore, revision, then);
+              onPage(prefix, reply.body(), entries, oldestRevision, onRange);
               return;
             } catch (MalformedException e) {
               runtime
@@ -80,27 +94,27 @@
                   .write();
             }
           }
-          if (!over.getAsBoolean()) {
-            runtime.retry(backoff, () -> page(prefix, after, entriesBefore, revision, then));
+          if (!shouldStop.getAsBoolean()) {
+            runtime.retry(backoff, () -> readPage(prefix, after, entries, oldestRevision, onRange));
           }
         });
   }
 
-  private void take(
+  private void onPage(
       String prefix,
       JsonNode body,
-      List<StateMessage.Entry> entriesBefore,
-      long revision,
-      Consumer<Range> then)
+      List<StateMessage.Entry> entries,
+      long oldestRevision,
+      Consumer<Range> onRange)
       throws MalformedException {
-    List<StateMessage.Entry> got = StateMessage.entries(body);
-    long oldest = Math.min(revision, StateMessage.revision(body));
+    List<StateMessage.Entry> page = StateMessage.entries(body);
+    long newOldestRevision = Math.min(oldestRevision, StateMessage.revision(body));
     backoff.reset();
-    entriesBefore.addAll(got);
-    if (StateMessage.more(body) && !got.isEmpty()) {
-      page(prefix, got.get(got.size() - 1).key(), entriesBefore, oldest, then);
+    entries.addAll(page);
+    if (StateMessage.more(body) && !page.isEmpty()) {
+      readPage(prefix, page.get(page.size() - 1).key(), entries, newOldestRevision, onRange);
     } else {
-      then.accept(new Range(entriesBefore, oldest));
+      onRange.accept(new Range(entries, newOldestRevision));
     }
   }
 }
--- a/src/main/java/org/snowturn/core/storage/RecordBatch.java
+++ b/src/main/java/org/snowturn/core/storage/RecordBatch.java
@@ -10,18 +10,26 @@
 import org.snowturn.wire.StateMessage.Condition;
 
 /**
- * Records that are written in one transaction. It succeeds only if the leader key, every record and
- * every guard still have the versions that are known here (compare-and-swap).
+ * Records that are written in one transaction. The transaction succeeds only if the leader key,
+ * every record and every guard still have their last known versions (compare-and-swap).
  */
 final class RecordBatch {
+  /** Maximum estimated size of a batch's changes. */
   private static final int MAX_BYTES = 40_000;
 
-  /** Estimated size in a transaction beside the value: the key, its version, its guard. */
+  /** Estimated size of a change without its value: the key, its version, and its guard. */
   private static final int CHANGE_OVERHEAD_BYTES = 250;
 
   private static final int DELETION_BYTES = 50;
 
-  /** A record with what was sent of it. */
+  /**
+   * The write of one record.
+   *
+   * @param record the record that was sent
+   * @param urgency the urgency with which it was queued
+   * @param isDeletion whether the write deletes the key
+   * @param onDurable actions to run once the sent content is durable
+   */
   record Write(PendingRecord record, int urgency, boolean isDeletion, List<Runnable> onDurable) {}
 
   private final List<PendingRecord> records = new ArrayList<>();
@@ -34,17 +42,18 @@
   private RecordBatch() {}
 
   /**
-   * Collects the records to send next; their states are left alone.
+   * Collects the records to send next, without changing their states.
    *
-   * @param overdue goes first; may be null
-   * @param maxRecords the most records in all
-   * @param maxIfDeferrable so many records at most before a deferrable one is added
+   * @param queue the records to choose from
+   * @param overdue the record to put first; may be null
+   * @param maxRecords maximum number of records
+   * @param maxIfDeferrable maximum number of records in a batch that contains deferrable ones
    */
   static RecordBatch collect(
       WriteQueue queue, PendingRecord overdue, int maxRecords, int maxIfDeferrable) {
     RecordBatch batch = new RecordBatch();
     if (overdue != null) {
-      batch.addIfItFits(overdue);
+      batch.addIfFits(overdue);
     }
     for (var records : queue.recordsByUrgency()) {
       for (PendingRecord record : records.values()) {
@@ -54,14 +63,15 @@
           return batch;
         }
         if (!record.isInFlight() && record != overdue) {
-          batch.addIfItFits(record);
+          batch.addIfFits(record);
         }
       }
     }
     return batch;
   }
 
-  private void addIfItFits(PendingRecord record) {
+  /** Adds a record if the batch has room for it or is empty. */
+  private void addIfFits(PendingRecord record) {
     JsonNode value = record.content();
     int size = value == null ? DELETION_BYTES : Json.bytes(value).length + CHANGE_OVERHEAD_BYTES;
     if (!records.isEmpty() && bytes + size > MAX_BYTES) {
@@ -77,7 +87,7 @@
     }
   }
 
-  /** Takes the records out of the queue and marks them as sent. */
+  /** Removes the records from the queue and marks them as sent. */
   void beginWrites(WriteQueue queue) {
     for (int i = 0; i < records.size(); i++) {
       PendingRecord record = records.get(i);
@@ -100,25 +110,25 @@
     return records.get(0);
   }
 
-  /** What was sent, once it has begun. */
+  /** Returns the writes of the batch; empty before {@link #beginWrites}. */
   List<Write> writes() {
     return writes;
   }
 
-  /** All conditions of the transaction, the leader key's first. */
+  /** Returns all conditions of the transaction, the leader key's first. */
   List<Condition> conditions(Condition leader) {
-    List<Condition> all = new ArrayList<>(1 + conditions.size() + guards.size());
-    all.add(leader);
-    all.addAll(conditions);
-    all.addAll(guards.values());
-    return all;
+    List<Condition> allConditions = new ArrayList<>(1 + conditions.size() + guards.size());
+    allConditions.add(leader);
+    allConditions.addAll(conditions);
+    allConditions.addAll(guards.values());
+    return allConditions;
   }
 
   List<Change> changes() {
     return changes;
   }
 
-  /** Whether the key is that of a guard. */
+  /** Returns whether the key belongs to a guard. */
   boolean isGuard(String key) {
     return guards.containsKey(key);
   }
--- a/src/main/java/org/snowturn/core/storage/RecordWriter.java
+++ b/src/main/java/org/snowturn/core/storage/RecordWriter.java
@@ -18,12 +18,16 @@
 /**
  * Writes the leader's records, grouped into transactions within the state service's limits.
  *
- * <p>Every transaction is conditional on the leader key's version and on each key's own last
- * version: one that is executed late, after this leader has lost its place or has written the key
- * again, changes nothing. A reply that never came is settled by reading.
+ * <p>Every transaction is conditional on the version of the leader key and on the last known
+ * version of each record's key. A transaction that is executed late, after this leader has been
+ * replaced or has written the key again, therefore changes nothing. If no reply arrives, the
+ * current versions are read.
  */
 public final class RecordWriter {
-  /** Records of this urgency or more are deferrable: they can wait for seconds. */
+  /**
+   * Lowest urgency number of a deferrable record. Deferrable records can wait for seconds; those
+   * with smaller numbers cannot.
+   */
   public static final int DEFERRABLE_URGENCY = 20;
 
   static final int TIMEOUT_MS = 1500;
@@ -31,50 +35,59 @@
   private static final long PAUSE_AFTER_REFUSAL_MS = 200;
 
   /**
-   * A transaction that has waited so long for spare budget is sent without any. A leader that
-   * always has something to write would otherwise never delete the records of cancelled jobs, and
-   * every next leader would read them all.
+   * Maximum time that a background transaction waits for unreserved budget; after that it uses the
+   * reserved budget too. A leader under constant load would otherwise never delete the records of
+   * cancelled jobs, and every later leader would have to read them all.
    */
-  private static final long MAX_SPARE_WAIT_MS = 10_000;
+  private static final long MAX_BACKGROUND_WAIT_MS = 10_000;
 
-  private static final long OVERDUE_SPARE_INTERVAL_MS = 2_000;
+  private static final long OVERDUE_BACKGROUND_INTERVAL_MS = 2_000;
 
-  /** When a whole transaction's turn comes. */
+  /** The priority of a transaction that is submitted as a whole. */
   public enum TransactionPriority {
-    /** Before all others: somebody has been told that it will happen soon. */
+    /** Sent before everything else, since a user was promised its effect soon. */
     IMMEDIATE,
-    /** Before all records, in turn with those that are not deferrable. */
+    /** Sent before all records, but in alternation with those that are not deferrable. */
     NORMAL,
-    /** With budget for which no record that is not deferrable has a use. */
+    /** Sent after all records, with budget that is not reserved for records. */
     BACKGROUND
   }
 
-  /** A transaction of its own that begins or ends something. */
+  /** A transaction that was submitted as a whole. */
   private record Transaction(
-      TransactionPriority turn,
+      TransactionPriority priority,
       List<Condition> conditions,
       List<Change> changes,
       CoreRuntime.ReplyHandler onReply,
       long queuedSinceMs) {}
 
-  /** What the writer needs of the leader. */
+  /** The leader's term, as the writer needs it, and callbacks to the leader. */
   public interface Host {
-    /** Whether this node may act as leader now. */
+    /** Returns whether this node may act as the leader now. */
     boolean hasAuthority();
 
-    /** Whether the term is over for good. */
+    /** Returns whether the leader's term is over. A term that is over does not resume. */
     boolean isTermOver();
 
-    /** The term's fencing token: the version of the leader key. */
+    /** Returns the term's fencing token, which is the version of the leader key. */
     long token();
 
-    /** The leader key has changed: the term is over. */
+    /** Handles a change of the leader key, which ends the term. */
     void onLeaderKeyLost();
 
-    /** A guard of a record has another version than was thought. */
+    /**
+     * Handles a failed guard of a record.
+     *
+     * @param key the guard's key, which has another version than the guard requires
+     */
     void onGuardFailed(String key);
 
-    /** The state service finds a value too long, or wrong in another way. */
+    /**
+     * Handles a record that the state service rejected because its value is too long or otherwise
+     * invalid.
+     *
+     * @param key the record's key
+     */
     void onRecordRejected(String key);
   }
 
@@ -87,57 +100,65 @@
   private final WriteQueue queue = new WriteQueue();
   private final WriteBudget budget;
   private final BatchSettlement settlement;
-  private boolean recordsNext;
-  private long nextOverdueSpareMs;
+  private boolean isRecordBatchNext;
+  private long nextOverdueBackgroundAtMs;
 
   /**
-   * Has nothing to write yet.
+   * Creates a writer with nothing to write.
    *
-   * @param limits may become smaller at any time
-   * @param share of so many changes a second for all, those that this leader may make now
+   * @param runtime the runtime that makes the calls
+   * @param host the leader
+   * @param limits supplies the state service's limits, which may become smaller at any time
+   * @param leaderWriteRate maps the write rate of all nodes to the current part of this leader;
+   *     both in changes per second
    */
   public RecordWriter(
       CoreRuntime runtime,
       Host host,
       Supplier<Settings.StateLimits> limits,
-      DoubleUnaryOperator share) {
+      DoubleUnaryOperator leaderWriteRate) {
     this.runtime = runtime;
     this.host = host;
     this.limits = limits;
-    this.budget = new WriteBudget(limits, share, runtime.now());
+    this.budget = new WriteBudget(limits, leaderWriteRate, runtime.now());
     this.settlement = new BatchSettlement(runtime, host, queue, budget);
-    for (TransactionPriority turn : TransactionPriority.values()) {
-      transactions.put(turn, new ArrayDeque<>());
+    for (TransactionPriority priority : TransactionPriority.values()) {
+      transactions.put(priority, new ArrayDeque<>());
     }
   }
 
-  /** Whether the term that it writes for is over. */
+  /** Returns whether the leader's term is over. */
   public boolean isTermOver() {
     return host.isTermOver();
   }
 
   /**
-   * The record of a key; it is made if there is none.
+   * Returns the record of a key, and adds it if there is none. The parameters other than the key
+   * apply only to a record that is added.
    *
-   * @param stamp the key's version, as it was read; 0: it does not exist
-   * @param content the value to write when its turn comes; null deletes the key
-   * @param guard a condition on another key, under which alone this one may be written; null: none
+   * @param key the key in the state service
+   * @param version the key's version in the state service; 0 if the key does not exist
+   * @param content supplies the value when it is sent; a null value deletes the key
+   * @param guard supplies a condition on another key that every write of this key requires; a null
+   *     condition requires nothing
    */
   public PendingRecord getOrAddRecord(
-      String key, long stamp, Supplier<JsonNode> content, Supplier<Condition> guard) {
-    return records.computeIfAbsent(key, k -> new PendingRecord(k, stamp, content, guard));
+      String key, long version, Supplier<JsonNode> content, Supplier<Condition> guard) {
+    return records.computeIfAbsent(key, k -> new PendingRecord(k, version, content, guard));
   }
 
-  /** Writes the record no more. */
+  /** Removes a record, which is not written any more. */
   public void remove(PendingRecord record) {
     queue.remove(record);
     records.remove(record.key());
   }
 
   /**
-   * Asks for the record's content to be written; smaller urgencies go first.
+   * Queues a record to be written.
    *
-   * @param onDurable called once the content as it is now, or a later one, is durable; may be null
+   * @param record the record to write
+   * @param urgency records with smaller numbers are written first; see {@link #DEFERRABLE_URGENCY}
+   * @param onDurable called once the current content or a later one is durable; may be null
    */
   public void enqueue(PendingRecord record, int urgency, Runnable onDurable) {
     if (onDurable != null) {
@@ -146,113 +167,137 @@
     queue.add(record, urgency, runtime.now());
   }
 
-  /** Queues one whole transaction; the leader key's condition is added. */
+  /**
+   * Queues a whole transaction.
+   *
+   * @param priority when the transaction is sent, relative to others and to records
+   * @param conditions the conditions of the transaction; the leader key's condition is added
+   * @param changes the changes to make if all conditions hold
+   * @param onReply called with the reply, unless the call was not executed and is repeated, or the
+   *     leader key has changed
+   */
   public void submit(
-      TransactionPriority turn,
-      List<Condition> when,
-      List<Change> apply,
-      CoreRuntime.ReplyHandler then) {
-    transactions.get(turn).add(new Transaction(turn, when, apply, then, runtime.now()));
+      TransactionPriority priority,
+      List<Condition> conditions,
+      List<Change> changes,
+      CoreRuntime.ReplyHandler onReply) {
+    transactions
+        .get(priority)
+        .add(new Transaction(priority, conditions, changes, onReply, runtime.now()));
   }
 
-  /** Removes records that no longer mean anything, when there is time for it. */
-  public void deleteLater(List<Condition> when, List<Change> drops) {
-    int most = Math.max(1, limits.get().txnOps());
-    for (int i = 0; i < drops.size(); i += most) {
-      List<Change> part = drops.subList(i, Math.min(drops.size(), i + most));
-      submit(TransactionPriority.BACKGROUND, when, part, (outcome, status, body) -> {});
+  /**
+   * Deletes obsolete records in background transactions, whose replies are ignored.
+   *
+   * @param conditions the conditions of every transaction
+   * @param deletions the deletions to make
+   */
+  public void deleteLater(List<Condition> conditions, List<Change> deletions) {
+    int maxChanges = Math.max(1, limits.get().txnOps());
+    for (int i = 0; i < deletions.size(); i += maxChanges) {
+      List<Change> changes = deletions.subList(i, Math.min(deletions.size(), i + maxChanges));
+      submit(TransactionPriority.BACKGROUND, conditions, changes, (outcome, status, body) -> {});
     }
   }
 
-  /** Takes a record out of the queue: its content is about to be removed. */
+  /**
+   * Removes a record from the queue and drops its actions, since its content is about to be
+   * deleted.
+   */
   public void cancelWrite(PendingRecord record) {
     queue.remove(record);
     record.clearDurableActions();
   }
 
-  /** Whether what is not deferrable is queueing up. */
+  /** Returns whether writes that are not deferrable wait for budget. */
   public boolean isBacklogged() {
     return transactions.get(TransactionPriority.NORMAL).size() > 1
         || (budget.available() < budget.reserved() && queue.hasUrgent());
   }
 
-  /** Changes a second that this term has made lately. */
+  /** Returns the recent write rate of this term in changes per second. */
   public double writeRate() {
     return budget.writeRate(runtime.now());
   }
 
-  /** How many records wait to be written. */
+  /** Returns the number of queued records. */
   public int queuedRecordCount() {
     return queue.size();
   }
 
-  /** Sends what the budget allows. */
+  /** Sends as many transactions as the budget allows. */
   public void flush() {
     long now = runtime.now();
     budget.refill(now);
-    while (budget.canSend(now) && host.hasAuthority() && sendOne()) {
-      // each pass sends one transaction
+    while (budget.canSend(now) && host.hasAuthority() && sendNext()) {
+      // each iteration sends one transaction
     }
   }
 
-  private boolean sendOne() {
+  private boolean sendNext() {
     Transaction first = transactions.get(TransactionPriority.IMMEDIATE).peek();
     if (first != null) {
       return send(first, 0);
     }
-    if (sendOverdueSpare()) {
+    if (sendOverdueBackground()) {
       return true;
     }
     Transaction next = transactions.get(TransactionPriority.NORMAL).peek();
     if (next != null) {
-      return sendInTurnWithRecords(next);
+      return alternateWithRecords(next);
     }
     if (sendRecords()) {
       return true;
     }
-    Transaction spare = transactions.get(TransactionPriority.BACKGROUND).peek();
-    return spare != null && send(spare, budget.reserved());
+    Transaction background = transactions.get(TransactionPriority.BACKGROUND).peek();
+    return background != null && send(background, budget.reserved());
   }
 
-  private boolean sendOverdueSpare() {
-    Transaction spare = transactions.get(TransactionPriority.BACKGROUND).peek();
+  private boolean sendOverdueBackground() {
+    Transaction background = transactions.get(TransactionPriority.BACKGROUND).peek();
     long now = runtime.now();
-    if (spare == null
-        || now - spare.queuedSinceMs <= MAX_SPARE_WAIT_MS
-        || now < nextOverdueSpareMs
-        || !send(spare, 0)) {
+    if (background == null
+        || now - background.queuedSinceMs <= MAX_BACKGROUND_WAIT_MS
+        || now < nextOverdueBackgroundAtMs
+        || !send(background, 0)) {
       return false;
     }
-    nextOverdueSpareMs = now + OVERDUE_SPARE_INTERVAL_MS;
+    nextOverdueBackgroundAtMs = now + OVERDUE_BACKGROUND_INTERVAL_MS;
     return true;
   }
 
   /**
-   * After an outage hundreds of jobs are over at once, and their transactions alone would keep
-   * every start waiting for seconds.
+   * Sends a whole transaction or a batch of records, in alternation. After an outage hundreds of
+   * jobs end at once, and sending their transactions first would delay every start for seconds.
    */
-  private boolean sendInTurnWithRecords(Transaction transaction) {
-    if (queue.hasUrgent() && recordsNext && sendRecords()) {
-      recordsNext = false;
+  private boolean alternateWithRecords(Transaction transaction) {
+    if (queue.hasUrgent() && isRecordBatchNext && sendRecords()) {
+      isRecordBatchNext = false;
       return true;
     }
     boolean sent = send(transaction, 0);
-    recordsNext |= sent;
+    isRecordBatchNext |= sent;
     return sent;
   }
 
-  /** Sends a whole transaction if that leaves so much of the budget to others. */
-  private boolean send(Transaction transaction, double reserve) {
+  /**
+   * Sends a whole transaction if the budget suffices. A transaction with more changes than the
+   * bucket holds is sent when the bucket is full.
+   *
+   * @param transaction the first transaction of its priority
+   * @param reserved number of changes that must remain in the budget
+   */
+  private boolean send(Transaction transaction, double reserved) {
     int cost = transaction.changes.size();
-    if (budget.available() - reserve < Math.min(cost, budget.rate() - reserve)) {
+    if (budget.available() - reserved < Math.min(cost, budget.rate() - reserved)) {
       return false;
     }
-    transactions.get(transaction.turn).poll();
+    transactions.get(transaction.priority).poll();
     budget.spend(cost, runtime.now());
     List<Condition> conditions = new ArrayList<>(transaction.conditions);
     conditions.add(0, leaderCondition());
     runtime.writeState(
-        conditions, transaction.changes, TIMEOUT_MS, reply -> settle(transaction, reply));
+        conditions, transaction.changes, TIMEOUT_MS, reply -> onReply(transaction, reply));
     return true;
   }
 
@@ -260,11 +305,11 @@
     return new Condition(StorageKeys.LEADER, host.token());
   }
 
-  private void settle(Transaction transaction, StateReply reply) {
+  private void onReply(Transaction transaction, StateReply reply) {
     budget.onCallEnded();
     if (reply.notExecuted()) {
       budget.pauseUntil(runtime.now() + PAUSE_AFTER_REFUSAL_MS);
-      transactions.get(transaction.turn).addFirst(transaction);
+      transactions.get(transaction.priority).addFirst(transaction);
     } else if (reply.failedKeys().contains(StorageKeys.LEADER)) {
       host.onLeaderKeyLost();
     } else {
--- a/src/main/java/org/snowturn/core/storage/StorageKeys.java
+++ b/src/main/java/org/snowturn/core/storage/StorageKeys.java
@@ -1,83 +1,100 @@
 package org.snowturn.core.storage;
 
 /**
- * The names of the stored records. Every value carries its format's version as {@code v}; readers
- * ignore fields they do not know.
+ * The keys of the stored records. A constant that ends in a slash is the prefix of a key range.
+ * Every value contains the version of its format in the field {@code v}; readers ignore unknown
+ * fields.
  */
 public final class StorageKeys {
-  /** The leader key: its version is the leader's fencing token. */
+  /** The key of the leader's record. Its version is the leader's fencing token. */
   public static final String LEADER = "l/leader";
 
+  /** The range that contains only the leader key. */
   public static final String LEADER_PREFIX = "l/";
 
-  /** Jobs that are not over. */
+  /** Live jobs: those that are not over. */
   public static final String JOBS = "j/";
 
-  /** Short records of jobs that are over. */
+  /** Short records of finished jobs. */
   public static final String FINISHED_JOBS = "d/";
 
-  /** Results and assignments of tasks in the first format. */
+  /** Results and assignments of tasks, in the first format. */
   public static final String FIRST_FORMAT_TASKS = "t/";
 
-  /** The machines that tasks may be on. */
+  /** Pages of the registry of machines that tasks may be on. */
   public static final String REGISTRY = "r/";
 
-  /** How often tasks of a job were restarted. */
+  /** Counts of task restarts, by job. */
   public static final String RESTARTS = "s/";
 
-  /** The first stored format. */
+  /** Version of the first stored format. */
   public static final int FIRST_FORMAT = 1;
 
-  /** The second stored format; the prefixes below came with it. */
+  /** Version of the second stored format, which introduced the prefixes below. */
   public static final int SECOND_FORMAT = 2;
 
-  /** What the nodes say of the stored formats. */
+  /** Records about the stored formats: the announcements of the nodes, and the gate. */
   public static final String FORMAT = "f/";
 
-  /** The nodes that read the second format, by name. */
+  /** Announcements of the nodes that can read the second format, by node name. */
   public static final String FORMAT_READERS = "f/n/";
 
-  /** Exists once all nodes read the second format. */
+  /** The format gate, which exists once all nodes can read the second format. */
   public static final String FORMAT_GATE = "f/gate";
 
-  /** Results and assignments of tasks in the second format. */
+  /** Results and assignments of tasks, in the second format. */
   public static final String SECOND_FORMAT_TASKS = "p/";
 
-  /** Submissions that are too long for a value. */
+  /** Chunks of submissions that are too long for a value. */
   public static final String SUBMISSION_CHUNKS = "x/";
 
-  /** How many on-demand machines the operators kept up when the first leader took office. */
+  /** Number of on-demand machines that operators were running when the first leader started. */
   public static final String EXTERNALLY_MANAGED_MACHINES = "o/standing";
 
   private StorageKeys() {}
 
-  /** A job that is not over. */
+  /** Returns the key of a live job. */
   public static String job(String id) {
     return JOBS + id;
   }
 
-  /** The short record of a job that is over. */
+  /** Returns the key of a finished job's short record. */
   public static String finishedJob(String id) {
     return FINISHED_JOBS + id;
   }
 
-  /** One record of tasks in the first format. */
-  public static String firstFormatTasks(String id, int chunk) {
-    return FIRST_FORMAT_TASKS + id + "/" + chunk;
+  /**
+   * Returns the key of a record of tasks in the first format.
+   *
+   * @param id the job's id
+   * @param record number of the record within the job
+   */
+  public static String firstFormatTasks(String id, int record) {
+    return FIRST_FORMAT_TASKS + id + "/" + record;
   }
 
-  /** One record of tasks in the second format. */
-  public static String secondFormatTasks(String id, int chunk) {
-    return SECOND_FORMAT_TASKS + id + "/" + chunk;
+  /**
+   * Returns the key of a record of tasks in the second format.
+   *
+   * @param id the job's id
+   * @param record number of the record within the job
+   */
+  public static String secondFormatTasks(String id, int record) {
+    return SECOND_FORMAT_TASKS + id + "/" + record;
   }
 
-  /** The count of restarts of one job. */
+  /** Returns the key of a job's count of task restarts. */
   public static String restarts(String id) {
     return RESTARTS + id;
   }
 
-  /** All parts of one submission of a job whose record is too long for a value. */
-  public static String submissionChunks(String id, String submission) {
-    return SUBMISSION_CHUNKS + id + "/" + submission + "/";
+  /**
+   * Returns the prefix of the chunks of one submission; a chunk's key ends in its number.
+   *
+   * @param id the job's id
+   * @param submissionHash the hash that names the chunks, from {@link JobRecord#hashSubmission}
+   */
+  public static String submissionChunks(String id, String submissionHash) {
+    return SUBMISSION_CHUNKS + id + "/" + submissionHash + "/";
   }
 }
--- a/src/main/java/org/snowturn/core/storage/TaskLayout.java
+++ b/src/main/java/org/snowturn/core/storage/TaskLayout.java
@@ -1,89 +1,123 @@
 package org.snowturn.core.storage;
 
 /**
- * Which tasks of a job share a stored record. In the first format a record holds {@code
- * tasksPerFirstRecord} tasks; in the second each of those is cut into equal pieces that a smaller
- * value can hold, so that a piece never lies in two records of the first format.
+ * The assignment of a job's tasks to stored records. A record of the first format holds {@link
+ * #tasksPerFirstRecord} consecutive tasks. In the second format these are divided into pieces of
+ * equal size that fit in a smaller value, and each piece is a record. A piece therefore never spans
+ * two records of the first format.
  *
- * @param taskCount how many tasks the job has
- * @param tasksPerFirstRecord how many of them a record of the first format holds
- * @param piecesPerFirstRecord into how many records each of those is cut
- * @param tasksPerPiece how many tasks a piece holds, except for the last one, which may hold fewer
+ * @param taskCount number of tasks in the job
+ * @param tasksPerFirstRecord number of tasks in a record of the first format
+ * @param piecesPerFirstRecord number of records that the tasks of a first-format record take; 1 in
+ *     the first format
+ * @param tasksPerPiece number of tasks in a piece; the last piece of a first-format record may hold
+ *     fewer
  */
 public record TaskLayout(
     int taskCount, int tasksPerFirstRecord, int piecesPerFirstRecord, int tasksPerPiece) {
-  /** An attempt's number is its leader's fencing token, shifted by so many bits, plus a count. */
+  /**
+   * Number of low bits in an attempt's number that count the leader's attempts. The bits above hold
+   * the leader's fencing token.
+   */
   public static final int ATTEMPT_COUNTER_BITS = 20;
 
-  /** An assignment in the second format, beside the machine's name: numbers and punctuation. */
+  /**
+   * Maximum size of an assignment in the second format without the machine's name: numbers and
+   * punctuation.
+   */
   private static final int ENTRY_BYTES = 28;
 
   /**
-   * Usual length of a machine's name; longer ones are provided for by {@link #entryCapacityBytes}.
+   * Usual length of a machine's name. A record takes fewer assignments if names are longer; see
+   * {@link #entryCapacityBytes}.
    */
   private static final int TYPICAL_NAME_BYTES = 8;
 
+  /** Size of a record without its assignments and results. */
   private static final int FIXED_BYTES = 80;
+
   private static final int MIN_TASKS_PER_RECORD = 4;
 
-  /** Room that a record always has beside one assignment. */
+  /**
+   * Room that a record always has for assignments in addition to {@link #ENTRY_BYTES}, so that at
+   * least one fits.
+   */
   private static final int MIN_SPARE_BYTES = 200;
 
-  /** Results are a bitmap in Base64: six tasks take a character. */
+  /** Results are a bit set in Base64, which encodes six bits in a character. */
   private static final int RESULTS_PER_BYTE = 6;
 
-  /** How many tasks share a record in the second format. */
+  /**
+   * Returns the maximum number of tasks that share a record in the second format.
+   *
+   * @param valueBytes maximum size of a value
+   */
   public static int tasksPerRecord(int valueBytes) {
     return Math.max(
         MIN_TASKS_PER_RECORD, (valueBytes - FIXED_BYTES) / (ENTRY_BYTES + TYPICAL_NAME_BYTES + 1));
   }
 
-  /** The most bytes that an assignment takes, with a machine's name of this length. */
+  /**
+   * Returns the maximum size in bytes of an assignment in the second format.
+   *
+   * @param nameBytes length of the machine's name
+   */
   public static int maxEntryBytes(int nameBytes) {
     return ENTRY_BYTES + nameBytes;
   }
 
-  /** How many bytes the assignments of one record may take together. */
-  public static int entryCapacityBytes(int valueBytes, int span) {
+  /**
+   * Returns the maximum total size in bytes of the assignments in a record of the second format.
+   *
+   * @param valueBytes maximum size of a value
+   * @param tasksPerRecord number of tasks in the record
+   */
+  public static int entryCapacityBytes(int valueBytes, int tasksPerRecord) {
     return Math.max(
-        ENTRY_BYTES + MIN_SPARE_BYTES, valueBytes - FIXED_BYTES - span / RESULTS_PER_BYTE);
+        ENTRY_BYTES + MIN_SPARE_BYTES,
+        valueBytes - FIXED_BYTES - tasksPerRecord / RESULTS_PER_BYTE);
   }
 
-  /** The layout of a job in the first format, with so many tasks to a record. */
-  public static TaskLayout firstFormat(int tasks, int first) {
-    return new TaskLayout(tasks, first, 1, first);
+  /** Returns the layout of a job in the first format. */
+  public static TaskLayout firstFormat(int taskCount, int tasksPerRecord) {
+    return new TaskLayout(taskCount, tasksPerRecord, 1, tasksPerRecord);
   }
 
-  /** The layout of a job in the second format. */
-  public static TaskLayout secondFormat(int tasks, TasksPerRecord spans) {
-    int pieces = (spans.firstFormat() + spans.secondFormat() - 1) / spans.secondFormat();
+  /** Returns the layout of a job in the second format. */
+  public static TaskLayout secondFormat(int taskCount, TasksPerRecord tasksPerRecord) {
+    int pieces =
+        (tasksPerRecord.firstFormat() + tasksPerRecord.secondFormat() - 1)
+            / tasksPerRecord.secondFormat();
     return new TaskLayout(
-        tasks, spans.firstFormat(), pieces, (spans.firstFormat() + pieces - 1) / pieces);
+        taskCount,
+        tasksPerRecord.firstFormat(),
+        pieces,
+        (tasksPerRecord.firstFormat() + pieces - 1) / pieces);
   }
 
-  /** How many records the job has. */
+  /** Returns the number of records of the job. */
   public int recordCount() {
     return taskCount == 0 ? 0 : recordOf(taskCount - 1) + 1;
   }
 
-  /** The record that holds a task. */
+  /** Returns the number of the record that holds a task. */
   public int recordOf(int task) {
     return task / tasksPerFirstRecord * piecesPerFirstRecord
         + task % tasksPerFirstRecord / tasksPerPiece;
   }
 
-  /** The first task of a record. */
+  /** Returns the first task of a record. */
   public int firstTask(int record) {
     return record / piecesPerFirstRecord * tasksPerFirstRecord
         + record % piecesPerFirstRecord * tasksPerPiece;
   }
 
-  /** One past the last task of a record. */
+  /** Returns the task after the last one of a record. */
   public int endTask(int record) {
-    int inPiece =
+    int tasksInPiece =
         record % piecesPerFirstRecord == piecesPerFirstRecord - 1
             ? tasksPerFirstRecord - record % piecesPerFirstRecord * tasksPerPiece
             : tasksPerPiece;
-    return Math.min(taskCount, firstTask(record) + inPiece);
+    return Math.min(taskCount, firstTask(record) + tasksInPiece);
   }
 }
--- a/src/main/java/org/snowturn/core/storage/TasksPerRecord.java
+++ b/src/main/java/org/snowturn/core/storage/TasksPerRecord.java
@@ -1,9 +1,9 @@
 package org.snowturn.core.storage;
 
 /**
- * How many tasks share a record.
+ * The number of tasks that share a stored record.
  *
- * @param firstFormat in the first format
- * @param secondFormat at most in the second format
+ * @param firstFormat number of tasks per record in the first format
+ * @param secondFormat maximum number of tasks per record in the second format
  */
 public record TasksPerRecord(int firstFormat, int secondFormat) {}
--- a/src/main/java/org/snowturn/core/storage/WriteBudget.java
+++ b/src/main/java/org/snowturn/core/storage/WriteBudget.java
@@ -6,18 +6,20 @@
 import org.snowturn.core.admission.RateMeter;
 
 /**
- * What the leader may send to the state service now: a token bucket of changes, filled at the
- * leader's share of the write rate, a bound on transactions in flight, and a pause after a failure.
+ * Limits the writes of the leader to the state service: a token bucket of changes that is refilled
+ * at the leader's share of the write rate, a maximum number of transactions in flight, and a pause
+ * after a failure.
  */
 final class WriteBudget {
-  /** The share of the budget that is reserved for records that are not deferrable. */
+  /** Share of the bucket that is reserved for records that are not deferrable. */
   private static final double RESERVED_SHARE = 0.4;
 
   private static final int MAX_IN_FLIGHT = 3;
   private static final long WRITE_RATE_WINDOW_MS = 3_000;
+  private static final double MS_PER_S = 1000.0;
 
   private final Supplier<StateLimits> limits;
-  private final DoubleUnaryOperator share;
+  private final DoubleUnaryOperator leaderWriteRate;
   private final RateMeter writeRate = new RateMeter(WRITE_RATE_WINDOW_MS);
   private double available;
   private long refilledAtMs;
@@ -25,81 +27,101 @@
   private int inFlight;
   private int maxBatchSize = Integer.MAX_VALUE;
 
-  /** Starts with a full bucket; see {@link RecordWriter} for the parameters. */
-  WriteBudget(Supplier<StateLimits> limits, DoubleUnaryOperator share, long nowMs) {
+  /**
+   * Creates a budget with a full bucket.
+   *
+   * @param limits supplies the state service's limits
+   * @param leaderWriteRate maps the write rate of all nodes to the leader's part of it; both in
+   *     changes per second
+   * @param nowMs current time
+   */
+  WriteBudget(Supplier<StateLimits> limits, DoubleUnaryOperator leaderWriteRate, long nowMs) {
     this.limits = limits;
-    this.share = share;
+    this.leaderWriteRate = leaderWriteRate;
     this.available = rate();
     this.refilledAtMs = nowMs;
   }
 
-  /** The changes a second that are the leader's: the rest is for the users of all nodes. */
+  /**
+   * Returns the leader's write rate in changes per second, which is also the size of the bucket.
+   * The rest of the state service's write rate is left to user requests on all nodes.
+   */
   double rate() {
-    return share.applyAsDouble(limits.get().writeRps());
+    return leaderWriteRate.applyAsDouble(limits.get().writeRps());
   }
 
-  /** The changes that only records that are not deferrable may use. */
+  /** Returns the number of changes that only records that are not deferrable may use. */
   double reserved() {
     return rate() * RESERVED_SHARE;
   }
 
+  /** Adds the changes for the time since the last refill. */
   void refill(long nowMs) {
     double rate = rate();
-    available = Math.min(rate, available + rate * (nowMs - refilledAtMs) / 1000.0);
+    available = Math.min(rate, available + rate * (nowMs - refilledAtMs) / MS_PER_S);
     refilledAtMs = nowMs;
   }
 
+  /** Returns the number of changes that may be sent now. */
   double available() {
     return available;
   }
 
-  /** The most changes that a transaction may make now. */
+  /** Returns the maximum number of changes in a transaction now. */
   int maxChanges() {
     return (int) Math.min(Math.min(limits.get().txnOps(), maxBatchSize), Math.floor(available));
   }
 
   /**
-   * The most records that a transaction may hold in all if some of them are deferrable. These leave
-   * the reserve alone, and wait until several can go together.
+   * Returns the maximum number of records in a transaction that contains deferrable ones.
+   * Deferrable records do not use the reserved changes, and wait until several can be sent
+   * together.
+   *
+   * @param queuedRecords number of records in the queue
    */
-  int maxChangesIfDeferrable(int queued) {
-    int left = (int) Math.floor(available - reserved());
-    int enough = Math.min(queued, Math.max(1, limits.get().txnOps() / 2));
-    return left < enough ? 0 : left;
+  int maxChangesIfDeferrable(int queuedRecords) {
+    int unreserved = (int) Math.floor(available - reserved());
+    int minBatchSize = Math.min(queuedRecords, Math.max(1, limits.get().txnOps() / 2));
+    return unreserved < minBatchSize ? 0 : unreserved;
   }
 
+  /** Returns whether a transaction may be sent now. */
   boolean canSend(long nowMs) {
     return inFlight < MAX_IN_FLIGHT && nowMs >= pausedUntilMs;
   }
 
-  /** A transaction leaves. */
+  /** Takes the changes of a transaction that is sent from the bucket. */
   void spend(int changes, long nowMs) {
     available -= changes;
     writeRate.add(changes, nowMs);
     inFlight++;
   }
 
-  /** The call of a transaction has ended, whatever its result. */
+  /** Handles the end of a transaction's call, successful or not. */
   void onCallEnded() {
     inFlight--;
   }
 
-  /** Sends nothing before this time. */
+  /** Prevents transactions from being sent before the given time. */
   void pauseUntil(long untilMs) {
     pausedUntilMs = untilMs;
   }
 
-  /** Groups at most so many records from now on; the state service refused a larger group. */
-  void limitBatchSize(int most) {
-    maxBatchSize = most;
+  /**
+   * Limits the size of batches after the state service has rejected a larger one.
+   *
+   * @param maxRecords maximum number of records in a transaction
+   */
+  void limitBatchSize(int maxRecords) {
+    maxBatchSize = maxRecords;
   }
 
-  /** Groups as many records as the limits allow. */
+  /** Removes the limit that {@link #limitBatchSize} has set. */
   void removeBatchSizeLimit() {
     maxBatchSize = Integer.MAX_VALUE;
   }
 
-  /** Changes a second that were made lately. */
+  /** Returns the recent write rate in changes per second. */
   double writeRate(long nowMs) {
     return writeRate.perSecond(nowMs);
   }
--- a/src/main/java/org/snowturn/core/storage/WriteQueue.java
+++ b/src/main/java/org/snowturn/core/storage/WriteQueue.java
@@ -6,21 +6,24 @@
 import java.util.TreeMap;
 
 /**
- * The records that wait to be written, by urgency and then in the order of their coming. A record
- * that waits too long behind more urgent ones becomes overdue and goes first: in a flood of one
- * urgency the ones below it would otherwise never be written.
+ * A queue of the records to write, ordered by urgency and then first in, first out. A record that
+ * waits too long behind more urgent ones becomes overdue and goes first; otherwise a steady stream
+ * of urgent records would starve the less urgent ones.
  */
 final class WriteQueue {
   private static final long MAX_WAIT_MS = 1_500;
   private static final long MAX_DEFERRABLE_WAIT_MS = 15_000;
 
-  /** At most one record in so many goes first because it is overdue. */
-  private static final int OVERDUE_INTERVAL = 5;
+  /** At most one in this many records is sent first because it is overdue. */
+  private static final int RECORDS_PER_OVERDUE = 5;
 
   private final TreeMap<Integer, LinkedHashMap<String, PendingRecord>> queues = new TreeMap<>();
   private int sentSinceOverdue;
 
-  /** Queues a record, or moves it forward if it is queued with less urgency. */
+  /**
+   * Queues a record, or moves it forward if it is queued with a greater urgency number. A record
+   * that moves keeps the time since when it is queued.
+   */
   void add(PendingRecord record, int urgency, long nowMs) {
     if (!record.isQueued() || urgency < record.urgency()) {
       long sinceMs = record.isQueued() ? record.queuedSinceMs() : nowMs;
@@ -30,6 +33,7 @@
     }
   }
 
+  /** Removes a record if it is queued. */
   void remove(PendingRecord record) {
     if (record.isQueued()) {
       LinkedHashMap<String, PendingRecord> queue = queues.get(record.urgency());
@@ -41,7 +45,7 @@
     }
   }
 
-  /** Whether a record waits that is not deferrable. */
+  /** Returns whether the queue contains a record that is not deferrable. */
   boolean hasUrgent() {
     return !queues.isEmpty() && queues.firstKey() < RecordWriter.DEFERRABLE_URGENCY;
   }
@@ -54,41 +58,48 @@
     return total;
   }
 
-  /** The records of each urgency, the most urgent first. */
+  /** Returns the queued records of each urgency, the most urgent first. */
   Collection<? extends Map<String, PendingRecord>> recordsByUrgency() {
     return queues.values();
   }
 
-  /** Counts records that were sent, to tell when an overdue one may go first again. */
-  void countSent(int count, boolean overdueFirst) {
-    sentSinceOverdue = overdueFirst ? 0 : sentSinceOverdue + count;
+  /**
+   * Counts records that were sent, which decides when an overdue record may go first again.
+   *
+   * @param count number of records that were sent
+   * @param isOverdueFirst whether the first of them was sent because it was overdue
+   */
+  void countSent(int count, boolean isOverdueFirst) {
+    sentSinceOverdue = isOverdueFirst ? 0 : sentSinceOverdue + count;
   }
 
   /**
-   * The record that exceeds its longest wait by the greatest factor; null if there is none, or if
-   * one went first only just now. The most urgent records wait for no others.
+   * Returns the record that exceeds its maximum wait by the greatest factor. The most urgent
+   * records are never overdue, since no others go before them.
+   *
+   * @return the record; null if none is overdue, or if an overdue one has been sent too recently
    */
   PendingRecord findOverdue(long nowMs) {
-    if (sentSinceOverdue < OVERDUE_INTERVAL - 1) {
+    if (sentSinceOverdue < RECORDS_PER_OVERDUE - 1) {
       return null;
     }
-    PendingRecord found = null;
-    double longest = 1;
-    boolean mostUrgent = true;
+    PendingRecord mostOverdue = null;
+    double greatestFactor = 1;
+    boolean isMostUrgent = true;
     for (var queue : queues.entrySet()) {
       PendingRecord head = firstSendable(queue.getValue().values());
-      if (!mostUrgent && head != null) {
+      if (!isMostUrgent && head != null) {
         boolean deferrable = queue.getKey() >= RecordWriter.DEFERRABLE_URGENCY;
         double maxWaitMs = deferrable ? MAX_DEFERRABLE_WAIT_MS : MAX_WAIT_MS;
-        double waited = (nowMs - head.queuedSinceMs()) / maxWaitMs;
-        if (waited > longest) {
-          longest = waited;
-          found = head;
+        double factor = (nowMs - head.queuedSinceMs()) / maxWaitMs;
+        if (factor > greatestFactor) {
+          greatestFactor = factor;
+          mostOverdue = head;
         }
       }
-      mostUrgent = false;
+      isMostUrgent = false;
     }
-    return found;
+    return mostOverdue;
   }
 
   private static PendingRecord firstSendable(Collection<PendingRecord> records) {
