--- a/src/main/java/org/snowturn/core/storage/JobLookup.java
+++ b/src/main/java/org/snowturn/core/storage/JobLookup.java
@@ -47,9 +47,9 @@
    */
   public record StoredJob(boolean isLive, JobStatus.Phase phase, boolean isService) {
     private static StoredJob of(StateMessage.Entry entry) {
-      boolean live = entry.key().startsWith(StorageKeys.JOBS);
+      boolean isLive = entry.key().startsWith(StorageKeys.JOBS);
       return new StoredJob(
-          live, JobRecord.phaseOf(entry.value()), JobRecord.isService(entry.value()));
+          isLive, JobRecord.phaseOf(entry.value()), JobRecord.isService(entry.value()));
     }
   }
 
--- a/src/main/java/org/snowturn/core/storage/JobRecord.java
+++ b/src/main/java/org/snowturn/core/storage/JobRecord.java
@@ -43,11 +43,10 @@
   private static final String SPEC = "s";
   private static final String SERVICE = "service";
   private static final String TASKS = "n";
-
   private static final String SUBMISSION_HASH = "x";
   private static final String CHUNK_COUNT = "k";
 
-  /** Field of a chunk's value, as opposed to a job's record. */
+  /** Field of a chunk's value; a job's record uses the same key for the submission's hash. */
   private static final String CHUNK_TEXT = "x";
 
   /** Size of a chunk's value without its text. */
--- a/src/main/java/org/snowturn/core/storage/RangeReader.java
+++ b/src/main/java/org/snowturn/core/storage/RangeReader.java
@@ -29,7 +29,7 @@
   /**
    * Creates a reader for a leader's term.
    *
-   * @param shouldStop stops the retries of failed reads once it returns true
+   * @param shouldStop supplies whether to stop retrying failed reads
    */
   public RangeReader(CoreRuntime runtime, BooleanSupplier shouldStop) {
     this(runtime, RequestClass.WORK, shouldStop);
@@ -39,7 +39,7 @@
    * Creates a reader.
    *
    * @param purpose the class that the reads are budgeted under
-   * @param shouldStop stops the retries of failed reads once it returns true
+   * @param shouldStop supplies whether to stop retrying failed reads
    */
   public RangeReader(CoreRuntime runtime, RequestClass purpose, BooleanSupplier shouldStop) {
     this.purpose = purpose;
--- a/src/main/java/org/snowturn/core/storage/RecordBatch.java
+++ b/src/main/java/org/snowturn/core/storage/RecordBatch.java
@@ -20,6 +20,7 @@
   /** Estimated size of a change without its value: the key, its version, and its guard. */
   private static final int CHANGE_OVERHEAD_BYTES = 250;
 
+  /** Estimated size of the deletion of a record. */
   private static final int DELETION_BYTES = 50;
 
   /**
@@ -57,8 +58,8 @@
     }
     for (var records : queue.recordsByUrgency()) {
       for (PendingRecord record : records.values()) {
-        boolean deferrable = record.urgency() >= RecordWriter.DEFERRABLE_URGENCY;
-        int max = deferrable ? Math.min(maxRecords, maxIfDeferrable) : maxRecords;
+        boolean isDeferrable = record.urgency() >= RecordWriter.DEFERRABLE_URGENCY;
+        int max = isDeferrable ? Math.min(maxRecords, maxIfDeferrable) : maxRecords;
         if (batch.size() >= max || batch.bytes > MAX_BYTES) {
           return batch;
         }
@@ -93,8 +94,8 @@
       PendingRecord record = records.get(i);
       int urgency = record.urgency();
       queue.remove(record);
-      boolean deletion = changes.get(i).value() == null;
-      writes.add(new Write(record, urgency, deletion, record.beginWrite()));
+      boolean isDeletion = changes.get(i).value() == null;
+      writes.add(new Write(record, urgency, isDeletion, record.beginWrite()));
     }
   }
 
--- a/src/main/java/org/snowturn/core/storage/RecordWriter.java
+++ b/src/main/java/org/snowturn/core/storage/RecordWriter.java
@@ -41,13 +41,14 @@
    */
   private static final long MAX_BACKGROUND_WAIT_MS = 10_000;
 
+  /** Minimum time between two background transactions that use the reserved budget. */
   private static final long OVERDUE_BACKGROUND_INTERVAL_MS = 2_000;
 
   /** The priority of a transaction that is submitted as a whole. */
   public enum TransactionPriority {
     /** Sent before everything else, since a user was promised its effect soon. */
     IMMEDIATE,
-    /** Sent before all records, but in alternation with those that are not deferrable. */
+    /** Sent before records, except that it alternates with those that are not deferrable. */
     NORMAL,
     /** Sent after all records, with budget that is not reserved for records. */
     BACKGROUND
@@ -61,7 +62,7 @@
       CoreRuntime.ReplyHandler onReply,
       long queuedSinceMs) {}
 
-  /** The leader's term, as the writer needs it, and callbacks to the leader. */
+  /** The writer's view of the leader's term, and its callbacks to the leader. */
   public interface Host {
     /** Returns whether this node may act as the leader now. */
     boolean hasAuthority();
@@ -109,7 +110,7 @@
    * @param runtime the runtime that makes the calls
    * @param host the leader
    * @param limits supplies the state service's limits, which may become smaller at any time
-   * @param leaderWriteRate maps the write rate of all nodes to the current part of this leader;
+   * @param leaderWriteRate maps the state service's write rate to this leader's current part of it;
    *     both in changes per second
    */
   public RecordWriter(
@@ -147,7 +148,7 @@
     return records.computeIfAbsent(key, k -> new PendingRecord(k, version, content, guard));
   }
 
-  /** Removes a record, which is not written any more. */
+  /** Removes a record, so that it is no longer written. */
   public void remove(PendingRecord record) {
     queue.remove(record);
     records.remove(record.key());
@@ -275,9 +276,9 @@
       isRecordBatchNext = false;
       return true;
     }
-    boolean sent = send(transaction, 0);
-    isRecordBatchNext |= sent;
-    return sent;
+    boolean isSent = send(transaction, 0);
+    isRecordBatchNext |= isSent;
+    return isSent;
   }
 
   /**
--- a/src/main/java/org/snowturn/core/storage/StorageKeys.java
+++ b/src/main/java/org/snowturn/core/storage/StorageKeys.java
@@ -12,10 +12,10 @@
   /** The range that contains only the leader key. */
   public static final String LEADER_PREFIX = "l/";
 
-  /** Live jobs: those that are not over. */
+  /** Records of live jobs, which are not over yet. */
   public static final String JOBS = "j/";
 
-  /** Short records of finished jobs. */
+  /** Short records of finished jobs, which are over. */
   public static final String FINISHED_JOBS = "d/";
 
   /** Results and assignments of tasks, in the first format. */
--- a/src/main/java/org/snowturn/core/storage/WriteBudget.java
+++ b/src/main/java/org/snowturn/core/storage/WriteBudget.java
@@ -31,7 +31,7 @@
    * Creates a budget with a full bucket.
    *
    * @param limits supplies the state service's limits
-   * @param leaderWriteRate maps the write rate of all nodes to the leader's part of it; both in
+   * @param leaderWriteRate maps the state service's write rate to the leader's part of it; both in
    *     changes per second
    * @param nowMs current time
    */
@@ -90,7 +90,7 @@
     return inFlight < MAX_IN_FLIGHT && nowMs >= pausedUntilMs;
   }
 
-  /** Takes the changes of a transaction that is sent from the bucket. */
+  /** Removes the changes of a transaction from the bucket when it is sent. */
   void spend(int changes, long nowMs) {
     available -= changes;
     writeRate.add(changes, nowMs);
--- a/src/main/java/org/snowturn/core/storage/WriteQueue.java
+++ b/src/main/java/org/snowturn/core/storage/WriteQueue.java
@@ -22,7 +22,7 @@
 
   /**
    * Queues a record, or moves it forward if it is queued with a greater urgency number. A record
-   * that moves keeps the time since when it is queued.
+   * that moves keeps its waiting time.
    */
   void add(PendingRecord record, int urgency, long nowMs) {
     if (!record.isQueued() || urgency < record.urgency()) {
@@ -89,8 +89,8 @@
     for (var queue : queues.entrySet()) {
       PendingRecord head = firstSendable(queue.getValue().values());
       if (!isMostUrgent && head != null) {
-        boolean deferrable = queue.getKey() >= RecordWriter.DEFERRABLE_URGENCY;
-        double maxWaitMs = deferrable ? MAX_DEFERRABLE_WAIT_MS : MAX_WAIT_MS;
+        boolean isDeferrable = queue.getKey() >= RecordWriter.DEFERRABLE_URGENCY;
+        double maxWaitMs = isDeferrable ? MAX_DEFERRABLE_WAIT_MS : MAX_WAIT_MS;
         double factor = (nowMs - head.queuedSinceMs()) / maxWaitMs;
         if (factor > greatestFactor) {
           greatestFactor = factor;
