--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -202,7 +202,7 @@
   /** Returns the gauges of this node, by metric name. */
   public Map<String, Double> gauges() {
     Map<String, Double> gauges = new HashMap<>();
-    gauges.put("snowturn.format.gate", formatGate.open() ? 1.0 : 0.0);
+    gauges.put("snowturn.format.gate", formatGate.isOpen() ? 1.0 : 0.0);
     gauges.put("snowturn.state.requests.relayed", (double) stateRequestRelay.relayedRequests());
     gauges.putAll(connectivity.gauges());
     gauges.putAll(watermark.gauges());
--- a/src/main/java/org/snowturn/core/api/ChunkedSubmission.java
+++ b/src/main/java/org/snowturn/core/api/ChunkedSubmission.java
@@ -64,7 +64,7 @@
     this.job = job;
     this.chunks = chunks;
     this.listener = listener;
-    this.keyPrefix = StorageKeys.submissionParts(spec.id(), job.submission());
+    this.keyPrefix = StorageKeys.submissionChunks(spec.id(), job.submissionHash());
   }
 
   /** Reads which chunks earlier tries have stored, and writes the others. */
@@ -108,7 +108,7 @@
     BitSet written = nextChunks();
     services.admission().charge(written.cardinality(), runtime.now());
     if (written.isEmpty()) {
-      listener.onStored(job.live(), firstChunkUnchanged);
+      listener.onStored(job.liveJson(), firstChunkUnchanged);
       return;
     }
     List<Condition> conditions = new ArrayList<>(JobSubmission.newJobConditions(spec.id()));
--- a/src/main/java/org/snowturn/core/api/JobStatusReader.java
+++ b/src/main/java/org/snowturn/core/api/JobStatusReader.java
@@ -88,7 +88,7 @@
           if (live == null) {
             readFinalRecord(exchange, id, () -> onStatus.accept(null), onStatus);
           } else if (!JobRecord.phaseOf(live.value()).terminal()
-              && mayHaveCancelledDependency(JobRecord.awaits(live.value()))) {
+              && mayHaveCancelledDependency(JobRecord.dependencies(live.value()))) {
             responses.refuse(exchange);
           } else {
             onStatus.accept(statuses.ofRecord(id, live.value()));
--- a/src/main/java/org/snowturn/core/api/JobSubmission.java
+++ b/src/main/java/org/snowturn/core/api/JobSubmission.java
@@ -67,7 +67,7 @@
       reject(exchange, spec, rejection);
     } else if (spec.dependencies().isEmpty()) {
       admitAndWrite(exchange, spec);
-    } else if (!services.formatGate().open()) {
+    } else if (!services.formatGate().isOpen()) {
       // A node of the previous version would start the job without waiting for its dependencies.
       answerIfKnown(exchange, spec);
     } else {
@@ -120,7 +120,7 @@
         uncached,
         DEPENDENCY_LOOKUP_TIMEOUT_MS,
         (found, isComplete) -> {
-          found.forEach((id, storedJob) -> isServiceByJob.put(id, storedJob.service()));
+          found.forEach((id, storedJob) -> isServiceByJob.put(id, storedJob.isService()));
           statuses.addAccepted(isServiceByJob);
           if (isComplete) {
             writeOrReject(
@@ -149,14 +149,14 @@
     }
     JobRecord job = new JobRecord(JobStatus.Phase.QUEUED, runtime.wallMs(), spec);
     int maxBytes = services.formatGate().limits().valueBytes();
-    ObjectNode record = job.live();
-    if (!services.formatGate().open() || Json.bytes(record).length <= maxBytes) {
+    ObjectNode record = job.liveJson();
+    if (!services.formatGate().isOpen() || Json.bytes(record).length <= maxBytes) {
       writeRecord(exchange, spec, record, List.of());
       return;
     }
     String text = Json.text(spec.toJson());
     List<ObjectNode> chunks = JobRecord.split(text, maxBytes);
-    JobRecord chunked = job.inParts(JobRecord.submissionName(text, maxBytes), chunks.size());
+    JobRecord chunked = job.toChunked(JobRecord.hashSubmission(text, maxBytes), chunks.size());
     new ChunkedSubmission(runtime, services, spec, chunked, chunks, chunkListener(exchange, spec))
         .start();
   }
--- a/src/main/java/org/snowturn/core/api/LiveJobCache.java
+++ b/src/main/java/org/snowturn/core/api/LiveJobCache.java
@@ -79,7 +79,7 @@
   private final long minRequestIntervalMs;
   private final long validationIntervalMs;
   private final LiveJobs jobs =
-      new LiveJobs(StorageKeys.JOBS, LiveJobCache::isCancelled, JobRecord::awaits);
+      new LiveJobs(StorageKeys.JOBS, LiveJobCache::isCancelled, JobRecord::dependencies);
   private final Backoff backoff;
   private ArrayDeque<Waiter> waiters = new ArrayDeque<>();
   private boolean isRequestOpen;
@@ -235,7 +235,7 @@
             StorageKeys.JOBS,
             range -> {
               isRequestOpen = false;
-              jobs.load(range.entries(), range.epoch());
+              jobs.load(range.entries(), range.oldestRevision());
               range.entries().forEach(this::notifyIfCancelled);
               listener.onUpToDate(sentAt);
               backoff.reset();
--- a/src/main/java/org/snowturn/core/assignment/JobCompletion.java
+++ b/src/main/java/org/snowturn/core/assignment/JobCompletion.java
@@ -50,7 +50,7 @@
       return;
     }
     for (PendingRecord record : job.taskRecords()) {
-      if (record != null && record.inFlight()) {
+      if (record != null && record.isInFlight()) {
         return; // retried once that write has completed
       }
     }
@@ -60,7 +60,7 @@
     List<Change> changes = finalRecordChanges(job, phase);
     List<Change> deletes = cleanupDeletes(job);
     // When many jobs finish together, the deletes are deferred so that other writes come first.
-    int maxDeletes = writer.backlogged() ? 0 : gate.limits().txnOps() - changes.size();
+    int maxDeletes = writer.isBacklogged() ? 0 : gate.limits().txnOps() - changes.size();
     int included = Math.min(deletes.size(), Math.max(0, maxDeletes));
     changes.addAll(deletes.subList(0, included));
     write(job, phase, changes, deletes.subList(included, deletes.size()));
@@ -74,7 +74,7 @@
   private static List<Change> finalRecordChanges(Job job, JobStatus.Phase phase) {
     String id = job.spec.id();
     List<Change> changes = new ArrayList<>();
-    changes.add(Change.put(StorageKeys.finishedJob(id), JobRecord.over(phase, job.spec)));
+    changes.add(Change.put(StorageKeys.finishedJob(id), JobRecord.finishedJson(phase, job.spec)));
     changes.add(Change.delete(StorageKeys.job(id)));
     if (job.restarts() > 0) {
       changes.add(Change.delete(StorageKeys.restarts(id)));
@@ -85,11 +85,11 @@
   /** Returns the deletes of the job's chunks and task records, which may be executed later. */
   private List<Change> cleanupDeletes(Job job) {
     List<Change> deletes = new ArrayList<>();
-    JobRecord.partKeys(job.spec.id(), job.submission(), job.chunkCount())
+    JobRecord.chunkKeys(job.spec.id(), job.submission(), job.chunkCount())
         .forEach(key -> deletes.add(Change.delete(key)));
     for (PendingRecord record : job.taskRecords()) {
       if (record != null) {
-        writer.cancel(record);
+        writer.cancelWrite(record);
         addDeleteIfStored(record, deletes);
       }
     }
@@ -127,7 +127,7 @@
   }
 
   private static void addDeleteIfStored(PendingRecord record, List<Change> deletes) {
-    if (record.stored()) {
+    if (record.isStored()) {
       deletes.add(Change.delete(record.key()));
     }
   }
--- a/src/main/java/org/snowturn/core/assignment/JobRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/JobRegistry.java
@@ -110,7 +110,7 @@
       quarantinedJobs.remove(id); // the job is cancelled, so its tasks may be stopped
     }
     Job job = jobs.get(id);
-    if (job == null && stored.needsParts()) {
+    if (job == null && stored.needsChunks()) {
       chunks.read(id, stored, version, texts -> addChunked(id, stored, version, texts));
       return;
     }
@@ -126,13 +126,13 @@
   private Job create(String id, JobRecord stored) {
     chunks.cancelRead(id);
     int zones = Math.max(machines.zoneCount(), 1);
-    Job job = new Job(jobsByIndex.size(), stored.spec(), stored.submittedWall(), zones);
-    job.setSubmission(stored.submission());
-    job.setChunkCount(stored.parts());
-    if (gate.open()) {
-      job.useSecondFormat(gate.recordSizes(), gate.limits().valueBytes(), machines);
+    Job job = new Job(jobsByIndex.size(), stored.spec(), stored.submittedWallMs(), zones);
+    job.setSubmission(stored.submissionHash());
+    job.setChunkCount(stored.chunkCount());
+    if (gate.isOpen()) {
+      job.useSecondFormat(gate.tasksPerRecord(), gate.limits().valueBytes(), machines);
     } else {
-      job.useFirstFormat(gate.recordSizes().first());
+      job.useFirstFormat(gate.tasksPerRecord().firstFormat());
     }
     jobsByIndex.add(job);
     jobs.put(id, job);
@@ -149,7 +149,7 @@
    */
   public void addChunked(String id, JobRecord stored, long version, Map<String, String> texts) {
     try {
-      add(id, stored.withParts(id, texts), version);
+      add(id, stored.joinChunks(id, texts), version);
     } catch (MalformedException e) {
       runtime
           .events()
@@ -212,10 +212,10 @@
     assignments.requeueAll(job);
     for (PendingRecord record : job.taskRecords()) {
       if (record != null) {
-        writer.forget(record);
+        writer.remove(record);
       }
     }
-    job.firstFormatRecords().forEach(writer::forget);
+    job.firstFormatRecords().forEach(writer::remove);
     jobsByIndex.set(job.index, null);
     assignments.markChanged();
   }
--- a/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
@@ -100,7 +100,7 @@
 
   /** Returns the number of machines, from the first one on, that fit on one page. */
   private int fittingCount(List<Machine> candidates) {
-    if (!gate.open()) {
+    if (!gate.isOpen()) {
       return Math.max(1, (maxBytes() - FIRST_FORMAT_NAMES_BYTES) / FIRST_FORMAT_ENTRY_BYTES);
     }
     double remainingBytes = maxBytes() * SECOND_FORMAT_MACHINES_SHARE;
@@ -130,7 +130,7 @@
       int next = pages.size();
       pages.add(
           new Page(
-              writer.pendingRecord(
+              writer.getOrAddRecord(
                   StorageKeys.REGISTRY + next, 0, () -> content(pages.get(next)), () -> null)));
     }
     return pages.get(number);
@@ -152,7 +152,7 @@
   }
 
   private ObjectNode content(Page page, int maxImages) {
-    return gate.open() ? secondFormat(page, maxImages) : firstFormat(page, maxImages);
+    return gate.isOpen() ? secondFormat(page, maxImages) : firstFormat(page, maxImages);
   }
 
   private ObjectNode firstFormat(Page page, int maxImages) {
@@ -346,7 +346,7 @@
    */
   private boolean split(Page page) {
     int fitting = fittingCount(page.machines);
-    if (!gate.open() || page.machines.size() <= fitting) {
+    if (!gate.isOpen() || page.machines.size() <= fitting) {
       return false;
     }
     page.splitting = true;
--- a/src/main/java/org/snowturn/core/assignment/SubmissionChunks.java
+++ b/src/main/java/org/snowturn/core/assignment/SubmissionChunks.java
@@ -49,11 +49,11 @@
     pendingReads.put(id, version);
     new RangeReader(runtime, () -> false)
         .read(
-            StorageKeys.submissionParts(id, stored.submission()),
+            StorageKeys.submissionChunks(id, stored.submissionHash()),
             range -> {
               // The entry is gone if the job was cancelled or ended in the meantime.
               if (pendingReads.remove(id, version)) {
-                onTexts.accept(JobRecord.texts(range.entries()));
+                onTexts.accept(JobRecord.chunkTexts(range.entries()));
               }
             });
   }
@@ -86,8 +86,8 @@
   private void deleteSubmission(String prefix, List<StateMessage.Entry> entries) {
     String id =
         prefix.substring(
-            StorageKeys.SUBMISSION_PARTS.length(),
-            prefix.indexOf('/', StorageKeys.SUBMISSION_PARTS.length()));
+            StorageKeys.SUBMISSION_CHUNKS.length(),
+            prefix.indexOf('/', StorageKeys.SUBMISSION_CHUNKS.length()));
     String firstKey = prefix + "0";
     long firstVersion = 0;
     for (StateMessage.Entry entry : entries) {
--- a/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
@@ -121,10 +121,10 @@
       String id = job.spec.id();
       job.setTaskRecord(
           index,
-          writer.pendingRecord(
+          writer.getOrAddRecord(
               job.isSecondFormat()
                   ? StorageKeys.secondFormatTasks(id, index)
-                  : StorageKeys.tasks(id, index),
+                  : StorageKeys.firstFormatTasks(id, index),
               0,
               () -> job.taskRecordJson(index, machines),
               () -> new Condition(StorageKeys.job(id), job.version())));
@@ -250,7 +250,7 @@
 
   /** Returns an attempt number that was never used before by any leader. */
   public long newAttempt() {
-    return (guard.token() << TaskLayout.ATTEMPT_BITS) + ++attemptCount;
+    return (guard.token() << TaskLayout.ATTEMPT_COUNTER_BITS) + ++attemptCount;
   }
 
   /** Assigns a pending task to a machine. Its start is sent once the placement is durable. */
@@ -372,7 +372,7 @@
           continue;
         }
         job.failures.backOff(runtime.now() + REJECTED_RECORD_BACKOFF_MS);
-        for (int task = job.layout().from(index); task < job.layout().to(index); task++) {
+        for (int task = job.layout().firstTask(index); task < job.layout().endTask(index); task++) {
           if (job.stateOf(task) == TaskState.PLACING) {
             release(job, task, new EndEvidence.NeverSent());
           }
--- a/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
@@ -58,7 +58,7 @@
       return;
     }
     assignments.taskRecord(job, index).setVersion(version);
-    load(job, value, job.layout().from(index), job.isSecondFormat(), task -> true);
+    load(job, value, job.layout().firstTask(index), job.isSecondFormat(), task -> true);
   }
 
   /**
@@ -71,17 +71,17 @@
    */
   void loadFirstFormatRecord(Job job, int index, JsonNode value, long version) {
     PendingRecord record =
-        writer.pendingRecord(
-            StorageKeys.tasks(job.spec.id(), index), version, () -> null, () -> null);
+        writer.getOrAddRecord(
+            StorageKeys.firstFormatTasks(job.spec.id(), index), version, () -> null, () -> null);
     job.firstFormatRecords().add(record);
     load(
         job,
         value,
-        index * gate.recordSizes().first(),
+        index * gate.tasksPerRecord().firstFormat(),
         false,
         task -> {
           PendingRecord newer = job.taskRecord(job.layout().recordOf(task));
-          return newer == null || !newer.stored();
+          return newer == null || !newer.isStored();
         });
   }
 
@@ -148,7 +148,7 @@
       }
       boolean isWriting = job.isFinishing();
       for (PendingRecord record : job.taskRecords()) {
-        isWriting |= record != null && record.inFlight();
+        isWriting |= record != null && record.isInFlight();
       }
       hasUnmigrated |= isWriting;
       if (!isWriting) {
@@ -160,17 +160,17 @@
 
   private void useSecondFormat(Job job) {
     PendingRecord[] firstFormatRecords = job.taskRecords();
-    job.useSecondFormat(gate.recordSizes(), gate.limits().valueBytes(), machines);
+    job.useSecondFormat(gate.tasksPerRecord(), gate.limits().valueBytes(), machines);
     for (int index = 0; index < firstFormatRecords.length; index++) {
-      if (firstFormatRecords[index] == null || !firstFormatRecords[index].queued()) {
+      if (firstFormatRecords[index] == null || !firstFormatRecords[index].isQueued()) {
         continue;
       }
       // Actions that waited for the old record now wait for all records that replace it.
       int urgency = firstFormatRecords[index].urgency();
       List<Runnable> actions = firstFormatRecords[index].durableActions();
-      writer.cancel(firstFormatRecords[index]);
-      int first = index * job.layout().pieces();
-      int end = Math.min(first + job.layout().pieces(), job.taskRecords().length);
+      writer.cancelWrite(firstFormatRecords[index]);
+      int first = index * job.layout().piecesPerFirstRecord();
+      int end = Math.min(first + job.layout().piecesPerFirstRecord(), job.taskRecords().length);
       int[] pendingCount = {end - first};
       for (int piece = first; piece < end; piece++) {
         writer.enqueue(
--- a/src/main/java/org/snowturn/core/leader/JobWatch.java
+++ b/src/main/java/org/snowturn/core/leader/JobWatch.java
@@ -100,7 +100,7 @@
                 return;
               }
               isRequestInFlight = false;
-              nextRevision = range.epoch();
+              nextRevision = range.oldestRevision();
               range.entries().forEach(this::applyEntry);
             });
   }
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -141,7 +141,7 @@
   }
 
   private void sweep() {
-    if (shared.formatGate().open() && !isFormatMigrated) {
+    if (shared.formatGate().isOpen() && !isFormatMigrated) {
       isFormatMigrated = !assignments.useSecondFormat();
     }
     String resignReason = healthSweep.sweep();
@@ -210,7 +210,7 @@
   }
 
   @Override
-  public boolean over() {
+  public boolean isTermOver() {
     return term.hasEnded();
   }
 
@@ -220,19 +220,19 @@
   }
 
   @Override
-  public void leaderKeyLost() {
+  public void onLeaderKeyLost() {
     term.onLeaderKeyLost();
   }
 
   @Override
-  public void guardFailed(String key) {
+  public void onGuardFailed(String key) {
     if (key.startsWith(StorageKeys.JOBS)) {
       assignments.registry().reread(key.substring(StorageKeys.JOBS.length()));
     }
   }
 
   @Override
-  public void recordRejected(String key) {
+  public void onRecordRejected(String key) {
     assignments.onPlacementRejected(key);
   }
 
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
@@ -74,7 +74,7 @@
     loadJobs(records);
     List<StateMessage.Change> orphans = new ArrayList<>();
     loadTasks(records.secondFormatTasks(), StorageKeys.SECOND_FORMAT_TASKS, orphans);
-    loadTasks(records.firstFormatTasks(), StorageKeys.TASKS, orphans);
+    loadTasks(records.firstFormatTasks(), StorageKeys.FIRST_FORMAT_TASKS, orphans);
     quarantinedJobs.forEach(assignments.registry()::quarantine);
     for (StateMessage.Entry entry : records.restartRecords().entries()) {
       String job = entry.key().substring(StorageKeys.RESTARTS.length());
@@ -120,7 +120,7 @@
    */
   private void loadJobs(StoredRecords records) {
     List<StateMessage.Entry> chunks = records.submissionChunks().entries();
-    Map<String, String> chunkTexts = JobRecord.texts(chunks);
+    Map<String, String> chunkTexts = JobRecord.chunkTexts(chunks);
     Set<String> usedChunkKeys = new HashSet<>();
     for (StateMessage.Entry entry : records.jobs().entries()) {
       String id = entry.key().substring(StorageKeys.JOBS.length());
@@ -131,7 +131,7 @@
       boolean isLoaded = tryLoad(entry, () -> loadJob(id, entry, chunkTexts, usedChunkKeys));
       if (!isLoaded && !isAborted) {
         quarantinedJobs.add(id);
-        String prefix = StorageKeys.SUBMISSION_PARTS + id + "/";
+        String prefix = StorageKeys.SUBMISSION_CHUNKS + id + "/";
         chunks.stream()
             .map(StateMessage.Entry::key)
             .filter(key -> key.startsWith(prefix))
@@ -148,9 +148,9 @@
       Set<String> usedChunkKeys)
       throws MalformedException {
     JobRecord stored = JobRecord.parse(entry.value());
-    List<String> chunkKeys = JobRecord.partKeys(id, stored.submission(), stored.parts());
+    List<String> chunkKeys = JobRecord.chunkKeys(id, stored.submissionHash(), stored.chunkCount());
     usedChunkKeys.addAll(chunkKeys);
-    if (stored.needsParts() && chunkTexts.keySet().containsAll(chunkKeys)) {
+    if (stored.needsChunks() && chunkTexts.keySet().containsAll(chunkKeys)) {
       assignments.registry().addChunked(id, stored, entry.version(), chunkTexts);
     } else {
       assignments.registry().add(id, stored, entry.version());
@@ -158,7 +158,7 @@
   }
 
   private void loadTasks(Range range, String prefix, List<StateMessage.Change> orphans) {
-    boolean isOlderFormat = shared.formatGate().open() && prefix.equals(StorageKeys.TASKS);
+    boolean isOlderFormat = shared.formatGate().isOpen() && prefix.equals(StorageKeys.FIRST_FORMAT_TASKS);
     for (StateMessage.Entry entry : range.entries()) {
       String keySuffix = entry.key().substring(prefix.length());
       int slash = keySuffix.lastIndexOf('/');
--- a/src/main/java/org/snowturn/core/model/Job.java
+++ b/src/main/java/org/snowturn/core/model/Job.java
@@ -9,7 +9,7 @@
 import org.snowturn.core.MonotonicTime;
 import org.snowturn.core.storage.JobRecord;
 import org.snowturn.core.storage.PendingRecord;
-import org.snowturn.core.storage.RecordSizes;
+import org.snowturn.core.storage.TasksPerRecord;
 import org.snowturn.core.storage.TaskLayout;
 import org.snowturn.wire.JobSpec;
 import org.snowturn.wire.JobStatus;
@@ -156,7 +156,7 @@
    * @param valueBytes the maximum size of a stored value in bytes
    * @param machines the machines that tasks are assigned to
    */
-  public void useSecondFormat(RecordSizes recordSizes, int valueBytes, MachineIndex machines) {
+  public void useSecondFormat(TasksPerRecord recordSizes, int valueBytes, MachineIndex machines) {
     records.useSecondFormat(recordSizes, valueBytes);
     for (int task = 0; task < tasks.size(); task++) {
       if (isAssigned(task)) {
--- a/src/main/java/org/snowturn/core/model/JobTaskRecords.java
+++ b/src/main/java/org/snowturn/core/model/JobTaskRecords.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Objects;
 import org.snowturn.core.storage.PendingRecord;
-import org.snowturn.core.storage.RecordSizes;
+import org.snowturn.core.storage.TasksPerRecord;
 import org.snowturn.core.storage.TaskLayout;
 
 /**
@@ -36,23 +36,23 @@
   }
 
   void useFirstFormat(int tasksPerRecord) {
-    layout = TaskLayout.first(taskCount, tasksPerRecord);
-    records = new PendingRecord[layout.records()];
+    layout = TaskLayout.firstFormat(taskCount, tasksPerRecord);
+    records = new PendingRecord[layout.recordCount()];
   }
 
   /**
    * Changes to the second format, with empty records. The caller then adds the sizes of the present
    * assignments with {@link #adjustSize}.
    */
-  void useSecondFormat(RecordSizes recordSizes, int valueBytes) {
+  void useSecondFormat(TasksPerRecord recordSizes, int valueBytes) {
     if (records != null) {
       Arrays.stream(records).filter(Objects::nonNull).forEach(firstFormatRecords::add);
     }
     secondFormat = true;
-    layout = TaskLayout.second(taskCount, recordSizes);
-    records = new PendingRecord[layout.records()];
-    usedBytes = new int[layout.records()];
-    maxBytes = TaskLayout.entryCapacityBytes(valueBytes, layout.piece());
+    layout = TaskLayout.secondFormat(taskCount, recordSizes);
+    records = new PendingRecord[layout.recordCount()];
+    usedBytes = new int[layout.recordCount()];
+    maxBytes = TaskLayout.entryCapacityBytes(valueBytes, layout.tasksPerPiece());
   }
 
   /**
--- a/src/main/java/org/snowturn/core/model/TaskRecords.java
+++ b/src/main/java/org/snowturn/core/model/TaskRecords.java
@@ -16,7 +16,7 @@
  */
 public final class TaskRecords {
   /** Bits of an attempt's number below its leader's fencing token. */
-  private static final int ATTEMPT_BITS = TaskLayout.ATTEMPT_BITS;
+  private static final int ATTEMPT_BITS = TaskLayout.ATTEMPT_COUNTER_BITS;
 
   /** Characters around the name of a machine in an array of one name: brackets and quotes. */
   private static final int QUOTED_ARRAY_BYTES = 4;
@@ -28,7 +28,7 @@
 
   /** Returns the maximum number of bytes that a placement on this machine takes. */
   public static int maxEntryBytes(Machine machine) {
-    return TaskLayout.entryBytes(
+    return TaskLayout.maxEntryBytes(
         Json.bytes(Json.array().add(machine.id)).length - QUOTED_ARRAY_BYTES);
   }
 
@@ -40,10 +40,10 @@
    * @param machines the machines that tasks are assigned to
    */
   public static JsonNode firstFormatJson(Job job, int record, MachineIndex machines) {
-    int from = job.layout().from(record);
+    int from = job.layout().firstTask(record);
     ObjectNode object = Json.object().put("v", StorageKeys.FIRST_FORMAT);
     ArrayNode placements = object.putArray("p");
-    for (int task = from; task < job.layout().to(record); task++) {
+    for (int task = from; task < job.layout().endTask(record); task++) {
       if (job.isAssigned(task)) {
         placements
             .addArray()
@@ -64,9 +64,9 @@
    * @param machines the machines that tasks are assigned to
    */
   public static JsonNode secondFormatJson(Job job, int record, MachineIndex machines) {
-    int from = job.layout().from(record);
+    int from = job.layout().firstTask(record);
     long attemptBase = Long.MAX_VALUE;
-    for (int task = from; task < job.layout().to(record); task++) {
+    for (int task = from; task < job.layout().endTask(record); task++) {
       attemptBase =
           job.isAssigned(task)
               ? Math.min(attemptBase, job.attemptOf(task) >> ATTEMPT_BITS << ATTEMPT_BITS)
@@ -78,7 +78,7 @@
       return object;
     }
     ArrayNode placements = object.put("a", attemptBase).putArray("p");
-    for (int task = from; task < job.layout().to(record); task++) {
+    for (int task = from; task < job.layout().endTask(record); task++) {
       if (job.isAssigned(task)) {
         ArrayNode entry =
             placements.addArray().add(task - from).add(job.attemptOf(task) - attemptBase);
@@ -92,9 +92,9 @@
   }
 
   private static String doneTasks(Job job, int record) {
-    int from = job.layout().from(record);
+    int from = job.layout().firstTask(record);
     BitSet doneTasks = new BitSet();
-    for (int task = from; task < job.layout().to(record); task++) {
+    for (int task = from; task < job.layout().endTask(record); task++) {
       if (job.stateOf(task) == TaskState.DONE) {
         doneTasks.set(task - from);
       }
