--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -79,7 +79,7 @@
     Job job = assignments.job(id);
     if (job != null) {
       RestartRecords.load(job, entry.value());
-      scheduling.speculator().loaded(job, entry.version());
+      scheduling.speculator().setRecordVersion(job, entry.version());
     }
   }
 
@@ -144,7 +144,7 @@
     boolean room = scheduling.scheduler().schedule();
     if (room && now >= speculateAt) {
       speculateAt = now + SPECULATION_INTERVAL_MS;
-      scheduling.speculator().consider();
+      scheduling.speculator().restartStraggler();
     }
   }
 
--- a/src/main/java/org/snowturn/core/scheduling/Aging.java
+++ b/src/main/java/org/snowturn/core/scheduling/Aging.java
@@ -93,7 +93,7 @@
   }
 
   /** Whether to look for a machine to reserve: none is, and it was not looked for just now. */
-  boolean mayReserve(long nowMs) {
+  boolean canReserve(long nowMs) {
     return reservedFor == null && nowMs >= nextReserveAt;
   }
 
@@ -108,7 +108,7 @@
   }
 
   /** The machine that is reserved for another job than this; null if there is none. */
-  Machine reservedAgainst(Job job) {
+  Machine machineReservedForOther(Job job) {
     return reservedFor != null && reservedFor != job ? reservedMachine : null;
   }
 
@@ -116,7 +116,7 @@
    * Ends the reservation where its job no longer waits, the machine is no longer usable, or what
    * runs there does not end.
    */
-  void reviewReservation(List<Machine> usable, long nowMs) {
+  void releaseStaleReservation(List<Machine> usable, long nowMs) {
     boolean needed = longWaiting.contains(reservedFor) && usable.contains(reservedMachine);
     if (reservedFor != null && (!needed || nowMs - reservedAt > MAX_RESERVATION_MS)) {
       reservedFor = null;
--- a/src/main/java/org/snowturn/core/scheduling/CandidateQueue.java
+++ b/src/main/java/org/snowturn/core/scheduling/CandidateQueue.java
@@ -38,7 +38,7 @@
   }
 
   /** Starts over, empty, for a job. */
-  void begin(Job newJob) {
+  void reset(Job newJob) {
     candidates.clear();
     job = newJob;
   }
@@ -51,7 +51,7 @@
   void offer(Machine machine) {
     evaluations.increment();
     boolean reserved =
-        job.priority() != Priority.PRODUCTION && aging.reservedAgainst(job) == machine;
+        job.priority() != Priority.PRODUCTION && aging.machineReservedForOther(job) == machine;
     if (!reserved && constraints.fits(job, machine)) {
       candidates.add(new Candidate(machine, score.score(job, machine)));
     }
--- a/src/main/java/org/snowturn/core/scheduling/FairOrdering.java
+++ b/src/main/java/org/snowturn/core/scheduling/FairOrdering.java
@@ -30,7 +30,7 @@
   }
 
   /** Counts a job that waits for room. */
-  void countWaiting(Job job, long wallMs) {
+  void recordWaiting(Job job, long wallMs) {
     if (job.shareGroup() < 0) {
       job.setShareGroup(minimumShares.group(job.spec.jobClass(), job.spec.team()));
       minimumShares.recordArrivals(job.shareGroup(), job.taskCount());
@@ -40,7 +40,7 @@
   }
 
   /** Counts a task of the job that was placed. */
-  void countPlaced(Job job, long nowMs) {
+  void recordPlacement(Job job, long nowMs) {
     minimumShares.recordPlacement(job.shareGroup(), job.spec.cpus(), nowMs);
   }
 
--- a/src/main/java/org/snowturn/core/scheduling/JobPlacement.java
+++ b/src/main/java/org/snowturn/core/scheduling/JobPlacement.java
@@ -68,7 +68,7 @@
     if (isKnownWithoutRoom(job.spec)) {
       return false;
     }
-    candidates.begin(job);
+    candidates.reset(job);
     for (Machine machine : usable) {
       candidates.offer(machine);
     }
@@ -125,7 +125,7 @@
   /** Whether a job that asks for no more, under no constraints, found no room in this round. */
   private boolean isKnownWithoutRoom(JobSpec spec) {
     for (JobSpec other : withoutRoom) {
-      if (PlacementConstraints.isNoSmaller(spec, other)) {
+      if (PlacementConstraints.isAtLeastAsDemanding(spec, other)) {
         return true;
       }
     }
--- a/src/main/java/org/snowturn/core/scheduling/LongWaitPlacement.java
+++ b/src/main/java/org/snowturn/core/scheduling/LongWaitPlacement.java
@@ -42,7 +42,7 @@
   void place(List<Job> waiting, List<Machine> usable) {
     long now = runtime.now();
     List<Job> longWaiting = aging.beginRound(waiting, (double) runtime.wallMs());
-    aging.reviewReservation(usable, now);
+    aging.releaseStaleReservation(usable, now);
     for (Job job : longWaiting) {
       if (!aging.isBelowShare(now)) {
         return;
@@ -52,7 +52,7 @@
       boolean hadRoom = placement.place(job, usable, Aging.batchSize(job));
       placing = false;
       job.setByMinimumShare(job.isByMinimumShare() || job.pending() < pendingBefore);
-      if (!hadRoom && job.pending() == pendingBefore && aging.mayReserve(now)) {
+      if (!hadRoom && job.pending() == pendingBefore && aging.canReserve(now)) {
         aging.reserve(job, machineToReserve(job, usable), now);
       }
     }
--- a/src/main/java/org/snowturn/core/scheduling/PlacementConstraints.java
+++ b/src/main/java/org/snowturn/core/scheduling/PlacementConstraints.java
@@ -81,7 +81,7 @@
   }
 
   /** Whether a machine with no room for a task of {@code other} has none for one of the job. */
-  static boolean isNoSmaller(JobSpec spec, JobSpec other) {
+  static boolean isAtLeastAsDemanding(JobSpec spec, JobSpec other) {
     return spec.cpus() >= other.cpus()
         && spec.memoryGb() >= other.memoryGb()
         && spec.gpus() >= other.gpus()
--- a/src/main/java/org/snowturn/core/scheduling/PlacementScore.java
+++ b/src/main/java/org/snowturn/core/scheduling/PlacementScore.java
@@ -49,14 +49,14 @@
     }
   }
 
-  /** Starts a scheduling round; {@link #considerReplica} is to be called for each job next. */
+  /** Starts a scheduling round; {@link #recordReplicaSize} is to be called for each job next. */
   void beginRound(double newOverprovisioning) {
     overprovisioning = newOverprovisioning;
     largestReplicaCpus = 0;
   }
 
   /** Takes a job into account for the room that is left for replicas. */
-  void considerReplica(JobSpec spec) {
+  void recordReplicaSize(JobSpec spec) {
     if (spec.service()) {
       largestReplicaCpus = Math.max(largestReplicaCpus, spec.cpus());
     }
--- a/src/main/java/org/snowturn/core/scheduling/Preemptor.java
+++ b/src/main/java/org/snowturn/core/scheduling/Preemptor.java
@@ -219,7 +219,9 @@
           job.isWithinGuarantee() == failed.withinGuarantee
               && (!job.isWithinGuarantee() || job.spec.team().equals(failed.spec.team()));
       boolean noHigher = job.priority().compareTo(failed.priority) >= 0;
-      if (sameVictims && noHigher && PlacementConstraints.isNoSmaller(job.spec, failed.spec)) {
+      if (sameVictims
+          && noHigher
+          && PlacementConstraints.isAtLeastAsDemanding(job.spec, failed.spec)) {
         return true;
       }
     }
--- a/src/main/java/org/snowturn/core/scheduling/SchedulingOrder.java
+++ b/src/main/java/org/snowturn/core/scheduling/SchedulingOrder.java
@@ -38,7 +38,7 @@
     /** There is more slack than that. */
     CAN_WAIT,
     /** All objectives are missed whatever is done. */
-    HOPELESS
+    ALL_MISSED
   }
 
   private final Map<String, ClassObjectives> objectivesByClass = new HashMap<>();
@@ -110,7 +110,7 @@
     if (slackMs < urgentSlackMs) {
       return Urgency.URGENT;
     }
-    return slackMs < MISSED ? Urgency.CAN_WAIT : Urgency.HOPELESS;
+    return slackMs < MISSED ? Urgency.CAN_WAIT : Urgency.ALL_MISSED;
   }
 
   /** An objective that is missed already does not make a job urgent. */
--- a/src/main/java/org/snowturn/core/scheduling/Speculator.java
+++ b/src/main/java/org/snowturn/core/scheduling/Speculator.java
@@ -70,7 +70,7 @@
   }
 
   /** The record of an array's restarts was read, at this revision. */
-  public void loaded(Job job, long stamp) {
+  public void setRecordVersion(Job job, long stamp) {
     restartRecord(job).setVersion(stamp);
   }
 
@@ -113,7 +113,7 @@
   }
 
   /** Restarts at most one task; to be called when no waiting task fits and there is room. */
-  public void consider() {
+  public void restartStraggler() {
     if (!tunables.speculation()) {
       return;
     }
--- a/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
+++ b/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
@@ -49,7 +49,7 @@
     score = new PlacementScore(settings, spotPreemptions);
     preemptor =
         new Preemptor(
-            runtime, assignments, constraints, score, evaluations, policy.preemptionAllowed());
+            runtime, assignments, constraints, score, evaluations, policy.isPreemptionAllowed());
     aging = new Aging(policy.maxWaitS());
     fairOrdering = new FairOrdering(settings);
     placement =
@@ -66,7 +66,7 @@
   }
 
   private void onPlaced(Job job) {
-    fairOrdering.countPlaced(job, runtime.now());
+    fairOrdering.recordPlacement(job, runtime.now());
     aging.recordPlacement(job.spec.cpus(), longWaits.isPlacing(), runtime.now());
   }
 
@@ -103,7 +103,7 @@
 
   private void collectJobs(long now, List<Job> waiting, List<Job> suspected) {
     for (Job job : assignments.jobs()) {
-      score.considerReplica(job.spec);
+      score.recordReplicaSize(job.spec);
       if (!job.wantsRoom()) {
         continue;
       }
@@ -113,7 +113,7 @@
         }
         continue;
       }
-      fairOrdering.countWaiting(job, runtime.wallMs());
+      fairOrdering.recordWaiting(job, runtime.wallMs());
       if (now >= job.failures.backOffUntil()) {
         waiting.add(job);
       }
--- a/src/test/java/org/snowturn/core/scheduling/SchedulingOrderTest.java
+++ b/src/test/java/org/snowturn/core/scheduling/SchedulingOrderTest.java
@@ -45,11 +45,11 @@
     "290, 100, 400, URGENT", // ten seconds for its deadline
     "301, 100, 400, CAN_WAIT", // one and a half times that is far off
     "490, 100, 400, URGENT",
-    "501, 100, 400, HOPELESS", // nothing left to meet
+    "501, 100, 400, ALL_MISSED", // nothing left to meet
     "90, 40, 90, URGENT", // late for one and a half times its deadline in 5 s
     "140, 40, 90, CAN_WAIT", // late, but it can be done within 250 s
     "190, 40, 90, URGENT",
-    "211, 40, 90, HOPELESS",
+    "211, 40, 90, ALL_MISSED",
   })
   void urgencyFollowsTheObjectivesThatCanStillBeMet(
       double nowS, double estimateS, double dueS, SchedulingOrder.Urgency urgency)
