--- a/src/main/java/org/snowturn/core/scheduling/Aging.java
+++ b/src/main/java/org/snowturn/core/scheduling/Aging.java
@@ -11,52 +11,65 @@
 import org.snowturn.wire.JobSpec;
 
 /**
- * Aging of jobs of which no task has been placed for long. The ordinary order lets the least work
- * go first, so a class's largest arrays would wait for as long as smaller ones keep coming. A job
- * that has waited past the operators' bound goes before the others, the longest first, with a batch
- * of its tasks; then its wait counts anew. All of them together get no more than a small share of
- * the placements.
+ * Aging of waiting jobs, which prevents their starvation. The scheduling order places the job with
+ * the least remaining work first, so the largest arrays of a class would wait as long as smaller
+ * ones keep arriving. A job that has waited longer than the configured maximum since its release or
+ * last placement is placed before the others, longest wait first. One batch of its tasks is placed,
+ * and its wait starts again from zero. All long-waiting jobs together get at most {@link
+ * #MAX_SHARE} of the placements.
  *
- * <p>Where smaller tasks take all room as soon as it is free, one that needs more of a machine
- * would never find it. For the longest waiting one a machine is reserved until it fits.
+ * <p>A task that needs a large part of a machine would never fit if smaller tasks took all freed
+ * resources at once. Therefore one machine is reserved for the longest-waiting job without room,
+ * until its task fits.
  */
 final class Aging {
-  /** The share of recent placements, in CPUs, that may go to long-waiting jobs. */
+  /** Maximum share of recent placements, by CPUs, that long-waiting jobs may get. */
   static final double MAX_SHARE = 0.15;
 
-  /** One in so many of a job's tasks is a batch. */
+  /** Number of batches into which a job's tasks are divided. */
   private static final int BATCHES_PER_JOB = 8;
 
+  /** Averaging time of the placement rates. */
   private static final long AVERAGING_MS = 30_000;
 
-  /** Looking for a machine to reserve walks all of them with what is there. */
-  private static final long RESERVE_INTERVAL_MS = 1_000;
+  /** Time between searches for a machine to reserve: each visits all machines and their tasks. */
+  private static final long RESERVATION_SEARCH_INTERVAL_MS = 1_000;
 
+  /** Maximum duration of a reservation whose machine does not become free. */
   private static final long MAX_RESERVATION_MS = 120_000;
 
   private final double maxWaitMs;
   private final RateMeter longWaitingPlacements = new RateMeter(AVERAGING_MS);
   private final RateMeter allPlacements = new RateMeter(AVERAGING_MS);
 
-  /** The longest wait for a first or next task, by class, as of the last round. */
+  /** Longest wait for a first or next placement in the last round, by job class. */
   private final Map<String, Double> longestWaitS = new HashMap<>();
 
   private List<Job> longWaiting = List.of();
   private Machine reservedMachine;
   private Job reservedFor;
   private long reservedAt;
-  private long nextReserveAt;
+  private long nextSearchAt;
 
-  /** Lets go first what has waited so long, in seconds. */
+  /**
+   * Creates the aging state without any waiting job.
+   *
+   * @param maxWaitS wait in seconds after which a job is placed before the others
+   */
   Aging(double maxWaitS) {
     this.maxWaitMs = maxWaitS * 1000;
   }
 
+  /** Returns the time since the job was released or last had a task placed. */
   private static double waitedMs(Job job, double wallMs) {
     return wallMs - Math.max(job.releasedWall(), job.placedWall());
   }
 
-  /** Starts a round: which of the waiting jobs have waited for long, the longest first. */
+  /**
+   * Starts a scheduling round. Gangs are left out, since they cannot be placed in batches.
+   *
+   * @return the jobs that have waited for at least the maximum wait, longest wait first
+   */
   List<Job> beginRound(List<Job> waiting, double wallMs) {
     longestWaitS.clear();
     List<Job> found = new ArrayList<>();
@@ -74,17 +87,22 @@
     return found;
   }
 
-  /** Whether long-waiting jobs have had no more than their share. */
+  /** Returns whether long-waiting jobs have got at most their share of recent placements. */
   boolean isBelowShare(long nowMs) {
     return longWaitingPlacements.perSecond(nowMs) <= MAX_SHARE * allPlacements.perSecond(nowMs);
   }
 
-  /** How many of a job's tasks go at a time. */
+  /** Returns the number of tasks that are placed at a time for a long-waiting job. */
   static int batchSize(Job job) {
     return Math.max(1, job.taskCount() / BATCHES_PER_JOB);
   }
 
-  /** A task was placed, since its job has waited for long or in the ordinary order. */
+  /**
+   * Records the placement of a task.
+   *
+   * @param cpus CPUs of the task
+   * @param forLongWait whether the task was placed because of its job's long wait
+   */
   void recordPlacement(double cpus, boolean forLongWait, long nowMs) {
     allPlacements.add(cpus, nowMs);
     if (forLongWait) {
@@ -92,14 +110,18 @@
     }
   }
 
-  /** Whether to look for a machine to reserve: none is, and it was not looked for just now. */
+  /** Returns whether no machine is reserved and the next search for one is due. */
   boolean canReserve(long nowMs) {
-    return reservedFor == null && nowMs >= nextReserveAt;
+    return reservedFor == null && nowMs >= nextSearchAt;
   }
 
-  /** Reserves a machine for a job that found no room; null: there is no machine for it. */
+  /**
+   * Reserves a machine for a job that found no room, and schedules the next search.
+   *
+   * @param machine the machine to reserve, or null if none is suitable
+   */
   void reserve(Job job, Machine machine, long nowMs) {
-    nextReserveAt = nowMs + RESERVE_INTERVAL_MS;
+    nextSearchAt = nowMs + RESERVATION_SEARCH_INTERVAL_MS;
     if (machine != null) {
       reservedFor = job;
       reservedMachine = machine;
@@ -107,24 +129,24 @@
     }
   }
 
-  /** The machine that is reserved for another job than this; null if there is none. */
+  /** Returns the machine that is reserved for a job other than this one, or null. */
   Machine machineReservedForOther(Job job) {
     return reservedFor != null && reservedFor != job ? reservedMachine : null;
   }
 
   /**
-   * Ends the reservation where its job no longer waits, the machine is no longer usable, or what
-   * runs there does not end.
+   * Cancels the reservation if its job is no longer long-waiting, its machine is no longer usable,
+   * or the tasks on the machine have not ended within the maximum duration.
    */
-  void releaseStaleReservation(List<Machine> usable, long nowMs) {
-    boolean needed = longWaiting.contains(reservedFor) && usable.contains(reservedMachine);
-    if (reservedFor != null && (!needed || nowMs - reservedAt > MAX_RESERVATION_MS)) {
+  void releaseStaleReservation(List<Machine> usableMachines, long nowMs) {
+    boolean isValid = longWaiting.contains(reservedFor) && usableMachines.contains(reservedMachine);
+    if (reservedFor != null && (!isValid || nowMs - reservedAt > MAX_RESERVATION_MS)) {
       reservedFor = null;
       reservedMachine = null;
     }
   }
 
-  /** For operators. */
+  /** Returns metrics for operators: the longest wait by class and the long-waiting jobs. */
   Map<String, Double> gauges() {
     Map<String, Double> gauges = new HashMap<>();
     longestWaitS.forEach(
--- a/src/main/java/org/snowturn/core/scheduling/CandidateQueue.java
+++ b/src/main/java/org/snowturn/core/scheduling/CandidateQueue.java
@@ -6,11 +6,13 @@
 import org.snowturn.wire.Priority;
 
 /**
- * The machines that could take a task of one job, by score. Each is scored once for all tasks: a
- * placement changes the machine it goes to, and makes others of its zone less good, so whatever
- * comes out first and still has its score is best.
+ * Priority queue of the machines that could run a task of one job, lowest score first. Machines are
+ * scored when they are added rather than for each task. A placement changes the score of its
+ * machine, and can only raise the scores of other machines in the zone. The first machine whose
+ * current score has not risen is therefore the best.
  */
 final class CandidateQueue {
+  /** A machine with its score at the time when it was added. */
   private record Candidate(Machine machine, double score) implements Comparable<Candidate> {
     @Override
     public int compareTo(Candidate other) {
@@ -26,6 +28,7 @@
   private final PriorityQueue<Candidate> candidates = new PriorityQueue<>();
   private Job job;
 
+  /** Creates an empty queue. */
   CandidateQueue(
       PlacementConstraints constraints,
       PlacementScore score,
@@ -37,27 +40,36 @@
     this.evaluations = evaluations;
   }
 
-  /** Starts over, empty, for a job. */
+  /** Removes all machines and sets the job for which machines are added next. */
   void reset(Job newJob) {
     candidates.clear();
     job = newJob;
   }
 
+  /** Returns whether no machine is left. */
   boolean isEmpty() {
     return candidates.isEmpty();
   }
 
-  /** Adds the machine if it has room and is not reserved for another job. */
+  /**
+   * Adds the machine if a task of the job fits and it is not reserved for another job. Production
+   * jobs may use reserved machines.
+   */
   void offer(Machine machine) {
     evaluations.increment();
-    boolean reserved =
+    boolean isReserved =
         job.priority() != Priority.PRODUCTION && aging.machineReservedForOther(job) == machine;
-    if (!reserved && constraints.fits(job, machine)) {
+    if (!isReserved && constraints.fits(job, machine)) {
       candidates.add(new Candidate(machine, score.score(job, machine)));
     }
   }
 
-  /** Takes out the machine with the lowest score that the task may go to; null if there is none. */
+  /**
+   * Removes and returns the machine with the lowest score that the task may run on. The machine
+   * that is excluded for this task stays in the queue for other tasks.
+   *
+   * @return the machine, or null if there is none
+   */
   Machine poll(int task) {
     Candidate excluded = null;
     Machine best = null;
--- a/src/main/java/org/snowturn/core/scheduling/EvaluationCounter.java
+++ b/src/main/java/org/snowturn/core/scheduling/EvaluationCounter.java
@@ -1,13 +1,15 @@
 package org.snowturn.core.scheduling;
 
-/** Counts how many times a machine was evaluated for a job: the cost of scheduling. */
+/** Counter of evaluations of a machine for a job, a measure of the cost of scheduling. */
 final class EvaluationCounter {
   private long count;
 
+  /** Counts one evaluation. */
   void increment() {
     count++;
   }
 
+  /** Returns the number of evaluations since this counter was created. */
   long count() {
     return count;
   }
--- a/src/main/java/org/snowturn/core/scheduling/FairOrdering.java
+++ b/src/main/java/org/snowturn/core/scheduling/FairOrdering.java
@@ -11,25 +11,29 @@
 import org.snowturn.core.model.Job;
 import org.snowturn.wire.Priority;
 
-/** Lets jobs within their team's guarantee, and groups below their minimum share, go first. */
+/**
+ * Fair ordering of waiting jobs: jobs within their team's guarantee, and jobs of groups below their
+ * minimum share, come first. A group consists of the jobs of one class and team.
+ */
 final class FairOrdering {
   private final QuotaGuarantees guarantees;
   private final MinimumShares minimumShares = new MinimumShares();
 
+  /** Creates the ordering with the teams' guarantees. */
   FairOrdering(Settings settings) {
     this.guarantees = new QuotaGuarantees(settings.teams());
   }
 
-  /** Starts a scheduling round: determines which of the jobs are within a guarantee. */
+  /** Starts a scheduling round and determines which of the jobs are within a guarantee. */
   void beginRound(Collection<Job> jobs, long nowMs) {
     minimumShares.beginRound(nowMs);
     if (guarantees.isAnyConfigured()) {
       guarantees.evaluate(
-          jobs.stream().filter(FairOrdering::mayHoldGuarantee).map(Claim::new).toList());
+          jobs.stream().filter(FairOrdering::updateGuaranteeEligibility).map(Claim::new).toList());
     }
   }
 
-  /** Counts a job that waits for room. */
+  /** Records a job with waiting tasks, and on its first call assigns the job to its group. */
   void recordWaiting(Job job, long wallMs) {
     if (job.shareGroup() < 0) {
       job.setShareGroup(minimumShares.group(job.spec.jobClass(), job.spec.team()));
@@ -39,55 +43,63 @@
     minimumShares.recordWaiting(job.shareGroup(), waitedS, job.pending());
   }
 
-  /** Counts a task of the job that was placed. */
+  /** Records the placement of a task of the job. */
   void recordPlacement(Job job, long nowMs) {
     minimumShares.recordPlacement(job.shareGroup(), job.spec.cpus(), nowMs);
   }
 
   /**
-   * First what is within its team's guarantee. Then, among the production jobs and then among the
-   * others, those of groups below their minimum share go first. What they get so is theirs until it
-   * ends: else work of higher priority would preempt it at once.
+   * Returns the jobs in fair order: first those within their team's guarantee, then the production
+   * jobs, then all others. Among the latter two, jobs of groups below their minimum share come
+   * first. These jobs are marked, so that only production jobs and guarantees preempt their tasks;
+   * otherwise work of higher priority would preempt them at once.
+   *
+   * @param ordered the waiting jobs in scheduling order, which is kept among equals
    */
   List<Job> sorted(List<Job> ordered) {
     List<Job> sorted = new ArrayList<>(ordered.size());
     if (guarantees.isAnyConfigured()) {
       ordered.stream().filter(job -> job.isWithinGuarantee()).forEach(sorted::add);
     }
-    for (boolean production : new boolean[] {true, false}) {
-      for (boolean first : new boolean[] {true, false}) {
-        addMatching(ordered, production, first, sorted);
+    for (boolean isProduction : new boolean[] {true, false}) {
+      for (boolean isBelowMinimum : new boolean[] {true, false}) {
+        addMatching(ordered, isProduction, isBelowMinimum, sorted);
       }
     }
     return sorted;
   }
 
-  private void addMatching(List<Job> ordered, boolean production, boolean first, List<Job> sorted) {
+  /** Adds the jobs that match both flags and are not within a guarantee. */
+  private void addMatching(
+      List<Job> ordered, boolean isProduction, boolean isBelowMinimum, List<Job> sorted) {
     for (Job job : ordered) {
       boolean matches =
-          (job.priority() == Priority.PRODUCTION) == production && !job.isWithinGuarantee();
-      if (matches && minimumShares.isBelowMinimum(job.shareGroup()) == first) {
-        job.setByMinimumShare(job.isByMinimumShare() || first);
+          (job.priority() == Priority.PRODUCTION) == isProduction && !job.isWithinGuarantee();
+      if (matches && minimumShares.isBelowMinimum(job.shareGroup()) == isBelowMinimum) {
+        job.setByMinimumShare(job.isByMinimumShare() || isBelowMinimum);
         sorted.add(job);
       }
     }
   }
 
-  /** For operators: how the classes of each team are served. */
+  /** Returns metrics for operators on minimum shares and guarantees. */
   Map<String, Double> gauges() {
     Map<String, Double> gauges = new HashMap<>(minimumShares.gauges());
     gauges.putAll(guarantees.gauges());
     return gauges;
   }
 
-  /** Jobs that wait for dependencies, or are cancelled, hold no part of a guarantee. */
-  private static boolean mayHoldGuarantee(Job job) {
-    boolean holds = !job.isCancelled() && !job.awaitsDependencies();
-    job.setWithinGuarantee(job.isWithinGuarantee() && holds);
-    return holds;
+  /**
+   * Returns whether the job counts towards its team's guarantee, and clears its mark otherwise.
+   * Cancelled jobs, and jobs that wait for dependencies, do not count.
+   */
+  private static boolean updateGuaranteeEligibility(Job job) {
+    boolean countsTowardsGuarantee = !job.isCancelled() && !job.awaitsDependencies();
+    job.setWithinGuarantee(job.isWithinGuarantee() && countsTowardsGuarantee);
+    return countsTowardsGuarantee;
   }
 
-  /** What a job claims of its team's guarantee. */
+  /** The part of its team's guarantee that all tasks of a job need together. */
   private record Claim(Job job) implements QuotaGuarantees.Claim {
     @Override
     public String team() {
@@ -115,8 +127,8 @@
     }
 
     @Override
-    public void within(boolean is) {
-      job.setWithinGuarantee(is);
+    public void within(boolean withinGuarantee) {
+      job.setWithinGuarantee(withinGuarantee);
     }
   }
 }
--- a/src/main/java/org/snowturn/core/scheduling/GangScheduling.java
+++ b/src/main/java/org/snowturn/core/scheduling/GangScheduling.java
@@ -5,25 +5,29 @@
 import org.snowturn.core.model.Machine;
 import org.snowturn.core.model.MachineIndex;
 
-/** Whether a gang can be placed: whole or not at all, since its tasks wait for each other. */
+/** Placement check for gangs, whose tasks only make progress when all of them run at once. */
 final class GangScheduling {
   private final MachineIndex machines;
   private final PlacementConstraints constraints;
 
+  /** Creates a check for these machines and constraints. */
   GangScheduling(MachineIndex machines, PlacementConstraints constraints) {
     this.machines = machines;
     this.constraints = constraints;
   }
 
-  /** Whether all of the gang's tasks fit; sets the zone of a gang that must be in one. */
-  boolean fits(Job job, List<Machine> usable) {
+  /**
+   * Returns whether all tasks of the gang fit on the machines, and sets the zone to use for a gang
+   * that must run in a single zone.
+   */
+  boolean fits(Job job, List<Machine> usableMachines) {
     job.setGangZone(-1);
     if (job.assigned() > 0) {
-      return false; // its tasks only meet tasks of their own attempt: wait until all have ended
+      return false; // only tasks of the same attempt can run together: wait until all have ended
     }
     int[] roomByZone = new int[machines.zoneCount()];
     int totalRoom = 0;
-    for (Machine machine : usable) {
+    for (Machine machine : usableMachines) {
       if (constraints.isAllowed(job, machine)) {
         int room = machine.roomFor(job.spec);
         roomByZone[machine.zone()] += room;
--- a/src/main/java/org/snowturn/core/scheduling/JobPlacement.java
+++ b/src/main/java/org/snowturn/core/scheduling/JobPlacement.java
@@ -8,12 +8,15 @@
 import org.snowturn.core.model.Machine;
 import org.snowturn.wire.JobSpec;
 
-/** Places the pending tasks of one job on the machines with the best scores. */
+/** Placement of the pending tasks of one job on the machines with the best scores. */
 final class JobPlacement {
+  /** Result of an attempt to place one task. */
   private enum Result {
+    /** The task was placed. */
     PLACED,
+    /** No machine has room for the task. */
     NO_ROOM,
-    /** Waits for something other than room. */
+    /** The task has to wait for something other than room on a machine. */
     DEFERRED
   }
 
@@ -24,13 +27,13 @@
   private final Preemptor preemptor;
   private final Consumer<Job> onPlaced;
 
-  /** What found no room in the present round. */
-  private final List<JobSpec> withoutRoom = new ArrayList<>();
+  /** Specs of unconstrained jobs for which no machine had room in the current round. */
+  private final List<JobSpec> specsWithoutRoom = new ArrayList<>();
 
   /**
-   * Places nothing yet.
+   * Creates a placement that has placed nothing yet.
    *
-   * @param onPlaced told of the job after each task that is placed
+   * @param onPlaced called with the job after each placement of a task
    */
   JobPlacement(
       TaskAssignments assignments,
@@ -47,46 +50,52 @@
     this.onPlaced = onPlaced;
   }
 
-  /** Starts a scheduling round. */
+  /** Starts a scheduling round and discards what is known from the last one. */
   void beginRound() {
-    withoutRoom.clear();
+    specsWithoutRoom.clear();
   }
 
-  /** Places all pending tasks; false if some found no room. */
-  boolean place(Job job, List<Machine> usable) {
-    return place(job, usable, Integer.MAX_VALUE);
+  /** Places all pending tasks of the job; returns false if a task found no room. */
+  boolean place(Job job, List<Machine> usableMachines) {
+    return place(job, usableMachines, Integer.MAX_VALUE);
   }
 
-  /** Places at most so many pending tasks; false if some of these found no room. */
-  boolean place(Job job, List<Machine> usable, int maxTasks) {
-    if (isGang(job) && !gangScheduling.fits(job, usable)) {
+  /**
+   * Places pending tasks of the job.
+   *
+   * @param maxTasks maximum number of tasks to place
+   * @return false if a task found no room; true if the tasks were placed, or have to wait for
+   *     something other than room
+   */
+  boolean place(Job job, List<Machine> usableMachines, int maxTasks) {
+    if (isGang(job) && !gangScheduling.fits(job, usableMachines)) {
       return false;
     }
     if (!assignments.quota().allows(job.spec)) {
-      return true; // waits for its own team, not for room
+      return true; // waits for its team's quota, not for room
     }
     if (isKnownWithoutRoom(job.spec)) {
       return false;
     }
     candidates.reset(job);
-    for (Machine machine : usable) {
+    for (Machine machine : usableMachines) {
       candidates.offer(machine);
     }
     if (candidates.isEmpty()) {
       recordWithoutRoom(job.spec);
       return false;
     }
-    return placeTasks(job, usable, maxTasks);
+    return placeTasks(job, usableMachines, maxTasks);
   }
 
   private static boolean isGang(Job job) {
     return job.spec.kind() == JobSpec.Kind.GANG;
   }
 
-  private boolean placeTasks(Job job, List<Machine> usable, int maxTasks) {
+  private boolean placeTasks(Job job, List<Machine> usableMachines, int maxTasks) {
     long gangAttempt = isGang(job) ? assignments.newAttempt() : 0;
     for (int placed = 0; job.pending() > 0 && placed < maxTasks; placed++) {
-      Result result = placeNext(job, usable, gangAttempt);
+      Result result = placeNext(job, usableMachines, gangAttempt);
       if (result != Result.PLACED) {
         return result == Result.DEFERRED;
       }
@@ -94,14 +103,18 @@
     return true;
   }
 
-  /** Places the next pending task; {@code gangAttempt} is the one that a gang's tasks share. */
-  private Result placeNext(Job job, List<Machine> usable, long gangAttempt) {
+  /**
+   * Places the next pending task.
+   *
+   * @param gangAttempt the attempt that all tasks of a gang share; unused for other jobs
+   */
+  private Result placeNext(Job job, List<Machine> usableMachines, long gangAttempt) {
     if (!assignments.quota().allows(job.spec)) {
       return Result.DEFERRED;
     }
     int task = job.nextPending();
     if (task < 0) {
-      return Result.DEFERRED; // waits for room in its records
+      return Result.DEFERRED; // waits until the records of its tasks have room
     }
     Machine best = candidates.poll(task);
     if (best == null) {
@@ -112,8 +125,8 @@
     }
     if (job.spec.service()
         && score.isFetchTooLate(job.spec, best)
-        && preemptor.makeRoomWithImage(job, usable)) {
-      return Result.DEFERRED; // a preempted task ends within milliseconds, a fetch takes seconds
+        && preemptor.makeRoomWithImage(job, usableMachines)) {
+      return Result.DEFERRED; // preempting a task takes milliseconds, fetching an image seconds
     }
     long attempt = isGang(job) ? gangAttempt : assignments.newAttempt();
     assignments.assign(job, task, best, attempt);
@@ -122,9 +135,12 @@
     return Result.PLACED;
   }
 
-  /** Whether a job that asks for no more, under no constraints, found no room in this round. */
+  /**
+   * Returns whether a job without constraints that needs the same or less of each resource found no
+   * room in this round, so that this one cannot find room either.
+   */
   private boolean isKnownWithoutRoom(JobSpec spec) {
-    for (JobSpec other : withoutRoom) {
+    for (JobSpec other : specsWithoutRoom) {
       if (PlacementConstraints.isAtLeastAsDemanding(spec, other)) {
         return true;
       }
@@ -132,9 +148,10 @@
     return false;
   }
 
+  /** Records that no machine has room for such a task, unless constraints may be the cause. */
   private void recordWithoutRoom(JobSpec spec) {
     if (PlacementConstraints.isUnconstrained(spec)) {
-      withoutRoom.add(spec);
+      specsWithoutRoom.add(spec);
     }
   }
 }
--- a/src/main/java/org/snowturn/core/scheduling/LongWaitPlacement.java
+++ b/src/main/java/org/snowturn/core/scheduling/LongWaitPlacement.java
@@ -8,7 +8,7 @@
 import org.snowturn.core.model.Machine;
 import org.snowturn.wire.JobSpec;
 
-/** Places some tasks of jobs that have waited for long, and reserves a machine for one of them. */
+/** Placement of long-waiting jobs ahead of others, with a machine reserved for one of them. */
 final class LongWaitPlacement {
   private final CoreRuntime runtime;
   private final TaskAssignments assignments;
@@ -16,8 +16,9 @@
   private final JobPlacement placement;
   private final Aging aging;
   private final EvaluationCounter evaluations;
-  private boolean placing;
+  private boolean isPlacing;
 
+  /** Creates a placement for the jobs that {@code aging} selects. */
   LongWaitPlacement(
       CoreRuntime runtime,
       TaskAssignments assignments,
@@ -33,53 +34,65 @@
     this.evaluations = evaluations;
   }
 
-  /** Whether what is placed now goes first since it has waited for long. */
+  /** Returns whether the task that is being placed has priority because of its job's long wait. */
   boolean isPlacing() {
-    return placing;
+    return isPlacing;
   }
 
-  /** Places tasks of the jobs that have waited longest, up to their share of the placements. */
-  void place(List<Job> waiting, List<Machine> usable) {
+  /**
+   * Places a batch of tasks of each long-waiting job, longest wait first, until these jobs have got
+   * their share of the placements. Jobs that got a placement are marked as served by a minimum
+   * share, so that only production jobs and guarantees preempt their tasks.
+   */
+  void place(List<Job> waiting, List<Machine> usableMachines) {
     long now = runtime.now();
     List<Job> longWaiting = aging.beginRound(waiting, (double) runtime.wallMs());
-    aging.releaseStaleReservation(usable, now);
+    aging.releaseStaleReservation(usableMachines, now);
     for (Job job : longWaiting) {
       if (!aging.isBelowShare(now)) {
         return;
       }
       int pendingBefore = job.pending();
-      placing = true;
-      boolean hadRoom = placement.place(job, usable, Aging.batchSize(job));
-      placing = false;
+      isPlacing = true;
+      boolean hadRoom = placement.place(job, usableMachines, Aging.batchSize(job));
+      isPlacing = false;
       job.setByMinimumShare(job.isByMinimumShare() || job.pending() < pendingBefore);
       if (!hadRoom && job.pending() == pendingBefore && aging.canReserve(now)) {
-        aging.reserve(job, machineToReserve(job, usable), now);
+        aging.reserve(job, machineToReserve(job, usableMachines), now);
       }
     }
   }
 
-  /** Of the machines that will have room for a task once their arrays end, the emptiest. */
-  private Machine machineToReserve(Job job, List<Machine> usable) {
+  /**
+   * Returns the machine with the most free CPUs among those that will have room for a task of the
+   * job once all tasks other than service replicas have ended, or null.
+   */
+  private Machine machineToReserve(Job job, List<Machine> usableMachines) {
     Machine best = null;
-    for (Machine machine : usable) {
+    for (Machine machine : usableMachines) {
       evaluations.increment();
-      boolean better = best == null || machine.cpusFree() > best.cpusFree();
-      if (better && constraints.isAllowed(job, machine) && fitsBesideReplicas(job.spec, machine)) {
+      boolean hasMoreFreeCpus = best == null || machine.cpusFree() > best.cpusFree();
+      if (hasMoreFreeCpus
+          && constraints.isAllowed(job, machine)
+          && fitsBesideReplicas(job.spec, machine)) {
         best = machine;
       }
     }
     return best;
   }
 
-  /** Replicas stay for as long as their users want them. */
+  /**
+   * Returns whether a task fits on the machine beside its service replicas, which run until their
+   * job is cancelled.
+   */
   private boolean fitsBesideReplicas(JobSpec spec, Machine machine) {
-    double cpus = machine.machineType().cpus();
-    double memoryGb = machine.machineType().memoryGb();
+    double availableCpus = machine.machineType().cpus();
+    double availableMemoryGb = machine.machineType().memoryGb();
     for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
       JobSpec assigned = assignments.job(ref).spec;
-      cpus -= assigned.service() ? assigned.cpus() : 0;
-      memoryGb -= assigned.service() ? assigned.memoryGb() : 0;
+      availableCpus -= assigned.service() ? assigned.cpus() : 0;
+      availableMemoryGb -= assigned.service() ? assigned.memoryGb() : 0;
     }
-    return spec.cpus() <= cpus && spec.memoryGb() <= memoryGb;
+    return spec.cpus() <= availableCpus && spec.memoryGb() <= availableMemoryGb;
   }
 }
--- a/src/main/java/org/snowturn/core/scheduling/PlacementConstraints.java
+++ b/src/main/java/org/snowturn/core/scheduling/PlacementConstraints.java
@@ -7,30 +7,38 @@
 import org.snowturn.wire.JobSpec;
 
 /**
- * Where tasks of a job may run. Constraints are tested against every task that may still be on a
- * machine, so they hold at the instant of the start whatever became of the others.
+ * Rules for the machines on which tasks of a job may run. Constraints are checked against every
+ * task that may still be on a machine, so they hold when the task starts, whether or not the other
+ * tasks have ended by then.
  */
 final class PlacementConstraints {
   private final CoreRuntime runtime;
   private final MachineIndex machines;
 
+  /** Creates the constraints for these machines. */
   PlacementConstraints(CoreRuntime runtime, MachineIndex machines) {
     this.runtime = runtime;
     this.machines = machines;
   }
 
-  /** Whether the machine has room for one more task of the job and the constraints allow it. */
+  /**
+   * Returns whether the machine has room for one more task of the job and the constraints allow it.
+   */
   boolean fits(Job job, Machine machine) {
     return machine.hasRoom(job.spec) && isAllowed(job, machine);
   }
 
-  /** Whether the job's constraints allow one more task of it on the machine, room aside. */
+  /**
+   * Returns whether the job's constraints allow one more of its tasks on the machine. Does not
+   * check the machine's free resources.
+   */
   boolean isAllowed(Job job, Machine machine) {
     return isMachineAllowed(job.spec, machine)
         && isWithinZoneLimit(job, machine)
         && isInSharedZone(job, machine);
   }
 
+  /** Returns whether the machine's type, zone and spot status suit the job. */
   private boolean isMachineAllowed(JobSpec spec, Machine machine) {
     if (machine.isSpot() && !spec.spot()) {
       return false;
@@ -41,12 +49,16 @@
     return spec.zone() == null || machines.zone(spec.zone()) == machine.zone();
   }
 
+  /** Returns whether the machine's zone can take one more task of a job that is spread out. */
   private static boolean isWithinZoneLimit(Job job, Machine machine) {
     return !job.spec.spreadAcrossZones()
         || job.assignedInZone(machine.zone()) < job.spec.perZoneLimit();
   }
 
-  /** Whether the machine is in the zone of the job's other tasks, where all must share one. */
+  /**
+   * Returns whether the machine is in the zone that a single-zone job uses; always true for jobs
+   * without this constraint.
+   */
   private static boolean isInSharedZone(Job job, Machine machine) {
     if (!job.spec.singleZone()) {
       return true;
@@ -57,22 +69,25 @@
     return job.assigned() == job.assignedInZone(machine.zone());
   }
 
-  /** Whether a replica on {@code from} could start on another machine without an image fetch. */
+  /**
+   * Returns whether a replica on {@code from} could start on another machine without an image
+   * fetch.
+   */
   boolean canStartElsewhere(Job job, Machine from) {
     for (Machine machine : machines.present()) {
-      boolean ready =
+      boolean canStartAtOnce =
           machine != from
               && machine.usable(runtime.now())
               && machine.hasRoom(job.spec)
               && machine.images.containsKey(job.spec.image());
-      if (ready && (machine.zone() == from.zone() || isAllowed(job, machine))) {
+      if (canStartAtOnce && (machine.zone() == from.zone() || isAllowed(job, machine))) {
         return true;
       }
     }
     return false;
   }
 
-  /** Whether any machine with room for a task of the job may take it, spot machines aside. */
+  /** Returns whether the job may run on every machine with room, spot machines aside. */
   static boolean isUnconstrained(JobSpec spec) {
     return spec.types() == null
         && spec.zone() == null
@@ -80,7 +95,11 @@
         && !spec.singleZone();
   }
 
-  /** Whether a machine with no room for a task of {@code other} has none for one of the job. */
+  /**
+   * Returns whether a task of {@code spec} needs at least as much of each resource as one of {@code
+   * other}, and may run on spot machines only if the other may. A machine without room for the
+   * other then has none for this one.
+   */
   static boolean isAtLeastAsDemanding(JobSpec spec, JobSpec other) {
     return spec.cpus() >= other.cpus()
         && spec.memoryGb() >= other.memoryGb()
--- a/src/main/java/org/snowturn/core/scheduling/PlacementScore.java
+++ b/src/main/java/org/snowturn/core/scheduling/PlacementScore.java
@@ -8,31 +8,42 @@
 import org.snowturn.core.model.PreemptionRate;
 import org.snowturn.wire.JobSpec;
 
-/** How good a machine is for a task, in seconds, roughly: the lowest score is the best. */
+/**
+ * Score of a machine for a task: the approximate cost in seconds of placing the task there. The
+ * lowest score is the best.
+ */
 final class PlacementScore {
-  /** Arrays that may run on spot machines prefer these. */
+  /** Penalty for an array task on an on-demand machine; spot machines are preferred if allowed. */
   private static final double ON_DEMAND_PENALTY_S = 10;
 
-  /** For machines where a task would start later than its users want. */
+  /** Penalty for a machine where the task would start later than its class's objective. */
   private static final double LATE_START_PENALTY_S = 8;
 
-  /** For on-demand machines that would have no room left for a replica. */
+  /** Penalty for an on-demand machine that would have no room left for a service replica. */
   private static final double CROWDED_PENALTY_S = 12;
 
-  /** For machines without a replica's image, beside the time of the fetch. */
+  /** Penalty for a machine without a replica's image, in addition to the fetch time. */
   private static final double FETCH_PENALTY_S = 1;
 
+  /** Penalty for a machine with failures that no suspected job explains. */
   private static final double FAILURE_PENALTY_S = 20;
+
+  /** Penalty for each task of the same service on the machine. */
   private static final double SAME_MACHINE_PENALTY_S = 2.0;
+
+  /** Penalty for each task of the same service in the machine's zone. */
   private static final double SAME_ZONE_PENALTY_S = 0.5;
+
+  /** Penalty for an empty machine without overprovisioning; it shrinks as the machine fills up. */
   private static final double BIN_PACKING_WEIGHT_S = 3.0;
 
-  /** A fast machine counts for no more than this share of the run. */
+  /** Lower bound of the relative slowdown: a fast machine saves at most half of the run time. */
   private static final double MIN_SLOWDOWN = -0.5;
 
-  /** A fetch may take so much longer than the machine's type says. */
-  private static final double FETCH_SLACK = 1.3;
+  /** Factor by which a fetch may take longer than the fetch rate of the machine's type implies. */
+  private static final double FETCH_SLACK_FACTOR = 1.3;
 
+  /** Lower bound of the fetch rate, since a machine type may state a rate of zero. */
   private static final double MIN_FETCH_GB_PER_S = 0.01;
 
   private final PreemptionRate spotPreemptions;
@@ -40,6 +51,11 @@
   private double overprovisioning;
   private double largestReplicaCpus;
 
+  /**
+   * Creates a score that uses the start objectives of the settings.
+   *
+   * @param spotPreemptions the rate at which the cloud preempts spot machines
+   */
   PlacementScore(Settings settings, PreemptionRate spotPreemptions) {
     this.spotPreemptions = spotPreemptions;
     for (Settings.Objective objective : settings.objectives()) {
@@ -49,20 +65,32 @@
     }
   }
 
-  /** Starts a scheduling round; {@link #recordReplicaSize} is to be called for each job next. */
+  /**
+   * Starts a scheduling round. The caller then passes each job to {@link #recordReplicaSize} before
+   * it asks for scores.
+   *
+   * @param newOverprovisioning the degree of overprovisioning from 0 to 1, as described at {@link
+   *     SchedulingPolicy}
+   */
   void beginRound(double newOverprovisioning) {
     overprovisioning = newOverprovisioning;
     largestReplicaCpus = 0;
   }
 
-  /** Takes a job into account for the room that is left for replicas. */
+  /**
+   * Records the size of a service's replicas: array tasks avoid on-demand machines where they would
+   * leave no room for the largest replica.
+   */
   void recordReplicaSize(JobSpec spec) {
     if (spec.service()) {
       largestReplicaCpus = Math.max(largestReplicaCpus, spec.cpus());
     }
   }
 
-  /** Seconds, roughly, that the task loses by going there, plus what the choice costs others. */
+  /**
+   * Returns the approximate number of seconds that the task loses by running on the machine, plus
+   * the cost of the choice to other tasks.
+   */
   double score(Job job, Machine machine) {
     JobSpec spec = job.spec;
     double score = 0;
@@ -72,7 +100,7 @@
     score =
         spec.service() ? addReplicaScore(score, job, machine) : addArrayScore(score, spec, machine);
     double freeShare = machine.cpusFree() / machine.machineType().cpus();
-    // Where cost is an objective the fullest machine is best, so that others can be returned.
+    // Where cost is an objective, full machines are preferred so that empty ones can be returned.
     score +=
         overprovisioning * (1 - freeShare)
             + (1 - overprovisioning) * BIN_PACKING_WEIGHT_S * freeShare;
@@ -82,29 +110,34 @@
     return score;
   }
 
-  /** Replicas of one job are spread out, as far as their image is there to start them in time. */
+  /**
+   * Adds the cost of placing a service replica. Replicas of one job are spread over machines and
+   * zones that already have the image, so that they start in time.
+   */
   private static double addReplicaScore(double base, Job job, Machine machine) {
     double score = base;
-    // Even a short fetch is worse than any difference in how full machines are.
+    // Even a short fetch must cost more than any difference in machine utilization.
     score += machine.images.containsKey(job.spec.image()) ? 0 : FETCH_PENALTY_S;
     score += SAME_MACHINE_PENALTY_S * job.tasksOn(machine);
     score += SAME_ZONE_PENALTY_S * job.assignedInZone(machine.zone());
     return score;
   }
 
+  /** Adds the cost of placing a task that is not a service replica. */
   private double addArrayScore(double base, JobSpec spec, Machine machine) {
     double score = base;
     score += machine.isSpot() ? overprovisioning * spotRiskS(spec) : ON_DEMAND_PENALTY_S;
-    // A replica that finds no room preempts a task: room is left where that costs nothing.
-    boolean crowded = !machine.isSpot() && machine.cpusFree() - spec.cpus() < largestReplicaCpus;
-    score += crowded ? overprovisioning * CROWDED_PENALTY_S : 0;
+    // A replica without room preempts a task, so leave room for it where another machine will do.
+    boolean isCrowded = !machine.isSpot() && machine.cpusFree() - spec.cpus() < largestReplicaCpus;
+    score += isCrowded ? overprovisioning * CROWDED_PENALTY_S : 0;
     score += spec.estimateS() * Math.max(MIN_SLOWDOWN, machine.slowness() - 1);
     return score;
   }
 
   /**
-   * The expected loss by preemption of spot machines: one task that is lost halfway makes the whole
-   * array late by half a run, so long and wide arrays had better be elsewhere.
+   * Returns the expected loss in seconds by preemption of spot machines. One task that is lost
+   * halfway delays the whole array by half a run, so the cost is highest for long arrays with many
+   * tasks.
    */
   private double spotRiskS(JobSpec spec) {
     double runS = Math.max(1, spec.estimateS());
@@ -112,14 +145,18 @@
     return probability * runS / 2;
   }
 
+  /** Returns the time in seconds to fetch the image to the machine. */
   private static double fetchS(JobSpec spec, Machine machine) {
     return spec.imageGb() / Math.max(MIN_FETCH_GB_PER_S, machine.machineType().fetchGbPerS());
   }
 
-  /** Whether a task would start too late there for its users, since its image has to be fetched. */
+  /**
+   * Returns whether the task would miss its class's start objective because its image has to be
+   * fetched to the machine first.
+   */
   boolean isFetchTooLate(JobSpec spec, Machine machine) {
     return !machine.images.containsKey(spec.image())
-        && FETCH_SLACK * fetchS(spec, machine)
+        && FETCH_SLACK_FACTOR * fetchS(spec, machine)
             > maxStartDelayS.getOrDefault(spec.jobClass(), Double.MAX_VALUE);
   }
 }
--- a/src/main/java/org/snowturn/core/scheduling/Preemptor.java
+++ b/src/main/java/org/snowturn/core/scheduling/Preemptor.java
@@ -17,20 +17,30 @@
 import org.snowturn.wire.Priority;
 
 /**
- * Makes room for waiting tasks by preempting others: of lower priority, or beyond the guarantee of
- * another team, or a settled replica that can start elsewhere at once.
+ * Preemption of tasks to make room for waiting ones. Tasks of lower priority and tasks beyond
+ * another team's guarantee are preempted. A replica that has run for some time is relocated if it
+ * can start on another machine at once.
  */
 final class Preemptor {
-  /** A preempted task ends within this time, or is not waited for. */
-  private static final long PREEMPTION_MS = 300;
+  /** Maximum time that a replica waits for a preempted task to end before it goes elsewhere. */
+  private static final long MAX_STOP_WAIT_MS = 300;
 
-  /** How long a new service waits for room beside its image rather than fetch it elsewhere. */
-  private static final long IMAGE_PATIENCE_MS = 1_500;
+  /**
+   * Maximum time after a service's release during which it waits for room on a machine with its
+   * image instead of fetching the image elsewhere.
+   */
+  private static final long MAX_IMAGE_WAIT_MS = 1_500;
 
-  /** How long room that is being made is waited for before more is made. */
-  private static final long ROOM_WAIT_MS = 1_500;
+  /**
+   * Time to wait for preempted tasks to end before more are preempted for the same job or on the
+   * same machine.
+   */
+  private static final long PREEMPTION_INTERVAL_MS = 1_500;
 
+  /** Penalty for each preempted task in the choice of a machine. */
   private static final double VICTIM_PENALTY_S = 10.0;
+
+  /** Rounding tolerance for amounts of CPUs, GPUs and memory in GB. */
   private static final double RESOURCE_TOLERANCE = 1e-6;
 
   private final CoreRuntime runtime;
@@ -38,53 +48,63 @@
   private final PlacementConstraints constraints;
   private final PlacementScore score;
   private final EvaluationCounter evaluations;
-  private final BooleanSupplier preemptionAllowed;
+  private final BooleanSupplier isPreemptionAllowed;
 
-  /** For what no room could be made in the present round. */
+  /** Unconstrained jobs for which no room could be made in the current round. */
   private final List<FailedRequest> failedRequests = new ArrayList<>();
 
-  private record FailedRequest(JobSpec spec, Priority priority, boolean withinGuarantee) {}
+  /** What a job asked for when no room could be made for it. */
+  private record FailedRequest(JobSpec spec, Priority priority, boolean isWithinGuarantee) {}
 
-  /** In the present round, the machines with work of lower priority; found when needed. */
-  private final Map<Priority, List<Machine>> preemptible = new EnumMap<>(Priority.class);
+  /** Machines with tasks below a priority, computed in the current round on first use. */
+  private final Map<Priority, List<Machine>> preemptibleMachines = new EnumMap<>(Priority.class);
 
-  /** The machines of the present round. */
-  private List<Machine> usableInRound = List.of();
+  /** All usable machines of the current round. */
+  private List<Machine> machinesOfRound = List.of();
 
+  /**
+   * Creates a preemptor.
+   *
+   * @param isPreemptionAllowed whether tasks may be preempted now
+   */
   Preemptor(
       CoreRuntime runtime,
       TaskAssignments assignments,
       PlacementConstraints constraints,
       PlacementScore score,
       EvaluationCounter evaluations,
-      BooleanSupplier preemptionAllowed) {
+      BooleanSupplier isPreemptionAllowed) {
     this.runtime = runtime;
     this.assignments = assignments;
     this.constraints = constraints;
     this.score = score;
     this.evaluations = evaluations;
-    this.preemptionAllowed = preemptionAllowed;
+    this.isPreemptionAllowed = isPreemptionAllowed;
   }
 
-  /** Starts a scheduling round with these machines. */
-  void beginRound(List<Machine> usable) {
-    usableInRound = usable;
+  /** Starts a scheduling round on these machines and discards the results of the last one. */
+  void beginRound(List<Machine> usableMachines) {
+    machinesOfRound = usableMachines;
     failedRequests.clear();
-    preemptible.clear();
+    preemptibleMachines.clear();
   }
 
-  /** Makes room, or waits for room being made, on a machine that has a new service's image. */
-  boolean makeRoomWithImage(Job job, List<Machine> usable) {
-    if (runtime.wallMs() - job.releasedWall() > IMAGE_PATIENCE_MS
-        || !preemptionAllowed.getAsBoolean()) {
+  /**
+   * Makes room for a new service on machines that have its image.
+   *
+   * @return whether room is being made, so that the service waits instead of fetching the image
+   */
+  boolean makeRoomWithImage(Job job, List<Machine> usableMachines) {
+    if (runtime.wallMs() - job.releasedWall() > MAX_IMAGE_WAIT_MS
+        || !isPreemptionAllowed.getAsBoolean()) {
       return false;
     }
     if (runtime.now() < job.preemptingUntil()) {
-      // Where more replicas wait than room was made for, the others would wait for nothing.
-      return runtime.now() < job.preemptingUntil() - ROOM_WAIT_MS + PREEMPTION_MS;
+      // Room may have been made for fewer replicas than wait; the others must not wait in vain.
+      return runtime.now() < job.preemptingUntil() - PREEMPTION_INTERVAL_MS + MAX_STOP_WAIT_MS;
     }
     List<Machine> withImage = new ArrayList<>();
-    for (Machine machine : usable) {
+    for (Machine machine : usableMachines) {
       if (machine.images.containsKey(job.spec.image()) && constraints.isAllowed(job, machine)) {
         withImage.add(machine);
       }
@@ -92,7 +112,12 @@
     return makeRoom(job, withImage) || relocateReplica(job, withImage);
   }
 
-  /** Stops a settled replica that can start elsewhere at once, to make room beside an image. */
+  /**
+   * Stops a replica of another job that can start elsewhere at once, to make room on a machine that
+   * has the image.
+   *
+   * @return whether a replica was stopped
+   */
   private boolean relocateReplica(Job job, List<Machine> withImage) {
     for (Machine machine : withImage) {
       if (runtime.now() >= machine.preemptingUntil() && relocateReplicaFrom(machine, job)) {
@@ -102,19 +127,20 @@
     return false;
   }
 
+  /** Stops one replica on the machine that frees enough for the job; returns false if none can. */
   private boolean relocateReplicaFrom(Machine machine, Job job) {
     for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
       Job victim = assignments.job(ref);
       int task = TaskAssignments.task(ref);
-      boolean movable =
+      boolean isMovable =
           victim != job
               && victim.isMovable(task, runtime.now())
               && victim.spec.cpus() >= job.spec.cpus()
               && victim.spec.gpus() >= job.spec.gpus()
               && victim.spec.memoryGb() >= job.spec.memoryGb();
-      if (movable && constraints.canStartElsewhere(victim, machine)) {
+      if (isMovable && constraints.canStartElsewhere(victim, machine)) {
         log(LogEvent.TASK_EVICTED, victim, task, machine, job);
-        recordPreempting(job, machine);
+        recordPreemption(job, machine);
         victim.failures.exclude(task, machine.index);
         assignments.stop(victim, task);
         return true;
@@ -134,32 +160,35 @@
         .write();
   }
 
-  private void recordPreempting(Job job, Machine machine) {
-    machine.setPreemptingUntil(runtime.now() + ROOM_WAIT_MS);
+  /** Defers further preemption for the job and on the machine until the tasks can have ended. */
+  private void recordPreemption(Job job, Machine machine) {
+    machine.setPreemptingUntil(runtime.now() + PREEMPTION_INTERVAL_MS);
     job.setPreemptingUntil(machine.preemptingUntil());
   }
 
   /**
-   * Preempts tasks of lower priority where that lets tasks of this job start: on one machine for
-   * each waiting task, all at once, since one after the other a large service would wait for
-   * minutes. Tells whether room is being made.
+   * Preempts tasks so that waiting tasks of the job can start. One machine is chosen for each
+   * waiting task, and all are preempted in the same call: one preemption after the other would make
+   * a large service wait for minutes.
+   *
+   * @return whether room is being made
    */
-  boolean makeRoom(Job job, List<Machine> usable) {
+  boolean makeRoom(Job job, List<Machine> usableMachines) {
     long now = runtime.now();
     if (now < job.preemptingUntil()) {
-      return true; // see first what it brings
+      return true; // wait for the tasks that are already being preempted
     }
-    if (!mayPreemptFor(job)) {
+    if (!canPreemptFor(job)) {
       return false;
     }
-    List<Option> options = options(job, usable);
+    List<PreemptionOption> options = options(job, usableMachines);
     if (options.isEmpty() && PlacementConstraints.isUnconstrained(job.spec)) {
       failedRequests.add(new FailedRequest(job.spec, job.priority(), job.isWithinGuarantee()));
     }
-    options.sort(Comparator.comparingDouble(Option::score));
+    options.sort(Comparator.comparingDouble(PreemptionOption::score));
     int[] assignedInZone = job.copyOfAssignedInZone();
     int wanted = job.pending();
-    for (Option option : options) {
+    for (PreemptionOption option : options) {
       if (wanted == 0) {
         break;
       }
@@ -173,32 +202,37 @@
     return now < job.preemptingUntil();
   }
 
-  private boolean mayPreemptFor(Job job) {
-    return preemptionAllowed.getAsBoolean()
+  /** Returns whether it is allowed and worthwhile to search for tasks to preempt for the job. */
+  private boolean canPreemptFor(Job job) {
+    return isPreemptionAllowed.getAsBoolean()
         && (job.isWithinGuarantee() || assignments.assignedBelow(job.priority()) > 0)
         && assignments.quota().allows(job.spec)
         && !isKnownToFail(job);
   }
 
-  private List<Option> options(Job job, List<Machine> usable) {
-    List<Option> options = new ArrayList<>();
+  /** Returns the machines on which preemption would let a task of the job start. */
+  private List<PreemptionOption> options(Job job, List<Machine> usableMachines) {
+    List<PreemptionOption> options = new ArrayList<>();
     List<Machine> machines =
-        job.isWithinGuarantee() ? usable : withLowerPriority(job.priority(), usable);
+        job.isWithinGuarantee()
+            ? usableMachines
+            : machinesWithLowerPriority(job.priority(), usableMachines);
     for (Machine machine : machines) {
       evaluations.increment();
       if (runtime.now() >= machine.preemptingUntil() && constraints.isAllowed(job, machine)) {
         List<Long> victims = victims(job, machine);
         if (victims != null) {
           double optionScore = score.score(job, machine) + VICTIM_PENALTY_S * victims.size();
-          options.add(new Option(machine, victims, optionScore));
+          options.add(new PreemptionOption(machine, victims, optionScore));
         }
       }
     }
     return options;
   }
 
-  private void preempt(Job job, Option option) {
-    recordPreempting(job, option.machine);
+  /** Stops the tasks of the option. */
+  private void preempt(Job job, PreemptionOption option) {
+    recordPreemption(job, option.machine);
     for (long ref : option.victims) {
       Job victim = assignments.job(ref);
       int task = TaskAssignments.task(ref);
@@ -208,19 +242,20 @@
   }
 
   /**
-   * Whether for a job that asks for no more, at no lower priority, no room could be made in this
-   * round. Else, under overload, hundreds of waiting jobs would each search all machines in vain,
-   * for longer than the leader's lease lasts.
+   * Returns whether no room could be made in this round for a job of the same or a higher priority
+   * that needs the same or less of each resource. Without this check, hundreds of waiting jobs
+   * under overload would each search all machines in vain, for longer than the leader's lease
+   * lasts.
    */
   private boolean isKnownToFail(Job job) {
     for (FailedRequest failed : failedRequests) {
-      // Whose work may be preempted for a guarantee depends on the team.
-      boolean sameVictims =
-          job.isWithinGuarantee() == failed.withinGuarantee
+      // For a guarantee, the tasks that may be preempted depend on the team.
+      boolean hasSameVictims =
+          job.isWithinGuarantee() == failed.isWithinGuarantee
               && (!job.isWithinGuarantee() || job.spec.team().equals(failed.spec.team()));
-      boolean noHigher = job.priority().compareTo(failed.priority) >= 0;
-      if (sameVictims
-          && noHigher
+      boolean hasNoHigherPriority = job.priority().compareTo(failed.priority) >= 0;
+      if (hasSameVictims
+          && hasNoHigherPriority
           && PlacementConstraints.isAtLeastAsDemanding(job.spec, failed.spec)) {
         return true;
       }
@@ -228,71 +263,78 @@
     return false;
   }
 
-  private List<Machine> withLowerPriority(Priority priority, List<Machine> usable) {
-    boolean wholeRound = usable == usableInRound; // only then is the result kept for others
-    List<Machine> found = wholeRound ? preemptible.get(priority) : null;
+  /** Returns the machines with tasks of a lower priority than this. */
+  private List<Machine> machinesWithLowerPriority(Priority priority, List<Machine> usableMachines) {
+    // The result is only reused if it covers all machines of the round.
+    boolean coversRound = usableMachines == machinesOfRound;
+    List<Machine> found = coversRound ? preemptibleMachines.get(priority) : null;
     if (found == null) {
       found = new ArrayList<>();
-      for (Machine machine : usable) {
+      for (Machine machine : usableMachines) {
         if (machine.assignedBelow(priority) > 0) {
           found.add(machine);
         }
       }
-      if (wholeRound) {
-        preemptible.put(priority, found);
+      if (coversRound) {
+        preemptibleMachines.put(priority, found);
       }
     }
     return found;
   }
 
-  /** What would have to be preempted on a machine for one task to start there. */
-  private record Option(Machine machine, List<Long> victims, double score) {}
+  /** The tasks to preempt on a machine so that one task can start there, and the score. */
+  private record PreemptionOption(Machine machine, List<Long> victims, double score) {}
 
   /**
-   * Whether work may be preempted for a job: of lower priority, or, for a job within its team's
-   * guarantee, whatever another team has beyond its own. Work within a guarantee is never preempted
-   * for another team, nor what a minimum share has let go before others, but for production and
-   * guarantees.
+   * Returns whether tasks of {@code victim} may be preempted for {@code job}. A job preempts tasks
+   * of lower priority. A job within its team's guarantee also preempts tasks of other teams that
+   * are beyond those teams' guarantees. Tasks within a guarantee are never preempted for another
+   * team. Tasks placed by a minimum share are preempted only for production jobs and guarantees.
    */
   private static boolean isPreemptible(Job victim, Job job) {
-    boolean sameTeam = victim.spec.team().equals(job.spec.team());
-    if (victim.isWithinGuarantee() && !sameTeam) {
+    boolean isSameTeam = victim.spec.team().equals(job.spec.team());
+    if (victim.isWithinGuarantee() && !isSameTeam) {
       return false;
     }
-    if (job.isWithinGuarantee() && !sameTeam) {
+    if (job.isWithinGuarantee() && !isSameTeam) {
       return true;
     }
     boolean isProtected = victim.isByMinimumShare() && job.priority() != Priority.PRODUCTION;
     return victim.priority().compareTo(job.priority()) > 0 && !isProtected;
   }
 
-  /** The tasks whose end would make room, least loss first; null if there are not enough. */
+  /** Returns the tasks to preempt to fit one task of the job, or null if too few may be. */
   private List<Long> victims(Job job, Machine machine) {
-    double cpus = job.spec.cpus() - machine.cpusFree();
-    double memoryGb =
+    double missingCpus = job.spec.cpus() - machine.cpusFree();
+    double missingMemoryGb =
         job.spec.memoryGb() - (machine.machineType().memoryGb() - machine.memoryUsed());
-    double gpus = job.spec.gpus() - (machine.machineType().gpus() - machine.gpusUsed());
+    double missingGpus = job.spec.gpus() - (machine.machineType().gpus() - machine.gpusUsed());
     List<Long> victims = new ArrayList<>();
     for (long ref : preemptibleTasks(job, machine)) {
-      if (isEnough(cpus, memoryGb, gpus)) {
+      if (isEnoughFreed(missingCpus, missingMemoryGb, missingGpus)) {
         break;
       }
       JobSpec victim = assignments.job(ref).spec;
-      cpus -= victim.cpus();
-      memoryGb -= victim.memoryGb();
-      gpus -= victim.gpus();
+      missingCpus -= victim.cpus();
+      missingMemoryGb -= victim.memoryGb();
+      missingGpus -= victim.gpus();
       victims.add(ref);
     }
-    return isEnough(cpus, memoryGb, gpus) ? victims : null;
+    return isEnoughFreed(missingCpus, missingMemoryGb, missingGpus) ? victims : null;
   }
 
-  private static boolean isEnough(double missingCpus, double missingMemoryGb, double missingGpus) {
+  /** Returns whether no resource is missing any more. */
+  private static boolean isEnoughFreed(
+      double missingCpus, double missingMemoryGb, double missingGpus) {
     return missingCpus <= RESOURCE_TOLERANCE
         && missingMemoryGb <= RESOURCE_TOLERANCE
         && missingGpus <= RESOURCE_TOLERANCE;
   }
 
-  /** Of the lowest priority first, among these the latest started. */
+  /**
+   * Returns the machine's tasks that may be preempted for the job, lowest priority first. Among
+   * equals the most recently started comes first, since it loses the least work.
+   */
   private List<Long> preemptibleTasks(Job job, Machine machine) {
     List<Long> tasks = new ArrayList<>();
     for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
--- a/src/main/java/org/snowturn/core/scheduling/ProbePlacement.java
+++ b/src/main/java/org/snowturn/core/scheduling/ProbePlacement.java
@@ -7,18 +7,19 @@
 import org.snowturn.wire.JobSpec;
 
 /**
- * Places single tasks of a suspected job, one that has failed wherever it ran: on a machine where
- * other work succeeds, if there is one, so that the next failure tells whose fault it is. Probes
- * take the room that others leave, and nothing is preempted for them.
+ * Placement of single tasks of a suspected job, that is, of a job that has failed on every machine
+ * where it ran. A probe preferably runs on a machine where other jobs succeed, so that its outcome
+ * tells whether the job or the machine is at fault. Probes use the room that other jobs leave, and
+ * nothing is preempted for them.
  */
 final class ProbePlacement {
-  /** At most so many tasks of a suspected job that are not known to run. */
+  /** Maximum number of assigned tasks of a suspected job while some are not yet running. */
   private static final int MAX_PROBES = 2;
 
-  /** A probe that has found no room for so long gets its ordinary place in the order. */
-  private static final long OVERDUE_MS = 30_000;
+  /** Time without room after which a probe is placed ahead of the waiting jobs. */
+  private static final long OVERDUE_AFTER_MS = 30_000;
 
-  /** For a machine on which the outcome would tell less. */
+  /** Penalty for a machine on which the outcome would tell less about the cause of failures. */
   private static final double UNINFORMATIVE_PENALTY_S = 100;
 
   private final TaskAssignments assignments;
@@ -27,6 +28,7 @@
   private final JobPlacement placement;
   private final EvaluationCounter evaluations;
 
+  /** Creates a placement for probes; gangs are left to {@code placement}. */
   ProbePlacement(
       TaskAssignments assignments,
       PlacementConstraints constraints,
@@ -40,27 +42,28 @@
     this.evaluations = evaluations;
   }
 
-  /** Whether a task of the suspected job may be tried now. */
+  /** Returns whether another task of the suspected job may be placed now. */
   static boolean isDue(Job job, long nowMs) {
     return nowMs >= job.failures.backOffUntil()
         && (job.assigned() < MAX_PROBES || job.running() == job.assigned());
   }
 
-  /** Whether its probe has waited for long. */
+  /** Returns whether the job's probe has been due for a long time without finding room. */
   static boolean isOverdue(Job job, long nowMs) {
-    return nowMs - job.failures.backOffUntil() >= OVERDUE_MS;
+    return nowMs - job.failures.backOffUntil() >= OVERDUE_AFTER_MS;
   }
 
-  /** Places one task of the job if a machine has room. */
-  void place(Job job, List<Machine> usable) {
+  /** Places one task of the job, or all tasks of a gang, if there is room. */
+  void place(Job job, List<Machine> usableMachines) {
     if (job.spec.kind() == JobSpec.Kind.GANG) {
-      placement.place(job, usable); // one task of it alone would wait for the others
+      // A single task of a gang would only wait for the others.
+      placement.place(job, usableMachines);
       return;
     }
     int task = assignments.quota().allows(job.spec) ? job.nextPending() : -1;
     Machine best = null;
     double lowestScore = Double.MAX_VALUE;
-    for (Machine machine : usable) {
+    for (Machine machine : usableMachines) {
       evaluations.increment();
       if (task < 0 || !constraints.fits(job, machine)) {
         continue;
@@ -76,12 +79,13 @@
     }
   }
 
+  /** Returns the machine's score with penalties for less informative machines. */
   private double score(Job job, Machine machine) {
-    // Where nearly all machines have failed, those that seem sound are not: every other probe goes
-    // to one of which nothing is known.
-    boolean informative = machine.failures.isSound() == (job.failures.probeCount() % 2 == 0);
+    // When nearly all machines have failures, the ones still marked sound may be faulty too, so
+    // every other probe prefers a machine that is not marked sound.
+    boolean isInformative = machine.failures.isSound() == (job.failures.probeCount() % 2 == 0);
     return score.score(job, machine)
-        + (informative ? 0 : UNINFORMATIVE_PENALTY_S)
+        + (isInformative ? 0 : UNINFORMATIVE_PENALTY_S)
         + (job.failures.hasFailedOn(machine.index) ? 2 * UNINFORMATIVE_PENALTY_S : 0);
   }
 }
--- a/src/main/java/org/snowturn/core/scheduling/SchedulingOrder.java
+++ b/src/main/java/org/snowturn/core/scheduling/SchedulingOrder.java
@@ -10,57 +10,68 @@
 import org.snowturn.core.model.Job;
 
 /**
- * In which order waiting jobs get room: by priority, services first, then by the objectives that
- * can still be met.
+ * Order in which waiting jobs are placed: by priority, services before other jobs, then by urgency
+ * and remaining work.
  *
- * <p>Each objective is a time by which a job must have started or be done: its deadline, one and a
- * half times it, the start and finish objectives of its class. A job with little slack before the
- * next one that it can still meet goes first; one that can wait goes after it; one that can meet
- * none goes last. Among equals the least work goes first: where not all can be in time, the most
- * are so. By deadlines alone large late arrays would hold the machines of a burst, and by work
- * alone small arrays with hours of slack would make large ones late.
+ * <p>Each objective is a time by which a job must have started or finished: its deadline, one and a
+ * half times its deadline, and the start and finish objectives of its class. The slack is the time
+ * left before the next objective that the job can still meet. Jobs with little slack come first,
+ * then jobs that can wait, then jobs that can meet none of their objectives.
+ *
+ * <p>Among equals the job with the least remaining work comes first, so that as many jobs as
+ * possible are in time when not all can be. With deadlines as the only criterion, large late arrays
+ * would occupy the machines during a burst. With work as the only criterion, small arrays with
+ * hours of slack would make large ones late.
  */
 public final class SchedulingOrder {
+  /** Times from a job's release within which jobs of a class are to start and to finish. */
   private record ClassObjectives(List<Double> startWithinS, List<Double> doneWithinS) {}
 
-  private static final ClassObjectives NONE = new ClassObjectives(List.of(), List.of());
+  private static final ClassObjectives NO_OBJECTIVES = new ClassObjectives(List.of(), List.of());
 
-  /** Above the slack of a job without any deadline. */
-  private static final double MISSED = Double.POSITIVE_INFINITY;
+  /**
+   * Slack of a missed objective in milliseconds. It is greater than the slack of a job without a
+   * deadline, which counts as one that can wait.
+   */
+  private static final double MISSED_SLACK_MS = Double.POSITIVE_INFINITY;
 
-  /** Objectives are about the deadline itself and about this multiple of it. */
+  /** Multiple of the deadline that counts as a second, later objective. */
   private static final double LATE_DEADLINE_FACTOR = 1.5;
 
-  /** How urgent a job is; the most urgent goes first. */
+  /** Urgency of a job; the most urgent comes first. */
   enum Urgency {
-    /** There is little slack before some objective. */
+    /** An objective that can still be met has little slack left. */
     URGENT,
-    /** There is more slack than that. */
+    /** Every objective that can still be met has enough slack left. */
     CAN_WAIT,
-    /** All objectives are missed whatever is done. */
+    /** No objective can be met any more. */
     ALL_MISSED
   }
 
   private final Map<String, ClassObjectives> objectivesByClass = new HashMap<>();
   private final double urgentSlackMs;
 
-  /** Jobs with less than {@code urgentSlackS} of slack, in seconds, are urgent. */
+  /**
+   * Creates the order for the objectives of the settings.
+   *
+   * @param urgentSlackS slack in seconds below which a job is urgent
+   */
   public SchedulingOrder(Settings settings, double urgentSlackS) {
     urgentSlackMs = urgentSlackS * 1000;
     for (Settings.Objective objective : settings.objectives()) {
-      ClassObjectives ofClass =
+      ClassObjectives classObjectives =
           objectivesByClass.computeIfAbsent(
               objective.jobClass(),
               jobClass -> new ClassObjectives(new ArrayList<>(), new ArrayList<>()));
       switch (objective.kind()) {
-        case "wait" -> ofClass.startWithinS.add(objective.withinS());
-        case "finished" -> ofClass.doneWithinS.add(objective.withinS());
-        default -> {} // deadlines are the jobs' own
+        case "wait" -> classObjectives.startWithinS.add(objective.withinS());
+        case "finished" -> classObjectives.doneWithinS.add(objective.withinS());
+        default -> {} // deadlines are stated by each job
       }
     }
   }
 
-  /** A job with what decides its place: worked out once, not at each comparison. */
+  /** A job with its sort keys, which are computed once instead of at each comparison. */
   private record RankedJob(Job job, int rank, Urgency urgency, double remainingWork)
       implements Comparable<RankedJob> {
     @Override
@@ -73,7 +84,11 @@
     }
   }
 
-  /** The jobs in the order at a time of day, in milliseconds. */
+  /**
+   * Returns the jobs in scheduling order.
+   *
+   * @param wallMs the wall-clock time in milliseconds
+   */
   public List<Job> sorted(Collection<Job> jobs, double wallMs) {
     RankedJob[] ranked = new RankedJob[jobs.size()];
     int count = 0;
@@ -89,13 +104,18 @@
     return sorted;
   }
 
+  /** Returns the rank by priority, with services before other jobs; the lowest comes first. */
   private static int rank(Job job) {
     return 2 * job.priority().level() + (job.spec.service() ? 0 : 1);
   }
 
-  /** The job's urgency at a time of day, in milliseconds. */
+  /**
+   * Returns the urgency of the job.
+   *
+   * @param wallMs the wall-clock time in milliseconds
+   */
   Urgency urgency(Job job, double wallMs) {
-    ClassObjectives objectives = objectivesByClass.getOrDefault(job.spec.jobClass(), NONE);
+    ClassObjectives objectives = objectivesByClass.getOrDefault(job.spec.jobClass(), NO_OBJECTIVES);
     double endMs = wallMs + job.spec.estimateS() * 1000;
     double slackMs =
         Math.min(
@@ -110,15 +130,15 @@
     if (slackMs < urgentSlackMs) {
       return Urgency.URGENT;
     }
-    return slackMs < MISSED ? Urgency.CAN_WAIT : Urgency.ALL_MISSED;
+    return slackMs < MISSED_SLACK_MS ? Urgency.CAN_WAIT : Urgency.ALL_MISSED;
   }
 
-  /** An objective that is missed already does not make a job urgent. */
+  /** Returns the slack of an objective; one that is missed no longer makes a job urgent. */
   private static double slack(double slackMs) {
-    return slackMs < 0 ? MISSED : slackMs;
+    return slackMs < 0 ? MISSED_SLACK_MS : slackMs;
   }
 
-  /** In CPU-seconds. */
+  /** Returns the work of the job's waiting tasks in CPU-seconds. */
   private static double remainingWork(Job job) {
     return job.pending() * job.spec.cpus() * Math.max(1, job.spec.estimateS());
   }
--- a/src/main/java/org/snowturn/core/scheduling/Speculator.java
+++ b/src/main/java/org/snowturn/core/scheduling/Speculator.java
@@ -25,15 +25,21 @@
 import org.snowturn.wire.StateMessage.Condition;
 
 /**
- * Speculative execution of stragglers: when no waiting task fits, the slow task with the longest
- * time to end is stopped and started again, once, on a machine that has shown to be fast enough.
+ * Speculative execution of stragglers. When no waiting task fits, the slow task with the longest
+ * remaining time, overdue tasks first, is stopped and placed again. At least one other machine with
+ * room must have proved fast enough. Each task is restarted at most once.
  */
 public final class Speculator {
-  /** Slow tasks whose gain is estimated at a time, longest time to end first. */
-  private static final int MAX_EXAMINED = 20;
+  /** Maximum number of stragglers, in sort order, whose gain is estimated at a time. */
+  private static final int MAX_EXAMINED_STRAGGLERS = 20;
 
-  private static final int RECORD_SLOT = 3;
+  /** Urgency of writes of restart records. */
+  private static final int RECORD_URGENCY = 3;
+
+  /** Lower bound of run times, which avoids division by zero. */
   private static final double MIN_RUN_S = 0.1;
+
+  /** Lower bound of the fetch rate, since a machine type may state a rate of zero. */
   private static final double MIN_FETCH_GB_PER_S = 0.01;
 
   private final CoreRuntime runtime;
@@ -46,7 +52,7 @@
   private final Map<String, PendingRecord> restartRecords = new HashMap<>();
   private int restarts;
 
-  /** Restarts nothing yet. */
+  /** Creates a speculator that has not restarted any task. */
   public Speculator(
       CoreRuntime runtime,
       Tunables tunables,
@@ -64,16 +70,21 @@
     this.writer = writer;
   }
 
-  /** How many tasks this leader has restarted. */
+  /** Returns the number of tasks that this leader has restarted. */
   public int restarts() {
     return restarts;
   }
 
-  /** The record of an array's restarts was read, at this revision. */
-  public void setRecordVersion(Job job, long stamp) {
-    restartRecord(job).setVersion(stamp);
+  /**
+   * Sets the version of the stored record of an array's restarts, after the record was read.
+   *
+   * @param version the record's version in the state service
+   */
+  public void setRecordVersion(Job job, long version) {
+    restartRecord(job).setVersion(version);
   }
 
+  /** Returns the record of the array's restarts, which is created on first use. */
   private PendingRecord restartRecord(Job job) {
     return restartRecords.computeIfAbsent(
         job.spec.id(),
@@ -85,34 +96,43 @@
                 () -> new Condition(StorageKeys.job(id), job.version())));
   }
 
-  /** A task's running time over the run that is expected of it; above 1: overdue. */
+  /** Returns a task's run time as a multiple of its expected run time; above 1 it is overdue. */
   static double relativeRunTime(double runS, double expectedS) {
     return runS / expectedS;
   }
 
-  /** Progress per second of running time; an overdue task's is one over its running time. */
+  /**
+   * Returns the estimated progress per second as a fraction of the whole task. An overdue task is
+   * taken to be about to finish.
+   */
   static double progressRate(double runS, double expectedS) {
     return 1 / Math.max(runS, expectedS);
   }
 
-  /** What is left of the expected run; past it, the running time. */
+  /**
+   * Returns the estimated remaining time in seconds. It is the rest of the expected run time, or
+   * the run time so far if the task is overdue.
+   */
   static double remainingS(double runS, double expectedS) {
     return runS > expectedS ? runS : expectedS - runS;
   }
 
-  /** Sorted: the overdue first, then by the longest time to end. */
-  private record Straggler(Job job, int task, boolean overdue, double remainingS)
+  /** A slow task. Overdue tasks sort first, then those with the longest remaining time. */
+  private record Straggler(Job job, int task, boolean isOverdue, double remainingS)
       implements Comparable<Straggler> {
     @Override
     public int compareTo(Straggler other) {
-      if (overdue != other.overdue) {
-        return overdue ? -1 : 1;
+      if (isOverdue != other.isOverdue) {
+        return isOverdue ? -1 : 1;
       }
       return Double.compare(other.remainingS, remainingS);
     }
   }
 
-  /** Restarts at most one task; to be called when no waiting task fits and there is room. */
+  /**
+   * Restarts one straggler if that is worthwhile and within the limits. Called when no waiting task
+   * fits and there is room.
+   */
   public void restartStraggler() {
     if (!tunables.speculation()) {
       return;
@@ -121,22 +141,22 @@
     if (!isBelowCap()) {
       return;
     }
-    List<Straggler> stragglers = stragglers();
+    List<Straggler> stragglers = findStragglers();
     if (stragglers.isEmpty()) {
       return;
     }
     stragglers.sort(null);
-    List<Machine> fastMachines = fastMachines();
-    int examined = Math.min(MAX_EXAMINED, stragglers.size());
+    List<Machine> fastMachines = findFastMachines();
+    int examined = Math.min(MAX_EXAMINED_STRAGGLERS, stragglers.size());
     for (Straggler straggler : stragglers.subList(0, examined)) {
-      if (gains(straggler, fastMachines)) {
+      if (isRestartWorthwhile(straggler, fastMachines)) {
         restart(straggler);
         return;
       }
     }
   }
 
-  /** Whether one more of the running tasks may be a restarted one. */
+  /** Returns whether one more of the assigned tasks may be a restarted one. */
   private boolean isBelowCap() {
     int assigned = 0;
     int restarted = 0;
@@ -147,6 +167,7 @@
     return restarted + 1 <= Math.max(1, tunables.speculativeCap() * assigned);
   }
 
+  /** Returns the number of the job's restarted tasks that are assigned. */
   private static int assignedRestarts(Job job) {
     int count = 0;
     for (int task = job.restarted.nextSetBit(0);
@@ -157,7 +178,8 @@
     return count;
   }
 
-  private List<Straggler> stragglers() {
+  /** Returns the slow tasks of all arrays that have finished tasks to compare with. */
+  private List<Straggler> findStragglers() {
     List<Straggler> stragglers = new ArrayList<>();
     for (Job job : assignments.jobs()) {
       if (job.spec.kind() == JobSpec.Kind.ARRAY
@@ -170,6 +192,10 @@
     return stragglers;
   }
 
+  /**
+   * Returns the number of tasks that the machine has finished, plus the estimated finished fraction
+   * of each running one other than service replicas.
+   */
   private double totalWork(Machine machine) {
     double work = machine.workDone();
     for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
@@ -184,35 +210,40 @@
     return work;
   }
 
-  /** The machines whose total work reaches the threshold. */
-  private List<Machine> fastMachines() {
-    List<Machine> usable = new ArrayList<>();
+  /** Returns the usable machines whose total work reaches the configured percentile. */
+  private List<Machine> findFastMachines() {
+    List<Machine> usableMachines = new ArrayList<>();
     DoubleSamples work = new DoubleSamples();
     for (Machine machine : machines.present()) {
       if (machine.usable(runtime.now())) {
-        usable.add(machine);
+        usableMachines.add(machine);
         work.add(totalWork(machine));
       }
     }
     double threshold = work.percentile(tunables.slowNodePercentile());
-    List<Machine> fast = new ArrayList<>();
-    for (int i = 0; i < usable.size(); i++) {
+    List<Machine> fastMachines = new ArrayList<>();
+    for (int i = 0; i < usableMachines.size(); i++) {
       if (work.get(i) >= threshold) {
-        fast.add(usable.get(i));
+        fastMachines.add(usableMachines.get(i));
       }
     }
-    return fast;
+    return fastMachines;
   }
 
+  /** Returns the task's run time so far in seconds. */
   private double runS(Job job, int task) {
     return (runtime.now() - job.stateSince(task)) / 1000.0;
   }
 
+  /** Returns the expected run time of one of the job's tasks on the machine in seconds. */
   private double expectedS(Job job, Machine machine) {
     return Math.max(MIN_RUN_S, job.median() * machine.slowness());
   }
 
-  /** Adds the array's tasks that are slow by the thresholds of the tunables. */
+  /**
+   * Adds the array's slow tasks by the thresholds of the tunables. Tasks are skipped if they were
+   * restarted before, are being stopped, or no longer fit into the record of restarts.
+   */
   private void addStragglers(Job job, List<Straggler> stragglers) {
     DoubleSamples rates = null;
     int maxRecordBytes = gate.limits().valueBytes();
@@ -235,7 +266,7 @@
     }
   }
 
-  /** Rates of the array's finished and running tasks. */
+  /** Returns the progress rates of the array's finished and running tasks. */
   private DoubleSamples progressRates(Job job) {
     DoubleSamples rates = new DoubleSamples();
     for (int i = 0; i < job.runTimes.size(); i++) {
@@ -250,14 +281,15 @@
     return rates;
   }
 
+  /** Returns whether the task runs and the start of its run is known. */
   private static boolean isRunning(Job job, int task) {
     return job.stateOf(task) == TaskState.RUNNING && job.stateSince(task) != MonotonicTime.NEVER;
   }
 
-  /** Whether a restart on the best fast machine would end sufficiently sooner. */
-  private boolean gains(Straggler straggler, List<Machine> fastMachines) {
+  /** Returns whether a restart on the best of the fast machines would end sufficiently sooner. */
+  private boolean isRestartWorthwhile(Straggler straggler, List<Machine> fastMachines) {
     Job job = straggler.job;
-    Machine target = target(job, machines.get(job.machineOf(straggler.task)), fastMachines);
+    Machine target = findTarget(job, machines.get(job.machineOf(straggler.task)), fastMachines);
     if (target == null) {
       return false;
     }
@@ -268,7 +300,8 @@
     return straggler.remainingS > tunables.gainFactor() * expectedS(job, target) + fetchS;
   }
 
-  private Machine target(Job job, Machine current, List<Machine> fastMachines) {
+  /** Returns the fast machine with the lowest score that a task can move to, or null. */
+  private Machine findTarget(Job job, Machine current, List<Machine> fastMachines) {
     Machine best = null;
     double lowestScore = Double.MAX_VALUE;
     for (Machine machine : fastMachines) {
@@ -283,6 +316,7 @@
     return best;
   }
 
+  /** Records the restart of the task, and stops the task once the record is durable. */
   private void restart(Straggler straggler) {
     Job job = straggler.job;
     int task = straggler.task;
@@ -301,10 +335,10 @@
         .with(LogField.MEDIAN_S, job.median())
         .with(LogField.SLOWNESS, current.slowness())
         .write();
-    // The record is durable before the stop, so no later leader restarts the task again.
+    // Stops the task only when the record is durable, so that no later leader restarts it again.
     writer.enqueue(
         restartRecord(job),
-        RECORD_SLOT,
+        RECORD_URGENCY,
         () -> {
           if (job.isAssigned(task) && job.attemptOf(task) == attempt) {
             assignments.stop(job, task);
--- a/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
+++ b/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
@@ -13,7 +13,7 @@
 import org.snowturn.core.model.PreemptionRate;
 import org.snowturn.wire.Priority;
 
-/** Decides which waiting task goes where, in rounds over all waiting jobs. */
+/** Scheduler that assigns waiting tasks to machines, in rounds over all waiting jobs. */
 public final class TaskScheduler {
   private final CoreRuntime runtime;
   private final TaskAssignments assignments;
@@ -24,15 +24,15 @@
   private final Preemptor preemptor;
   private final Aging aging;
   private final FairOrdering fairOrdering;
-  private final JobPlacement placement;
-  private final ProbePlacement probes;
-  private final LongWaitPlacement longWaits;
+  private final JobPlacement jobPlacement;
+  private final ProbePlacement probePlacement;
+  private final LongWaitPlacement longWaitPlacement;
   private final EvaluationCounter evaluations = new EvaluationCounter();
 
   /**
-   * A scheduler for one term; it acts only when asked to.
+   * Creates a scheduler for one term of a leader.
    *
-   * @param spotPreemptions how often the cloud preempts spot machines
+   * @param spotPreemptions the rate at which the cloud preempts spot machines
    */
   public TaskScheduler(
       CoreRuntime runtime,
@@ -52,7 +52,7 @@
             runtime, assignments, constraints, score, evaluations, policy.isPreemptionAllowed());
     aging = new Aging(policy.maxWaitS());
     fairOrdering = new FairOrdering(settings);
-    placement =
+    jobPlacement =
         new JobPlacement(
             assignments,
             score,
@@ -60,47 +60,54 @@
             new GangScheduling(machines, constraints),
             preemptor,
             this::onPlaced);
-    probes = new ProbePlacement(assignments, constraints, score, placement, evaluations);
-    longWaits =
-        new LongWaitPlacement(runtime, assignments, constraints, placement, aging, evaluations);
+    probePlacement = new ProbePlacement(assignments, constraints, score, jobPlacement, evaluations);
+    longWaitPlacement =
+        new LongWaitPlacement(runtime, assignments, constraints, jobPlacement, aging, evaluations);
   }
 
+  /** Records the placement of a task of the job for minimum shares and aging. */
   private void onPlaced(Job job) {
     fairOrdering.recordPlacement(job, runtime.now());
-    aging.recordPlacement(job.spec.cpus(), longWaits.isPlacing(), runtime.now());
+    aging.recordPlacement(job.spec.cpus(), longWaitPlacement.isPlacing(), runtime.now());
   }
 
-  /** Places what fits; tells whether every waiting task was placed or cannot be placed now. */
+  /**
+   * Runs one scheduling round: places tasks that fit and makes room for others.
+   *
+   * @return false if a task found no room
+   */
   public boolean schedule() {
     long now = runtime.now();
-    List<Machine> usable = usableMachines(now);
+    List<Machine> usableMachines = usableMachines(now);
     List<Job> waiting = new ArrayList<>();
     List<Job> suspected = new ArrayList<>();
     score.beginRound(policy.overprovisioning().getAsDouble());
     fairOrdering.beginRound(assignments.jobs(), now);
     collectJobs(now, waiting, suspected);
-    placement.beginRound();
-    preemptor.beginRound(usable);
+    jobPlacement.beginRound();
+    preemptor.beginRound(usableMachines);
     suspected.stream()
         .filter(job -> ProbePlacement.isOverdue(job, now))
-        .forEach(job -> probes.place(job, usable));
-    boolean allPlaced = placeWaiting(waiting, usable);
+        .forEach(job -> probePlacement.place(job, usableMachines));
+    boolean allPlaced = placeWaiting(waiting, usableMachines);
     suspected.stream()
         .filter(job -> !ProbePlacement.isOverdue(job, now))
-        .forEach(job -> probes.place(job, usable));
+        .forEach(job -> probePlacement.place(job, usableMachines));
     return allPlaced;
   }
 
+  /** Returns the usable machines in zones that the settings name. */
   private List<Machine> usableMachines(long now) {
-    List<Machine> usable = new ArrayList<>();
+    List<Machine> usableMachines = new ArrayList<>();
     for (Machine machine : machines.present()) {
       if (machine.usable(now) && machines.zoneKnown(machine.zone())) {
-        usable.add(machine);
+        usableMachines.add(machine);
       }
     }
-    return usable;
+    return usableMachines;
   }
 
+  /** Adds the jobs whose tasks may be placed now to {@code waiting} or {@code suspected}. */
   private void collectJobs(long now, List<Job> waiting, List<Job> suspected) {
     for (Job job : assignments.jobs()) {
       score.recordReplicaSize(job.spec);
@@ -120,46 +127,59 @@
     }
   }
 
-  /** Long-waiting jobs go after production and guarantees, before all others. */
-  private boolean placeWaiting(List<Job> waiting, List<Machine> usable) {
+  /**
+   * Places tasks of the waiting jobs in fair order. Long-waiting jobs are placed after production
+   * jobs and jobs within a guarantee, and before all others.
+   *
+   * @return false if a task found no room
+   */
+  private boolean placeWaiting(List<Job> waiting, List<Machine> usableMachines) {
     boolean allPlaced = true;
-    boolean longWaitsPlaced = false;
+    boolean areLongWaitsPlaced = false;
     for (Job job : fairOrdering.sorted(policy.order().sorted(waiting, (double) runtime.wallMs()))) {
-      if (!longWaitsPlaced && job.priority() != Priority.PRODUCTION && !job.isWithinGuarantee()) {
-        longWaitsPlaced = true;
-        longWaits.place(waiting, usable);
+      if (!areLongWaitsPlaced
+          && job.priority() != Priority.PRODUCTION
+          && !job.isWithinGuarantee()) {
+        areLongWaitsPlaced = true;
+        longWaitPlacement.place(waiting, usableMachines);
       }
-      if (!placement.place(job, usable)) {
+      if (!jobPlacement.place(job, usableMachines)) {
         allPlaced = false;
-        preemptor.makeRoom(job, usable);
+        preemptor.makeRoom(job, usableMachines);
       }
     }
     return allPlaced;
   }
 
-  /** For operators: how the classes of each team are served. */
+  /** Returns metrics for operators: waits and shares of placements by class and team. */
   public Map<String, Double> gauges() {
     Map<String, Double> gauges = new HashMap<>(fairOrdering.gauges());
     gauges.putAll(aging.gauges());
     return gauges;
   }
 
-  /** How many times a machine was evaluated for a job so far. */
+  /** Returns the number of evaluations of a machine for a job since the scheduler was created. */
   public long machineEvaluations() {
     return evaluations.count();
   }
 
-  /** Whether a replica on {@code from} could start on another machine without an image fetch. */
+  /**
+   * Returns whether a replica on {@code from} could start on another machine without an image
+   * fetch.
+   */
   public boolean canStartElsewhere(Job job, Machine from) {
     return constraints.canStartElsewhere(job, from);
   }
 
-  /** Whether the job's constraints allow one more task of it on the machine, room aside. */
+  /**
+   * Returns whether the job's constraints allow one more of its tasks on the machine. Does not
+   * check the machine's free resources.
+   */
   boolean isAllowed(Job job, Machine machine) {
     return constraints.isAllowed(job, machine);
   }
 
-  /** The machine's score for a task of the job; the lowest is the best. */
+  /** Returns the machine's score for a task of the job; the lowest is the best. */
   double score(Job job, Machine machine) {
     return score.score(job, machine);
   }
--- a/src/main/java/org/snowturn/core/scheduling/package-info.java
+++ b/src/main/java/org/snowturn/core/scheduling/package-info.java
@@ -1,2 +1,2 @@
-/** Decisions: placement, preemption, speculative restarts, scaling. */
+/** Scheduling decisions: order of jobs, placement, preemption and speculative execution. */
 package org.snowturn.core.scheduling;
--- a/src/test/java/org/snowturn/core/scheduling/AgingTest.java
+++ b/src/test/java/org/snowturn/core/scheduling/AgingTest.java
@@ -16,8 +16,8 @@
 import org.snowturn.wire.Submissions;
 
 /**
- * Whatever the stream of small jobs, each large one begins in bounded time, at no more than the
- * stated cost; the order that it is held against is least work first, always with more to do.
+ * Guards against starvation of large jobs under an endless stream of small ones, which the
+ * scheduling order places first, and against long-waiting jobs getting more than their share.
  */
 class AgingTest {
   private static final Machine MACHINE = new Machine(0, "i-000001");
@@ -35,7 +35,7 @@
   void eachLargeJobBeginsInBoundedTimeAndAllTogetherTakeNoMoreThanTheirShare(
       @ForAll @IntRange(min = 1, max = 20) int jobs,
       @ForAll @IntRange(min = 1, max = 60) int tasks,
-      @ForAll @IntRange(min = 4, max = 80) int roomEachStep,
+      @ForAll @IntRange(min = 4, max = 80) int meanRoomPerStep,
       @ForAll long seed)
       throws Exception {
     Random random = new Random(seed);
@@ -44,38 +44,39 @@
     for (int i = 0; i < jobs; i++) {
       waiting.add(largeJob(i, tasks, random.nextInt(20_000)));
     }
-    double[] begunAt = new double[jobs];
-    long given = 0;
-    long toLongWaiting = 0;
+    double[] startedAt = new double[jobs];
+    long placements = 0;
+    long longWaitPlacements = 0;
     for (long now = 20_000; now < 600_000; now += STEP_MS) {
-      int room = random.nextInt(2 * roomEachStep);
+      int room = random.nextInt(2 * meanRoomPerStep);
       for (Job job : aging.beginRound(waiting, (double) now)) {
         if (!aging.isBelowShare(now)) {
           break;
         }
         for (int i = 0; i < Aging.batchSize(job) && room > 0 && job.pending() > 0; i++, room--) {
-          begunAt[job.index] = begunAt[job.index] == 0 ? now : begunAt[job.index];
+          startedAt[job.index] = startedAt[job.index] == 0 ? now : startedAt[job.index];
           job.assign(job.nextPending(), MACHINE, 1, 1, TaskState.PLACING);
           job.setPlacedWall(now);
           aging.recordPlacement(1, true, now);
-          given++;
-          toLongWaiting++;
+          placements++;
+          longWaitPlacements++;
         }
       }
       waiting.removeIf(job -> job.pending() == 0);
-      // Small ones take all that is left, as they always would.
-      for (; room > 0; room--, given++) {
+      // Small jobs take all remaining room in every step.
+      for (; room > 0; room--, placements++) {
         aging.recordPlacement(1, false, now);
       }
     }
-    // All of them want a batch at once; what they get together is their share of the room.
+    // All large jobs may be due for a batch at once, and together get their share of the room.
     double batches = jobs * Math.max(1, tasks / 8.0);
-    double perSecond = roomEachStep * 1000.0 / STEP_MS * Aging.MAX_SHARE;
+    double perSecond = meanRoomPerStep * 1000.0 / STEP_MS * Aging.MAX_SHARE;
     double bound = 20_000 + MAX_WAIT_S * 1000 + 5_000 + 1.5 * 1000 * batches / perSecond;
-    for (double at : begunAt) {
-      assertTrue(at > 0 && at <= bound, "begun at " + at + ", bound " + bound);
+    for (double at : startedAt) {
+      assertTrue(at > 0 && at <= bound, "started at " + at + ", bound " + bound);
     }
-    double most = Aging.MAX_SHARE * given * 1.2 + batches;
-    assertTrue(toLongWaiting <= most, toLongWaiting + " of " + given);
+    double maxLongWaitPlacements = Aging.MAX_SHARE * placements * 1.2 + batches;
+    assertTrue(
+        longWaitPlacements <= maxLongWaitPlacements, longWaitPlacements + " of " + placements);
   }
 }
--- a/src/test/java/org/snowturn/core/scheduling/SchedulingOrderTest.java
+++ b/src/test/java/org/snowturn/core/scheduling/SchedulingOrderTest.java
@@ -13,7 +13,10 @@
 import org.snowturn.wire.JobSpec;
 import org.snowturn.wire.Submissions;
 
-/** Who goes first when not all can: starts within 2 s and 50 s, done within 250 s, deadlines. */
+/**
+ * Guards against a wrong order of jobs when not all objectives can be met. The objectives of class
+ * "c" are a start within 2 s and 50 s, the job's deadline, and an end within 250 s.
+ */
 class SchedulingOrderTest {
   private final SchedulingOrder order = new SchedulingOrder(settings(), 30);
   private int jobs;
@@ -26,7 +29,7 @@
         new Settings.Objective("finished", "c", 0.98, 1, 250));
   }
 
-  /** A job submitted at time 0. */
+  /** Returns a job submitted at time 0, with a deadline if {@code dueS} is positive. */
   private Job job(String jobClass, int tasks, double estimateS, double dueS) throws Exception {
     ObjectNode object = Submissions.array("wk-00000" + ++jobs, tasks).put("jobclass", jobClass);
     object.put("guess_s", estimateS);
@@ -38,17 +41,17 @@
 
   @ParameterizedTest
   @CsvSource({
-    "1, 100, 400, URGENT", // could start at once
-    "5, 100, 400, CAN_WAIT", // 45 s to start in time
-    "25, 100, 400, URGENT", // 25 s
-    "60, 30, 400, CAN_WAIT", // started too late, and all else far off
-    "290, 100, 400, URGENT", // ten seconds for its deadline
-    "301, 100, 400, CAN_WAIT", // one and a half times that is far off
-    "490, 100, 400, URGENT",
-    "501, 100, 400, ALL_MISSED", // nothing left to meet
-    "90, 40, 90, URGENT", // late for one and a half times its deadline in 5 s
-    "140, 40, 90, CAN_WAIT", // late, but it can be done within 250 s
-    "190, 40, 90, URGENT",
+    "1, 100, 400, URGENT", // 1 s left to start within 2 s
+    "5, 100, 400, CAN_WAIT", // 45 s left to start within 50 s
+    "25, 100, 400, URGENT", // 25 s left to start within 50 s
+    "60, 30, 400, CAN_WAIT", // too late to start in time; other objectives are far off
+    "290, 100, 400, URGENT", // 10 s of slack before the deadline
+    "301, 100, 400, CAN_WAIT", // deadline missed; 1.5 times the deadline is far off
+    "490, 100, 400, URGENT", // 10 s of slack before 1.5 times the deadline
+    "501, 100, 400, ALL_MISSED", // all objectives missed
+    "90, 40, 90, URGENT", // 5 s of slack before 1.5 times the deadline
+    "140, 40, 90, CAN_WAIT", // deadlines missed; 70 s of slack before the end objective
+    "190, 40, 90, URGENT", // 20 s of slack before the end objective
     "211, 40, 90, ALL_MISSED",
   })
   void urgencyFollowsTheObjectivesThatCanStillBeMet(
@@ -57,7 +60,7 @@
     assertEquals(urgency, order.urgency(job("c", 4, estimateS, dueS), nowS * 1000));
   }
 
-  /** Nobody waits for it, so it is never late, and not behind what is late for all. */
+  /** Without objectives a job is never late, and comes before jobs that missed all of theirs. */
   @Test
   void aJobWithoutObjectivesCanWait() throws Exception {
     assertEquals(SchedulingOrder.Urgency.CAN_WAIT, order.urgency(job("other", 4, 10, 0), 500_000));
--- a/src/test/java/org/snowturn/core/scheduling/SpeculatorTest.java
+++ b/src/test/java/org/snowturn/core/scheduling/SpeculatorTest.java
@@ -7,7 +7,7 @@
 import org.snowturn.core.model.DoubleSamples;
 import org.snowturn.core.model.Machine;
 
-/** The estimates that speculative execution rests on: run time, rate, time left, percentile. */
+/** Guards against wrong estimates of progress and slowness, which would restart healthy tasks. */
 class SpeculatorTest {
   @Test
   void remainingTimeIsWhatIsLeftOfTheExpectedRunAndPastItTheRunningTime() {
