--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -86,7 +86,7 @@
     Job job = assignments.job(id);
     if (job != null) {
       RestartRecords.load(job, entry.value());
-      scheduling.speculator().loaded(job, entry.version());
+      scheduling.speculator().setRecordVersion(job, entry.version());
     }
   }
 
@@ -159,7 +159,7 @@
     boolean hasRoom = scheduling.scheduler().schedule();
     if (hasRoom && now >= nextSpeculationAt) {
       nextSpeculationAt = now + SPECULATION_INTERVAL_MS;
-      scheduling.speculator().consider();
+      scheduling.speculator().restartStraggler();
     }
   }
 
--- a/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
+++ b/src/main/java/org/snowturn/core/leader/StoredRecordsLoader.java
@@ -158,7 +158,8 @@
   }
 
   private void loadTasks(Range range, String prefix, List<StateMessage.Change> orphans) {
-    boolean isOlderFormat = shared.formatGate().isOpen() && prefix.equals(StorageKeys.FIRST_FORMAT_TASKS);
+    boolean isOlderFormat =
+        shared.formatGate().isOpen() && prefix.equals(StorageKeys.FIRST_FORMAT_TASKS);
     for (StateMessage.Entry entry : range.entries()) {
       String keySuffix = entry.key().substring(prefix.length());
       int slash = keySuffix.lastIndexOf('/');
--- a/src/main/java/org/snowturn/core/model/JobTaskRecords.java
+++ b/src/main/java/org/snowturn/core/model/JobTaskRecords.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Objects;
 import org.snowturn.core.storage.PendingRecord;
-import org.snowturn.core.storage.TasksPerRecord;
 import org.snowturn.core.storage.TaskLayout;
+import org.snowturn.core.storage.TasksPerRecord;
 
 /**
  * The stored records of a job's tasks: which tasks share a record, and how much of it their
--- a/src/test/java/org/snowturn/core/ChunkCleanupTest.java
+++ b/src/test/java/org/snowturn/core/ChunkCleanupTest.java
@@ -43,7 +43,8 @@
     CoreRuntime runtime = new CoreRuntime(1);
     RecordWriter writer = new RecordWriter(runtime, new TestWriterHost(7), () -> limits, r -> r);
 
-    new SubmissionChunks(runtime, writer).deleteUnused(List.of(chunk(0, 41), chunk(1, 42)), Set.of());
+    new SubmissionChunks(runtime, writer)
+        .deleteUnused(List.of(chunk(0, 41), chunk(1, 42)), Set.of());
     writer.flush();
     Effect.Call first = onlyCall(runtime);
     assertEquals(
