--- a/src/main/java/org/snowturn/config/Settings.java
+++ b/src/main/java/org/snowturn/config/Settings.java
@@ -12,11 +12,11 @@
 public record Settings(
     String node,
     String zone,
-    InetSocketAddress serveOn,
-    InetSocketAddress peerBind,
+    InetSocketAddress listenAddress,
+    InetSocketAddress peerListenAddress,
     List<Peer> peers,
-    InetSocketAddress cloud,
-    InetSocketAddress state,
+    InetSocketAddress cloudAddress,
+    InetSocketAddress stateServiceAddress,
     List<String> zones,
     List<Team> teams,
     List<Objective> objectives,
@@ -27,35 +27,37 @@
     int maxConnections) {
 
   /** Another controller. */
-  public record Peer(String node, InetSocketAddress addr) {}
+  public record Peer(String node, InetSocketAddress address) {}
 
   /** A team's guarantee and limit; a limit of 0 means none. */
-  public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
+  public record Team(
+      String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {}
 
   /** An aim at start or finish. */
   public record Objective(
       String kind, String jobClass, double share, double durationFactor, double withinS) {}
 
   /** How workers behave. */
-  public record Workers(double reportS, double leaseS, double cancelS) {}
+  public record Workers(double heartbeatIntervalS, double leaseS, double cancellationDeadlineS) {}
 
   /** The state service's limits. */
-  public record StateLimits(double rps, double writeRps, double valueKb, int txnOps) {
+  public record StateLimits(
+      double maxRps, double maxWriteRps, double maxValueKb, int maxTransactionOps) {
     /** Of each limit the smaller one. */
-    public StateLimits least(StateLimits other) {
+    public StateLimits min(StateLimits other) {
       return new StateLimits(
-          Math.min(rps, other.rps),
-          Math.min(writeRps, other.writeRps),
-          Math.min(valueKb, other.valueKb),
-          Math.min(txnOps, other.txnOps));
+          Math.min(maxRps, other.maxRps),
+          Math.min(maxWriteRps, other.maxWriteRps),
+          Math.min(maxValueKb, other.maxValueKb),
+          Math.min(maxTransactionOps, other.maxTransactionOps));
     }
 
     /** How long a value may be. */
-    public int valueBytes() {
-      return (int) (valueKb * 1024);
+    public int maxValueBytes() {
+      return (int) (maxValueKb * 1024);
     }
   }
 
   /** The cloud's limits. */
-  public record CloudLimits(double rps, double listLagS) {}
+  public record CloudLimits(double maxRps, double listLagS) {}
 }
--- a/src/main/java/org/snowturn/config/SettingsReader.java
+++ b/src/main/java/org/snowturn/config/SettingsReader.java
@@ -141,7 +141,7 @@
             positive(table, "report_s", at),
             positive(table, "lease_s", at),
             positive(table, "cancel_s", at));
-    if (workers.cancelS() <= workers.leaseS() + MIN_CANCEL_MARGIN_S) {
+    if (workers.cancellationDeadlineS() <= workers.leaseS() + MIN_CANCEL_MARGIN_S) {
       throw bad("deployment.workers.cancel_s", "must exceed lease_s by more than 2 s");
     }
     return workers;
@@ -151,10 +151,13 @@
   private Settings.StateLimits limits(JsonNode table, String at, Settings.StateLimits now)
       throws SettingsException {
     return new Settings.StateLimits(
-        now != null && !table.has("rps") ? now.rps() : positive(table, "rps", at),
-        now != null && !table.has("write_rps") ? now.writeRps() : positive(table, "write_rps", at),
-        now != null && !table.has("value_kb") ? now.valueKb() : positive(table, "value_kb", at),
-        (int) number(table, "txn_ops", at, 2, now == null ? null : (double) now.txnOps()));
+        now != null && !table.has("rps") ? now.maxRps() : positive(table, "rps", at),
+        now != null && !table.has("write_rps")
+            ? now.maxWriteRps()
+            : positive(table, "write_rps", at),
+        now != null && !table.has("value_kb") ? now.maxValueKb() : positive(table, "value_kb", at),
+        (int)
+            number(table, "txn_ops", at, 2, now == null ? null : (double) now.maxTransactionOps()));
   }
 
   private JsonNode table(JsonNode in, String name, String at) throws SettingsException {
--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -60,8 +60,8 @@
     rateAllocator =
         new RateAllocator(
             settings.peers().stream().map(Settings.Peer::node).toList(),
-            settings.stateLimits().least(settings.nextStateLimits()).rps(),
-            settings.stateLimits().least(settings.nextStateLimits()).writeRps(),
+            settings.stateLimits().min(settings.nextStateLimits()).maxRps(),
+            settings.stateLimits().min(settings.nextStateLimits()).maxWriteRps(),
             runtime.random(),
             startedMs);
     runtime.limitStateRequests(rateAllocator.budget());
@@ -257,7 +257,7 @@
     runtime.answer(
         received.exchange(),
         MISDIRECTED_REQUEST,
-        Command.elsewhere(leader != null ? anyPeer() : election.leader()));
+        Command.misdirectedResponse(leader != null ? anyPeer() : election.leader()));
   }
 
   /**
--- a/src/main/java/org/snowturn/core/admission/QuotaGuarantees.java
+++ b/src/main/java/org/snowturn/core/admission/QuotaGuarantees.java
@@ -50,8 +50,8 @@
 
     boolean takes(Claim claim) {
       boolean fits =
-          cpus + claim.cpus() <= team.cpus() + TOLERANCE
-              && gpus + claim.gpus() <= team.gpus() + TOLERANCE;
+          cpus + claim.cpus() <= team.guaranteedCpus() + TOLERANCE
+              && gpus + claim.gpus() <= team.guaranteedGpus() + TOLERANCE;
       // Also what does not fit stands before what comes after it: no small one overtakes.
       cpus += claim.cpus();
       gpus += claim.gpus();
@@ -65,7 +65,7 @@
   /** Of these teams, those that have a guarantee. */
   public QuotaGuarantees(Iterable<Settings.Team> teams) {
     for (Settings.Team team : teams) {
-      if (team.cpus() > 0 || team.gpus() > 0) {
+      if (team.guaranteedCpus() > 0 || team.guaranteedGpus() > 0) {
         guaranteed.put(team.name(), team);
       }
     }
@@ -103,7 +103,7 @@
     guaranteed.forEach(
         (name, team) -> {
           String label = "{team=\"" + name + "\"}";
-          gauges.put("snowturn.guarantee.cpus" + label, team.cpus());
+          gauges.put("snowturn.guarantee.cpus" + label, team.guaranteedCpus());
           gauges.put(
               "snowturn.guarantee.claimed.cpus" + label, claimedCpus.getOrDefault(name, 0.0));
         });
--- a/src/main/java/org/snowturn/core/api/ChunkedSubmission.java
+++ b/src/main/java/org/snowturn/core/api/ChunkedSubmission.java
@@ -133,7 +133,7 @@
 
   /** The first chunk alone, then as many of the others as a transaction takes. */
   private BitSet nextToWrite() {
-    int max = stored.get(0) ? services.format().limits().txnOps() : 1;
+    int max = stored.get(0) ? services.format().limits().maxTransactionOps() : 1;
     BitSet next = new BitSet();
     int index = stored.nextClearBit(0);
     for (int count = 0; index < chunks.size() && count < max; count++) {
--- a/src/main/java/org/snowturn/core/api/JobCancellation.java
+++ b/src/main/java/org/snowturn/core/api/JobCancellation.java
@@ -58,7 +58,7 @@
         exchange,
         StorageKeys.job(id),
         live -> {
-          if (live == null || JobRecord.phaseOf(live.value()).terminal()) {
+          if (live == null || JobRecord.phaseOf(live.value()).isTerminal()) {
             reader.read(exchange, id, status -> answerFinished(exchange, status));
           } else {
             write(exchange, id, live, triesLeft);
@@ -69,7 +69,7 @@
   private void answerFinished(long exchange, JobStatus status) {
     if (status == null) {
       responses.notFound(exchange);
-    } else if (status.phase().terminal()) {
+    } else if (status.phase().isTerminal()) {
       responses.brief(exchange, status);
     } else {
       responses.refuse(exchange);
@@ -78,7 +78,7 @@
 
   private void write(long exchange, String id, StateMessage.Entry live, int triesLeft) {
     admission.charge(1, runtime.now());
-    JsonNode value = JobRecord.cancelled(live.value(), format.limits().valueBytes());
+    JsonNode value = JobRecord.cancelled(live.value(), format.limits().maxValueBytes());
     JsonNode txn =
         StateMessage.transaction(
             List.of(new Condition(StorageKeys.job(id), live.version())),
--- a/src/main/java/org/snowturn/core/api/JobStatusCache.java
+++ b/src/main/java/org/snowturn/core/api/JobStatusCache.java
@@ -78,7 +78,7 @@
   JobStatus ofPhase(String id, JobStatus.Phase phase) {
     PeerMessage.JobProgress latest = progress.get(id);
     int done = latest == null ? 0 : latest.done();
-    if (phase.terminal()) {
+    if (phase.isTerminal()) {
       return finish(new JobStatus(id, phase, done, 0));
     }
     int running = latest == null ? 0 : latest.running();
--- a/src/main/java/org/snowturn/core/api/JobStatusReader.java
+++ b/src/main/java/org/snowturn/core/api/JobStatusReader.java
@@ -86,7 +86,7 @@
         live -> {
           if (live == null) {
             readFinalRecord(exchange, id, () -> then.accept(null), then);
-          } else if (!JobRecord.phaseOf(live.value()).terminal()
+          } else if (!JobRecord.phaseOf(live.value()).isTerminal()
               && mayNeedCancelled(JobRecord.awaits(live.value()))) {
             responses.refuse(exchange);
           } else {
--- a/src/main/java/org/snowturn/core/api/JobSubmission.java
+++ b/src/main/java/org/snowturn/core/api/JobSubmission.java
@@ -139,7 +139,7 @@
       return;
     }
     JobRecord job = new JobRecord(JobStatus.Phase.QUEUED, runtime.wallMs(), spec);
-    int maxBytes = services.format().limits().valueBytes();
+    int maxBytes = services.format().limits().maxValueBytes();
     ObjectNode record = job.live();
     if (!services.format().open() || Json.bytes(record).length <= maxBytes) {
       commit(exchange, spec, record, List.of());
@@ -202,7 +202,7 @@
             JobStatusReader.TIMEOUT_MS,
             (outcome, status, reply) -> {
               if (outcome.succeeded(status)) {
-                statuses.addAccepted(spec.id(), spec.service());
+                statuses.addAccepted(spec.id(), spec.isService());
                 responses.accepted(exchange, spec.id());
               } else if (outcome.conflict(status)) {
                 answerIfKnown(exchange, spec);
--- a/src/main/java/org/snowturn/core/api/LiveJobCache.java
+++ b/src/main/java/org/snowturn/core/api/LiveJobCache.java
@@ -86,10 +86,11 @@
     this.listener = listener;
     this.backoff = runtime.backoff(MIN_INTERVAL_MS, MAX_RETRY_MS);
     Settings.Workers workers = settings.workers();
-    long slackMs = (long) (1000 * (workers.cancelS() - workers.leaseS()) / REFRESHES_PER_SLACK);
+    long slackMs =
+        (long) (1000 * (workers.cancellationDeadlineS() - workers.leaseS()) / REFRESHES_PER_SLACK);
     this.refreshMs = Math.max(MIN_REFRESH_MS, Math.min(MAX_REFRESH_MS, slackMs));
     int nodes = settings.peers().size() + 1;
-    double requestsPerS = settings.stateLimits().rps() * MAX_SHARE_OF_RATE / nodes;
+    double requestsPerS = settings.stateLimits().maxRps() * MAX_SHARE_OF_RATE / nodes;
     this.minIntervalMs =
         Math.max(MIN_INTERVAL_MS, (long) (1000 / Math.max(MIN_REQUESTS_PER_S, requestsPerS)));
   }
--- a/src/main/java/org/snowturn/core/api/SubmissionValidator.java
+++ b/src/main/java/org/snowturn/core/api/SubmissionValidator.java
@@ -40,8 +40,8 @@
       return "unknown zone";
     }
     int together = spec.minConcurrentTasks();
-    if (Quota.exceeds(spec.cpus() * together, team.cpusMax())
-        || Quota.exceeds(spec.gpus() * together, team.gpusMax())) {
+    if (Quota.exceeds(spec.cpus() * together, team.maxCpus())
+        || Quota.exceeds(spec.gpus() * together, team.maxGpus())) {
       return "more than the team's limit";
     }
     return null;
--- a/src/main/java/org/snowturn/core/api/UserResponses.java
+++ b/src/main/java/org/snowturn/core/api/UserResponses.java
@@ -65,17 +65,17 @@
   /** Answers that a job was accepted. */
   void accepted(long exchange, String job) {
     JobStatus queued = new JobStatus(job, JobStatus.Phase.QUEUED, 0, 0);
-    runtime.answer(exchange, CREATED, queued.summary());
+    runtime.answer(exchange, CREATED, queued.toSummaryJson());
   }
 
   /** Answers with the short form of a job's status. */
   void brief(long exchange, JobStatus status) {
-    answer(exchange, status, status.summary());
+    answer(exchange, status, status.toSummaryJson());
   }
 
   /** Answers with all of a job's status. */
   void full(long exchange, JobStatus status) {
-    answer(exchange, status, status.full());
+    answer(exchange, status, status.toJson());
   }
 
   /**
@@ -91,7 +91,7 @@
           .events()
           .debug(LogEvent.USER_ANSWER)
           .with(LogField.JOB, status.id())
-          .with(LogField.PHASE, status.phase().wire())
+          .with(LogField.PHASE, status.phase().wireName())
           .write();
     }
     runtime.answer(exchange, OK, body);
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
@@ -79,12 +79,13 @@
    */
   public static long reassignmentMs(Settings settings) {
     return Math.min(
-        leaseExpiryMs(settings), (long) (1000 * settings.workers().reportS() * 1.25) + FAILOVER_MS);
+        leaseExpiryMs(settings),
+        (long) (1000 * settings.workers().heartbeatIntervalS() * 1.25) + FAILOVER_MS);
   }
 
   /** The longest usual time between two reports of a machine. */
   public static long silenceLimitMs(Settings settings) {
-    return (long) (1000 * (settings.workers().reportS() * 1.25 + 0.8));
+    return (long) (1000 * (settings.workers().heartbeatIntervalS() * 1.25 + 0.8));
   }
 
   /** Two reports of a machine that come here within this time: the first one was answered. */
@@ -113,7 +114,7 @@
     }
     machine.session.heartbeat(heartbeat.sequence(), runtime.now(), silenceLimitMs(settings));
     machine.clearSuspicion();
-    boolean carriesToken = heartbeat.token() == token;
+    boolean carriesToken = heartbeat.seenToken() == token;
     machine.reachability.heartbeatAccepted(carriesToken);
     if (carriesToken && !machine.session.isAcknowledged()) {
       machine.session.acknowledge();
--- a/src/main/java/org/snowturn/core/assignment/JobCompletion.java
+++ b/src/main/java/org/snowturn/core/assignment/JobCompletion.java
@@ -51,7 +51,7 @@
     List<Change> apply = moves(job, phase);
     List<Change> drops = drops(job);
     // Where many jobs end together, what is only to be cleared away leaves the rate to others.
-    int room = writer.backlogged() ? 0 : gate.limits().txnOps() - apply.size();
+    int room = writer.backlogged() ? 0 : gate.limits().maxTransactionOps() - apply.size();
     int now = Math.min(drops.size(), Math.max(0, room));
     apply.addAll(drops.subList(0, now));
     write(job, phase, apply, drops.subList(now, drops.size()));
@@ -130,7 +130,7 @@
             .events()
             .info(LogEvent.JOB_FINISHED)
             .with(LogField.JOB, job.spec.id())
-            .with(LogField.PHASE, phase.wire())
+            .with(LogField.PHASE, phase.wireName())
             .with(LogField.TASKS, job.taskCount())
             .with(LogField.ESTIMATE_S, job.spec.estimateS())
             .with(LogField.MEDIAN_S, job.median())
--- a/src/main/java/org/snowturn/core/assignment/JobRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/JobRegistry.java
@@ -117,7 +117,7 @@
     job.setSubmission(stored.submission());
     job.setChunkCount(stored.parts());
     if (gate.open()) {
-      job.useSecondFormat(gate.recordSizes(), gate.limits().valueBytes(), machines);
+      job.useSecondFormat(gate.recordSizes(), gate.limits().maxValueBytes(), machines);
     } else {
       job.useFirstFormat(gate.recordSizes().first());
     }
--- a/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
@@ -79,7 +79,7 @@
   }
 
   private int maxBytes() {
-    return gate.limits().valueBytes();
+    return gate.limits().maxValueBytes();
   }
 
   /** How many of these machines, from the first on, may share a page. */
--- a/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
+++ b/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
@@ -70,7 +70,7 @@
   static EndEvidence notListed(Heartbeat heartbeat, Job job, int task, boolean checkIn) {
     return heartbeat.agentEpoch() > job.epochOf(task)
         ? new EndEvidence.LaterAgentEpoch(heartbeat.agentEpoch())
-        : new EndEvidence.NotListed(heartbeat.token(), heartbeat.agentEpoch(), checkIn);
+        : new EndEvidence.NotListed(heartbeat.seenToken(), heartbeat.agentEpoch(), checkIn);
   }
 
   /** What the table is asked of a task that is on the report; {@code job} is null if unknown. */
@@ -79,7 +79,7 @@
         status.state() != TaskStatus.State.ENDED
             ? Seen.ALIVE
             : status.exitReason() == TaskStatus.ExitReason.DONE ? Seen.DONE : Seen.ENDED;
-    boolean ours = heartbeat.token() == token;
+    boolean ours = heartbeat.seenToken() == token;
     if (job != null && here(machine, job, status)) {
       return new Reconciliation.Case(
           stored(job, status.task()),
@@ -115,7 +115,7 @@
         stored(job, task),
         Seen.ABSENT,
         session(heartbeat.agentEpoch(), job.epochOf(task)),
-        heartbeat.token() == token,
+        heartbeat.seenToken() == token,
         job.stopping.get(task),
         checkIn && !inDoubt(machine, job.attemptOf(task), task));
   }
--- a/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
+++ b/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
@@ -51,7 +51,7 @@
       case ENDED -> ended(machine, job, status, verdict, heartbeat);
       default -> {}
     }
-    if (heartbeat.token() == token && job.isAssigned(task)) {
+    if (heartbeat.seenToken() == token && job.isAssigned(task)) {
       // Seen under this token: from now on only its own end releases it.
       assignments.confirmAdopted(job, task);
     }
@@ -70,7 +70,7 @@
 
   private void logLateReplica(Machine machine, Job job, int task) {
     double waitedS = (runtime.wallMs() - job.releasedWall()) / 1000.0;
-    if (job.spec.service()
+    if (job.spec.isService()
         && waitedS > UNREMARKABLE_WAIT_S
         && job.failures.count() == 0
         && !job.adopted.get(task)) {
@@ -97,7 +97,7 @@
           .with(LogField.MACHINE, machine.id)
           .write();
     } else if (verdict == Verdict.COMPLETE || verdict == Verdict.RELEASE) {
-      ReportedEnded evidence = new ReportedEnded(heartbeat.token(), heartbeat.agentEpoch());
+      ReportedEnded evidence = new ReportedEnded(heartbeat.seenToken(), heartbeat.agentEpoch());
       if (status.exitReason() == ExitReason.DONE) {
         succeeded(machine, job, task, evidence);
       } else {
--- a/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
@@ -141,7 +141,7 @@
 
   private void useSecondFormat(Job job) {
     PendingRecord[] older = job.taskRecords();
-    job.useSecondFormat(gate.recordSizes(), gate.limits().valueBytes(), machines);
+    job.useSecondFormat(gate.recordSizes(), gate.limits().maxValueBytes(), machines);
     for (int c = 0; c < older.length; c++) {
       if (older[c] == null || !older[c].queued()) {
         continue;
--- a/src/main/java/org/snowturn/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/snowturn/core/autoscaling/Autoscaler.java
@@ -31,7 +31,7 @@
       PreemptionRate spotPreemptions,
       long token) {
     machineTypes = cluster.machineTypes();
-    budget = new CloudCallBudget(cluster.runtime(), cluster.settings().cloudLimits().rps());
+    budget = new CloudCallBudget(cluster.runtime(), cluster.settings().cloudLimits().maxRps());
     CapacityRefusals refusals =
         new CapacityRefusals(cluster.runtime(), machineTypes, cluster.machines());
     OpenScaleOutRequests openRequests = new OpenScaleOutRequests(machineTypes);
--- a/src/main/java/org/snowturn/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/snowturn/core/autoscaling/CapacityDemand.java
@@ -67,7 +67,7 @@
     }
     double cpus = 0;
     for (Job job : assignments.jobs()) {
-      if (!job.isCancelled() && !job.awaitsDependencies() && job.spec.spot() == spot) {
+      if (!job.isCancelled() && !job.awaitsDependencies() && job.spec.canUseSpot() == spot) {
         JobSpec spec = job.spec;
         double cpusPerTask = Math.max(spec.cpus(), gbPerCpu > 0 ? spec.memoryGb() / gbPerCpu : 0);
         cpus += cpusPerTask * requiredTasks(job);
@@ -84,7 +84,7 @@
   private double largestReplicaCpus() {
     double cpus = 0;
     for (Job job : assignments.jobs()) {
-      cpus = job.spec.service() ? Math.max(cpus, job.spec.cpus()) : cpus;
+      cpus = job.spec.isService() ? Math.max(cpus, job.spec.cpus()) : cpus;
     }
     return cpus;
   }
@@ -108,7 +108,7 @@
     }
     double backlogCpuS = 0;
     for (Job job : assignments.jobs()) {
-      if (job.wantsRoom() && job.spec.spot() && !job.failures.isSuspect()) {
+      if (job.wantsRoom() && job.spec.canUseSpot() && !job.failures.isSuspect()) {
         backlogCpuS += job.pending() * job.spec.cpus() * Math.max(1, job.spec.estimateS());
       }
     }
--- a/src/main/java/org/snowturn/core/autoscaling/MachineInventory.java
+++ b/src/main/java/org/snowturn/core/autoscaling/MachineInventory.java
@@ -93,7 +93,8 @@
       return;
     }
     listing = false;
-    double intervalS = Math.max(MIN_INTERVAL_S, CALLS_PER_INTERVAL / settings.cloudLimits().rps());
+    double intervalS =
+        Math.max(MIN_INTERVAL_S, CALLS_PER_INTERVAL / settings.cloudLimits().maxRps());
     nextListAt = runtime.now() + (long) (1000 * intervalS);
   }
 
@@ -102,7 +103,7 @@
     try {
       CloudMachine.Page page = CloudMachine.Page.parse(body);
       listedSoFar.addAll(page.machines());
-      if (page.more() && !page.machines().isEmpty()) {
+      if (page.hasMore() && !page.machines().isEmpty()) {
         requestPage(page.machines().get(page.machines().size() - 1).id());
         return false;
       }
--- a/src/main/java/org/snowturn/core/autoscaling/MachineRentals.java
+++ b/src/main/java/org/snowturn/core/autoscaling/MachineRentals.java
@@ -102,7 +102,7 @@
         null,
         "POST",
         PATH,
-        CloudMachine.hire(request.name(), pool.type(), zone, pool.spot(), request.count()),
+        CloudMachine.rentalRequest(request.name(), pool.type(), zone, pool.spot(), request.count()),
         TIMEOUT_MS,
         (outcome, status, body) -> onReply(request, outcome, status, body));
   }
@@ -128,7 +128,7 @@
 
   private void onRented(ScaleOutRequest request, JsonNode body) {
     try {
-      List<String> ids = CloudMachine.parseHired(body);
+      List<String> ids = CloudMachine.parseRentedIds(body);
       for (String id : ids) {
         addMachine(id, request.pool());
       }
--- a/src/main/java/org/snowturn/core/autoscaling/MachineTermination.java
+++ b/src/main/java/org/snowturn/core/autoscaling/MachineTermination.java
@@ -52,7 +52,8 @@
     this.budget = budget;
     this.refusals = refusals;
     this.spotPreemptions = spotPreemptions;
-    this.intervalMs = (long) (1000 * CALLS_PER_INTERVAL / cluster.settings().cloudLimits().rps());
+    this.intervalMs =
+        (long) (1000 * CALLS_PER_INTERVAL / cluster.settings().cloudLimits().maxRps());
   }
 
   /** Marks a machine for deletion: once the cloud confirms it, all that was there has ended. */
@@ -98,7 +99,7 @@
         null,
         "POST",
         "/machines/delete",
-        CloudMachine.delete(batch.stream().map(machine -> machine.id).toList()),
+        CloudMachine.deletionRequest(batch.stream().map(machine -> machine.id).toList()),
         TIMEOUT_MS,
         (outcome, status, body) ->
             onReply(batch, outcome == Outcome.ANSWERED && status == STATUS_OK));
--- a/src/main/java/org/snowturn/core/autoscaling/ReplicaRelocation.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ReplicaRelocation.java
@@ -31,7 +31,7 @@
   boolean isPossibleForAll(Machine machine) {
     for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
       Job job = assignments.job(ref);
-      if (job.spec.service() && !scheduler.canStartElsewhere(job, machine)) {
+      if (job.spec.isService() && !scheduler.canStartElsewhere(job, machine)) {
         return false;
       }
     }
--- a/src/main/java/org/snowturn/core/autoscaling/ScaleIn.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ScaleIn.java
@@ -138,7 +138,7 @@
 
   private boolean isAnyArrayWaiting() {
     for (Job job : assignments.jobs()) {
-      if (job.wantsRoom() && !job.spec.service() && !job.failures.isSuspect()) {
+      if (job.wantsRoom() && !job.spec.isService() && !job.failures.isSuspect()) {
         return true;
       }
     }
--- a/src/main/java/org/snowturn/core/dependency/DependencyGraph.java
+++ b/src/main/java/org/snowturn/core/dependency/DependencyGraph.java
@@ -263,7 +263,7 @@
   private void writeCancelled() {
     while (!toCancel.isEmpty()) {
       List<Job> batch = new ArrayList<>();
-      int maxSize = gate.limits().txnOps();
+      int maxSize = gate.limits().maxTransactionOps();
       for (Job job : toCancel) {
         if (batch.size() < maxSize) {
           batch.add(job);
--- a/src/main/java/org/snowturn/core/dispatch/CommandQueue.java
+++ b/src/main/java/org/snowturn/core/dispatch/CommandQueue.java
@@ -174,7 +174,7 @@
         machine.addr(),
         "POST",
         "/commands",
-        Command.direct(host.token(), session, commands),
+        Command.directCommands(host.token(), session, commands),
         commands.isEmpty() ? ASK_TIMEOUT_MS : TIMEOUT_MS,
         (outcome, status, body) -> answered(session, sentAt, doubts, outcome, status, body));
   }
--- a/src/main/java/org/snowturn/core/election/CancellationWatermark.java
+++ b/src/main/java/org/snowturn/core/election/CancellationWatermark.java
@@ -65,7 +65,7 @@
     this.lastRequest = new SplittableRandom(incarnation.hashCode()).nextLong() >>> 2;
     this.slackMs = slackMs(settings);
     this.confirmationDueMs =
-        ClockDrift.minElapsedMs(settings.workers().cancelS() * 1000) - MARGIN_MS;
+        ClockDrift.minElapsedMs(settings.workers().cancellationDeadlineS() * 1000) - MARGIN_MS;
     settings.peers().forEach(peer -> peers.put(peer.node(), new PeerCancellations()));
   }
 
@@ -77,7 +77,8 @@
   static long slackMs(Settings settings) {
     double leaseMs = settings.workers().leaseS() * 1000 * (1 + ClockDrift.MAX_RATE);
     double slack =
-        (settings.workers().cancelS() * 1000 - leaseMs) * (1 - ClockDrift.MAX_RATE) - MARGIN_MS;
+        (settings.workers().cancellationDeadlineS() * 1000 - leaseMs) * (1 - ClockDrift.MAX_RATE)
+            - MARGIN_MS;
     return (long) Math.max(MIN_SLACK_MS, slack);
   }
 
--- a/src/main/java/org/snowturn/core/election/ElectionRequests.java
+++ b/src/main/java/org/snowturn/core/election/ElectionRequests.java
@@ -88,7 +88,7 @@
 
   /** Asks for a lease. */
   void acquireLease(long ttlMs, ReplyHandler then) {
-    runtime.callForAuthority("POST", "/leases", StateMessage.lease(ttlMs), TIMEOUT_MS, then);
+    runtime.callForAuthority("POST", "/leases", StateMessage.leaseRequest(ttlMs), TIMEOUT_MS, then);
   }
 
   /** Renews a lease. */
--- a/src/main/java/org/snowturn/core/election/LeaderLease.java
+++ b/src/main/java/org/snowturn/core/election/LeaderLease.java
@@ -45,7 +45,9 @@
                 MAX_DEFAULT_TTL_S, settings.workers().leaseS() * DEFAULT_SHARE_OF_WORKER_LEASE);
     // The next leader must carry out a cancellation even where only the worker's lease ends tasks.
     double maxS =
-        settings.workers().cancelS() - settings.workers().leaseS() - CANCELLATION_RESERVE_S;
+        settings.workers().cancellationDeadlineS()
+            - settings.workers().leaseS()
+            - CANCELLATION_RESERVE_S;
     return (long) (1000 * Math.max(MIN_TTL_S, Math.min(ttlS, maxS)));
   }
 
--- a/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
+++ b/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
@@ -136,7 +136,7 @@
   private void answer(long exchange, Machine machine, Heartbeat heartbeat, List<Command> sent) {
     log(heartbeat, "renewed");
     CommandLog.write(runtime, "answer", machine, heartbeat.agentEpoch(), term.token(), sent);
-    runtime.answer(exchange, OK, Command.answer(term.token(), sent));
+    runtime.answer(exchange, OK, Command.heartbeatResponse(term.token(), sent));
   }
 
   private void refuse(long exchange, Heartbeat heartbeat, String reason) {
@@ -152,7 +152,7 @@
           .with(LogField.MACHINE, heartbeat.machine())
           .with(LogField.AGENT_EPOCH, heartbeat.agentEpoch())
           .with(LogField.HEARTBEAT, heartbeat.sequence())
-          .with(LogField.SEEN_TOKEN, heartbeat.token())
+          .with(LogField.SEEN_TOKEN, heartbeat.seenToken())
           .with(LogField.TOKEN, term.token())
           .with(LogField.RESULT, result)
           .with(LogField.CANCELLATIONS_KNOWN_MS_AGO, watermark.ageMs())
--- a/src/main/java/org/snowturn/core/leader/MachineSilence.java
+++ b/src/main/java/org/snowturn/core/leader/MachineSilence.java
@@ -25,7 +25,8 @@
     this.settings = node.settings();
     this.zoneOutages = zoneOutages;
     this.recovery = recovery;
-    this.workerSilence = new WorkerSilence(HealthSweep.INTERVAL_MS, settings.workers().reportS());
+    this.workerSilence =
+        new WorkerSilence(HealthSweep.INTERVAL_MS, settings.workers().heartbeatIntervalS());
     this.termBeganAt = runtime.now();
   }
 
--- a/src/main/java/org/snowturn/core/leader/RecoveryProber.java
+++ b/src/main/java/org/snowturn/core/leader/RecoveryProber.java
@@ -72,7 +72,7 @@
     double batchTaskCpus = Double.MAX_VALUE;
     for (Job job : assignments.jobs()) {
       if (job.wantsRoom() && job.pending() > 0) {
-        if (job.spec.service()) {
+        if (job.spec.isService()) {
           replicaCpus = Math.min(replicaCpus, job.spec.cpus());
         } else {
           batchTaskCpus = Math.min(batchTaskCpus, job.spec.cpus());
@@ -106,7 +106,7 @@
       if (job.stopping.get(TaskAssignments.task(ref))) {
         return URGENCY_STOPS_TASK;
       }
-      holdsReplica |= job.spec.service();
+      holdsReplica |= job.spec.isService();
     }
     if (holdsReplica) {
       return URGENCY_HOLDS_REPLICA;
--- a/src/main/java/org/snowturn/core/model/Job.java
+++ b/src/main/java/org/snowturn/core/model/Job.java
@@ -185,7 +185,7 @@
   }
 
   private void adjustOnMachine(int machineIndex, int sign) {
-    if (spec.service()) {
+    if (spec.isService()) {
       int count = onMachine.get(machineIndex) + sign;
       if (count == 0) {
         onMachine.remove(machineIndex);
@@ -209,7 +209,7 @@
    * Whether the task is a replica that may be moved: not just started, and no other of it waits.
    */
   public boolean isMovable(int task, long now) {
-    return spec.service()
+    return spec.isService()
         && stateOf(task) == TaskState.RUNNING
         && !stopping.get(task)
         && tasks.pending() == 0
@@ -253,7 +253,12 @@
   /** The record that it has once it is cancelled, without what only its starts need. */
   public JobRecord cancelledRecord() {
     return new JobRecord(
-        JobStatus.Phase.ABORTED, submittedWall, spec.withoutStart(), submission, chunkCount, false);
+        JobStatus.Phase.ABORTED,
+        submittedWall,
+        spec.withoutStartFields(),
+        submission,
+        chunkCount,
+        false);
   }
 
   /** How many of its tasks may be in each zone, to be changed by the caller. */
--- a/src/main/java/org/snowturn/core/model/MachineTypes.java
+++ b/src/main/java/org/snowturn/core/model/MachineTypes.java
@@ -56,7 +56,8 @@
   /** Whether some allowed type, offered in an allowed zone, can hold one task. */
   public boolean canHold(JobSpec spec) {
     for (MachineType type : types.values()) {
-      boolean allowed = spec.types() == null || spec.types().contains(type.name());
+      boolean allowed =
+          spec.allowedMachineTypes() == null || spec.allowedMachineTypes().contains(type.name());
       boolean offered =
           spec.zone() == null || type.zones().isEmpty() || type.zones().contains(spec.zone());
       if (allowed && offered && type.fits(spec)) {
--- a/src/main/java/org/snowturn/core/model/Quota.java
+++ b/src/main/java/org/snowturn/core/model/Quota.java
@@ -37,8 +37,8 @@
   public boolean allows(JobSpec spec) {
     TeamUsage usage = teams.get(spec.team());
     return usage == null
-        || !(exceeds(usage.cpus + spec.cpus(), usage.team.cpusMax())
-            || exceeds(usage.gpus + spec.gpus(), usage.team.gpusMax()));
+        || !(exceeds(usage.cpus + spec.cpus(), usage.team.maxCpus())
+            || exceeds(usage.gpus + spec.gpus(), usage.team.maxGpus()));
   }
 
   /** A task of the job may be on a machine from now on. */
--- a/src/main/java/org/snowturn/core/scheduling/JobPlacement.java
+++ b/src/main/java/org/snowturn/core/scheduling/JobPlacement.java
@@ -110,7 +110,7 @@
       }
       return Result.NO_ROOM;
     }
-    if (job.spec.service()
+    if (job.spec.isService()
         && score.isFetchTooLate(job.spec, best)
         && preemptor.makeRoomWithImage(job, usable)) {
       return Result.DEFERRED; // a preempted task ends within milliseconds, a fetch takes seconds
--- a/src/main/java/org/snowturn/core/scheduling/LongWaitPlacement.java
+++ b/src/main/java/org/snowturn/core/scheduling/LongWaitPlacement.java
@@ -77,8 +77,8 @@
     double memoryGb = machine.machineType().memoryGb();
     for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
       JobSpec assigned = assignments.job(ref).spec;
-      cpus -= assigned.service() ? assigned.cpus() : 0;
-      memoryGb -= assigned.service() ? assigned.memoryGb() : 0;
+      cpus -= assigned.isService() ? assigned.cpus() : 0;
+      memoryGb -= assigned.isService() ? assigned.memoryGb() : 0;
     }
     return spec.cpus() <= cpus && spec.memoryGb() <= memoryGb;
   }
--- a/src/main/java/org/snowturn/core/scheduling/PlacementConstraints.java
+++ b/src/main/java/org/snowturn/core/scheduling/PlacementConstraints.java
@@ -32,10 +32,11 @@
   }
 
   private boolean isMachineAllowed(JobSpec spec, Machine machine) {
-    if (machine.isSpot() && !spec.spot()) {
+    if (machine.isSpot() && !spec.canUseSpot()) {
       return false;
     }
-    if (spec.types() != null && !spec.types().contains(machine.type())) {
+    if (spec.allowedMachineTypes() != null
+        && !spec.allowedMachineTypes().contains(machine.type())) {
       return false;
     }
     return spec.zone() == null || machines.zone(spec.zone()) == machine.zone();
@@ -43,7 +44,7 @@
 
   private static boolean isWithinZoneLimit(Job job, Machine machine) {
     return !job.spec.spreadAcrossZones()
-        || job.assignedInZone(machine.zone()) < job.spec.perZoneLimit();
+        || job.assignedInZone(machine.zone()) < job.spec.maxTasksPerZone();
   }
 
   /** Whether the machine is in the zone of the job's other tasks, where all must share one. */
@@ -74,7 +75,7 @@
 
   /** Whether any machine with room for a task of the job may take it, spot machines aside. */
   static boolean isUnconstrained(JobSpec spec) {
-    return spec.types() == null
+    return spec.allowedMachineTypes() == null
         && spec.zone() == null
         && !spec.spreadAcrossZones()
         && !spec.singleZone();
@@ -85,6 +86,6 @@
     return spec.cpus() >= other.cpus()
         && spec.memoryGb() >= other.memoryGb()
         && spec.gpus() >= other.gpus()
-        && (other.spot() || !spec.spot());
+        && (other.canUseSpot() || !spec.canUseSpot());
   }
 }
--- a/src/main/java/org/snowturn/core/scheduling/PlacementScore.java
+++ b/src/main/java/org/snowturn/core/scheduling/PlacementScore.java
@@ -57,7 +57,7 @@
 
   /** Takes a job into account for the room that is left for replicas. */
   void considerReplica(JobSpec spec) {
-    if (spec.service()) {
+    if (spec.isService()) {
       largestReplicaCpus = Math.max(largestReplicaCpus, spec.cpus());
     }
   }
@@ -70,7 +70,9 @@
       score += fetchS(spec, machine) + (isFetchTooLate(spec, machine) ? LATE_START_PENALTY_S : 0);
     }
     score =
-        spec.service() ? addReplicaScore(score, job, machine) : addArrayScore(score, spec, machine);
+        spec.isService()
+            ? addReplicaScore(score, job, machine)
+            : addArrayScore(score, spec, machine);
     double freeShare = machine.cpusFree() / machine.machineType().cpus();
     // Where cost is an objective the fullest machine is best, so that others can be returned.
     score +=
--- a/src/main/java/org/snowturn/core/scheduling/Preemptor.java
+++ b/src/main/java/org/snowturn/core/scheduling/Preemptor.java
@@ -164,7 +164,7 @@
         break;
       }
       int zone = option.machine.zone();
-      if (!job.spec.spreadAcrossZones() || assignedInZone[zone] < job.spec.perZoneLimit()) {
+      if (!job.spec.spreadAcrossZones() || assignedInZone[zone] < job.spec.maxTasksPerZone()) {
         assignedInZone[zone]++;
         wanted--;
         preempt(job, option);
--- a/src/main/java/org/snowturn/core/scheduling/SchedulingOrder.java
+++ b/src/main/java/org/snowturn/core/scheduling/SchedulingOrder.java
@@ -90,7 +90,7 @@
   }
 
   private static int rank(Job job) {
-    return 2 * job.priority().level() + (job.spec.service() ? 0 : 1);
+    return 2 * job.priority().level() + (job.spec.isService() ? 0 : 1);
   }
 
   /** The job's urgency at a time of day, in milliseconds. */
--- a/src/main/java/org/snowturn/core/scheduling/Speculator.java
+++ b/src/main/java/org/snowturn/core/scheduling/Speculator.java
@@ -175,7 +175,7 @@
     for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
       Job job = assignments.job(ref);
       int task = TaskAssignments.task(ref);
-      if (!job.spec.service()
+      if (!job.spec.isService()
           && job.stateSince(task) != MonotonicTime.NEVER
           && !job.runTimes.isEmpty()) {
         work += Math.min(1, relativeRunTime(runS(job, task), expectedS(job, machine)));
@@ -215,7 +215,7 @@
   /** Adds the array's tasks that are slow by the thresholds of the tunables. */
   private void addStragglers(Job job, List<Straggler> stragglers) {
     DoubleSamples rates = null;
-    int maxRecordBytes = gate.limits().valueBytes();
+    int maxRecordBytes = gate.limits().maxValueBytes();
     for (int task = 0; task < job.taskCount(); task++) {
       if (!isRunning(job, task)
           || job.restarted.get(task)
--- a/src/main/java/org/snowturn/core/storage/FormatGate.java
+++ b/src/main/java/org/snowturn/core/storage/FormatGate.java
@@ -53,8 +53,9 @@
     this.runtime = runtime;
     int first =
         Math.max(
-            MIN_FIRST_FORMAT_TASKS, settings.stateLimits().valueBytes() / FIRST_FORMAT_ENTRY_BYTES);
-    sizes = new RecordSizes(first, TaskLayout.tasksPerRecord(smallerLimits().valueBytes()));
+            MIN_FIRST_FORMAT_TASKS,
+            settings.stateLimits().maxValueBytes() / FIRST_FORMAT_ENTRY_BYTES);
+    sizes = new RecordSizes(first, TaskLayout.tasksPerRecord(smallerLimits().maxValueBytes()));
   }
 
   /** Whether all nodes read the second format, as far as is known here. */
@@ -73,7 +74,7 @@
   }
 
   private Settings.StateLimits smallerLimits() {
-    return settings.stateLimits().least(settings.nextStateLimits());
+    return settings.stateLimits().min(settings.nextStateLimits());
   }
 
   /** Reads the announcements again when it is time, until the gate is open. */
--- a/src/main/java/org/snowturn/core/storage/JobLookup.java
+++ b/src/main/java/org/snowturn/core/storage/JobLookup.java
@@ -169,7 +169,7 @@
           }
           try {
             JsonNode body = reply.body();
-            takePage(step, wanted, StateMessage.entries(body), StateMessage.more(body));
+            takePage(step, wanted, StateMessage.entries(body), StateMessage.isTruncated(body));
           } catch (MalformedException e) {
             fail();
           }
--- a/src/main/java/org/snowturn/core/storage/JobRecord.java
+++ b/src/main/java/org/snowturn/core/storage/JobRecord.java
@@ -61,7 +61,7 @@
    */
   public static JobRecord parse(JsonNode value) throws MalformedException {
     JobStatus.Phase phase = phaseOf(value);
-    if (phase == JobStatus.Phase.QUEUED && !value.path(PHASE).asText().equals(phase.wire())) {
+    if (phase == JobStatus.Phase.QUEUED && !value.path(PHASE).asText().equals(phase.wireName())) {
       throw new MalformedException("p: unknown phase in a job's record");
     }
     JobSpec spec = value.has(SPEC) ? JobSpec.parse(value.get(SPEC)) : null;
@@ -128,7 +128,7 @@
   public ObjectNode live() {
     ObjectNode object = Json.object();
     object.put(FORMAT, submission == null ? StorageKeys.FIRST_FORMAT : StorageKeys.SECOND_FORMAT);
-    object.put(PHASE, phase.wire()).put(SUBMITTED_AT, submittedWall);
+    object.put(PHASE, phase.wireName()).put(SUBMITTED_AT, submittedWall);
     object.set(SPEC, spec.toJson());
     if (submission != null) {
       object.put(PART_TEXT, submission).put(PART_COUNT, parts);
@@ -138,7 +138,7 @@
 
   /** The same with the submission elsewhere. */
   public JobRecord inParts(String name, int count) {
-    return new JobRecord(phase, submittedWall, spec.withoutStart(), name, count, false);
+    return new JobRecord(phase, submittedWall, spec.withoutStartFields(), name, count, false);
   }
 
   /** Puts the whole submission in place of what the record holds of it. */
@@ -158,10 +158,10 @@
   /** The record of a job that is cancelled; what only starts need goes if a value is too short. */
   public static ObjectNode cancelled(JsonNode live, int valueBytes) {
     ObjectNode object = live.deepCopy();
-    object.put(PHASE, JobStatus.Phase.ABORTED.wire());
+    object.put(PHASE, JobStatus.Phase.ABORTED.wireName());
     if (Json.bytes(object).length > valueBytes) {
       try {
-        object.set(SPEC, JobSpec.parse(object.path(SPEC)).withoutStart().toJson());
+        object.set(SPEC, JobSpec.parse(object.path(SPEC)).withoutStartFields().toJson());
       } catch (MalformedException e) {
         object.remove(SPEC);
       }
@@ -172,9 +172,9 @@
   /** The short record that remains of a job that is over. */
   public static ObjectNode over(JobStatus.Phase phase, JobSpec spec) {
     ObjectNode object =
-        Json.object().put(FORMAT, StorageKeys.FIRST_FORMAT).put(PHASE, phase.wire());
+        Json.object().put(FORMAT, StorageKeys.FIRST_FORMAT).put(PHASE, phase.wireName());
     object.put(TASKS, spec.tasks());
-    return spec.service() ? object.put(SERVICE, true) : object;
+    return spec.isService() ? object.put(SERVICE, true) : object;
   }
 
   /** A name for the parts of a text that is cut to this size; depends on nothing else. */
--- a/src/main/java/org/snowturn/core/storage/RangeReader.java
+++ b/src/main/java/org/snowturn/core/storage/RangeReader.java
@@ -97,7 +97,7 @@
     long oldest = Math.min(revision, StateMessage.revision(body));
     backoff.reset();
     entriesBefore.addAll(got);
-    if (StateMessage.more(body) && !got.isEmpty()) {
+    if (StateMessage.isTruncated(body) && !got.isEmpty()) {
       page(prefix, got.get(got.size() - 1).key(), entriesBefore, oldest, then);
     } else {
       then.accept(new Range(entriesBefore, oldest));
--- a/src/main/java/org/snowturn/core/storage/RecordWriter.java
+++ b/src/main/java/org/snowturn/core/storage/RecordWriter.java
@@ -157,7 +157,7 @@
 
   /** Removes records that no longer mean anything, when there is time for it. */
   public void deleteLater(List<Condition> when, List<Change> drops) {
-    int most = Math.max(1, limits.get().txnOps());
+    int most = Math.max(1, limits.get().maxTransactionOps());
     for (int i = 0; i < drops.size(); i += most) {
       List<Change> part = drops.subList(i, Math.min(drops.size(), i + most));
       submit(TransactionPriority.BACKGROUND, when, part, (outcome, status, body) -> {});
--- a/src/main/java/org/snowturn/core/storage/WriteBudget.java
+++ b/src/main/java/org/snowturn/core/storage/WriteBudget.java
@@ -35,7 +35,7 @@
 
   /** The changes a second that are the leader's: the rest is for the users of all nodes. */
   double rate() {
-    return share.applyAsDouble(limits.get().writeRps());
+    return share.applyAsDouble(limits.get().maxWriteRps());
   }
 
   /** The changes that only records that are not deferrable may use. */
@@ -55,7 +55,8 @@
 
   /** The most changes that a transaction may make now. */
   int maxChanges() {
-    return (int) Math.min(Math.min(limits.get().txnOps(), maxBatchSize), Math.floor(available));
+    return (int)
+        Math.min(Math.min(limits.get().maxTransactionOps(), maxBatchSize), Math.floor(available));
   }
 
   /**
@@ -64,7 +65,7 @@
    */
   int maxChangesIfDeferrable(int queued) {
     int left = (int) Math.floor(available - reserved());
-    int enough = Math.min(queued, Math.max(1, limits.get().txnOps() / 2));
+    int enough = Math.min(queued, Math.max(1, limits.get().maxTransactionOps() / 2));
     return left < enough ? 0 : left;
   }
 
--- a/src/main/java/org/snowturn/daemon/Daemon.java
+++ b/src/main/java/org/snowturn/daemon/Daemon.java
@@ -113,11 +113,11 @@
     }
     io.execute(
         () -> {
-          settings.peers().forEach(peer -> peers.connect(peer.addr()));
+          settings.peers().forEach(peer -> peers.connect(peer.address()));
           tick();
         });
     bulk.execute(this::trim);
-    LOG.info("event=started node={} address={}", settings.node(), settings.serveOn());
+    LOG.info("event=started node={} address={}", settings.node(), settings.listenAddress());
     return KEEPS_RUNNING;
   }
 
@@ -128,10 +128,11 @@
         new DefaultByteBufferPool(false, BUFFER_BYTES, MAX_POOLED_BUFFERS, BUFFERS_PER_THREAD);
     state =
         new StateClient(
-            new HttpCaller(settings.state(), io, buffers, STATE_CONNECTIONS),
-            new HttpCaller(settings.state(), io, buffers, WATCHES),
-            new HttpCaller(settings.state(), io, buffers, AUTHORITY_CONNECTIONS));
-    cloud = new CloudClient(new HttpCaller(settings.cloud(), io, buffers, CLOUD_CONNECTIONS));
+            new HttpCaller(settings.stateServiceAddress(), io, buffers, STATE_CONNECTIONS),
+            new HttpCaller(settings.stateServiceAddress(), io, buffers, WATCHES),
+            new HttpCaller(settings.stateServiceAddress(), io, buffers, AUTHORITY_CONNECTIONS));
+    cloud =
+        new CloudClient(new HttpCaller(settings.cloudAddress(), io, buffers, CLOUD_CONNECTIONS));
     workers = new WorkerClient(bulk, buffers, this::connectionsToWorkers);
     peers = new PeerLinks(io, this::accept);
     front =
@@ -149,7 +150,8 @@
         .setWorker(bulkWorker)
         .setByteBufferPool(buffers)
         .addHttpListener(
-            settings.serveOn().getPort(), settings.serveOn().getAddress().getHostAddress())
+            settings.listenAddress().getPort(),
+            settings.listenAddress().getAddress().getHostAddress())
         .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, 4L * HttpApi.MAX_BODY)
         .setServerOption(UndertowOptions.ENABLE_STATISTICS, true)
         .setServerOption(UndertowOptions.IDLE_TIMEOUT, IDLE_TIMEOUT_MS)
@@ -165,14 +167,14 @@
   private boolean listen() {
     try {
       server.start();
-      peers.listen(settings.peerBind());
+      peers.listen(settings.peerListenAddress());
       return true;
     } catch (RuntimeException | IOException e) {
       boolean inUse = e instanceof BindException || e.getCause() instanceof BindException;
       LOG.error(
           "event=listen_failed address={} peer_address={} error=\"{}\"",
-          settings.serveOn(),
-          settings.peerBind(),
+          settings.listenAddress(),
+          settings.peerListenAddress(),
           inUse ? "address in use or not ours" : e.toString());
       return false;
     }
--- a/src/main/java/org/snowturn/http/HttpApi.java
+++ b/src/main/java/org/snowturn/http/HttpApi.java
@@ -104,7 +104,7 @@
     if (allow(exchange, Methods.GET)) {
       exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain");
       Consumer<Map<String, Double>> show =
-          values -> finish(exchange, 200, metrics.text(values).getBytes(StandardCharsets.UTF_8));
+          values -> finish(exchange, 200, metrics.toText(values).getBytes(StandardCharsets.UTF_8));
       exchange.dispatch(SameThreadExecutor.INSTANCE, () -> gauges.accept(show));
     }
   }
@@ -188,7 +188,7 @@
     if (request == null) {
       return;
     }
-    metrics.took("snowturn." + request.kind, System.nanoTime() - request.sinceNanos);
+    metrics.recordLatency("snowturn." + request.kind, System.nanoTime() - request.sinceNanos);
     if (answer.status() >= 500) {
       LOG.debug("event=request_refused kind={} status={}", request.kind, answer.status());
       metrics.count("snowturn.requests.refused", request.kind);
--- a/src/main/java/org/snowturn/metrics/Metrics.java
+++ b/src/main/java/org/snowturn/metrics/Metrics.java
@@ -29,19 +29,19 @@
   }
 
   /** Records how long something took. */
-  public void took(String name, long nanos) {
+  public void recordLatency(String name, long nanos) {
     latencies
         .computeIfAbsent(name, n -> new Histogram(MAX_LATENCY_MICROS, 2))
         .recordValue(Math.max(0, Math.min(MAX_LATENCY_MICROS, nanos / 1000)));
   }
 
   /** Shows a value that is read when asked for. */
-  public void gauge(String name, Supplier<Number> value) {
+  public void registerGauge(String name, Supplier<Number> value) {
     Gauge.builder(name, value).strongReference(true).register(registry);
   }
 
   /** All figures as text, one a line. */
-  public String text(Map<String, Double> more) {
+  public String toText(Map<String, Double> more) {
     StringBuilder out = new StringBuilder(2048);
     TreeMap<String, Double> lines = new TreeMap<>();
     for (Meter m : registry.getMeters()) {
--- a/src/main/java/org/snowturn/peer/OutboundLink.java
+++ b/src/main/java/org/snowturn/peer/OutboundLink.java
@@ -32,7 +32,7 @@
     this.peer = peer;
   }
 
-  void open() {
+  void connect() {
     IoFuture<StreamConnection> future =
         io.openStreamConnection(peer, channel -> {}, OptionMap.EMPTY);
     future.addNotifier(
@@ -63,7 +63,7 @@
   }
 
   private void reopenLater() {
-    io.executeAfter(this::open, retryDelayMs, TimeUnit.MILLISECONDS);
+    io.executeAfter(this::connect, retryDelayMs, TimeUnit.MILLISECONDS);
     retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, retryDelayMs * 2);
   }
 
--- a/src/main/java/org/snowturn/peer/PeerLinks.java
+++ b/src/main/java/org/snowturn/peer/PeerLinks.java
@@ -63,7 +63,7 @@
   public void connect(InetSocketAddress peer) {
     OutboundLink link = new OutboundLink(io, peer);
     links.add(link);
-    link.open();
+    link.connect();
   }
 
   /** Sends a message to every peer that is connected. */
--- a/src/main/java/org/snowturn/wire/CloudMachine.java
+++ b/src/main/java/org/snowturn/wire/CloudMachine.java
@@ -26,7 +26,7 @@
   }
 
   /** One page of the machine list. */
-  public record Page(List<CloudMachine> machines, boolean more) {
+  public record Page(List<CloudMachine> machines, boolean hasMore) {
     /** Reads a page. */
     public static Page parse(JsonNode node) throws MalformedException {
       List<CloudMachine> machines = new ArrayList<>();
@@ -54,14 +54,15 @@
   }
 
   /** The ids of the machines that a rental returned. */
-  public static List<String> parseHired(JsonNode node) throws MalformedException {
+  public static List<String> parseRentedIds(JsonNode node) throws MalformedException {
     List<String> ids = new ArrayList<>();
     new Fields(node).node(MACHINES).forEach(id -> ids.add(id.asText()));
     return ids;
   }
 
   /** The body of a rental request. */
-  public static JsonNode hire(String name, String type, String zone, boolean spot, int count) {
+  public static JsonNode rentalRequest(
+      String name, String type, String zone, boolean spot, int count) {
     return Json.object()
         .put("hire", name)
         .put(TYPE, type)
@@ -71,7 +72,7 @@
   }
 
   /** The body of a deletion. */
-  public static JsonNode delete(List<String> ids) {
+  public static JsonNode deletionRequest(List<String> ids) {
     var object = Json.object();
     ids.forEach(object.putArray(MACHINES)::add);
     return object;
--- a/src/main/java/org/snowturn/wire/Command.java
+++ b/src/main/java/org/snowturn/wire/Command.java
@@ -25,7 +25,7 @@
   }
 
   /** The body of a 200 to a heartbeat. */
-  public static ObjectNode answer(long token, List<Command> commands) {
+  public static ObjectNode heartbeatResponse(long token, List<Command> commands) {
     ObjectNode object = Json.object();
     object.put("baton", token);
     ArrayNode array = object.putArray("orders");
@@ -41,12 +41,12 @@
   }
 
   /** The body of a direct command message to an incarnation of the worker's agent. */
-  public static ObjectNode direct(long token, long agentEpoch, List<Command> commands) {
-    return answer(token, commands).put("thaw", agentEpoch);
+  public static ObjectNode directCommands(long token, long agentEpoch, List<Command> commands) {
+    return heartbeatResponse(token, commands).put("thaw", agentEpoch);
   }
 
   /** The body of a 421 (misdirected request); {@code leader} may be null. */
-  public static ObjectNode elsewhere(String leader) {
+  public static ObjectNode misdirectedResponse(String leader) {
     ObjectNode object = Json.object();
     if (leader != null) {
       object.put("steward", leader);
--- a/src/main/java/org/snowturn/wire/Heartbeat.java
+++ b/src/main/java/org/snowturn/wire/Heartbeat.java
@@ -10,7 +10,7 @@
  * @param address where the worker takes direct commands, as IP address and port
  * @param agentEpoch the incarnation of the worker's agent; grows with each start
  * @param sequence the number of the heartbeat within its epoch
- * @param token the greatest fencing token that the worker has seen
+ * @param seenToken the greatest fencing token that the worker has seen
  * @param preemptionNoticeS seconds until the cloud takes the machine away, or NaN
  */
 public record Heartbeat(
@@ -21,7 +21,7 @@
     boolean spot,
     long agentEpoch,
     long sequence,
-    long token,
+    long seenToken,
     double preemptionNoticeS,
     List<TaskStatus> tasks) {
   private static final double MAX_NOTICE_S = 1e9;
--- a/src/main/java/org/snowturn/wire/JobSpec.java
+++ b/src/main/java/org/snowturn/wire/JobSpec.java
@@ -14,11 +14,11 @@
  *
  * @param jobClass the class for which service-level objectives are set
  * @param cpus what each task needs; so are {@code gpus}, {@code memoryGb} and the image
- * @param types allowed machine types, or null for any
+ * @param allowedMachineTypes allowed machine types, or null for any
  * @param zone the only allowed zone, or null
  * @param singleZone whether all tasks have to be in the same zone
  * @param spreadAcrossZones whether a zone may hold at most half of the tasks
- * @param spot whether the tasks may run on spot machines
+ * @param canUseSpot whether the tasks may run on spot machines
  * @param estimateS expected running time of a task in seconds
  * @param checkpointIntervalS seconds between checkpoints; 0: the tasks save no progress
  * @param checkpointWriteS seconds that a task takes to save its progress when it is stopped
@@ -38,11 +38,11 @@
     double memoryGb,
     String image,
     double imageGb,
-    List<String> types,
+    List<String> allowedMachineTypes,
     String zone,
     boolean singleZone,
     boolean spreadAcrossZones,
-    boolean spot,
+    boolean canUseSpot,
     double estimateS,
     double checkpointIntervalS,
     double checkpointWriteS,
@@ -183,7 +183,7 @@
   }
 
   /** The same job without what only its starts need: what names others and what may be long. */
-  public JobSpec withoutStart() {
+  public JobSpec withoutStartFields() {
     return new JobSpec(
         id,
         "-",
@@ -200,7 +200,7 @@
         null,
         singleZone,
         spreadAcrossZones,
-        spot,
+        canUseSpot,
         estimateS,
         checkpointIntervalS,
         checkpointWriteS,
@@ -212,17 +212,17 @@
   public ObjectNode toJson() {
     ObjectNode object = Json.object();
     object.put(ID, id).put(JOB_CLASS, jobClass).put(TEAM, team);
-    object.put(KIND, kind.wire).put(PRIORITY, priority.wire());
+    object.put(KIND, kind.wire).put(PRIORITY, priority.wireName());
     object.put(TASKS, tasks).put(CPUS, cpus).put(GPUS, gpus).put(MEMORY_GB, memoryGb);
     object.put(IMAGE, image).put(IMAGE_GB, imageGb);
-    if (types != null) {
+    if (allowedMachineTypes != null) {
       ArrayNode array = object.putArray(MACHINE_TYPES);
-      types.forEach(array::add);
+      allowedMachineTypes.forEach(array::add);
     }
     if (zone != null) {
       object.put(ZONE, zone);
     }
-    object.put(ONE_ZONE, singleZone).put(SPREAD, spreadAcrossZones).put(SPOT, spot);
+    object.put(ONE_ZONE, singleZone).put(SPREAD, spreadAcrossZones).put(SPOT, canUseSpot);
     object
         .put(ESTIMATE_S, estimateS)
         .put(CHECKPOINT_S, checkpointIntervalS)
@@ -238,7 +238,7 @@
   }
 
   /** Whether the tasks are replicas that run until the job is cancelled. */
-  public boolean service() {
+  public boolean isService() {
     return kind == Kind.SERVICE;
   }
 
@@ -248,7 +248,7 @@
   }
 
   /** How many of the tasks may be in one zone. */
-  public int perZoneLimit() {
+  public int maxTasksPerZone() {
     return spreadAcrossZones ? (tasks + 1) / 2 : tasks;
   }
 }
--- a/src/main/java/org/snowturn/wire/JobStatus.java
+++ b/src/main/java/org/snowturn/wire/JobStatus.java
@@ -13,23 +13,23 @@
     ABORTED;
 
     /** Whether the phase can never change again. */
-    public boolean terminal() {
+    public boolean isTerminal() {
       return this == DONE || this == ABORTED;
     }
 
     /** The word on the wire. */
-    public String wire() {
+    public String wireName() {
       return name().toLowerCase(Locale.ROOT);
     }
   }
 
   /** The answer to a submission or a cancellation. */
-  public ObjectNode summary() {
-    return Json.object().put("id", id).put("phase", phase.wire());
+  public ObjectNode toSummaryJson() {
+    return Json.object().put("id", id).put("phase", phase.wireName());
   }
 
   /** The answer to a poll. */
-  public ObjectNode full() {
-    return summary().put("done", done).put("running", running);
+  public ObjectNode toJson() {
+    return toSummaryJson().put("done", done).put("running", running);
   }
 }
--- a/src/main/java/org/snowturn/wire/Priority.java
+++ b/src/main/java/org/snowturn/wire/Priority.java
@@ -22,14 +22,14 @@
 
   static Priority parse(String text) throws MalformedException {
     for (Priority priority : values()) {
-      if (priority.wire().equals(text)) {
+      if (priority.wireName().equals(text)) {
         return priority;
       }
     }
     throw new MalformedException("rank: unknown priority");
   }
 
-  String wire() {
+  String wireName() {
     return name().toLowerCase(Locale.ROOT);
   }
 }
--- a/src/main/java/org/snowturn/wire/StateMessage.java
+++ b/src/main/java/org/snowturn/wire/StateMessage.java
@@ -96,7 +96,7 @@
   }
 
   /** The body that asks for a lease. */
-  public static JsonNode lease(long ttlMs) {
+  public static JsonNode leaseRequest(long ttlMs) {
     return Json.object().put("life_ms", ttlMs);
   }
 
@@ -125,7 +125,7 @@
   }
 
   /** The lease that holds a read key, or 0. */
-  public static long holder(JsonNode body) {
+  public static long attachedLease(JsonNode body) {
     return body.path(LEASE).asLong(0);
   }
 
@@ -139,7 +139,7 @@
   }
 
   /** Whether a range was cut short. */
-  public static boolean more(JsonNode body) {
+  public static boolean isTruncated(JsonNode body) {
     return body.path("truncated").asBoolean(false);
   }
 
--- a/src/test/java/org/snowturn/config/SettingsTest.java
+++ b/src/test/java/org/snowturn/config/SettingsTest.java
@@ -60,7 +60,7 @@
     assertEquals(new Settings.StateLimits(100, 30, 4, 4), settings.nextStateLimits());
     assertEquals(
         new Settings.StateLimits(100, 20, 4, 4),
-        settings.stateLimits().least(settings.nextStateLimits()));
+        settings.stateLimits().min(settings.nextStateLimits()));
     String wrong = GOOD + "[deployment.state.next]\nvalue_kb = 0.0\n";
     Exception e =
         assertThrows(SettingsException.class, () -> SettingsReader.read(file("s.toml", wrong)));
@@ -72,7 +72,7 @@
     Settings settings = SettingsReader.read(file("s.toml", GOOD));
     assertEquals("a", settings.node());
     assertEquals("b", settings.peers().get(0).node());
-    assertEquals(4.0, settings.teams().get(0).cpusMax());
+    assertEquals(4.0, settings.teams().get(0).maxCpus());
     assertEquals(10.0, settings.workers().leaseS());
   }
 
--- a/src/test/java/org/snowturn/core/admission/QuotaGuaranteesTest.java
+++ b/src/test/java/org/snowturn/core/admission/QuotaGuaranteesTest.java
@@ -103,8 +103,8 @@
     }
     Settings.Team team =
         TEAMS.stream().filter(candidate -> candidate.name().equals(job.team)).findFirst().get();
-    boolean hasGuarantee = team.cpus() > 0 || team.gpus() > 0;
-    return hasGuarantee && cpus <= team.cpus() && gpus <= team.gpus();
+    boolean hasGuarantee = team.guaranteedCpus() > 0 || team.guaranteedGpus() > 0;
+    return hasGuarantee && cpus <= team.guaranteedCpus() && gpus <= team.guaranteedGpus();
   }
 
   private static boolean isNotLater(Job other, Job job) {
--- a/src/test/java/org/snowturn/simulation/BehaviorDigestTest.java
+++ b/src/test/java/org/snowturn/simulation/BehaviorDigestTest.java
@@ -31,7 +31,7 @@
 
   private static Effect start(long attempt) {
     Command command = new Command(Command.Op.START, "wk-000001", 0, attempt, 0);
-    return call(Command.direct(1, 1, List.of(command)));
+    return call(Command.directCommands(1, 1, List.of(command)));
   }
 
   private static Effect call(JsonNode body) {
--- a/src/test/java/org/snowturn/wire/JobSpecTest.java
+++ b/src/test/java/org/snowturn/wire/JobSpecTest.java
@@ -74,7 +74,7 @@
     JobSpec bare = JobSpec.parse(submission());
     ObjectNode nulls = submission().putNull("hulls").putNull("field").putNull("due_s");
     assertEquals(bare, JobSpec.parse(nulls));
-    assertNull(bare.types());
+    assertNull(bare.allowedMachineTypes());
     assertNull(bare.zone());
     assertTrue(Double.isNaN(bare.deadlineS()));
   }
--- a/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
+++ b/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
@@ -79,9 +79,9 @@
       (s.on.rented.zone.equals(worker.rented.zone) ? sameZone : otherZone)[0]++;
     }
     ofJob.add(now);
-    if ((worker.rented.spot && !spec.spot())
+    if ((worker.rented.spot && !spec.canUseSpot())
         || (spec.zone() != null && !spec.zone().equals(worker.rented.zone))
-        || (spec.spreadAcrossZones() && sameZone[0] + 1 > spec.perZoneLimit())
+        || (spec.spreadAcrossZones() && sameZone[0] + 1 > spec.maxTasksPerZone())
         || (spec.singleZone() && otherZone[0] > 0)) {
       report("wrong_place", task.name() + " on " + worker.rented.id);
     }
@@ -214,9 +214,9 @@
 
   private boolean underLimit(JobSpec spec, Map<String, Double> use) {
     for (Settings.Team team : cluster.settings[0].teams()) {
-      if (team.name().equals(spec.team()) && team.cpusMax() > 0) {
+      if (team.name().equals(spec.team()) && team.maxCpus() > 0) {
         return use.getOrDefault(team.name(), 0.0) + spec.cpus() * spec.minConcurrentTasks()
-            <= team.cpusMax();
+            <= team.maxCpus();
       }
     }
     return true;
@@ -229,7 +229,7 @@
         && !worker.outboundDropped
         && Double.isNaN(worker.noticeS)
         && worker.rented.goneAt == Long.MAX_VALUE
-        && (spec.spot() || !worker.rented.spot)
+        && (spec.canUseSpot() || !worker.rented.spot)
         && (spec.zone() == null || spec.zone().equals(worker.rented.zone))
         && taken.getOrDefault(worker, 0) + spec.cpus() <= worker.cluster.parameters.cpus()
         && taken.getOrDefault(worker, 0) + spec.memoryGb() / 4
@@ -297,7 +297,7 @@
         jobs.stream()
             .filter(
                 submitted ->
-                    submitted.spec.service()
+                    submitted.spec.isService()
                         ? submitted.firstStartAt >= 0
                         : "done".equals(submitted.terminal))
             .count();
@@ -317,7 +317,7 @@
   /** A job is called queued or running, though one that it needs was cancelled long ago. */
   void calledLive(SimulatedClients.SubmittedJob submitted) {
     Long told = cluster.clients.dependencyCancelConfirmed(submitted.spec.id());
-    double cancelMs = cluster.settings[0].workers().cancelS() * 1000;
+    double cancelMs = cluster.settings[0].workers().cancellationDeadlineS() * 1000;
     if (told != null && cluster.now > Math.max(told, submitted.acceptedAt) + cancelMs) {
       report("orphaned", submitted.spec.id());
     }
@@ -326,7 +326,7 @@
   /** Looks at the whole world, after every event. */
   void check() {
     checkKnown();
-    boolean limits = cluster.settings[0].teams().stream().anyMatch(team -> team.cpusMax() > 0);
+    boolean limits = cluster.settings[0].teams().stream().anyMatch(team -> team.maxCpus() > 0);
     if (!limits && !cluster.clients.anyCancelConfirmed()) {
       return; // nothing that time alone can break; a start is checked when it happens
     }
@@ -339,14 +339,14 @@
         JobSpec spec = cluster.clients.spec(task.job);
         use.merge(spec.team(), spec.cpus(), Double::sum);
         Long told = cluster.clients.cancelConfirmed(task.job);
-        double cancelMs = cluster.settings[0].workers().cancelS() * 1000;
+        double cancelMs = cluster.settings[0].workers().cancellationDeadlineS() * 1000;
         if (told != null && cluster.now > told + cancelMs) {
           report("ran_cancelled", task.name());
         }
       }
     }
     for (Settings.Team team : cluster.settings[0].teams()) {
-      if (team.cpusMax() > 0 && use.getOrDefault(team.name(), 0.0) > team.cpusMax() + 1e-6) {
+      if (team.maxCpus() > 0 && use.getOrDefault(team.name(), 0.0) > team.maxCpus() + 1e-6) {
         report("quota", team.name() + " uses " + use.get(team.name()));
       }
     }
--- a/src/testbench/java/org/snowturn/simulation/ScenarioExpectations.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioExpectations.java
@@ -97,7 +97,7 @@
         "all-over",
         (cluster, line, failures) -> {
           for (SimulatedClients.SubmittedJob job : cluster.clients.all()) {
-            if (job.terminal == null && !job.spec.service()) {
+            if (job.terminal == null && !job.spec.isService()) {
               failures.found.add(job.spec.id() + " is not over");
             }
           }
--- a/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
@@ -184,7 +184,7 @@
     }
     String id = submitted.spec.id();
     boolean calledOff =
-        submitted.terminal == null && !submitted.spec.service() && cluster.random.nextInt(8) == 0;
+        submitted.terminal == null && !submitted.spec.isService() && cluster.random.nextInt(8) == 0;
     for (int i = 0; i < READS_AFTER_WRITE; i++) {
       Endpoint n = cluster.endpoints.get(i % cluster.endpoints.size());
       int kind = i == 4 && calledOff ? 2 : cluster.random.nextInt(3) / 2;
@@ -266,7 +266,7 @@
     running.keySet().stream()
         .sorted(
             Comparator.comparingLong(
-                submitted -> submitted.spec.service() ? Long.MIN_VALUE : -submitted.runMs))
+                submitted -> submitted.spec.isService() ? Long.MIN_VALUE : -submitted.runMs))
         .limit(count)
         .forEach(
             submitted -> {
--- a/src/testbench/java/org/snowturn/simulation/SimulatedStateService.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedStateService.java
@@ -74,8 +74,8 @@
   SimulatedStateService(SimulatedCluster cluster) {
     this.cluster = cluster;
     this.limits = cluster.settings[0].stateLimits();
-    this.writesLeft = limits.writeRps();
-    this.requestsLeft = limits.rps();
+    this.writesLeft = limits.maxWriteRps();
+    this.requestsLeft = limits.maxRps();
   }
 
   /** Loads records, running tasks and results as another version left them. */
@@ -111,8 +111,8 @@
   private void refill() {
     double s = (cluster.now - filledAt) / 1000.0;
     filledAt = cluster.now;
-    writesLeft = Math.min(limits.writeRps(), writesLeft + s * limits.writeRps());
-    requestsLeft = Math.min(limits.rps(), requestsLeft + s * limits.rps());
+    writesLeft = Math.min(limits.maxWriteRps(), writesLeft + s * limits.maxWriteRps());
+    requestsLeft = Math.min(limits.maxRps(), requestsLeft + s * limits.maxRps());
   }
 
   /** Refuses what is beyond the rates, and for good what is beyond the sizes; 0: nothing is. */
@@ -127,11 +127,11 @@
     }
     int ops = call.body().path("apply").size();
     boolean wrong =
-        ops > limits.txnOps()
-            || call.body().path("when").size() > 4 * limits.txnOps()
+        ops > limits.maxTransactionOps()
+            || call.body().path("when").size() > 4 * limits.maxTransactionOps()
             || Json.bytes(call.body()).length > 64 * 1024;
     for (JsonNode node : call.body().path("apply")) {
-      wrong |= node.has("write") && Json.bytes(node.path("value")).length > limits.valueBytes();
+      wrong |= node.has("write") && Json.bytes(node.path("value")).length > limits.maxValueBytes();
     }
     if (wrong) {
       return 400;
--- a/src/testbench/java/org/snowturn/simulation/SimulatedWorker.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedWorker.java
@@ -222,7 +222,7 @@
       leaseFrom = Math.max(leaseFrom, sentAt);
       execute(reply.path("orders"), cluster.answerLeftAt);
     }
-    long every = (long) (figures().reportS() * 1000);
+    long every = (long) (figures().heartbeatIntervalS() * 1000);
     long usual = every * 3 / 4 + cluster.random.nextInt((int) (every / 2));
     reportAfter(changed ? 500 : usual);
   }
@@ -351,7 +351,7 @@
       exit(task, "error");
     } else if (cluster.clients.result(task.name())) {
       exit(task, "done");
-    } else if (!spec.service()) {
+    } else if (!spec.isService()) {
       long ms = (long) (cluster.clients.runMs(task.job, task.index) * slow);
       cluster.after(ms, () -> complete(task, inSession));
     }
--- a/src/testbench/java/org/snowturn/testbench/SettingsFile.java
+++ b/src/testbench/java/org/snowturn/testbench/SettingsFile.java
@@ -51,16 +51,16 @@
 
   private static void limits(StringBuilder text, LoopbackPlan plan) {
     text.append("[deployment.workers]\n");
-    number(text, "report_s", plan.figures().reportS());
+    number(text, "report_s", plan.figures().heartbeatIntervalS());
     number(text, "lease_s", plan.figures().leaseS());
-    number(text, "cancel_s", plan.figures().cancelS());
+    number(text, "cancel_s", plan.figures().cancellationDeadlineS());
     text.append("[deployment.state]\n");
-    number(text, "rps", plan.state().rps());
-    number(text, "write_rps", plan.state().writeRps());
-    number(text, "value_kb", plan.state().valueKb());
-    text.append("txn_ops = ").append(plan.state().txnOps()).append('\n');
+    number(text, "rps", plan.state().maxRps());
+    number(text, "write_rps", plan.state().maxWriteRps());
+    number(text, "value_kb", plan.state().maxValueKb());
+    text.append("txn_ops = ").append(plan.state().maxTransactionOps()).append('\n');
     text.append("[deployment.cloud]\n");
-    number(text, "rps", plan.cloud().rps());
+    number(text, "rps", plan.cloud().maxRps());
     number(text, "list_lag_s", plan.cloud().listLagS());
     text.append("[deployment.machine_limits]\n");
     text.append("max_connections = ").append(plan.maxConnections()).append('\n');
