--- a/src/main/java/org/snowturn/cloud/CloudClient.java
+++ b/src/main/java/org/snowturn/cloud/CloudClient.java
@@ -5,17 +5,17 @@
 import org.snowturn.core.Input;
 import org.snowturn.net.HttpCaller;
 
-/** The client of the cloud; the core spends the request rate where it matters most. */
+/** A client of the cloud API. The core decides which calls the request rate is spent on. */
 public final class CloudClient {
   private final HttpCaller caller;
 
-  /** Uses one caller. */
+  /** Creates a client that sends its calls through the given caller. */
   public CloudClient(HttpCaller caller) {
     this.caller = caller;
   }
 
-  /** Makes the call and hands in its reply. */
-  public void call(Effect.Call call, Consumer<Input> reply) {
-    caller.call(call, reply);
+  /** Sends the call and passes its reply to {@code onReply}. */
+  public void call(Effect.Call call, Consumer<Input> onReply) {
+    caller.call(call, onReply);
   }
 }
--- a/src/main/java/org/snowturn/cloud/package-info.java
+++ b/src/main/java/org/snowturn/cloud/package-info.java
@@ -1,2 +1,2 @@
-/** Client of the cloud that rents machines. */
+/** Client of the cloud API, which rents out machines. */
 package org.snowturn.cloud;
--- a/src/main/java/org/snowturn/metrics/Metrics.java
+++ b/src/main/java/org/snowturn/metrics/Metrics.java
@@ -11,55 +11,66 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The process's own figures: Micrometer meters, with HdrHistogram behind the latencies. Any thread
- * may count; latencies are recorded and shown on one.
+ * Metrics of this process: Micrometer counters and gauges, and HdrHistogram latencies. Counters can
+ * be used on any thread; latencies have to be recorded and formatted on one and the same thread.
  */
 public final class Metrics {
   private static final long MAX_LATENCY_MICROS = 60_000_000L;
+  private static final int SIGNIFICANT_DIGITS = 2;
+  private static final double MICROS_PER_S = 1e6;
+  private static final double[] PERCENTILES = {50, 99, 99.9};
+
   private final SimpleMeterRegistry registry = new SimpleMeterRegistry();
   private final Map<String, Counter> counters = new ConcurrentHashMap<>();
   private final Map<String, Histogram> latencies = new TreeMap<>();
 
-  /** Counts one event. */
+  /** Increments the counter with this name and value of the tag {@code kind}. */
   public void count(String name, String kind) {
     counters
         .computeIfAbsent(
-            name + "/" + kind, k -> Counter.builder(name).tag("kind", kind).register(registry))
+            name + "/" + kind, key -> Counter.builder(name).tag("kind", kind).register(registry))
         .increment();
   }
 
-  /** Records how long something took. */
+  /** Records the duration of one operation, in nanoseconds, under a metric name. */
   public void recordLatency(String name, long nanos) {
     latencies
-        .computeIfAbsent(name, n -> new Histogram(MAX_LATENCY_MICROS, 2))
+        .computeIfAbsent(name, key -> new Histogram(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS))
         .recordValue(Math.max(0, Math.min(MAX_LATENCY_MICROS, nanos / 1000)));
   }
 
-  /** Shows a value that is read when asked for. */
+  /** Registers a gauge whose value is supplied each time the metrics are formatted. */
   public void registerGauge(String name, Supplier<Number> value) {
     Gauge.builder(name, value).strongReference(true).register(registry);
   }
 
-  /** All figures as text, one a line. */
-  public String toText(Map<String, Double> more) {
+  /**
+   * Returns all metrics in text form, one per line.
+   *
+   * @param additionalValues values of further metrics by name
+   */
+  public String toText(Map<String, Double> additionalValues) {
     StringBuilder out = new StringBuilder(2048);
     TreeMap<String, Double> lines = new TreeMap<>();
-    for (Meter m : registry.getMeters()) {
-      String kind = m.getId().getTag("kind");
+    for (Meter meter : registry.getMeters()) {
+      String kind = meter.getId().getTag("kind");
       String name =
-          m.getId().getName().replace('.', '_') + (kind == null ? "" : "{kind=\"" + kind + "\"}");
-      m.measure().forEach(v -> lines.put(name, v.getValue()));
+          meter.getId().getName().replace('.', '_')
+              + (kind == null ? "" : "{kind=\"" + kind + "\"}");
+      meter.measure().forEach(measurement -> lines.put(name, measurement.getValue()));
     }
-    more.forEach((n, v) -> lines.put(n.replace('.', '_'), v));
+    additionalValues.forEach((metric, value) -> lines.put(metric.replace('.', '_'), value));
     latencies.forEach(
-        (n, h) -> {
-          String name = n.replace('.', '_') + "_seconds";
-          for (double q : new double[] {50, 99, 99.9}) {
-            lines.put(name + "{quantile=\"" + q / 100 + "\"}", h.getValueAtPercentile(q) / 1e6);
+        (metric, histogram) -> {
+          String name = metric.replace('.', '_') + "_seconds";
+          for (double percentile : PERCENTILES) {
+            lines.put(
+                name + "{quantile=\"" + percentile / 100 + "\"}",
+                histogram.getValueAtPercentile(percentile) / MICROS_PER_S);
           }
-          lines.put(name + "_count", (double) h.getTotalCount());
+          lines.put(name + "_count", (double) histogram.getTotalCount());
         });
-    lines.forEach((n, v) -> out.append(n).append(' ').append(v).append('\n'));
+    lines.forEach((metric, value) -> out.append(metric).append(' ').append(value).append('\n'));
     return out.toString();
   }
 }
--- a/src/main/java/org/snowturn/metrics/package-info.java
+++ b/src/main/java/org/snowturn/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Meters of the process. */
+/** Counters, gauges and latency histograms of the process. */
 package org.snowturn.metrics;
--- a/src/main/java/org/snowturn/state/StateClient.java
+++ b/src/main/java/org/snowturn/state/StateClient.java
@@ -6,30 +6,36 @@
 import org.snowturn.net.HttpCaller;
 
 /**
- * The client of the state service. What this node may ask is decided in the core; here, what its
- * authority rests on has connections of its own, whatever else is under way. Belongs to the I/O
- * thread of its callers.
+ * A client of the state service. The core decides which requests are made. Watches, and the
+ * requests that this node's authority depends on, have connections of their own, so that they never
+ * wait for other requests. Has to be used on the I/O thread of its callers.
  */
 public final class StateClient {
-  private final HttpCaller caller;
+  private final HttpCaller requests;
   private final HttpCaller watches;
   private final HttpCaller authority;
 
-  /** Uses three callers, so that neither watches nor bulk work keep the others waiting. */
-  public StateClient(HttpCaller caller, HttpCaller watches, HttpCaller authority) {
+  /**
+   * Creates a client that sends its calls through three callers.
+   *
+   * @param requests caller for all other requests
+   * @param watches caller for watches, which occupy a connection for long
+   * @param authority caller for the requests that this node's authority depends on
+   */
+  public StateClient(HttpCaller requests, HttpCaller watches, HttpCaller authority) {
     this.authority = authority;
-    this.caller = caller;
+    this.requests = requests;
     this.watches = watches;
   }
 
-  /** Makes the call and hands in its reply. */
-  public void call(Effect.Call call, Consumer<Input> reply) {
-    HttpCaller via =
+  /** Sends the call and passes its reply to {@code onReply}. */
+  public void call(Effect.Call call, Consumer<Input> onReply) {
+    HttpCaller caller =
         switch (call.target()) {
           case AUTHORITY -> authority;
           case STATE_WATCH -> watches;
-          default -> caller;
+          default -> requests;
         };
-    via.call(call, reply);
+    caller.call(call, onReply);
   }
 }
--- a/src/main/java/org/snowturn/state/package-info.java
+++ b/src/main/java/org/snowturn/state/package-info.java
@@ -1,2 +1,2 @@
-/** Client of the consensus-backed key-value store. */
+/** Client of the state service, a consensus-backed key-value store. */
 package org.snowturn.state;
