--- a/src/main/java/org/snowturn/wire/CloudMachine.java
+++ b/src/main/java/org/snowturn/wire/CloudMachine.java
@@ -5,10 +5,12 @@
 import java.util.List;
 
 /**
- * A machine as the cloud lists it.
+ * A machine in the cloud's list of machines.
  *
- * @param address null if the cloud does not tell it yet
- * @param ageS seconds since it was rented
+ * @param address address of the worker; null if the cloud has not assigned one yet
+ * @param type name of the machine type
+ * @param spot whether it is a spot machine, which the cloud may take back
+ * @param ageS seconds since the machine was rented
  */
 public record CloudMachine(
     String id, String address, String type, String zone, boolean spot, State state, double ageS) {
@@ -18,20 +20,28 @@
   private static final String SPOT = "loaners";
   private static final double MAX_AGE_S = 1e12;
 
-  /** The cloud's own view of the machine. */
+  /** State of a machine as reported by the cloud. */
   public enum State {
     STARTING,
     RUNNING,
     FAILED
   }
 
-  /** One page of the machine list. */
+  /**
+   * One page of the list of machines.
+   *
+   * @param hasMore whether the list continues after this page
+   */
   public record Page(List<CloudMachine> machines, boolean hasMore) {
-    /** Reads a page. */
+    /**
+     * Parses a page.
+     *
+     * @throws MalformedException if a required field is missing or a value is invalid
+     */
     public static Page parse(JsonNode node) throws MalformedException {
       List<CloudMachine> machines = new ArrayList<>();
-      Fields top = new Fields(node);
-      for (JsonNode machine : top.node(MACHINES)) {
+      Fields pageFields = new Fields(node);
+      for (JsonNode machine : pageFields.node(MACHINES)) {
         Fields fields = new Fields(machine);
         State state =
             switch (fields.text("phase")) {
@@ -49,18 +59,23 @@
                 state,
                 fields.number("held_s", 0, MAX_AGE_S, 0)));
       }
-      return new Page(machines, top.flag("truncated", false));
+      return new Page(machines, pageFields.flag("truncated", false));
     }
   }
 
-  /** The ids of the machines that a rental returned. */
+  /** Returns the ids of the machines in the reply to a rental request. */
   public static List<String> parseRentedIds(JsonNode node) throws MalformedException {
     List<String> ids = new ArrayList<>();
     new Fields(node).node(MACHINES).forEach(id -> ids.add(id.asText()));
     return ids;
   }
 
-  /** The body of a rental request. */
+  /**
+   * Returns the body of a rental request.
+   *
+   * @param name name of the request; repeating it does not rent further machines
+   * @param count number of machines
+   */
   public static JsonNode rentalRequest(
       String name, String type, String zone, boolean spot, int count) {
     return Json.object()
@@ -71,7 +86,7 @@
         .put("number", count);
   }
 
-  /** The body of a deletion. */
+  /** Returns the body of a request to delete the machines with these ids. */
   public static JsonNode deletionRequest(List<String> ids) {
     var object = Json.object();
     ids.forEach(object.putArray(MACHINES)::add);
--- a/src/main/java/org/snowturn/wire/Command.java
+++ b/src/main/java/org/snowturn/wire/Command.java
@@ -5,51 +5,63 @@
 import java.util.List;
 
 /**
- * A command to a worker about one attempt of a task.
+ * A command to a worker concerning one attempt of a task.
  *
- * @param graceS for a stop: the seconds that the task has to save its progress
+ * @param task index of the task within its job
+ * @param attempt number of the attempt
+ * @param graceS time in seconds for the task to save its progress; used by {@link Op#STOP} only
  */
 public record Command(Op op, String job, int task, long attempt, double graceS) {
-  /** What to do. */
+  /** The operation that the worker has to perform. */
   public enum Op {
     START("start"),
     STOP("halt"),
-    /** Reports the ended attempt no more. */
+    /** Makes the worker stop reporting an ended attempt. */
     FORGET("forget");
 
-    private final String wire;
+    private final String wireName;
 
-    Op(String wire) {
-      this.wire = wire;
+    Op(String wireName) {
+      this.wireName = wireName;
     }
   }
 
-  /** The body of a 200 to a heartbeat. */
+  /** Returns the body of a 200 (OK) response to a heartbeat. */
   public static ObjectNode heartbeatResponse(long token, List<Command> commands) {
     ObjectNode object = Json.object();
     object.put("baton", token);
     ArrayNode array = object.putArray("orders");
     for (Command command : commands) {
-      ObjectNode order = array.addObject();
-      order.put("verb", command.op.wire);
-      order.put("flake", command.job + "/" + command.task).put("try", command.attempt);
+      ObjectNode node = array.addObject();
+      node.put("verb", command.op.wireName);
+      node.put("flake", command.job + "/" + command.task).put("try", command.attempt);
       if (command.op == Op.STOP) {
-        order.put("melt_s", command.graceS);
+        node.put("melt_s", command.graceS);
       }
     }
     return object;
   }
 
-  /** The body of a direct command message to an incarnation of the worker's agent. */
+  /**
+   * Returns the body of a request that sends commands directly to a worker.
+   *
+   * @param token fencing token of the leader
+   * @param agentEpoch incarnation of the worker's agent for which the commands are meant
+   */
   public static ObjectNode directCommands(long token, long agentEpoch, List<Command> commands) {
     return heartbeatResponse(token, commands).put("thaw", agentEpoch);
   }
 
-  /** The body of a 421 (misdirected request); {@code leader} may be null. */
-  public static ObjectNode misdirectedResponse(String leader) {
+  /**
+   * Returns the body of a 421 (Misdirected Request) response.
+   *
+   * @param node name of the controller that the worker should contact instead, or null if none is
+   *     known
+   */
+  public static ObjectNode misdirectedResponse(String node) {
     ObjectNode object = Json.object();
-    if (leader != null) {
-      object.put("steward", leader);
+    if (node != null) {
+      object.put("steward", node);
     }
     return object;
   }
--- a/src/main/java/org/snowturn/wire/Fields.java
+++ b/src/main/java/org/snowturn/wire/Fields.java
@@ -3,7 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Checked access to the fields of a JSON object; unknown fields are ignored, null counts as absent.
+ * Checked access to the fields of a JSON object. Unknown fields are ignored, and a field whose
+ * value is null is treated as missing.
  */
 final class Fields {
   private static final int MAX_TEXT_LENGTH = 200;
@@ -51,8 +52,9 @@
     return number;
   }
 
-  double number(String name, double min, double max, double absent) throws MalformedException {
-    return has(name) ? number(name, min, max) : absent;
+  double number(String name, double min, double max, double defaultValue)
+      throws MalformedException {
+    return has(name) ? number(name, min, max) : defaultValue;
   }
 
   long integer(String name, long min, long max) throws MalformedException {
@@ -67,13 +69,13 @@
     return number;
   }
 
-  long integer(String name, long min, long max, long absent) throws MalformedException {
-    return has(name) ? integer(name, min, max) : absent;
+  long integer(String name, long min, long max, long defaultValue) throws MalformedException {
+    return has(name) ? integer(name, min, max) : defaultValue;
   }
 
-  boolean flag(String name, boolean absent) throws MalformedException {
+  boolean flag(String name, boolean defaultValue) throws MalformedException {
     if (!has(name)) {
-      return absent;
+      return defaultValue;
     }
     JsonNode value = node.path(name);
     if (!value.isBoolean()) {
--- a/src/main/java/org/snowturn/wire/Heartbeat.java
+++ b/src/main/java/org/snowturn/wire/Heartbeat.java
@@ -7,11 +7,15 @@
 /**
  * A worker's heartbeat with the status of its tasks.
  *
- * @param address where the worker takes direct commands, as IP address and port
- * @param agentEpoch the incarnation of the worker's agent; grows with each start
- * @param sequence the number of the heartbeat within its epoch
- * @param seenToken the greatest fencing token that the worker has seen
- * @param preemptionNoticeS seconds until the cloud takes the machine away, or NaN
+ * @param machine id of the worker's machine
+ * @param address IP address and port on which the worker accepts direct commands
+ * @param type name of the machine type
+ * @param spot whether it is a spot machine, which the cloud may take back
+ * @param agentEpoch incarnation of the worker's agent; increases with each start
+ * @param sequence number of the heartbeat within the incarnation of the agent
+ * @param seenToken highest fencing token that the worker has seen
+ * @param preemptionNoticeS seconds until the cloud takes the machine back, or NaN without a notice
+ * @param tasks status of each task attempt on the machine
  */
 public record Heartbeat(
     String machine,
@@ -26,7 +30,11 @@
     List<TaskStatus> tasks) {
   private static final double MAX_NOTICE_S = 1e9;
 
-  /** Reads and checks a heartbeat. */
+  /**
+   * Parses and validates a heartbeat.
+   *
+   * @throws MalformedException if a required field is missing or a value is invalid
+   */
   public static Heartbeat parse(JsonNode node) throws MalformedException {
     Fields fields = new Fields(node);
     List<TaskStatus> tasks = new ArrayList<>();
--- a/src/main/java/org/snowturn/wire/JobSpec.java
+++ b/src/main/java/org/snowturn/wire/JobSpec.java
@@ -10,21 +10,28 @@
 import java.util.regex.Pattern;
 
 /**
- * A job as a user submits it.
+ * A job as submitted by a user.
  *
- * @param jobClass the class for which service-level objectives are set
- * @param cpus what each task needs; so are {@code gpus}, {@code memoryGb} and the image
- * @param allowedMachineTypes allowed machine types, or null for any
- * @param zone the only allowed zone, or null
- * @param singleZone whether all tasks have to be in the same zone
- * @param spreadAcrossZones whether a zone may hold at most half of the tasks
+ * @param id id of the job, chosen by the user
+ * @param jobClass job class, to which service-level objectives refer
+ * @param team team that owns the job
+ * @param tasks number of tasks
+ * @param cpus CPUs required by each task
+ * @param gpus GPUs required by each task
+ * @param memoryGb memory in GB required by each task
+ * @param image name of the image that a machine needs before it can run the tasks
+ * @param imageGb size of the image in GB
+ * @param allowedMachineTypes names of the allowed machine types, or null for any
+ * @param zone the only allowed zone, or null for any
+ * @param singleZone whether all tasks have to run in the same zone
+ * @param spreadAcrossZones whether a zone may hold at most half of the tasks, rounded up
  * @param canUseSpot whether the tasks may run on spot machines
  * @param estimateS expected running time of a task in seconds
- * @param checkpointIntervalS seconds between checkpoints; 0: the tasks save no progress
- * @param checkpointWriteS seconds that a task takes to save its progress when it is stopped
- * @param deadlineS seconds from submission, or NaN for none
- * @param dependencies the jobs that have to be done before any task of this one starts, each named
- *     once
+ * @param checkpointIntervalS seconds between two checkpoints; 0 if the tasks save no progress
+ * @param checkpointWriteS seconds that a task needs to save its progress when it is stopped
+ * @param deadlineS seconds from the submission to the deadline, or NaN for no deadline
+ * @param dependencies ids of the jobs that have to be done before any task of this job starts,
+ *     without duplicates
  */
 public record JobSpec(
     String id,
@@ -49,24 +56,24 @@
     double deadlineS,
     List<String> dependencies) {
 
-  /** How the tasks of a job depend on each other. */
+  /** Relation between the tasks of a job. */
   public enum Kind {
-    /** Independent tasks, each runs to completion. */
+    /** Independent tasks, each of which runs to completion. */
     ARRAY("batch"),
-    /** Tasks that only run all at once. */
+    /** Tasks that run all at the same time or not at all. */
     GANG("ensemble"),
     /** Replicas that run until the job is cancelled. */
     SERVICE("service");
 
-    private final String wire;
+    private final String wireName;
 
-    Kind(String wire) {
-      this.wire = wire;
+    Kind(String wireName) {
+      this.wireName = wireName;
     }
 
     static Kind parse(String text) throws MalformedException {
       for (Kind kind : values()) {
-        if (kind.wire.equals(text)) {
+        if (kind.wireName.equals(text)) {
           return kind;
         }
       }
@@ -74,7 +81,7 @@
     }
   }
 
-  /** The names of the fields on the wire and in stored jobs. */
+  // Field names in submissions and in stored jobs.
   private static final String ID = "id";
 
   private static final String JOB_CLASS = "jobclass";
@@ -89,30 +96,34 @@
   private static final String IMAGE_GB = "size_gb";
   private static final String MACHINE_TYPES = "hulls";
   private static final String ZONE = "field";
-  private static final String ONE_ZONE = "same_place";
-  private static final String SPREAD = "spread";
+  private static final String SINGLE_ZONE = "same_place";
+  private static final String SPREAD_ACROSS_ZONES = "spread";
   private static final String SPOT = "loaners";
   private static final String ESTIMATE_S = "guess_s";
-  private static final String CHECKPOINT_S = "cairn_s";
-  private static final String SAVE_S = "stash_s";
+  private static final String CHECKPOINT_INTERVAL_S = "cairn_s";
+  private static final String CHECKPOINT_WRITE_S = "stash_s";
   private static final String DEADLINE_S = "due_s";
   private static final String DEPENDENCIES = "awaits";
 
+  /** Maximum number of CPUs or GPUs per task, and maximum image size in GB. */
   private static final double MAX_AMOUNT = 1e6;
-  private static final double MAX_GB = 1e9;
-  private static final double MAX_S = 1e9;
+
+  private static final double MAX_MEMORY_GB = 1e9;
+  private static final double MAX_TIME_S = 1e9;
   private static final Pattern ID_PATTERN = Pattern.compile("wk-[0-9]{1,18}");
   private static final int MAX_TASKS = 100_000;
 
-  /** Whether a text has the form of a job id. */
+  /** Returns whether a string is a valid job id; false for null. */
   public static boolean isId(String id) {
     return id != null && ID_PATTERN.matcher(id).matches();
   }
 
   /**
-   * Reads and checks a submission. Only what may be null may be missing: {@code hulls}, {@code
-   * field}, {@code due_s}, and {@code awaits}, which came later. A default for anything else would
-   * be a guess of what the user wants.
+   * Parses and validates a submission. Only fields that may be null may be missing: {@code hulls},
+   * {@code field}, {@code due_s}, and {@code awaits}, which is newer than the other fields. Other
+   * fields have no defaults, since a default would be a guess at the user's intention.
+   *
+   * @throws MalformedException if a required field is missing or a value is invalid
    */
   public static JobSpec parse(JsonNode node) throws MalformedException {
     Fields fields = new Fields(node);
@@ -120,10 +131,10 @@
     if (!isId(id)) {
       throw new MalformedException(ID + ": not a job id");
     }
-    List<String> types = machineTypes(fields);
+    List<String> types = parseMachineTypes(fields);
     double cpus = fields.number(CPUS, 0, MAX_AMOUNT);
     double gpus = fields.number(GPUS, 0, MAX_AMOUNT);
-    double memoryGb = fields.number(MEMORY_GB, 0, MAX_GB);
+    double memoryGb = fields.number(MEMORY_GB, 0, MAX_MEMORY_GB);
     return new JobSpec(
         id,
         fields.text(JOB_CLASS),
@@ -138,17 +149,17 @@
         fields.number(IMAGE_GB, 0, MAX_AMOUNT),
         types,
         fields.textOrNull(ZONE),
-        fields.flag(ONE_ZONE),
-        fields.flag(SPREAD),
+        fields.flag(SINGLE_ZONE),
+        fields.flag(SPREAD_ACROSS_ZONES),
         fields.flag(SPOT),
-        fields.number(ESTIMATE_S, 0, MAX_S),
-        fields.number(CHECKPOINT_S, 0, MAX_S),
-        fields.number(SAVE_S, 0, MAX_S),
-        fields.number(DEADLINE_S, 0, MAX_S, Double.NaN),
-        dependencies(fields));
+        fields.number(ESTIMATE_S, 0, MAX_TIME_S),
+        fields.number(CHECKPOINT_INTERVAL_S, 0, MAX_TIME_S),
+        fields.number(CHECKPOINT_WRITE_S, 0, MAX_TIME_S),
+        fields.number(DEADLINE_S, 0, MAX_TIME_S, Double.NaN),
+        parseDependencies(fields));
   }
 
-  private static List<String> machineTypes(Fields fields) throws MalformedException {
+  private static List<String> parseMachineTypes(Fields fields) throws MalformedException {
     if (!fields.has(MACHINE_TYPES)) {
       return null;
     }
@@ -165,7 +176,7 @@
     return List.copyOf(types);
   }
 
-  private static List<String> dependencies(Fields fields) throws MalformedException {
+  private static List<String> parseDependencies(Fields fields) throws MalformedException {
     if (!fields.has(DEPENDENCIES)) {
       return List.of();
     }
@@ -182,7 +193,11 @@
     return List.copyOf(ids);
   }
 
-  /** The same job without what only its starts need: what names others and what may be long. */
+  /**
+   * Returns a copy without the fields that are needed only to start tasks: the job class, the
+   * image, the allowed machine types, the zone and the dependencies. They refer to other objects or
+   * can be long.
+   */
   public JobSpec withoutStartFields() {
     return new JobSpec(
         id,
@@ -208,11 +223,11 @@
         List.of());
   }
 
-  /** The submission's own form, as it is also stored. */
+  /** Returns the job in the form of a submission, in which it is also stored. */
   public ObjectNode toJson() {
     ObjectNode object = Json.object();
     object.put(ID, id).put(JOB_CLASS, jobClass).put(TEAM, team);
-    object.put(KIND, kind.wire).put(PRIORITY, priority.wireName());
+    object.put(KIND, kind.wireName).put(PRIORITY, priority.wireName());
     object.put(TASKS, tasks).put(CPUS, cpus).put(GPUS, gpus).put(MEMORY_GB, memoryGb);
     object.put(IMAGE, image).put(IMAGE_GB, imageGb);
     if (allowedMachineTypes != null) {
@@ -222,11 +237,14 @@
     if (zone != null) {
       object.put(ZONE, zone);
     }
-    object.put(ONE_ZONE, singleZone).put(SPREAD, spreadAcrossZones).put(SPOT, canUseSpot);
+    object
+        .put(SINGLE_ZONE, singleZone)
+        .put(SPREAD_ACROSS_ZONES, spreadAcrossZones)
+        .put(SPOT, canUseSpot);
     object
         .put(ESTIMATE_S, estimateS)
-        .put(CHECKPOINT_S, checkpointIntervalS)
-        .put(SAVE_S, checkpointWriteS);
+        .put(CHECKPOINT_INTERVAL_S, checkpointIntervalS)
+        .put(CHECKPOINT_WRITE_S, checkpointWriteS);
     if (!Double.isNaN(deadlineS)) {
       object.put(DEADLINE_S, deadlineS);
     }
@@ -237,17 +255,20 @@
     return object;
   }
 
-  /** Whether the tasks are replicas that run until the job is cancelled. */
+  /** Returns whether the tasks are replicas that run until the job is cancelled. */
   public boolean isService() {
     return kind == Kind.SERVICE;
   }
 
-  /** How many of the tasks must be there for any to run; also what a team's limit must hold. */
+  /**
+   * Returns the number of tasks that have to run at the same time: 1 for an array, otherwise all.
+   * The limit of the job's team has to allow that many.
+   */
   public int minConcurrentTasks() {
     return kind == Kind.ARRAY ? 1 : tasks;
   }
 
-  /** How many of the tasks may be in one zone. */
+  /** Returns the maximum number of tasks in the same zone. */
   public int maxTasksPerZone() {
     return spreadAcrossZones ? (tasks + 1) / 2 : tasks;
   }
--- a/src/main/java/org/snowturn/wire/JobStatus.java
+++ b/src/main/java/org/snowturn/wire/JobStatus.java
@@ -3,32 +3,38 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Locale;
 
-/** A job's state as users see it. */
+/**
+ * Status of a job as shown to users.
+ *
+ * @param id id of the job
+ * @param done number of tasks that are done
+ * @param running number of tasks that are running
+ */
 public record JobStatus(String id, Phase phase, int done, int running) {
-  /** Phases in the words of the user protocol. */
+  /** Phase of a job, named as in the user protocol. */
   public enum Phase {
     QUEUED,
     RUNNING,
     DONE,
     ABORTED;
 
-    /** Whether the phase can never change again. */
+    /** Returns whether a job in this phase stays in it for good. */
     public boolean isTerminal() {
       return this == DONE || this == ABORTED;
     }
 
-    /** The word on the wire. */
+    /** Returns the name of the phase in the user protocol and in stored jobs. */
     public String wireName() {
       return name().toLowerCase(Locale.ROOT);
     }
   }
 
-  /** The answer to a submission or a cancellation. */
+  /** Returns the response body for a submission or a cancellation: id and phase. */
   public ObjectNode toSummaryJson() {
     return Json.object().put("id", id).put("phase", phase.wireName());
   }
 
-  /** The answer to a poll. */
+  /** Returns the response body for a status request: all fields. */
   public ObjectNode toJson() {
     return toSummaryJson().put("done", done).put("running", running);
   }
--- a/src/main/java/org/snowturn/wire/Json.java
+++ b/src/main/java/org/snowturn/wire/Json.java
@@ -11,32 +11,42 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 
-/** The one JSON mapper and a few helpers shared by the codecs. */
+/** Reads and writes JSON documents with one mapper that all codecs share. */
 public final class Json {
+  private static final int MAX_NESTING_DEPTH = 32;
+
   private static final ObjectMapper MAPPER =
       JsonMapper.builder(
               com.fasterxml.jackson.core.JsonFactory.builder()
                   .streamReadConstraints(
-                      StreamReadConstraints.builder().maxNestingDepth(32).build())
+                      StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build())
                   .build())
           .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
           .build();
 
   private Json() {}
 
-  /** Parses a whole document. */
+  /**
+   * Parses a whole document in UTF-8. Returns a missing node for an empty document.
+   *
+   * @throws IOException if it is not valid JSON, is nested too deeply or is followed by other text
+   */
   public static JsonNode parse(byte[] body) throws IOException {
     JsonNode node = MAPPER.readTree(body);
     return node == null ? JsonNodeFactory.instance.missingNode() : node;
   }
 
-  /** Parses a whole document. */
+  /**
+   * Parses a whole document. Returns a missing node for an empty document.
+   *
+   * @throws IOException if it is not valid JSON, is nested too deeply or is followed by other text
+   */
   public static JsonNode parse(String text) throws IOException {
     JsonNode node = MAPPER.readTree(text);
     return node == null ? JsonNodeFactory.instance.missingNode() : node;
   }
 
-  /** Writes a document as text. */
+  /** Returns a document in text form. */
   public static String text(JsonNode node) {
     try {
       return MAPPER.writeValueAsString(node);
@@ -45,7 +55,7 @@
     }
   }
 
-  /** Writes a document. */
+  /** Returns a document in text form, encoded in UTF-8. */
   public static byte[] bytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
@@ -54,12 +64,12 @@
     }
   }
 
-  /** A new empty object. */
+  /** Creates an empty object. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
-  /** A new empty array. */
+  /** Creates an empty array. */
   public static ArrayNode array() {
     return JsonNodeFactory.instance.arrayNode();
   }
--- a/src/main/java/org/snowturn/wire/MachineType.java
+++ b/src/main/java/org/snowturn/wire/MachineType.java
@@ -4,7 +4,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A row of the cloud's catalog. */
+/**
+ * A machine type in the cloud's catalog.
+ *
+ * @param memoryGb memory in GB
+ * @param cacheGb local disk space for images in GB
+ * @param fetchGbPerS rate at which images are fetched, in GB per second
+ * @param price price of an on-demand machine per hour
+ * @param spotPrice current price of a spot machine per hour
+ * @param bootS expected time in seconds from the rental to the first heartbeat
+ * @param zones zones in which the type is offered; empty if the catalog does not say
+ */
 public record MachineType(
     String name,
     double cpus,
@@ -17,14 +27,18 @@
     double bootS,
     List<String> zones) {
 
-  /** Reads the catalog. */
+  /**
+   * Parses the catalog.
+   *
+   * @throws MalformedException if a required field is missing or a value is invalid
+   */
   public static List<MachineType> parseCatalog(JsonNode node) throws MalformedException {
-    List<MachineType> out = new ArrayList<>();
-    for (JsonNode row : new Fields(node).node("hulls")) {
-      Fields fields = new Fields(row);
+    List<MachineType> types = new ArrayList<>();
+    for (JsonNode entry : new Fields(node).node("hulls")) {
+      Fields fields = new Fields(entry);
       List<String> zones = new ArrayList<>();
       fields.node("fields").forEach(zone -> zones.add(zone.asText()));
-      out.add(
+      types.add(
           new MachineType(
               fields.text("label"),
               fields.number("cores", 0, 1e6),
@@ -37,10 +51,10 @@
               fields.number("ready_s", 0, 1e9, 60),
               List.copyOf(zones)));
     }
-    return List.copyOf(out);
+    return List.copyOf(types);
   }
 
-  /** Whether one task of the job fits an empty machine of this type. */
+  /** Returns whether one task of the job fits an empty machine of this type. */
   public boolean fits(JobSpec spec) {
     return spec.cpus() <= cpus && spec.gpus() <= gpus && spec.memoryGb() <= memoryGb;
   }
--- a/src/main/java/org/snowturn/wire/MalformedException.java
+++ b/src/main/java/org/snowturn/wire/MalformedException.java
@@ -1,8 +1,8 @@
 package org.snowturn.wire;
 
-/** A message that does not have the form its protocol asks for. */
+/** Thrown for a message or a stored record that does not have the required format. */
 public final class MalformedException extends Exception {
-  /** Says what is wrong, naming the field. */
+  /** Creates an exception whose message names the field and the expected value. */
   public MalformedException(String message) {
     super(message);
   }
--- a/src/main/java/org/snowturn/wire/Priority.java
+++ b/src/main/java/org/snowturn/wire/Priority.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Job priorities, most urgent first. */
+/** Priority of a job, from the highest to the lowest. */
 public enum Priority {
   PRODUCTION(0),
   HIGH(1),
@@ -15,7 +15,7 @@
     this.level = level;
   }
 
-  /** From 0 for the most urgent one, without gaps. */
+  /** Returns the rank of the priority, starting at 0 for the highest and without gaps. */
   public int level() {
     return level;
   }
--- a/src/main/java/org/snowturn/wire/StateMessage.java
+++ b/src/main/java/org/snowturn/wire/StateMessage.java
@@ -6,13 +6,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The messages of the state service (a consensus-backed key-value store), in standard terms. */
+/** Builds requests to the state service, a consensus-backed key-value store, and parses replies. */
 public final class StateMessage {
-  /** The path of transactions. */
+  /** Path to which transactions are posted. */
   public static final String TXN_PATH = "/txn";
 
   private static final String KEYS_PATH = "/kv";
 
+  // Field names in requests and replies.
   private static final String KEY = "path";
   private static final String VALUE = "value";
   private static final String VERSION = "stamp";
@@ -22,29 +23,29 @@
 
   private StateMessage() {}
 
-  /** The path at which one key is read. */
+  /** Returns the path for reading one key. */
   public static String keyPath(String key) {
     return KEYS_PATH + "/" + key;
   }
 
-  /** The path at which a range of keys is read; parameters appear in the order of the calls. */
+  /** Builds the path for reading a range of keys; parameters keep the order of the calls. */
   public static final class RangePath {
     private final StringBuilder path;
 
-    /** All keys with a prefix. */
+    /** Creates a path for all keys with a prefix. */
     public RangePath(String prefix) {
       path = new StringBuilder(KEYS_PATH).append("?prefix=").append(prefix);
     }
 
-    /** Only keys that sort after this one. */
+    /** Restricts the range to the keys that sort after this one. */
     public RangePath after(String key) {
       path.append("&since=").append(key);
       return this;
     }
 
-    /** At most so many keys. */
-    public RangePath limit(int keys) {
-      path.append("&most=").append(keys);
+    /** Restricts the range to a maximum number of keys. */
+    public RangePath limit(int maxKeys) {
+      path.append("&most=").append(maxKeys);
       return this;
     }
 
@@ -54,35 +55,49 @@
     }
   }
 
-  /** A key with its value (null in a removal) and the version at which it last changed. */
+  /**
+   * A key, its value and its version.
+   *
+   * @param value value of the key; null if the key was deleted
+   * @param version revision of the store at which the key last changed
+   */
   public record Entry(String key, JsonNode value, long version) {}
 
-  /** A condition: the key has this version; 0: it does not exist. */
+  /**
+   * A condition of a transaction.
+   *
+   * @param version version that the key must have; 0 if the key must not exist
+   */
   public record Condition(String key, long version) {}
 
-  /** A change: a null value removes the key; lease 0 attaches none. */
+  /**
+   * A change of one key.
+   *
+   * @param value new value; null deletes the key
+   * @param lease id of the lease to attach to the key; 0 for none
+   */
   public record Change(String key, JsonNode value, long lease) {
-    /** Writes a value that no lease holds. */
+    /** Creates a change that writes a value without a lease. */
     public static Change put(String key, JsonNode value) {
       return new Change(key, value, 0);
     }
 
-    /** Removes a key. */
+    /** Creates a change that deletes a key. */
     public static Change delete(String key) {
       return new Change(key, null, 0);
     }
   }
 
-  /** The body of a transaction. */
+  /** Returns the body of a transaction, which applies all changes if all conditions hold. */
   public static JsonNode transaction(List<Condition> conditions, List<Change> changes) {
     ObjectNode object = Json.object();
-    ArrayNode when = object.putArray("when");
+    ArrayNode conditionNodes = object.putArray("when");
     for (Condition condition : conditions) {
-      when.addObject().put(KEY, condition.key).put(VERSION, condition.version);
+      conditionNodes.addObject().put(KEY, condition.key).put(VERSION, condition.version);
     }
-    ArrayNode apply = object.putArray("apply");
+    ArrayNode changeNodes = object.putArray("apply");
     for (Change change : changes) {
-      ObjectNode node = apply.addObject();
+      ObjectNode node = changeNodes.addObject();
       if (change.value == null) {
         node.put(DELETED_KEY, change.key);
       } else {
@@ -95,41 +110,41 @@
     return object;
   }
 
-  /** The body that asks for a lease. */
+  /** Returns the body of a request for a lease with a time-to-live in milliseconds. */
   public static JsonNode leaseRequest(long ttlMs) {
     return Json.object().put("life_ms", ttlMs);
   }
 
-  /** The lease in a reply. */
+  /** Returns the id of the lease in a reply to a request for a lease. */
   public static long leaseId(JsonNode body) throws MalformedException {
     return new Fields(body).integer(LEASE, 0, Long.MAX_VALUE);
   }
 
-  /** The revision in a reply. */
+  /** Returns the revision of the store in a reply. */
   public static long revision(JsonNode body) throws MalformedException {
     return new Fields(body).integer("epoch", 0, Long.MAX_VALUE);
   }
 
-  /** The keys that failed a transaction. */
+  /** Returns the keys whose conditions made a transaction fail. */
   public static List<String> failedKeys(JsonNode body) {
     List<String> keys = new ArrayList<>();
     body.path("failed").forEach(node -> keys.add(node.asText()));
     return keys;
   }
 
-  /** The single key of a read. */
+  /** Returns the entry in a reply to a read of one key. */
   public static Entry entry(JsonNode body) throws MalformedException {
     Fields fields = new Fields(body);
     return new Entry(
         fields.text(KEY), fields.node(VALUE), fields.integer(VERSION, 0, Long.MAX_VALUE));
   }
 
-  /** The lease that holds a read key, or 0. */
+  /** Returns the id of the lease attached to the key in a reply to a read; 0 if it has none. */
   public static long attachedLease(JsonNode body) {
     return body.path(LEASE).asLong(0);
   }
 
-  /** The keys of a range. */
+  /** Returns the entries in a reply to a read of a range. */
   public static List<Entry> entries(JsonNode body) throws MalformedException {
     List<Entry> entries = new ArrayList<>();
     for (JsonNode node : new Fields(body).node("entries")) {
@@ -138,12 +153,12 @@
     return entries;
   }
 
-  /** Whether a range was cut short. */
+  /** Returns whether the range continues after the entries of this reply. */
   public static boolean isTruncated(JsonNode body) {
     return body.path("truncated").asBoolean(false);
   }
 
-  /** The changes in a watch's reply; removals have a null value. */
+  /** Returns the changes in a reply to a watch; deleted keys have a null value. */
   public static List<Entry> changes(JsonNode body) throws MalformedException {
     List<Entry> changes = new ArrayList<>();
     for (JsonNode node : new Fields(body).node("news")) {
--- a/src/main/java/org/snowturn/wire/TaskStatus.java
+++ b/src/main/java/org/snowturn/wire/TaskStatus.java
@@ -1,12 +1,15 @@
 package org.snowturn.wire;
 
 /**
- * The status of one attempt of a task in a worker's heartbeat.
+ * Status of one attempt of a task in a worker's heartbeat.
  *
- * @param exitReason null unless the attempt has ended
+ * @param job id of the job
+ * @param task index of the task within its job
+ * @param attempt number of the attempt
+ * @param exitReason reason for the end of the attempt; null unless it has ended
  */
 public record TaskStatus(String job, int task, long attempt, State state, ExitReason exitReason) {
-  /** Where the task stands on its machine. */
+  /** State of an attempt on its machine. */
   public enum State {
     FETCHING,
     RUNNING,
@@ -14,7 +17,7 @@
     ENDED
   }
 
-  /** Why a task ended. */
+  /** Reason for the end of an attempt. */
   public enum ExitReason {
     DONE,
     STOPPED,
@@ -27,21 +30,22 @@
 
   private static final String TASK = "flake";
 
-  /** Reads one element of a heartbeat. */
+  /** Parses one element of a heartbeat's list of tasks. */
   static TaskStatus parse(Fields fields) throws MalformedException {
     String name = fields.text(TASK);
     int slash = name.lastIndexOf('/');
-    int index = taskIndex(name.substring(slash + 1));
+    int index = parseTaskIndex(name.substring(slash + 1));
     if (slash < 1 || index < 0) {
       throw new MalformedException(TASK + ": not a task name");
     }
-    State state = state(fields.text("phase"));
-    ExitReason reason = state == State.ENDED ? exitReason(fields.textOrNull("cause")) : null;
+    State state = parseState(fields.text("phase"));
+    ExitReason exitReason =
+        state == State.ENDED ? parseExitReason(fields.textOrNull("cause")) : null;
     long attempt = fields.integer("try", 0, Long.MAX_VALUE);
-    return new TaskStatus(name.substring(0, slash), index, attempt, state, reason);
+    return new TaskStatus(name.substring(0, slash), index, attempt, state, exitReason);
   }
 
-  private static int taskIndex(String text) throws MalformedException {
+  private static int parseTaskIndex(String text) throws MalformedException {
     try {
       return Integer.parseInt(text);
     } catch (NumberFormatException e) {
@@ -49,7 +53,7 @@
     }
   }
 
-  private static State state(String text) {
+  private static State parseState(String text) {
     return switch (text) {
       case "pulling" -> State.FETCHING;
       case "saving" -> State.SAVING;
@@ -58,7 +62,7 @@
     };
   }
 
-  private static ExitReason exitReason(String text) {
+  private static ExitReason parseExitReason(String text) {
     return switch (text == null ? "" : text) {
       case "done" -> ExitReason.DONE;
       case "halted" -> ExitReason.STOPPED;
--- a/src/main/java/org/snowturn/wire/package-info.java
+++ b/src/main/java/org/snowturn/wire/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The formats of every protocol, mapped to the terms of the field; the only place that knows the
- * protocols' own field names.
+ * Message formats of the protocols of users, workers, the cloud and the state service. This package
+ * maps the protocols' own field names, which no other package uses, to the usual terms of the
+ * field.
  */
 package org.snowturn.wire;
--- a/src/test/java/org/snowturn/wire/JobSpecTest.java
+++ b/src/test/java/org/snowturn/wire/JobSpecTest.java
@@ -14,75 +14,74 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a submission has to say, and what it may say of the jobs that it awaits. */
+/** Guards against submissions whose missing or invalid fields are silently replaced by defaults. */
 class JobSpecTest {
   private static ObjectNode submission() {
     return Submissions.array("wk-000009", 2);
   }
 
-  private static List<String> awaits(String list) throws Exception {
+  private static List<String> parseDependencies(String list) throws Exception {
     ObjectNode object = submission();
     object.set("awaits", Json.parse(list));
     JobSpec spec = JobSpec.parse(object);
-    assertEquals(spec, JobSpec.parse(spec.toJson()), "as it is stored, it is read again");
+    assertEquals(spec, JobSpec.parse(spec.toJson()), "a stored job is read back unchanged");
     return spec.dependencies();
   }
 
   @Test
-  void absentNullAndEmptyMeanNone() throws Exception {
+  void missingNullAndEmptyListMeanNoDependencies() throws Exception {
     assertEquals(List.of(), JobSpec.parse(submission()).dependencies());
-    assertEquals(List.of(), awaits("null"));
-    assertEquals(List.of(), awaits("[]"));
+    assertEquals(List.of(), parseDependencies("null"));
+    assertEquals(List.of(), parseDependencies("[]"));
     assertEquals(false, JobSpec.parse(submission()).toJson().has("awaits"));
   }
 
   @Test
-  void repeatsAreHarmlessAndTheOrderStays() throws Exception {
+  void removesDuplicateDependenciesAndKeepsTheirOrder() throws Exception {
     assertEquals(
-        List.of("wk-000002", "wk-000001"), awaits("[\"wk-000002\",\"wk-000001\",\"wk-000002\"]"));
+        List.of("wk-000002", "wk-000001"),
+        parseDependencies("[\"wk-000002\",\"wk-000001\",\"wk-000002\"]"));
   }
 
-  private static Stream<String> fields() {
+  private static Stream<String> requiredFields() {
     Iterable<String> names = submission()::fieldNames;
     return StreamSupport.stream(names.spliterator(), false);
   }
 
-  /**
-   * A default would be a guess of what the user wants: a lost flag or estimate is no small thing.
-   */
+  /** A default would be a guess at the user's intention, such as for a flag or the estimate. */
   @ParameterizedTest
-  @MethodSource("fields")
-  void whatLacksAFieldIsMalformed(String field) {
-    ObjectNode lacks = submission();
-    lacks.remove(field);
-    assertThrows(MalformedException.class, () -> JobSpec.parse(lacks));
+  @MethodSource("requiredFields")
+  void rejectsMissingOrNullRequiredField(String field) {
+    ObjectNode incomplete = submission();
+    incomplete.remove(field);
+    assertThrows(MalformedException.class, () -> JobSpec.parse(incomplete));
     assertThrows(MalformedException.class, () -> JobSpec.parse(submission().putNull(field)));
   }
 
   @ParameterizedTest
-  @MethodSource("fields")
-  void soIsWhatHasOneOfTheWrongType(String field) {
+  @MethodSource("requiredFields")
+  void rejectsRequiredFieldOfWrongType(String field) {
     assertThrows(
         MalformedException.class, () -> JobSpec.parse(submission().set(field, Json.object())));
-    boolean text = submission().get(field).isTextual();
-    ObjectNode wrong = text ? submission().put(field, 1) : submission().put(field, "1");
+    boolean isTextField = submission().get(field).isTextual();
+    ObjectNode wrong = isTextField ? submission().put(field, 1) : submission().put(field, "1");
     assertThrows(MalformedException.class, () -> JobSpec.parse(wrong));
   }
 
   @Test
-  void whatMayBeNullMayBeMissing() throws Exception {
-    JobSpec bare = JobSpec.parse(submission());
+  void acceptsNullForOptionalFields() throws Exception {
+    JobSpec withoutOptionalFields = JobSpec.parse(submission());
     ObjectNode nulls = submission().putNull("hulls").putNull("field").putNull("due_s");
-    assertEquals(bare, JobSpec.parse(nulls));
-    assertNull(bare.allowedMachineTypes());
-    assertNull(bare.zone());
-    assertTrue(Double.isNaN(bare.deadlineS()));
+    assertEquals(withoutOptionalFields, JobSpec.parse(nulls));
+    assertNull(withoutOptionalFields.allowedMachineTypes());
+    assertNull(withoutOptionalFields.zone());
+    assertTrue(Double.isNaN(withoutOptionalFields.deadlineS()));
   }
 
   @ParameterizedTest
   @ValueSource(
       strings = {"\"wk-000001\"", "{}", "[1]", "[null]", "[\"wk-\"]", "[\"job-1\"]", "[[]]"})
-  void anythingElseIsMalformed(String list) {
-    assertThrows(MalformedException.class, () -> awaits(list));
+  void rejectsInvalidDependencies(String list) {
+    assertThrows(MalformedException.class, () -> parseDependencies(list));
   }
 }
--- a/src/test/java/org/snowturn/wire/Submissions.java
+++ b/src/test/java/org/snowturn/wire/Submissions.java
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** A user's submission with every field that it has to have, for tests that care for some. */
+/** Valid submissions with all required fields, for tests that modify some of them. */
 public final class Submissions {
   private Submissions() {}
 
-  /** An array of so many tasks, one CPU each. */
+  /** Returns the submission of an array with this number of tasks, each of which needs one CPU. */
   public static ObjectNode array(String id, int tasks) {
     ObjectNode object = Json.object().put("id", id).put("jobclass", "c").put("owner", "t");
     object.put("shape", "batch").put("rank", "high").put("flakes", tasks).put("cores", 1.0);
