--- a/src/main/java/org/snowturn/peer/FieldCodec.java
+++ b/src/main/java/org/snowturn/peer/FieldCodec.java
@@ -12,9 +12,11 @@
 import org.snowturn.core.PeerMessage.LogPosition;
 import org.snowturn.wire.Json;
 
-/** Writes and reads fields of peer messages that take more than one primitive value. */
+/** Writes and reads fields of peer messages that consist of more than one primitive value. */
 final class FieldCodec {
   private static final byte[] NO_BYTES = {};
+
+  /** Outcomes in the order of their codes on the wire. */
   private static final Outcome[] OUTCOMES = {Outcome.ANSWERED, Outcome.REFUSED, Outcome.UNKNOWN};
 
   private FieldCodec() {}
@@ -38,10 +40,10 @@
   static void writePositions(DataOutputStream out, Map<String, LogPosition> positions)
       throws IOException {
     out.writeShort(positions.size());
-    for (Map.Entry<String, LogPosition> position : positions.entrySet()) {
-      out.writeUTF(position.getKey());
-      out.writeUTF(position.getValue().incarnation());
-      out.writeLong(position.getValue().lastReceived());
+    for (Map.Entry<String, LogPosition> entry : positions.entrySet()) {
+      out.writeUTF(entry.getKey());
+      out.writeUTF(entry.getValue().incarnation());
+      out.writeLong(entry.getValue().lastReceived());
     }
   }
 
@@ -54,13 +56,14 @@
     return Map.copyOf(positions);
   }
 
-  /** A null is written as a document of no bytes. */
+  /** Writes a JSON document; null is written as a document of length 0. */
   static void writeJson(DataOutputStream out, JsonNode document) throws IOException {
     byte[] bytes = document == null ? NO_BYTES : Json.bytes(document);
     out.writeShort(bytes.length);
     out.write(bytes);
   }
 
+  /** Reads a JSON document; returns null for a document of length 0. */
   static JsonNode readJson(DataInputStream in) throws IOException {
     byte[] bytes = new byte[in.readUnsignedShort()];
     in.readFully(bytes);
@@ -76,7 +79,7 @@
         });
   }
 
-  /** An outcome of a later version that this one does not know counts as unknown. */
+  /** Reads an outcome; a code that only later versions define is read as {@code UNKNOWN}. */
   static Outcome readOutcome(DataInputStream in) throws IOException {
     int code = in.readByte();
     return code >= 0 && code < OUTCOMES.length ? OUTCOMES[code] : Outcome.UNKNOWN;
--- a/src/main/java/org/snowturn/peer/InboundLink.java
+++ b/src/main/java/org/snowturn/peer/InboundLink.java
@@ -11,19 +11,22 @@
 import org.xnio.StreamConnection;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
-/** A connection that a peer has opened, and that is only read from. */
+/** A connection that was opened by a peer and carries messages from the peer only. */
 final class InboundLink {
   private static final Logger LOG = LoggerFactory.getLogger(InboundLink.class);
+
+  /** Version and message kind. */
   private static final int MIN_FRAME_BYTES = 2;
+
   private static final int UNSIGNED_SHORT_MASK = 0xffff;
 
   private final StreamConnection connection;
-  private final Consumer<Input> core;
+  private final Consumer<Input> onInput;
   private final ByteBuffer buffer = ByteBuffer.allocate(PeerCodec.MAX_FRAME_BYTES * 2);
 
-  InboundLink(StreamConnection connection, Consumer<Input> core) {
+  InboundLink(StreamConnection connection, Consumer<Input> onInput) {
     this.connection = connection;
-    this.core = core;
+    this.onInput = onInput;
   }
 
   void start() {
@@ -36,7 +39,7 @@
     try {
       int count;
       while ((count = source.read(buffer)) > 0) {
-        takeFrames();
+        handleFrames();
       }
       if (count < 0) {
         IoUtils.safeClose(connection);
@@ -47,12 +50,20 @@
     }
   }
 
-  private void takeFrames() throws IOException {
+  /** Decodes and passes on all complete frames in the buffer. */
+  private void handleFrames() throws IOException {
     buffer.flip();
     while (buffer.remaining() >= PeerCodec.LENGTH_BYTES) {
       int length = buffer.getShort(buffer.position()) & UNSIGNED_SHORT_MASK;
       if (length > PeerCodec.MAX_FRAME_BYTES || length < MIN_FRAME_BYTES) {
-        throw new IOException("frame of " + length + " bytes");
+        throw new IOException(
+            "frame length "
+                + length
+                + ", expected "
+                + MIN_FRAME_BYTES
+                + " to "
+                + PeerCodec.MAX_FRAME_BYTES
+                + " bytes");
       }
       if (buffer.remaining() < PeerCodec.LENGTH_BYTES + length) {
         break;
@@ -62,13 +73,16 @@
       buffer.get(body);
       PeerMessage message = decode(body);
       if (message != null) {
-        core.accept(new Input.FromPeer(message));
+        onInput.accept(new Input.FromPeer(message));
       }
     }
     buffer.compact();
   }
 
-  /** Null for a malformed message, which must not end the connection. */
+  /**
+   * Decodes a frame without its length. Returns null if the frame is malformed, which must not
+   * close the connection, or if its message kind is unknown.
+   */
   private static PeerMessage decode(byte[] body) {
     try {
       return PeerCodec.decode(body);
--- a/src/main/java/org/snowturn/peer/MessageKind.java
+++ b/src/main/java/org/snowturn/peer/MessageKind.java
@@ -11,9 +11,9 @@
 import org.snowturn.core.connectivity.Connectivity;
 
 /**
- * The kinds of peer messages: the byte that names each on the wire, and the format of its fields
- * after the sender. A byte is never used again for another kind, and fields are only ever added at
- * the end.
+ * Kinds of peer messages, each with its code on the wire and the format of the fields that follow
+ * the sender. For compatibility between versions, the code of a removed kind is never reused and
+ * new fields are only added at the end.
  */
 enum MessageKind {
   STANDBY_STATUS(
@@ -74,12 +74,12 @@
       (out, message) -> out.writeLong(message.token()),
       (from, in) -> new PeerMessage.LeaseEnded(from, in.readLong()));
 
-  /** Writes the fields after the sender. */
+  /** Writes the fields that follow the sender. */
   private interface FieldWriter<T extends PeerMessage> {
     void write(DataOutputStream out, T message) throws IOException;
   }
 
-  /** Reads the fields after the sender. */
+  /** Reads the fields that follow the sender. */
   private interface FieldReader<T extends PeerMessage> {
     T read(String from, DataInputStream in) throws IOException;
   }
@@ -97,10 +97,10 @@
   private final int code;
   private final Class<? extends PeerMessage> type;
 
-  @SuppressWarnings("ImmutableEnumChecker") // functions without state
+  @SuppressWarnings("ImmutableEnumChecker") // stateless functions
   private final FieldWriter<PeerMessage> writer;
 
-  @SuppressWarnings("ImmutableEnumChecker") // functions without state
+  @SuppressWarnings("ImmutableEnumChecker") // stateless functions
   private final FieldReader<? extends PeerMessage> reader;
 
   <T extends PeerMessage> MessageKind(
@@ -111,12 +111,12 @@
     this.reader = reader;
   }
 
-  /** The kind of a message. */
+  /** Returns the kind of a message. */
   static MessageKind of(PeerMessage message) {
     return BY_TYPE.get(message.getClass());
   }
 
-  /** The kind with this byte; null if this version does not know it. */
+  /** Returns the kind with this code; null if this version does not define the code. */
   static MessageKind ofCode(int code) {
     return BY_CODE.get(code);
   }
@@ -201,12 +201,12 @@
   private static PeerMessage.RelayRequest readRelayRequest(String from, DataInputStream in)
       throws IOException {
     String to = in.readUTF();
-    long sequence = in.readLong();
+    long requestId = in.readLong();
     String method = in.readUTF();
     String path = in.readUTF();
     int timeoutMs = in.readInt();
     return new PeerMessage.RelayRequest(
-        from, to, sequence, method, path, FieldCodec.readJson(in), timeoutMs);
+        from, to, requestId, method, path, FieldCodec.readJson(in), timeoutMs);
   }
 
   private static void writeRelayReply(DataOutputStream out, PeerMessage.RelayReply message)
@@ -221,10 +221,11 @@
   private static PeerMessage.RelayReply readRelayReply(String from, DataInputStream in)
       throws IOException {
     String to = in.readUTF();
-    long sequence = in.readLong();
+    long requestId = in.readLong();
     Outcome outcome = FieldCodec.readOutcome(in);
     int status = in.readInt();
-    return new PeerMessage.RelayReply(from, to, sequence, outcome, status, FieldCodec.readJson(in));
+    return new PeerMessage.RelayReply(
+        from, to, requestId, outcome, status, FieldCodec.readJson(in));
   }
 
   private static void writeDemand(DataOutputStream out, PeerMessage.RateDemandReport message)
--- a/src/main/java/org/snowturn/peer/OutboundLink.java
+++ b/src/main/java/org/snowturn/peer/OutboundLink.java
@@ -12,41 +12,45 @@
 import org.xnio.conduits.ConduitStreamSinkChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
-/** A connection to one peer that is only written to, and opened again whenever it is lost. */
+/** A connection that carries messages to one peer only. It is reopened whenever it is lost. */
 final class OutboundLink {
   private static final int BUFFER_BYTES = 32 * 1024;
 
-  /** Short at first: after all nodes went down each waits to hear that the others do not lead. */
+  /**
+   * Initial retry delay. It is short because after a restart of all nodes each of them waits for
+   * the others to report that they are not the leader.
+   */
   private static final long MIN_RETRY_DELAY_MS = 50;
 
   private static final long MAX_RETRY_DELAY_MS = 500;
 
-  private final XnioIoThread io;
+  private final XnioIoThread ioThread;
   private final InetSocketAddress peer;
   private final ByteBuffer buffer = ByteBuffer.allocate(BUFFER_BYTES);
   private StreamConnection connection;
   private long retryDelayMs = MIN_RETRY_DELAY_MS;
 
-  OutboundLink(XnioIoThread io, InetSocketAddress peer) {
-    this.io = io;
+  OutboundLink(XnioIoThread ioThread, InetSocketAddress peer) {
+    this.ioThread = ioThread;
     this.peer = peer;
   }
 
+  /** Opens the connection, and retries until it is open. */
   void connect() {
-    IoFuture<StreamConnection> future =
-        io.openStreamConnection(peer, channel -> {}, OptionMap.EMPTY);
-    future.addNotifier(
+    IoFuture<StreamConnection> pendingConnection =
+        ioThread.openStreamConnection(peer, channel -> {}, OptionMap.EMPTY);
+    pendingConnection.addNotifier(
         (result, attachment) -> {
           if (result.getStatus() == IoFuture.Status.DONE) {
-            io.execute(() -> opened(result));
+            ioThread.execute(() -> onConnected(result));
           } else {
-            reopenLater();
+            scheduleReconnect();
           }
         },
         null);
   }
 
-  private void opened(IoFuture<? extends StreamConnection> result) {
+  private void onConnected(IoFuture<? extends StreamConnection> result) {
     try {
       connection = result.get();
       retryDelayMs = MIN_RETRY_DELAY_MS;
@@ -54,28 +58,28 @@
       ConduitStreamSinkChannel sink = connection.getSinkChannel();
       sink.setWriteListener(channel -> write());
       ConduitStreamSourceChannel source = connection.getSourceChannel();
-      // Peers write nothing here: readable means closed.
-      source.setReadListener(channel -> closed());
+      // The peer never writes to this connection, so it becomes readable only when it is closed.
+      source.setReadListener(channel -> closeAndReconnect());
       source.resumeReads();
     } catch (IOException e) {
-      reopenLater();
+      scheduleReconnect();
     }
   }
 
-  private void reopenLater() {
-    io.executeAfter(this::connect, retryDelayMs, TimeUnit.MILLISECONDS);
+  private void scheduleReconnect() {
+    ioThread.executeAfter(this::connect, retryDelayMs, TimeUnit.MILLISECONDS);
     retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, retryDelayMs * 2);
   }
 
-  private void closed() {
+  private void closeAndReconnect() {
     if (connection != null) {
       IoUtils.safeClose(connection);
       connection = null;
-      reopenLater();
+      scheduleReconnect();
     }
   }
 
-  /** Sends a frame, or drops it if there is no connection or no room in the buffer. */
+  /** Sends a frame, or drops it if there is no connection or too little space in the buffer. */
   void send(byte[] frame) {
     if (connection != null && buffer.remaining() >= frame.length) {
       buffer.put(frame);
@@ -91,7 +95,7 @@
     try {
       buffer.flip();
       while (buffer.hasRemaining() && sink.write(buffer) > 0) {
-        // as much as the socket takes
+        // continues until the socket accepts no more bytes
       }
       buffer.compact();
       sink.flush();
@@ -101,7 +105,7 @@
         sink.suspendWrites();
       }
     } catch (IOException e) {
-      closed();
+      closeAndReconnect();
     }
   }
 }
--- a/src/main/java/org/snowturn/peer/PeerCodec.java
+++ b/src/main/java/org/snowturn/peer/PeerCodec.java
@@ -9,16 +9,16 @@
 import org.snowturn.core.PeerMessage;
 
 /**
- * The frames between controllers: a length of two bytes, the format's version, the {@linkplain
- * MessageKind kind}, the sender, the kind's own fields. Readers skip kinds they do not know and
- * ignore bytes after the fields they know, so that nodes of neighbouring versions understand each
- * other.
+ * Encodes and decodes the frames that controllers exchange. A frame consists of a length of two
+ * bytes, the version of the format, the {@linkplain MessageKind kind} of message, the sender, and
+ * the fields of that kind. For compatibility between adjacent versions, readers skip unknown kinds
+ * and ignore bytes after the last known field.
  */
 public final class PeerCodec {
-  /** The longest frame that is sent or read, in bytes. */
+  /** Maximum size in bytes of a frame that is sent or read. */
   public static final int MAX_FRAME_BYTES = 4096;
 
-  /** The size of a frame's length, which does not count itself. */
+  /** Size in bytes of a frame's length field; the length does not include the field itself. */
   static final int LENGTH_BYTES = 2;
 
   private static final int VERSION = 1;
@@ -26,12 +26,12 @@
 
   private PeerCodec() {}
 
-  /** The frame with its length. */
+  /** Returns the frame for a message, including the length field. */
   public static byte[] encode(PeerMessage message) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
     MessageKind kind = MessageKind.of(message);
     try (DataOutputStream out = new DataOutputStream(bytes)) {
-      out.writeShort(0); // the length, which is not known yet
+      out.writeShort(0); // placeholder for the length
       out.writeByte(VERSION);
       out.writeByte(kind.code());
       out.writeUTF(message.from());
@@ -47,13 +47,15 @@
   }
 
   /**
-   * Reads a frame without its length; null for a kind that this version does not know.
+   * Decodes a frame.
    *
+   * @param body the frame without its length field
+   * @return the message, or null if this version does not define its kind
    * @throws IOException if the frame is malformed
    */
   public static PeerMessage decode(byte[] body) throws IOException {
     DataInputStream in = new DataInputStream(new ByteArrayInputStream(body));
-    in.readByte(); // the version: later ones only add kinds and fields
+    in.readByte(); // the version is not checked: later versions only add kinds and fields
     MessageKind kind = MessageKind.ofCode(in.readByte());
     String from = in.readUTF();
     return kind == null ? null : kind.read(from, in);
--- a/src/main/java/org/snowturn/peer/PeerLinks.java
+++ b/src/main/java/org/snowturn/peer/PeerLinks.java
@@ -17,26 +17,31 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * One-way streams of messages: each node connects to each of its peers and only writes. What does
- * not fit the small buffer of a slow peer is dropped; no message is needed for safety.
+ * Exchanges messages with the other controllers over one-way connections: each node connects to
+ * each of its peers and only writes to that connection. Messages that do not fit into the small
+ * buffer for a slow peer are dropped; the safety of the protocol does not depend on their delivery.
  *
- * <p>All of it belongs to the one I/O thread that it is given.
+ * <p>All methods have to be called on the I/O thread given to the constructor.
  */
 public final class PeerLinks {
   private static final Logger LOG = LoggerFactory.getLogger(PeerLinks.class);
 
-  private final XnioIoThread io;
-  private final Consumer<Input> core;
-  private final List<OutboundLink> links = new ArrayList<>();
+  private final XnioIoThread ioThread;
+  private final Consumer<Input> onInput;
+  private final List<OutboundLink> outboundLinks = new ArrayList<>();
 
-  /** Messages that arrive are handed to {@code core} on the I/O thread. */
-  public PeerLinks(XnioIoThread io, Consumer<Input> core) {
-    this.io = io;
-    this.core = core;
+  /**
+   * Creates an instance without connections.
+   *
+   * @param onInput handles each received message, on the I/O thread
+   */
+  public PeerLinks(XnioIoThread ioThread, Consumer<Input> onInput) {
+    this.ioThread = ioThread;
+    this.onInput = onInput;
   }
 
   /**
-   * Listens for peers.
+   * Starts to accept connections of peers.
    *
    * @throws IOException if the address cannot be bound
    */
@@ -46,33 +51,34 @@
           try {
             StreamConnection connection;
             while ((connection = server.accept()) != null) {
-              new InboundLink(connection, core).start();
+              new InboundLink(connection, onInput).start();
             }
           } catch (IOException e) {
             LOG.debug("event=peer_not_accepted error=\"{}\"", e.toString());
           }
         };
-    AcceptingChannel<StreamConnection> server =
-        io.getWorker()
+    AcceptingChannel<StreamConnection> serverChannel =
+        ioThread
+            .getWorker()
             .createStreamConnectionServer(
                 bind, onAccept, OptionMap.create(Options.REUSE_ADDRESSES, true));
-    server.resumeAccepts();
+    serverChannel.resumeAccepts();
   }
 
-  /** Keeps a connection to a peer from now on. */
+  /** Connects to a peer, and reconnects whenever the connection is lost. */
   public void connect(InetSocketAddress peer) {
-    OutboundLink link = new OutboundLink(io, peer);
-    links.add(link);
+    OutboundLink link = new OutboundLink(ioThread, peer);
+    outboundLinks.add(link);
     link.connect();
   }
 
-  /** Sends a message to every peer that is connected. */
+  /** Sends a message to every connected peer. */
   public void send(PeerMessage message) {
     byte[] frame = PeerCodec.encode(message);
     if (frame.length > PeerCodec.MAX_FRAME_BYTES) {
       LOG.debug("event=peer_message_too_long bytes={}", frame.length);
       return;
     }
-    links.forEach(link -> link.send(frame));
+    outboundLinks.forEach(link -> link.send(frame));
   }
 }
--- a/src/main/java/org/snowturn/peer/package-info.java
+++ b/src/main/java/org/snowturn/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Messages between controllers: codec and connections. */
+/** Codec and connections for messages between controllers. */
 package org.snowturn.peer;
--- a/src/test/java/org/snowturn/peer/PeerCodecTest.java
+++ b/src/test/java/org/snowturn/peer/PeerCodecTest.java
@@ -15,8 +15,11 @@
 import org.snowturn.core.connectivity.Connectivity;
 import org.snowturn.wire.Json;
 
+/** Guards against a message that a peer of the same or of an adjacent version cannot decode. */
 class PeerCodecTest {
-  private static final List<PeerMessage> RECORDS =
+  private static final int LENGTH_BYTES = 2;
+
+  private static final List<PeerMessage> MESSAGES =
       List.of(
           new PeerMessage.StandbyStatus("n0", true),
           new PeerMessage.PromiseRequest("n1", 7, 1L << 40, true),
@@ -40,32 +43,32 @@
               "n1", "n0", 8, "life", 41, 43, 3, 900, List.of("wk-1", "wk-2")));
 
   private static byte[] body(PeerMessage message) {
-    byte[] all = PeerCodec.encode(message);
-    return Arrays.copyOfRange(all, 2, all.length);
+    byte[] frame = PeerCodec.encode(message);
+    return Arrays.copyOfRange(frame, LENGTH_BYTES, frame.length);
   }
 
   @Test
-  void whatIsWrittenIsRead() throws IOException {
-    for (PeerMessage message : RECORDS) {
+  void decodesEveryEncodedMessage() throws IOException {
+    for (PeerMessage message : MESSAGES) {
       assertEquals(message, PeerCodec.decode(body(message)));
     }
   }
 
   @Test
-  void aLaterVersionIsUnderstoodAsFarAsKnown() throws IOException {
-    for (PeerMessage message : RECORDS) {
+  void ignoresFieldsAndKindsOfLaterVersions() throws IOException {
+    for (PeerMessage message : MESSAGES) {
       byte[] longer = Arrays.copyOf(body(message), body(message).length + 9);
       longer[0] = 2;
       assertEquals(message, PeerCodec.decode(longer));
     }
-    byte[] unknownKind = body(RECORDS.get(0));
+    byte[] unknownKind = body(MESSAGES.get(0));
     unknownKind[1] = 77;
     assertNull(PeerCodec.decode(unknownKind));
   }
 
   @Test
-  void aCutRecordIsRefused() {
-    byte[] b = body(RECORDS.get(1));
-    assertThrows(IOException.class, () -> PeerCodec.decode(Arrays.copyOf(b, b.length - 1)));
+  void rejectsTruncatedMessage() {
+    byte[] body = body(MESSAGES.get(1));
+    assertThrows(IOException.class, () -> PeerCodec.decode(Arrays.copyOf(body, body.length - 1)));
   }
 }
