--- a/src/main/java/org/snowturn/config/Settings.java
+++ b/src/main/java/org/snowturn/config/Settings.java
@@ -49,13 +49,13 @@
    *     deadline}
    * @param jobClass job class to which the objective applies
    * @param share share of the jobs that have to meet the objective, from 0 to 1
-   * @param durationFactor multiple of a job's deadline within which it has to be done, for kind
+   * @param deadlineFactor multiple of a job's deadline within which it has to be done, for kind
    *     {@code deadline}
    * @param withinS maximum time in seconds until the start ({@code wait}) or the end ({@code
    *     finished}) of a job
    */
   public record Objective(
-      String kind, String jobClass, double share, double durationFactor, double withinS) {}
+      String kind, String jobClass, double share, double deadlineFactor, double withinS) {}
 
   /**
    * Timing of the workers.
--- a/src/main/java/org/snowturn/core/autoscaling/PoolSelector.java
+++ b/src/main/java/org/snowturn/core/autoscaling/PoolSelector.java
@@ -69,7 +69,7 @@
 
   /** The price of each CPU that would be used, weighted by what the zone has already. */
   private double cost(CapacityPool pool, MachineType type, double missingCpus) {
-    double price = pool.spot() ? type.spotPrice() : type.price();
+    double price = pool.spot() ? type.hourlySpotPrice() : type.hourlyPrice();
     double usedCpus = Math.min(missingCpus, type.cpus());
     return price
         / Math.max(1, usedCpus)
--- a/src/main/java/org/snowturn/core/autoscaling/ScalingPolicy.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ScalingPolicy.java
@@ -54,7 +54,7 @@
   private static double allowedLateShare(Settings settings) {
     double lateShare = 1;
     for (Settings.Objective objective : settings.objectives()) {
-      if (objective.kind().equals("deadline") && objective.durationFactor() <= 1) {
+      if (objective.kind().equals("deadline") && objective.deadlineFactor() <= 1) {
         lateShare = Math.min(lateShare, 1 - objective.share());
       }
     }
--- a/src/main/java/org/snowturn/wire/MachineType.java
+++ b/src/main/java/org/snowturn/wire/MachineType.java
@@ -10,8 +10,8 @@
  * @param memoryGb memory in GB
  * @param cacheGb local disk space for images in GB
  * @param fetchGbPerS rate at which images are fetched, in GB per second
- * @param price price of an on-demand machine per hour
- * @param spotPrice current price of a spot machine per hour
+ * @param hourlyPrice price of an on-demand machine per hour
+ * @param hourlySpotPrice current price of a spot machine per hour
  * @param bootS expected time in seconds from the rental to the first heartbeat
  * @param zones zones in which the type is offered; empty if the catalog does not say
  */
@@ -22,8 +22,8 @@
     double memoryGb,
     double cacheGb,
     double fetchGbPerS,
-    double price,
-    double spotPrice,
+    double hourlyPrice,
+    double hourlySpotPrice,
     double bootS,
     List<String> zones) {
 
