--- a/src/main/java/org/snowturn/config/Settings.java
+++ b/src/main/java/org/snowturn/config/Settings.java
@@ -4,19 +4,29 @@
 import java.util.List;
 
 /**
- * The platform's settings of one controller, checked.
+ * The validated platform settings of one controller.
  *
- * @param nextStateLimits what the state service's limits will be from some unknown moment on; the
- *     same as now if nothing is to change
+ * @param node name of this controller, unique among the controllers
+ * @param zone zone in which this controller runs
+ * @param listenAddress address on which the HTTP API for users and workers listens
+ * @param peerListenAddress address on which connections of other controllers are accepted
+ * @param peers the other controllers
+ * @param cloudAddress address of the cloud API
+ * @param stateServiceAddress address of the state service
+ * @param zones zones in which machines can be rented
+ * @param stateLimits limits of the state service that apply now
+ * @param nextStateLimits limits that the state service will switch to at an unannounced time; equal
+ *     to {@code stateLimits} if no change is planned
+ * @param maxConnections maximum number of open sockets of this controller
  */
 public record Settings(
     String node,
     String zone,
-    InetSocketAddress serveOn,
-    InetSocketAddress peerBind,
+    InetSocketAddress listenAddress,
+    InetSocketAddress peerListenAddress,
     List<Peer> peers,
-    InetSocketAddress cloud,
-    InetSocketAddress state,
+    InetSocketAddress cloudAddress,
+    InetSocketAddress stateServiceAddress,
     List<String> zones,
     List<Team> teams,
     List<Objective> objectives,
@@ -26,36 +36,70 @@
     CloudLimits cloudLimits,
     int maxConnections) {
 
-  /** Another controller. */
-  public record Peer(String node, InetSocketAddress addr) {}
+  /** Another controller and the address on which it accepts connections of its peers. */
+  public record Peer(String node, InetSocketAddress address) {}
 
-  /** A team's guarantee and limit; a limit of 0 means none. */
-  public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
+  /** A team's guaranteed and maximum resources; a maximum of 0 means unlimited. */
+  public record Team(
+      String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {}
 
-  /** An aim at start or finish. */
+  /**
+   * A service-level objective for the jobs of one class.
+   *
+   * @param kind what the objective measures, such as {@code wait}, {@code finished} or {@code
+   *     deadline}
+   * @param jobClass job class to which the objective applies
+   * @param share share of the jobs that have to meet the objective, from 0 to 1
+   * @param deadlineFactor multiple of a job's deadline within which it has to be done, for kind
+   *     {@code deadline}
+   * @param withinS maximum time in seconds until the start ({@code wait}) or the end ({@code
+   *     finished}) of a job
+   */
   public record Objective(
-      String kind, String jobClass, double share, double durationFactor, double withinS) {}
+      String kind, String jobClass, double share, double deadlineFactor, double withinS) {}
 
-  /** How workers behave. */
-  public record Workers(double reportS, double leaseS, double cancelS) {}
+  /**
+   * Timing of the workers.
+   *
+   * @param heartbeatIntervalS seconds between two heartbeats of a worker
+   * @param leaseS seconds after which a worker without contact to the leader stops its tasks
+   * @param cancellationDeadlineS seconds after the confirmation of a cancellation within which all
+   *     tasks of the job have to be stopped
+   */
+  public record Workers(double heartbeatIntervalS, double leaseS, double cancellationDeadlineS) {}
 
-  /** The state service's limits. */
-  public record StateLimits(double rps, double writeRps, double valueKb, int txnOps) {
-    /** Of each limit the smaller one. */
-    public StateLimits least(StateLimits other) {
+  /**
+   * Limits of the state service.
+   *
+   * @param maxRps maximum requests per second
+   * @param maxWriteRps maximum write requests per second
+   * @param maxValueKb maximum size of a value in KiB
+   * @param maxTransactionOps maximum number of operations in a transaction
+   */
+  public record StateLimits(
+      double maxRps, double maxWriteRps, double maxValueKb, int maxTransactionOps) {
+    private static final int BYTES_PER_KB = 1024;
+
+    /** Returns the smaller value of each limit of this record and {@code other}. */
+    public StateLimits min(StateLimits other) {
       return new StateLimits(
-          Math.min(rps, other.rps),
-          Math.min(writeRps, other.writeRps),
-          Math.min(valueKb, other.valueKb),
-          Math.min(txnOps, other.txnOps));
+          Math.min(maxRps, other.maxRps),
+          Math.min(maxWriteRps, other.maxWriteRps),
+          Math.min(maxValueKb, other.maxValueKb),
+          Math.min(maxTransactionOps, other.maxTransactionOps));
     }
 
-    /** How long a value may be. */
-    public int valueBytes() {
-      return (int) (valueKb * 1024);
+    /** Returns the maximum size of a value in bytes. */
+    public int maxValueBytes() {
+      return (int) (maxValueKb * BYTES_PER_KB);
     }
   }
 
-  /** The cloud's limits. */
-  public record CloudLimits(double rps, double listLagS) {}
+  /**
+   * Limits of the cloud.
+   *
+   * @param maxRps maximum requests per second
+   * @param listLagS maximum delay in seconds until a change appears in the list of machines
+   */
+  public record CloudLimits(double maxRps, double listLagS) {}
 }
--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -64,8 +64,8 @@
     rateAllocator =
         new RateAllocator(
             settings.peers().stream().map(Settings.Peer::node).toList(),
-            settings.stateLimits().least(settings.nextStateLimits()).rps(),
-            settings.stateLimits().least(settings.nextStateLimits()).writeRps(),
+            settings.stateLimits().min(settings.nextStateLimits()).maxRps(),
+            settings.stateLimits().min(settings.nextStateLimits()).maxWriteRps(),
             runtime.random(),
             startedAtMs);
     runtime.limitStateRequests(rateAllocator.budget());
@@ -277,7 +277,7 @@
     runtime.answer(
         received.exchange(),
         MISDIRECTED_REQUEST,
-        Command.elsewhere(leader != null ? redirectTarget() : election.leader()));
+        Command.misdirectedResponse(leader != null ? redirectTarget() : election.leader()));
   }
 
   /**
--- a/src/main/java/org/snowturn/core/admission/QuotaGuarantees.java
+++ b/src/main/java/org/snowturn/core/admission/QuotaGuarantees.java
@@ -56,8 +56,8 @@
     /** Adds a claim and returns whether it fits into the guarantee. */
     boolean addClaim(Claim claim) {
       boolean fits =
-          claimedCpus + claim.cpus() <= team.cpus() + ROUNDING_TOLERANCE
-              && claimedGpus + claim.gpus() <= team.gpus() + ROUNDING_TOLERANCE;
+          claimedCpus + claim.cpus() <= team.guaranteedCpus() + ROUNDING_TOLERANCE
+              && claimedGpus + claim.gpus() <= team.guaranteedGpus() + ROUNDING_TOLERANCE;
       // A claim that does not fit also counts, so that smaller jobs cannot overtake it.
       claimedCpus += claim.cpus();
       claimedGpus += claim.gpus();
@@ -71,7 +71,7 @@
   /** Creates the guarantees of those of the given teams that have one. */
   public QuotaGuarantees(Iterable<Settings.Team> teams) {
     for (Settings.Team team : teams) {
-      if (team.cpus() > 0 || team.gpus() > 0) {
+      if (team.guaranteedCpus() > 0 || team.guaranteedGpus() > 0) {
         teamsWithGuarantee.put(team.name(), team);
       }
     }
@@ -111,7 +111,7 @@
     teamsWithGuarantee.forEach(
         (name, team) -> {
           String label = "{team=\"" + name + "\"}";
-          gauges.put("snowturn.guarantee.cpus" + label, team.cpus());
+          gauges.put("snowturn.guarantee.cpus" + label, team.guaranteedCpus());
           gauges.put(
               "snowturn.guarantee.claimed.cpus" + label, claimedCpusByTeam.getOrDefault(name, 0.0));
         });
--- a/src/main/java/org/snowturn/core/api/ChunkedSubmission.java
+++ b/src/main/java/org/snowturn/core/api/ChunkedSubmission.java
@@ -141,7 +141,7 @@
 
   /** Returns the chunks to write next: the first alone, then as many as a transaction can hold. */
   private BitSet nextChunks() {
-    int maxChunks = storedChunks.get(0) ? services.formatGate().limits().txnOps() : 1;
+    int maxChunks = storedChunks.get(0) ? services.formatGate().limits().maxTransactionOps() : 1;
     BitSet next = new BitSet();
     int index = storedChunks.nextClearBit(0);
     for (int count = 0; index < chunks.size() && count < maxChunks; count++) {
--- a/src/main/java/org/snowturn/core/api/JobCancellation.java
+++ b/src/main/java/org/snowturn/core/api/JobCancellation.java
@@ -58,7 +58,7 @@
         exchange,
         StorageKeys.job(id),
         live -> {
-          if (live == null || JobRecord.phaseOf(live.value()).terminal()) {
+          if (live == null || JobRecord.phaseOf(live.value()).isTerminal()) {
             reader.read(exchange, id, status -> answerFinalStatus(exchange, status));
           } else {
             writeCancelled(exchange, id, live, triesLeft);
@@ -69,7 +69,7 @@
   private void answerFinalStatus(long exchange, JobStatus status) {
     if (status == null) {
       responses.answerNotFound(exchange);
-    } else if (status.phase().terminal()) {
+    } else if (status.phase().isTerminal()) {
       responses.answerSummary(exchange, status);
     } else {
       responses.refuse(exchange);
@@ -78,7 +78,7 @@
 
   private void writeCancelled(long exchange, String id, StateMessage.Entry live, int triesLeft) {
     admission.charge(1, runtime.now());
-    JsonNode value = JobRecord.cancelledJson(live.value(), formatGate.limits().valueBytes());
+    JsonNode value = JobRecord.cancelledJson(live.value(), formatGate.limits().maxValueBytes());
     JsonNode transaction =
         StateMessage.transaction(
             List.of(new Condition(StorageKeys.job(id), live.version())),
--- a/src/main/java/org/snowturn/core/api/JobStatusReader.java
+++ b/src/main/java/org/snowturn/core/api/JobStatusReader.java
@@ -87,7 +87,7 @@
         live -> {
           if (live == null) {
             readFinalRecord(exchange, id, () -> onStatus.accept(null), onStatus);
-          } else if (!JobRecord.phaseOf(live.value()).terminal()
+          } else if (!JobRecord.phaseOf(live.value()).isTerminal()
               && mayHaveCancelledDependency(JobRecord.dependencies(live.value()))) {
             responses.refuse(exchange);
           } else {
--- a/src/main/java/org/snowturn/core/api/JobSubmission.java
+++ b/src/main/java/org/snowturn/core/api/JobSubmission.java
@@ -148,7 +148,7 @@
       return;
     }
     JobRecord job = new JobRecord(JobStatus.Phase.QUEUED, runtime.wallMs(), spec);
-    int maxBytes = services.formatGate().limits().valueBytes();
+    int maxBytes = services.formatGate().limits().maxValueBytes();
     ObjectNode record = job.liveJson();
     if (!services.formatGate().isOpen() || Json.bytes(record).length <= maxBytes) {
       writeRecord(exchange, spec, record, List.of());
@@ -215,7 +215,7 @@
             JobStatusReader.STATE_REQUEST_TIMEOUT_MS,
             (outcome, status, reply) -> {
               if (outcome.isSuccess(status)) {
-                statuses.addAccepted(spec.id(), spec.service());
+                statuses.addAccepted(spec.id(), spec.isService());
                 responses.answerAccepted(exchange, spec.id());
               } else if (outcome.isConflict(status)) {
                 answerIfKnown(exchange, spec);
--- a/src/main/java/org/snowturn/core/api/LiveJobCache.java
+++ b/src/main/java/org/snowturn/core/api/LiveJobCache.java
@@ -95,11 +95,11 @@
     this.backoff = runtime.backoff(MIN_REQUEST_INTERVAL_MS, MAX_RETRY_DELAY_MS);
     Settings.Workers workers = settings.workers();
     long intervalMs =
-        (long) (1000 * (workers.cancelS() - workers.leaseS()) / VALIDATIONS_PER_SLACK);
+        (long) (1000 * (workers.cancellationDeadlineS() - workers.leaseS()) / VALIDATIONS_PER_SLACK);
     this.validationIntervalMs =
         Math.max(MIN_VALIDATION_INTERVAL_MS, Math.min(MAX_VALIDATION_INTERVAL_MS, intervalMs));
     int nodes = settings.peers().size() + 1;
-    double requestsPerS = settings.stateLimits().rps() * MAX_SHARE_OF_RATE / nodes;
+    double requestsPerS = settings.stateLimits().maxRps() * MAX_SHARE_OF_RATE / nodes;
     this.minRequestIntervalMs =
         Math.max(
             MIN_REQUEST_INTERVAL_MS, (long) (1000 / Math.max(MIN_REQUESTS_PER_S, requestsPerS)));
--- a/src/main/java/org/snowturn/core/api/SubmissionValidator.java
+++ b/src/main/java/org/snowturn/core/api/SubmissionValidator.java
@@ -43,8 +43,8 @@
       return "unknown zone";
     }
     int concurrentTasks = spec.minConcurrentTasks();
-    if (Quota.exceeds(spec.cpus() * concurrentTasks, team.cpusMax())
-        || Quota.exceeds(spec.gpus() * concurrentTasks, team.gpusMax())) {
+    if (Quota.exceeds(spec.cpus() * concurrentTasks, team.maxCpus())
+        || Quota.exceeds(spec.gpus() * concurrentTasks, team.maxGpus())) {
       return "more than the team's limit";
     }
     return null;
--- a/src/main/java/org/snowturn/core/api/UserResponses.java
+++ b/src/main/java/org/snowturn/core/api/UserResponses.java
@@ -71,17 +71,17 @@
   /** Answers that a job was accepted. */
   void answerAccepted(long exchange, String job) {
     JobStatus queued = new JobStatus(job, JobStatus.Phase.QUEUED, 0, 0);
-    runtime.answer(exchange, CREATED, queued.summary());
+    runtime.answer(exchange, CREATED, queued.toSummaryJson());
   }
 
   /** Answers with the summary of a job's status. */
   void answerSummary(long exchange, JobStatus status) {
-    answer(exchange, status, status.summary());
+    answer(exchange, status, status.toSummaryJson());
   }
 
   /** Answers with a job's full status. */
   void answerFull(long exchange, JobStatus status) {
-    answer(exchange, status, status.full());
+    answer(exchange, status, status.toJson());
   }
 
   /**
@@ -97,7 +97,7 @@
           .events()
           .debug(LogEvent.USER_ANSWER)
           .with(LogField.JOB, status.id())
-          .with(LogField.PHASE, status.phase().wire())
+          .with(LogField.PHASE, status.phase().wireName())
           .write();
     }
     runtime.answer(exchange, OK, body);
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
@@ -100,13 +100,13 @@
   public static long maxLeaderDiscoveryMs(Settings settings) {
     return Math.min(
         leaseExpiryMs(settings),
-        (long) (1000 * settings.workers().reportS() * MAX_INTERVAL_FACTOR) + FAILOVER_ATTEMPTS_MS);
+        (long) (1000 * settings.workers().heartbeatIntervalS() * MAX_INTERVAL_FACTOR) + FAILOVER_ATTEMPTS_MS);
   }
 
   /** Returns the longest usual time between two heartbeats of a machine, in milliseconds. */
   public static long maxHeartbeatIntervalMs(Settings settings) {
     return (long)
-        (1000 * (settings.workers().reportS() * MAX_INTERVAL_FACTOR + MAX_HEARTBEAT_DELAY_S));
+        (1000 * (settings.workers().heartbeatIntervalS() * MAX_INTERVAL_FACTOR + MAX_HEARTBEAT_DELAY_S));
   }
 
   /**
@@ -144,7 +144,7 @@
     machine.session.recordHeartbeat(
         heartbeat.sequence(), runtime.now(), maxHeartbeatIntervalMs(settings));
     machine.clearSuspicion();
-    boolean carriesToken = heartbeat.token() == token;
+    boolean carriesToken = heartbeat.seenToken() == token;
     machine.reachability.onHeartbeatAccepted(carriesToken);
     if (carriesToken && !machine.session.isAcknowledged()) {
       machine.session.acknowledge();
--- a/src/main/java/org/snowturn/core/assignment/JobCompletion.java
+++ b/src/main/java/org/snowturn/core/assignment/JobCompletion.java
@@ -60,7 +60,7 @@
     List<Change> changes = finalRecordChanges(job, phase);
     List<Change> deletes = cleanupDeletes(job);
     // When many jobs finish together, the deletes are deferred so that other writes come first.
-    int maxDeletes = writer.isBacklogged() ? 0 : gate.limits().txnOps() - changes.size();
+    int maxDeletes = writer.isBacklogged() ? 0 : gate.limits().maxTransactionOps() - changes.size();
     int included = Math.min(deletes.size(), Math.max(0, maxDeletes));
     changes.addAll(deletes.subList(0, included));
     write(job, phase, changes, deletes.subList(included, deletes.size()));
@@ -140,7 +140,7 @@
             .events()
             .info(LogEvent.JOB_FINISHED)
             .with(LogField.JOB, job.spec.id())
-            .with(LogField.PHASE, phase.wire())
+            .with(LogField.PHASE, phase.wireName())
             .with(LogField.TASKS, job.taskCount())
             .with(LogField.ESTIMATE_S, job.spec.estimateS())
             .with(LogField.MEDIAN_S, job.medianRunTimeS())
--- a/src/main/java/org/snowturn/core/assignment/JobRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/JobRegistry.java
@@ -130,7 +130,7 @@
     job.setSubmission(stored.submissionHash());
     job.setChunkCount(stored.chunkCount());
     if (gate.isOpen()) {
-      job.useSecondFormat(gate.tasksPerRecord(), gate.limits().valueBytes(), machines);
+      job.useSecondFormat(gate.tasksPerRecord(), gate.limits().maxValueBytes(), machines);
     } else {
       job.useFirstFormat(gate.tasksPerRecord().firstFormat());
     }
--- a/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
@@ -95,7 +95,7 @@
 
   /** Returns the maximum size of a page's value in bytes. */
   private int maxBytes() {
-    return gate.limits().valueBytes();
+    return gate.limits().maxValueBytes();
   }
 
   /** Returns the number of machines, from the first one on, that fit on one page. */
--- a/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
+++ b/src/main/java/org/snowturn/core/assignment/ReconciliationCases.java
@@ -80,7 +80,7 @@
   static EndEvidence absenceEvidence(Heartbeat heartbeat, Job job, int task, boolean ownHeartbeat) {
     return heartbeat.agentEpoch() > job.epochOf(task)
         ? new EndEvidence.LaterAgentEpoch(heartbeat.agentEpoch())
-        : new EndEvidence.NotListed(heartbeat.token(), heartbeat.agentEpoch(), ownHeartbeat);
+        : new EndEvidence.NotListed(heartbeat.seenToken(), heartbeat.agentEpoch(), ownHeartbeat);
   }
 
   /**
@@ -94,7 +94,7 @@
         status.state() != TaskStatus.State.ENDED
             ? Reported.ALIVE
             : status.exitReason() == TaskStatus.ExitReason.DONE ? Reported.DONE : Reported.ENDED;
-    boolean carriesToken = heartbeat.token() == token;
+    boolean carriesToken = heartbeat.seenToken() == token;
     if (job != null && isAssignedHere(machine, job, status)) {
       return new Reconciliation.Case(
           storedState(job, status.task()),
@@ -133,7 +133,7 @@
         storedState(job, task),
         Reported.ABSENT,
         compareEpochs(heartbeat.agentEpoch(), job.epochOf(task)),
-        heartbeat.token() == token,
+        heartbeat.seenToken() == token,
         job.stopping.get(task),
         ownHeartbeat && !isStartInDoubt(machine, job.attemptOf(task), task));
   }
--- a/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
+++ b/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
@@ -56,7 +56,7 @@
       case ENDED -> applyEnded(machine, job, status, verdict, heartbeat);
       default -> {}
     }
-    if (heartbeat.token() == token && job.isAssigned(task)) {
+    if (heartbeat.seenToken() == token && job.isAssigned(task)) {
       // Reported with this leader's token: from now on, only its own end releases the attempt.
       assignments.confirmAdopted(job, task);
     }
@@ -75,7 +75,7 @@
 
   private void logLateReplica(Machine machine, Job job, int task) {
     double waitedS = (runtime.wallMs() - job.releasedWallMs()) / 1000.0;
-    if (job.spec.service()
+    if (job.spec.isService()
         && waitedS > MIN_LOGGED_WAIT_S
         && job.failures.count() == 0
         && !job.adopted.get(task)) {
@@ -102,7 +102,7 @@
           .with(LogField.MACHINE, machine.id)
           .write();
     } else if (verdict == Verdict.COMPLETE || verdict == Verdict.RELEASE) {
-      ReportedEnded evidence = new ReportedEnded(heartbeat.token(), heartbeat.agentEpoch());
+      ReportedEnded evidence = new ReportedEnded(heartbeat.seenToken(), heartbeat.agentEpoch());
       if (status.exitReason() == ExitReason.DONE) {
         handleResult(machine, job, task, evidence);
       } else {
--- a/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
@@ -160,7 +160,7 @@
 
   private void useSecondFormat(Job job) {
     PendingRecord[] firstFormatRecords = job.taskRecords();
-    job.useSecondFormat(gate.tasksPerRecord(), gate.limits().valueBytes(), machines);
+    job.useSecondFormat(gate.tasksPerRecord(), gate.limits().maxValueBytes(), machines);
     for (int index = 0; index < firstFormatRecords.length; index++) {
       if (firstFormatRecords[index] == null || !firstFormatRecords[index].isQueued()) {
         continue;
--- a/src/main/java/org/snowturn/core/election/LeaderLease.java
+++ b/src/main/java/org/snowturn/core/election/LeaderLease.java
@@ -54,7 +54,7 @@
     // The next leader must be able to carry out a cancellation in time even if the task ends only
     // when the worker's lease expires.
     double maxS =
-        settings.workers().cancelS() - settings.workers().leaseS() - CANCELLATION_RESERVE_S;
+        settings.workers().cancellationDeadlineS() - settings.workers().leaseS() - CANCELLATION_RESERVE_S;
     return (long) (1000 * Math.max(MIN_TTL_S, Math.min(ttlS, maxS)));
   }
 
--- a/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
+++ b/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
@@ -140,7 +140,7 @@
   private void answer(long exchange, Machine machine, Heartbeat heartbeat, List<Command> commands) {
     log(heartbeat, "renewed");
     CommandLog.write(runtime, "answer", machine, heartbeat.agentEpoch(), term.token(), commands);
-    runtime.answer(exchange, OK, Command.answer(term.token(), commands));
+    runtime.answer(exchange, OK, Command.heartbeatResponse(term.token(), commands));
   }
 
   private void refuse(long exchange, Heartbeat heartbeat, String reason) {
@@ -156,7 +156,7 @@
           .with(LogField.MACHINE, heartbeat.machine())
           .with(LogField.AGENT_EPOCH, heartbeat.agentEpoch())
           .with(LogField.HEARTBEAT, heartbeat.sequence())
-          .with(LogField.SEEN_TOKEN, heartbeat.token())
+          .with(LogField.SEEN_TOKEN, heartbeat.seenToken())
           .with(LogField.TOKEN, term.token())
           .with(LogField.RESULT, result)
           .with(LogField.CANCELLATIONS_KNOWN_MS_AGO, watermark.ageMs())
--- a/src/main/java/org/snowturn/core/leader/MachineSilence.java
+++ b/src/main/java/org/snowturn/core/leader/MachineSilence.java
@@ -26,7 +26,7 @@
     this.zoneOutages = zoneOutages;
     this.recovery = recovery;
     this.workerSilence =
-        new WorkerSilenceDetector(HealthSweep.INTERVAL_MS, settings.workers().reportS());
+        new WorkerSilenceDetector(HealthSweep.INTERVAL_MS, settings.workers().heartbeatIntervalS());
     this.termStartedAt = runtime.now();
   }
 
--- a/src/main/java/org/snowturn/core/leader/RecoveryProber.java
+++ b/src/main/java/org/snowturn/core/leader/RecoveryProber.java
@@ -80,7 +80,7 @@
     double minBatchTaskCpus = Double.MAX_VALUE;
     for (Job job : assignments.jobs()) {
       if (job.hasPlaceableTasks() && job.pending() > 0) {
-        if (job.spec.service()) {
+        if (job.spec.isService()) {
           minReplicaCpus = Math.min(minReplicaCpus, job.spec.cpus());
         } else {
           minBatchTaskCpus = Math.min(minBatchTaskCpus, job.spec.cpus());
@@ -120,7 +120,7 @@
       if (job.stopping.get(TaskAssignments.task(ref))) {
         return URGENCY_STOPS_TASK;
       }
-      holdsReplica |= job.spec.service();
+      holdsReplica |= job.spec.isService();
     }
     if (holdsReplica) {
       return URGENCY_HOLDS_REPLICA;
--- a/src/main/java/org/snowturn/core/model/Job.java
+++ b/src/main/java/org/snowturn/core/model/Job.java
@@ -232,7 +232,7 @@
   }
 
   private void adjustReplicas(int machineIndex, int sign) {
-    if (spec.service()) {
+    if (spec.isService()) {
       int count = replicasByMachine.get(machineIndex) + sign;
       if (count == 0) {
         replicasByMachine.remove(machineIndex);
@@ -257,7 +257,7 @@
    * no other task of the service is pending.
    */
   public boolean isMovable(int task, long now) {
-    return spec.service()
+    return spec.isService()
         && stateOf(task) == TaskState.RUNNING
         && !stopping.get(task)
         && tasks.pending() == 0
@@ -311,7 +311,7 @@
     return new JobRecord(
         JobStatus.Phase.ABORTED,
         submittedWallMs,
-        spec.withoutStart(),
+        spec.withoutStartFields(),
         submission,
         chunkCount,
         false);
--- a/src/main/java/org/snowturn/core/scheduling/JobPlacement.java
+++ b/src/main/java/org/snowturn/core/scheduling/JobPlacement.java
@@ -123,7 +123,7 @@
       }
       return Result.NO_ROOM;
     }
-    if (job.spec.service()
+    if (job.spec.isService()
         && score.isFetchTooLate(job.spec, best)
         && preemptor.makeRoomWithImage(job, usableMachines)) {
       return Result.DEFERRED; // preempting a task takes milliseconds, fetching an image seconds
--- a/src/main/java/org/snowturn/core/scheduling/LongWaitPlacement.java
+++ b/src/main/java/org/snowturn/core/scheduling/LongWaitPlacement.java
@@ -90,8 +90,8 @@
     double availableMemoryGb = machine.machineType().memoryGb();
     for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
       JobSpec assigned = assignments.job(ref).spec;
-      availableCpus -= assigned.service() ? assigned.cpus() : 0;
-      availableMemoryGb -= assigned.service() ? assigned.memoryGb() : 0;
+      availableCpus -= assigned.isService() ? assigned.cpus() : 0;
+      availableMemoryGb -= assigned.isService() ? assigned.memoryGb() : 0;
     }
     return spec.cpus() <= availableCpus && spec.memoryGb() <= availableMemoryGb;
   }
--- a/src/main/java/org/snowturn/core/scheduling/PlacementConstraints.java
+++ b/src/main/java/org/snowturn/core/scheduling/PlacementConstraints.java
@@ -40,10 +40,10 @@
 
   /** Returns whether the machine's type, zone and spot status suit the job. */
   private boolean isMachineAllowed(JobSpec spec, Machine machine) {
-    if (machine.isSpot() && !spec.spot()) {
+    if (machine.isSpot() && !spec.canUseSpot()) {
       return false;
     }
-    if (spec.types() != null && !spec.types().contains(machine.type())) {
+    if (spec.allowedMachineTypes() != null && !spec.allowedMachineTypes().contains(machine.type())) {
       return false;
     }
     return spec.zone() == null || machines.zoneIndex(spec.zone()) == machine.zone();
@@ -52,7 +52,7 @@
   /** Returns whether the machine's zone can take one more task of a job that is spread out. */
   private static boolean isWithinZoneLimit(Job job, Machine machine) {
     return !job.spec.spreadAcrossZones()
-        || job.assignedInZone(machine.zone()) < job.spec.perZoneLimit();
+        || job.assignedInZone(machine.zone()) < job.spec.maxTasksPerZone();
   }
 
   /**
@@ -89,7 +89,7 @@
 
   /** Returns whether the job may run on every machine with room, spot machines aside. */
   static boolean isUnconstrained(JobSpec spec) {
-    return spec.types() == null
+    return spec.allowedMachineTypes() == null
         && spec.zone() == null
         && !spec.spreadAcrossZones()
         && !spec.singleZone();
@@ -104,6 +104,6 @@
     return spec.cpus() >= other.cpus()
         && spec.memoryGb() >= other.memoryGb()
         && spec.gpus() >= other.gpus()
-        && (other.spot() || !spec.spot());
+        && (other.canUseSpot() || !spec.canUseSpot());
   }
 }
--- a/src/main/java/org/snowturn/core/scheduling/PlacementScore.java
+++ b/src/main/java/org/snowturn/core/scheduling/PlacementScore.java
@@ -82,7 +82,7 @@
    * leave no room for the largest replica.
    */
   void recordReplicaSize(JobSpec spec) {
-    if (spec.service()) {
+    if (spec.isService()) {
       largestReplicaCpus = Math.max(largestReplicaCpus, spec.cpus());
     }
   }
@@ -98,7 +98,7 @@
       score += fetchS(spec, machine) + (isFetchTooLate(spec, machine) ? LATE_START_PENALTY_S : 0);
     }
     score =
-        spec.service() ? addReplicaScore(score, job, machine) : addArrayScore(score, spec, machine);
+        spec.isService() ? addReplicaScore(score, job, machine) : addArrayScore(score, spec, machine);
     double freeShare = machine.cpusFree() / machine.machineType().cpus();
     // Where cost is an objective, full machines are preferred so that empty ones can be returned.
     score +=
--- a/src/main/java/org/snowturn/core/scheduling/SchedulingOrder.java
+++ b/src/main/java/org/snowturn/core/scheduling/SchedulingOrder.java
@@ -106,7 +106,7 @@
 
   /** Returns the rank by priority, with services before other jobs; the lowest comes first. */
   private static int rank(Job job) {
-    return 2 * job.priority().level() + (job.spec.service() ? 0 : 1);
+    return 2 * job.priority().level() + (job.spec.isService() ? 0 : 1);
   }
 
   /**
--- a/src/main/java/org/snowturn/core/storage/FormatGate.java
+++ b/src/main/java/org/snowturn/core/storage/FormatGate.java
@@ -54,9 +54,9 @@
     this.runtime = runtime;
     int first =
         Math.max(
-            MIN_FIRST_FORMAT_TASKS, settings.stateLimits().valueBytes() / FIRST_FORMAT_ENTRY_BYTES);
+            MIN_FIRST_FORMAT_TASKS, settings.stateLimits().maxValueBytes() / FIRST_FORMAT_ENTRY_BYTES);
     tasksPerRecord =
-        new TasksPerRecord(first, TaskLayout.tasksPerRecord(smallerLimits().valueBytes()));
+        new TasksPerRecord(first, TaskLayout.tasksPerRecord(smallerLimits().maxValueBytes()));
   }
 
   /** Returns whether this node has seen that all nodes read the second format. */
@@ -78,7 +78,7 @@
   }
 
   private Settings.StateLimits smallerLimits() {
-    return settings.stateLimits().least(settings.nextStateLimits());
+    return settings.stateLimits().min(settings.nextStateLimits());
   }
 
   /** Reads the announcements when a read is due, until the gate is open. */
--- a/src/main/java/org/snowturn/core/storage/JobRecord.java
+++ b/src/main/java/org/snowturn/core/storage/JobRecord.java
@@ -73,7 +73,7 @@
    */
   public static JobRecord parse(JsonNode value) throws MalformedException {
     JobStatus.Phase phase = phaseOf(value);
-    if (phase == JobStatus.Phase.QUEUED && !value.path(PHASE).asText().equals(phase.wire())) {
+    if (phase == JobStatus.Phase.QUEUED && !value.path(PHASE).asText().equals(phase.wireName())) {
       throw new MalformedException("p: unknown phase in a job's record");
     }
     JobSpec spec = value.has(SPEC) ? JobSpec.parse(value.get(SPEC)) : null;
@@ -154,7 +154,7 @@
     ObjectNode object = Json.object();
     object.put(
         FORMAT, submissionHash == null ? StorageKeys.FIRST_FORMAT : StorageKeys.SECOND_FORMAT);
-    object.put(PHASE, phase.wire()).put(SUBMITTED_AT, submittedWallMs);
+    object.put(PHASE, phase.wireName()).put(SUBMITTED_AT, submittedWallMs);
     object.set(SPEC, spec.toJson());
     if (submissionHash != null) {
       object.put(SUBMISSION_HASH, submissionHash).put(CHUNK_COUNT, chunkCount);
@@ -170,7 +170,7 @@
    */
   public JobRecord toChunked(String newHash, int newChunkCount) {
     return new JobRecord(
-        phase, submittedWallMs, spec.withoutStart(), newHash, newChunkCount, false);
+        phase, submittedWallMs, spec.withoutStartFields(), newHash, newChunkCount, false);
   }
 
   /**
@@ -207,10 +207,10 @@
    */
   public static ObjectNode cancelledJson(JsonNode live, int valueBytes) {
     ObjectNode object = live.deepCopy();
-    object.put(PHASE, JobStatus.Phase.ABORTED.wire());
+    object.put(PHASE, JobStatus.Phase.ABORTED.wireName());
     if (Json.bytes(object).length > valueBytes) {
       try {
-        object.set(SPEC, JobSpec.parse(object.path(SPEC)).withoutStart().toJson());
+        object.set(SPEC, JobSpec.parse(object.path(SPEC)).withoutStartFields().toJson());
       } catch (MalformedException e) {
         object.remove(SPEC);
       }
@@ -221,9 +221,9 @@
   /** Returns the JSON form of a finished job's short record, which stays for good. */
   public static ObjectNode finishedJson(JobStatus.Phase phase, JobSpec spec) {
     ObjectNode object =
-        Json.object().put(FORMAT, StorageKeys.FIRST_FORMAT).put(PHASE, phase.wire());
+        Json.object().put(FORMAT, StorageKeys.FIRST_FORMAT).put(PHASE, phase.wireName());
     object.put(TASKS, spec.tasks());
-    return spec.service() ? object.put(SERVICE, true) : object;
+    return spec.isService() ? object.put(SERVICE, true) : object;
   }
 
   /**
--- a/src/main/java/org/snowturn/core/storage/RangeReader.java
+++ b/src/main/java/org/snowturn/core/storage/RangeReader.java
@@ -111,7 +111,7 @@
     long newOldestRevision = Math.min(oldestRevision, StateMessage.revision(body));
     backoff.reset();
     entries.addAll(page);
-    if (StateMessage.more(body) && !page.isEmpty()) {
+    if (StateMessage.isTruncated(body) && !page.isEmpty()) {
       readPage(prefix, page.get(page.size() - 1).key(), entries, newOldestRevision, onRange);
     } else {
       onRange.accept(new Range(entries, newOldestRevision));
--- a/src/main/java/org/snowturn/core/storage/RecordWriter.java
+++ b/src/main/java/org/snowturn/core/storage/RecordWriter.java
@@ -194,7 +194,7 @@
    * @param deletions the deletions to make
    */
   public void deleteLater(List<Condition> conditions, List<Change> deletions) {
-    int maxChanges = Math.max(1, limits.get().txnOps());
+    int maxChanges = Math.max(1, limits.get().maxTransactionOps());
     for (int i = 0; i < deletions.size(); i += maxChanges) {
       List<Change> changes = deletions.subList(i, Math.min(deletions.size(), i + maxChanges));
       submit(TransactionPriority.BACKGROUND, conditions, changes, (outcome, status, body) -> {});
--- a/src/main/java/org/snowturn/core/storage/WriteBudget.java
+++ b/src/main/java/org/snowturn/core/storage/WriteBudget.java
@@ -47,7 +47,7 @@
    * The rest of the state service's write rate is left to user requests on all nodes.
    */
   double rate() {
-    return leaderWriteRate.applyAsDouble(limits.get().writeRps());
+    return leaderWriteRate.applyAsDouble(limits.get().maxWriteRps());
   }
 
   /** Returns the number of changes that only records that are not deferrable may use. */
@@ -69,7 +69,7 @@
 
   /** Returns the maximum number of changes in a transaction now. */
   int maxChanges() {
-    return (int) Math.min(Math.min(limits.get().txnOps(), maxBatchSize), Math.floor(available));
+    return (int) Math.min(Math.min(limits.get().maxTransactionOps(), maxBatchSize), Math.floor(available));
   }
 
   /**
@@ -81,7 +81,7 @@
    */
   int maxChangesIfDeferrable(int queuedRecords) {
     int unreserved = (int) Math.floor(available - reserved());
-    int minBatchSize = Math.min(queuedRecords, Math.max(1, limits.get().txnOps() / 2));
+    int minBatchSize = Math.min(queuedRecords, Math.max(1, limits.get().maxTransactionOps() / 2));
     return unreserved < minBatchSize ? 0 : unreserved;
   }
 
--- a/src/main/java/org/snowturn/wire/Priority.java
+++ b/src/main/java/org/snowturn/wire/Priority.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Job priorities, most urgent first. */
+/** Priority of a job, from the highest to the lowest. */
 public enum Priority {
   PRODUCTION(0),
   HIGH(1),
@@ -15,21 +15,21 @@
     this.level = level;
   }
 
-  /** From 0 for the most urgent one, without gaps. */
+  /** Returns the level: 0 for the highest priority, and one more for each lower one. */
   public int level() {
     return level;
   }
 
   static Priority parse(String text) throws MalformedException {
     for (Priority priority : values()) {
-      if (priority.wire().equals(text)) {
+      if (priority.wireName().equals(text)) {
         return priority;
       }
     }
     throw new MalformedException("rank: unknown priority");
   }
 
-  String wire() {
+  String wireName() {
     return name().toLowerCase(Locale.ROOT);
   }
 }
