--- a/src/test/java/org/snowturn/worker/WorkerClientTest.java
+++ b/src/test/java/org/snowturn/worker/WorkerClientTest.java
@@ -35,7 +35,7 @@
   void start() throws Exception {
     server =
         Undertow.builder()
-            .setIoThreads(1) // so that a close is seen before a later request is answered
+            .setIoThreads(1)
             .addHttpListener(0, "0.0.0.0")
             .setServerOption(UndertowOptions.ENABLE_STATISTICS, true)
             .setHandler(exchange -> exchange.setStatusCode(200).endExchange())
@@ -58,6 +58,7 @@
         new WorkerClient(
             worker.getIoThread(), new DefaultByteBufferPool(false, 16 * 1024, 8, 0), () -> MOST);
     int port = ((InetSocketAddress) server.getListenerInfo().get(0).getAddress()).getPort();
+    ConnectorStatistics seen = server.getListenerInfo().get(0).getConnectorStatistics();
     BlockingQueue<Input> replies = new LinkedBlockingQueue<>();
     for (int i = 0; i < 2 * WORKERS; i++) {
       // Each loopback address stands for a worker.
@@ -68,8 +69,8 @@
       worker.getIoThread().execute(() -> client.call(call, replies::add));
       Input.Reply reply = (Input.Reply) replies.poll(30, TimeUnit.SECONDS);
       assertEquals(Outcome.ANSWERED, reply.outcome());
+      assertOpenConnectionsFallToMost(seen);
     }
-    ConnectorStatistics seen = server.getListenerInfo().get(0).getConnectorStatistics();
     assertTrue(
         seen.getMaxActiveConnections() < 2 * MOST, "open: " + seen.getMaxActiveConnections());
   }
@@ -97,9 +98,18 @@
     }
     ConnectorStatistics seen = server.getListenerInfo().get(0).getConnectorStatistics();
     assertTrue(seen.getMaxActiveConnections() > 2 * MOST, "they were open before");
-    // No command is due; the server sees the closes a little later.
+    // No command is due.
     most.set(MOST);
     worker.getIoThread().execute(client::trim);
+    assertOpenConnectionsFallToMost(seen);
+  }
+
+  /**
+   * Waits up to 30 s for the server to notice the closes: it may answer requests on new connections
+   * before it notices that the client closed earlier ones.
+   */
+  private static void assertOpenConnectionsFallToMost(ConnectorStatistics seen)
+      throws InterruptedException {
     for (int i = 0; i < 3000 && seen.getActiveConnections() > MOST; i++) {
       Thread.sleep(10);
     }
