--- a/src/main/java/org/snowturn/daemon/Daemon.java
+++ b/src/main/java/org/snowturn/daemon/Daemon.java
@@ -150,7 +150,7 @@
         .setByteBufferPool(buffers)
         .addHttpListener(
             settings.serveOn().getPort(), settings.serveOn().getAddress().getHostAddress())
-        .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, 4L * HttpApi.MAX_BODY)
+        .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, 4L * HttpApi.MAX_BODY_BYTES)
         .setServerOption(UndertowOptions.ENABLE_STATISTICS, true)
         .setServerOption(UndertowOptions.IDLE_TIMEOUT, IDLE_TIMEOUT_MS)
         .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, REQUEST_PARSE_TIMEOUT_MS)
--- a/src/main/java/org/snowturn/http/HttpApi.java
+++ b/src/main/java/org/snowturn/http/HttpApi.java
@@ -31,7 +31,7 @@
  */
 public final class HttpApi implements HttpHandler {
   /** Largest request body. */
-  public static final int MAX_BODY = 64 * 1024;
+  public static final int MAX_BODY_BYTES = 64 * 1024;
 
   private static final Logger LOG = LoggerFactory.getLogger(HttpApi.class);
   private static final String RUNS = "/v2/runs";
@@ -149,13 +149,13 @@
   }
 
   private void receive(HttpServerExchange exchange, Consumer<byte[]> then) {
-    if (exchange.getRequestContentLength() > MAX_BODY) {
+    if (exchange.getRequestContentLength() > MAX_BODY_BYTES) {
       exchange.setPersistent(false);
       finish(exchange, 413, null);
       return;
     }
     Receiver receiver = exchange.getRequestReceiver();
-    receiver.setMaxBufferSize(MAX_BODY);
+    receiver.setMaxBufferSize(MAX_BODY_BYTES);
     receiver.receiveFullBytes(
         (ex, bytes) -> then.accept(bytes),
         (ex, e) -> {
--- a/src/main/java/org/snowturn/net/HttpCaller.java
+++ b/src/main/java/org/snowturn/net/HttpCaller.java
@@ -37,12 +37,12 @@
   private static final long IDLE_CLOSE_MS = 20_000;
 
   /** Takes the result of a call, on the I/O thread. */
-  public interface Then {
+  public interface ResponseHandler {
     /**
      * Status, body and the header Retry-After (0: none) are only meaningful for {@link
      * Outcome#ANSWERED}.
      */
-    void on(Outcome outcome, int status, byte[] body, int retryAfterS);
+    void onResult(Outcome outcome, int status, byte[] body, int retryAfterS);
   }
 
   private record Idle(ClientConnection connection, long sinceNanos) {}
@@ -84,11 +84,11 @@
         call.body() == null ? null : Json.bytes(call.body()),
         call.timeoutMs(),
         (outcome, status, bytes, retryAfterS) ->
-            reply.accept(HttpReplies.of(call, outcome, status, bytes, retryAfterS)));
+            reply.accept(HttpReplies.toReply(call, outcome, status, bytes, retryAfterS)));
   }
 
   /** Sends a request; {@code then} is called exactly once. */
-  public void call(String method, String path, byte[] body, int timeoutMs, Then then) {
+  public void call(String method, String path, byte[] body, int timeoutMs, ResponseHandler then) {
     Exchange exchange = new Exchange(method, path, body, then);
     exchange.timer = io.executeAfter(exchange::timedOut, timeoutMs, TimeUnit.MILLISECONDS);
     Idle free;
@@ -173,12 +173,12 @@
     final String method;
     final String path;
     final byte[] body;
-    final Then then;
+    final ResponseHandler then;
     private XnioExecutor.Key timer;
     private ClientConnection connection;
     private boolean over;
 
-    Exchange(String method, String path, byte[] body, Then then) {
+    Exchange(String method, String path, byte[] body, ResponseHandler then) {
       this.method = method;
       this.path = path;
       this.body = body;
@@ -200,7 +200,7 @@
       }
       over = true;
       timer.remove();
-      then.on(outcome, status, reply, retryAfterS);
+      then.onResult(outcome, status, reply, retryAfterS);
     }
 
     void broken(IOException failure) {
--- a/src/main/java/org/snowturn/net/HttpReplies.java
+++ b/src/main/java/org/snowturn/net/HttpReplies.java
@@ -21,7 +21,7 @@
   private HttpReplies() {}
 
   /** The input for one reply. */
-  public static Input.Reply of(
+  public static Input.Reply toReply(
       Effect.Call call, Outcome outcome, int status, byte[] bytes, int retryAfterS) {
     if (outcome != Outcome.ANSWERED) {
       return new Input.Reply(call.id(), outcome, 0, null);
