--- a/src/main/java/org/snowturn/http/HttpApi.java
+++ b/src/main/java/org/snowturn/http/HttpApi.java
@@ -8,6 +8,7 @@
 import io.undertow.util.HttpString;
 import io.undertow.util.Methods;
 import io.undertow.util.SameThreadExecutor;
+import io.undertow.util.StatusCodes;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -26,183 +27,220 @@
 import org.snowturn.wire.MalformedException;
 
 /**
- * The HTTP side that users, workers, the load balancer and operators see. All of it belongs to the
- * one I/O thread of the server; requests are handed to the core on that thread.
+ * HTTP API for users, workers, the load balancer and operators. It parses requests, passes them to
+ * the core and sends the core's answers.
+ *
+ * <p>Not thread-safe: all methods run on the server's only I/O thread, and requests are passed to
+ * the core on that thread.
  */
 public final class HttpApi implements HttpHandler {
-  /** Largest request body. */
+  /** Size of the largest accepted request body. */
   public static final int MAX_BODY_BYTES = 64 * 1024;
 
   private static final Logger LOG = LoggerFactory.getLogger(HttpApi.class);
   private static final String RUNS = "/v2/runs";
+  private static final String CANCEL_SUFFIX = "/cancel";
+  private static final int MIN_SERVER_ERROR_STATUS = 500;
+
+  /** Retry-After of a request that is refused because too many requests are pending. */
+  private static final int OVERLOAD_RETRY_AFTER_S = 2;
+
   private static final HttpString RETRY_AFTER = new HttpString("Retry-After");
-  private final Consumer<Input> core;
-  private final BooleanSupplier ready;
+
+  private final Consumer<Input> onInput;
+  private final BooleanSupplier isReady;
   private final Metrics metrics;
-  private final Consumer<Consumer<Map<String, Double>>> gauges;
-  private final int mostOpen;
-  private final Map<Long, Waiting> waiting = new HashMap<>();
-  private long nextExchange = 1;
+  private final Consumer<Consumer<Map<String, Double>>> requestGauges;
+  private final int maxPendingRequests;
+  private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
+  private long nextExchangeId = 1;
 
-  private record Waiting(HttpServerExchange exchange, String kind, long sinceNanos) {}
+  private record PendingRequest(HttpServerExchange exchange, String kind, long sinceNanos) {}
 
-  private interface WithBody {
-    void on(JsonNode body) throws MalformedException;
+  private interface BodyHandler {
+    void handle(JsonNode body) throws MalformedException;
   }
 
   /**
-   * Hands requests to {@code core}; at most {@code mostOpen} of them at a time.
+   * Creates the handler of all requests of a server.
    *
-   * @param gauges asks for the core's own figures, which come back on this server's thread
+   * @param onInput handles a request that is passed to the core
+   * @param isReady supplies the result of the readiness check
+   * @param metrics metrics of the process
+   * @param requestGauges requests the core's gauges; its argument handles them, on the server's I/O
+   *     thread
+   * @param maxPendingRequests maximum number of requests that wait for an answer of the core
    */
   public HttpApi(
-      Consumer<Input> core,
-      BooleanSupplier ready,
+      Consumer<Input> onInput,
+      BooleanSupplier isReady,
       Metrics metrics,
-      Consumer<Consumer<Map<String, Double>>> gauges,
-      int mostOpen) {
-    this.core = core;
-    this.ready = ready;
+      Consumer<Consumer<Map<String, Double>>> requestGauges,
+      int maxPendingRequests) {
+    this.onInput = onInput;
+    this.isReady = isReady;
     this.metrics = metrics;
-    this.gauges = gauges;
-    this.mostOpen = mostOpen;
+    this.requestGauges = requestGauges;
+    this.maxPendingRequests = maxPendingRequests;
   }
 
   @Override
   public void handleRequest(HttpServerExchange exchange) {
     String path = exchange.getRequestPath();
     if (path.equals("/checkin")) {
-      if (allow(exchange, Methods.POST)) {
-        body(
+      if (checkMethod(exchange, Methods.POST)) {
+        parseBody(
             exchange,
             json ->
-                open(
+                passToCore(
                     exchange,
                     "checkin",
-                    new Input.HeartbeatReceived(nextExchange, Heartbeat.parse(json))));
+                    new Input.HeartbeatReceived(nextExchangeId, Heartbeat.parse(json))));
       }
     } else if (path.equals(RUNS)) {
-      if (allow(exchange, Methods.POST)) {
-        body(
+      if (checkMethod(exchange, Methods.POST)) {
+        parseBody(
             exchange,
-            json -> open(exchange, "submit", new Input.Submit(nextExchange, JobSpec.parse(json))));
+            json ->
+                passToCore(
+                    exchange, "submit", new Input.Submit(nextExchangeId, JobSpec.parse(json))));
       }
     } else if (path.startsWith(RUNS + "/")) {
-      job(exchange, path.substring(RUNS.length() + 1));
+      handleJobRequest(exchange, path.substring(RUNS.length() + 1));
     } else if (path.equals("/ready")) {
-      if (allow(exchange, Methods.GET)) {
-        finish(exchange, ready.getAsBoolean() ? 200 : 503, null);
+      if (checkMethod(exchange, Methods.GET)) {
+        respond(
+            exchange,
+            isReady.getAsBoolean() ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE,
+            null);
       }
     } else if (path.equals("/metrics")) {
-      showMetrics(exchange);
+      sendMetrics(exchange);
     } else {
-      finish(exchange, 404, null);
+      respond(exchange, StatusCodes.NOT_FOUND, null);
     }
   }
 
-  private void showMetrics(HttpServerExchange exchange) {
-    if (allow(exchange, Methods.GET)) {
+  private void sendMetrics(HttpServerExchange exchange) {
+    if (checkMethod(exchange, Methods.GET)) {
       exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain");
-      Consumer<Map<String, Double>> show =
-          values -> finish(exchange, 200, metrics.text(values).getBytes(StandardCharsets.UTF_8));
-      exchange.dispatch(SameThreadExecutor.INSTANCE, () -> gauges.accept(show));
+      Consumer<Map<String, Double>> onGauges =
+          values ->
+              respond(
+                  exchange, StatusCodes.OK, metrics.text(values).getBytes(StandardCharsets.UTF_8));
+      exchange.dispatch(SameThreadExecutor.INSTANCE, () -> requestGauges.accept(onGauges));
     }
   }
 
-  private void job(HttpServerExchange exchange, String rest) {
-    boolean cancel = rest.endsWith("/cancel");
-    String id = cancel ? rest.substring(0, rest.length() - "/cancel".length()) : rest;
-    if (!allow(exchange, cancel ? Methods.POST : Methods.GET)) {
+  private void handleJobRequest(HttpServerExchange exchange, String idAndAction) {
+    boolean isCancel = idAndAction.endsWith(CANCEL_SUFFIX);
+    String id =
+        isCancel
+            ? idAndAction.substring(0, idAndAction.length() - CANCEL_SUFFIX.length())
+            : idAndAction;
+    if (!checkMethod(exchange, isCancel ? Methods.POST : Methods.GET)) {
       return;
     }
     if (!JobSpec.isId(id)) {
-      finish(exchange, 404, null);
-    } else if (cancel) {
-      // A body, if any, is read and ignored, so that the connection can be used again.
-      receive(exchange, bytes -> open(exchange, "cancel", new Input.Cancel(nextExchange, id)));
+      respond(exchange, StatusCodes.NOT_FOUND, null);
+    } else if (isCancel) {
+      // Reads and ignores the body, if any, so that the connection can be reused.
+      readBody(
+          exchange, bytes -> passToCore(exchange, "cancel", new Input.Cancel(nextExchangeId, id)));
     } else {
-      open(exchange, "poll", new Input.Poll(nextExchange, id));
+      passToCore(exchange, "poll", new Input.Poll(nextExchangeId, id));
     }
   }
 
-  private boolean allow(HttpServerExchange exchange, HttpString method) {
+  /** Returns whether the request has this method; answers it with 405 otherwise. */
+  private boolean checkMethod(HttpServerExchange exchange, HttpString method) {
     if (exchange.getRequestMethod().equals(method)) {
       return true;
     }
     exchange.getResponseHeaders().put(Headers.ALLOW, method.toString());
-    finish(exchange, 405, null);
+    respond(exchange, StatusCodes.METHOD_NOT_ALLOWED, null);
     return false;
   }
 
-  private void body(HttpServerExchange exchange, WithBody then) {
-    receive(
+  private void parseBody(HttpServerExchange exchange, BodyHandler bodyHandler) {
+    readBody(
         exchange,
         bytes -> {
           try {
-            then.on(Json.parse(bytes));
+            bodyHandler.handle(Json.parse(bytes));
           } catch (IOException e) {
-            malformed(exchange, "not JSON");
+            rejectMalformed(exchange, "request body is not valid JSON");
           } catch (MalformedException e) {
-            malformed(exchange, e.getMessage());
+            rejectMalformed(exchange, e.getMessage());
           }
         });
   }
 
-  private void receive(HttpServerExchange exchange, Consumer<byte[]> then) {
+  private void readBody(HttpServerExchange exchange, Consumer<byte[]> onBody) {
     if (exchange.getRequestContentLength() > MAX_BODY_BYTES) {
       exchange.setPersistent(false);
-      finish(exchange, 413, null);
+      respond(exchange, StatusCodes.REQUEST_ENTITY_TOO_LARGE, null);
       return;
     }
     Receiver receiver = exchange.getRequestReceiver();
     receiver.setMaxBufferSize(MAX_BODY_BYTES);
     receiver.receiveFullBytes(
-        (ex, bytes) -> then.accept(bytes),
-        (ex, e) -> {
-          ex.setPersistent(false);
-          finish(ex, e instanceof Receiver.RequestToLargeException ? 413 : 400, null);
+        (received, bytes) -> onBody.accept(bytes),
+        (failed, error) -> {
+          failed.setPersistent(false);
+          respond(
+              failed,
+              error instanceof Receiver.RequestToLargeException
+                  ? StatusCodes.REQUEST_ENTITY_TOO_LARGE
+                  : StatusCodes.BAD_REQUEST,
+              null);
         });
   }
 
-  private void malformed(HttpServerExchange exchange, String why) {
+  private void rejectMalformed(HttpServerExchange exchange, String error) {
     metrics.count("snowturn.requests.malformed", "any");
-    finish(exchange, 400, Json.bytes(Json.object().put("error", why)));
+    respond(exchange, StatusCodes.BAD_REQUEST, Json.bytes(Json.object().put("error", error)));
   }
 
-  /** Hands the request to the core once this call's stack has unwound. */
-  private void open(HttpServerExchange exchange, String kind, Input input) {
-    if (waiting.size() >= mostOpen) {
-      exchange.getResponseHeaders().put(RETRY_AFTER, 2);
-      finish(exchange, 503, null);
+  /**
+   * Passes a request to the core after the present handler has returned, or refuses it if too many
+   * requests are pending.
+   *
+   * @param kind label of the request in metrics and log lines
+   */
+  private void passToCore(HttpServerExchange exchange, String kind, Input input) {
+    if (pendingRequests.size() >= maxPendingRequests) {
+      exchange.getResponseHeaders().put(RETRY_AFTER, OVERLOAD_RETRY_AFTER_S);
+      respond(exchange, StatusCodes.SERVICE_UNAVAILABLE, null);
       return;
     }
-    long id = nextExchange++;
-    waiting.put(id, new Waiting(exchange, kind, System.nanoTime()));
+    long id = nextExchangeId++;
+    pendingRequests.put(id, new PendingRequest(exchange, kind, System.nanoTime()));
     metrics.count("snowturn.requests", kind);
-    exchange.dispatch(SameThreadExecutor.INSTANCE, () -> core.accept(input));
+    exchange.dispatch(SameThreadExecutor.INSTANCE, () -> onInput.accept(input));
   }
 
-  /** Sends the core's answer. */
+  /** Sends an answer of the core. Ignores an answer to an exchange that is not pending. */
   public void answer(Effect.Answer answer) {
-    Waiting request = waiting.remove(answer.exchange());
+    PendingRequest request = pendingRequests.remove(answer.exchange());
     if (request == null) {
       return;
     }
     metrics.took("snowturn." + request.kind, System.nanoTime() - request.sinceNanos);
-    if (answer.status() >= 500) {
+    if (answer.status() >= MIN_SERVER_ERROR_STATUS) {
       LOG.debug("event=request_refused kind={} status={}", request.kind, answer.status());
       metrics.count("snowturn.requests.refused", request.kind);
     }
     if (answer.retryAfterS() > 0) {
       request.exchange.getResponseHeaders().put(RETRY_AFTER, answer.retryAfterS());
     }
-    finish(
+    respond(
         request.exchange,
         answer.status(),
         answer.body() == null ? null : Json.bytes(answer.body()));
   }
 
-  private static void finish(HttpServerExchange exchange, int status, byte[] body) {
+  private static void respond(HttpServerExchange exchange, int status, byte[] body) {
     exchange.setStatusCode(status);
     if (body == null) {
       exchange.getResponseHeaders().put(Headers.CONTENT_LENGTH, 0);
--- a/src/main/java/org/snowturn/http/package-info.java
+++ b/src/main/java/org/snowturn/http/package-info.java
@@ -1,2 +1,2 @@
-/** The HTTP server for users, workers, the load balancer and operators. */
+/** HTTP server for users, workers, the load balancer and operators. */
 package org.snowturn.http;
--- a/src/main/java/org/snowturn/net/HttpCaller.java
+++ b/src/main/java/org/snowturn/net/HttpCaller.java
@@ -27,36 +27,62 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * Calls one HTTP server over a few persistent connections, one request at a time on each.
+ * HTTP client for one server, with a limited number of persistent connections and one request at a
+ * time on each. Further requests wait in a queue.
  *
- * <p>All of it runs on one I/O thread. A call that never got a connection was certainly not
- * executed; one that was sent and got no reply may have been.
+ * <p>A call that never got a connection was certainly not executed: {@link Outcome#REFUSED}. A call
+ * that was sent but not answered may have been executed: {@link Outcome#UNKNOWN}.
+ *
+ * <p>Not thread-safe: all methods run on the I/O thread that is passed to the constructor.
  */
 public final class HttpCaller {
+  /** Largest response body that is accepted. */
   private static final int MAX_BODY_BYTES = 32 << 20;
-  private static final long IDLE_CLOSE_MS = 20_000;
 
-  /** Takes the result of a call, on the I/O thread. */
+  /** Idle time after which a connection is closed; checked whenever another one becomes idle. */
+  private static final long MAX_IDLE_MS = 20_000;
+
+  private static final long NANOS_PER_MS = 1_000_000;
+
+  /** Handler of the result of a call; runs on the I/O thread. */
   public interface ResponseHandler {
     /**
-     * Status, body and the header Retry-After (0: none) are only meaningful for {@link
+     * Handles the result. All parameters but the first are meaningful only for {@link
      * Outcome#ANSWERED}.
+     *
+     * @param outcome whether the request was executed, as far as the client can tell
+     * @param status HTTP status
+     * @param body response body
+     * @param retryAfterS value of the Retry-After header in seconds, or 0 for none
      */
     void onResult(Outcome outcome, int status, byte[] body, int retryAfterS);
   }
 
-  private record Idle(ClientConnection connection, long sinceNanos) {}
+  private record IdleConnection(ClientConnection connection, long sinceNanos) {}
 
   private final URI uri;
   private final String host;
   private final XnioIoThread io;
   private final ByteBufferPool buffers;
   private final int maxConnections;
-  private final ArrayDeque<Idle> idle = new ArrayDeque<>();
+
+  /** Idle connections, the one that has been idle longest first. */
+  private final ArrayDeque<IdleConnection> idleConnections = new ArrayDeque<>();
+
+  /** Exchanges that wait for a connection, in the order of their calls. */
   private final ArrayDeque<Exchange> queue = new ArrayDeque<>();
-  private int open;
 
-  /** A caller that has not connected yet. */
+  /** Number of connections, those being opened included. */
+  private int openConnections;
+
+  /**
+   * Creates a caller, which connects with its first call.
+   *
+   * @param addr address of the server
+   * @param io I/O thread that the calls run on
+   * @param buffers pool of the connections' buffers
+   * @param maxConnections maximum number of connections at a time
+   */
   public HttpCaller(
       InetSocketAddress addr, XnioIoThread io, ByteBufferPool buffers, int maxConnections) {
     this.host = addr.getAddress().getHostAddress() + ":" + addr.getPort();
@@ -66,60 +92,78 @@
     this.maxConnections = maxConnections;
   }
 
-  /** Closes the connections if no call is going on; tells whether none was. */
+  /**
+   * Closes all connections if no call is in progress or queued.
+   *
+   * @return whether the connections were closed
+   */
   public boolean closeIfIdle() {
-    if (open > idle.size() || !queue.isEmpty()) {
+    if (openConnections > idleConnections.size() || !queue.isEmpty()) {
       return false;
     }
-    List.copyOf(idle).forEach(i -> IoUtils.safeClose(i.connection));
-    idle.clear();
+    List.copyOf(idleConnections).forEach(idle -> IoUtils.safeClose(idle.connection));
+    idleConnections.clear();
     return true;
   }
 
-  /** Makes one of the core's calls and hands in its reply. */
-  public void call(Effect.Call call, Consumer<Input> reply) {
+  /**
+   * Makes a call for the core.
+   *
+   * @param onReply handles the reply, converted into an input; called exactly once
+   */
+  public void call(Effect.Call call, Consumer<Input> onReply) {
     call(
         call.method(),
         call.path(),
         call.body() == null ? null : Json.bytes(call.body()),
         call.timeoutMs(),
         (outcome, status, bytes, retryAfterS) ->
-            reply.accept(HttpReplies.toReply(call, outcome, status, bytes, retryAfterS)));
+            onReply.accept(HttpReplies.toReply(call, outcome, status, bytes, retryAfterS)));
   }
 
-  /** Sends a request; {@code then} is called exactly once. */
-  public void call(String method, String path, byte[] body, int timeoutMs, ResponseHandler then) {
-    Exchange exchange = new Exchange(method, path, body, then);
-    exchange.timer = io.executeAfter(exchange::timedOut, timeoutMs, TimeUnit.MILLISECONDS);
-    Idle free;
-    while ((free = idle.pollLast()) != null) {
-      if (free.connection.isOpen()) {
-        exchange.send(free.connection);
+  /**
+   * Sends a request, or queues it until a connection is free.
+   *
+   * @param body request body (JSON), or null for none
+   * @param timeoutMs maximum time until the result, in milliseconds, including time in the queue
+   * @param responseHandler handles the result; called exactly once
+   */
+  public void call(
+      String method, String path, byte[] body, int timeoutMs, ResponseHandler responseHandler) {
+    Exchange exchange = new Exchange(method, path, body, responseHandler);
+    exchange.timer = io.executeAfter(exchange::onTimeout, timeoutMs, TimeUnit.MILLISECONDS);
+    IdleConnection idle;
+    while ((idle = idleConnections.pollLast()) != null) {
+      if (idle.connection.isOpen()) {
+        exchange.send(idle.connection);
         return;
       }
     }
-    if (open < maxConnections) {
+    if (openConnections < maxConnections) {
       connect(exchange);
     } else {
       queue.add(exchange);
     }
   }
 
-  /** Seconds; a date, or what is no number, counts as none. */
+  /**
+   * Returns the value of a Retry-After header in seconds. An absent header, a date and a malformed
+   * value count as 0.
+   */
   private static int retryAfterS(String header) {
-    boolean seconds = header != null && header.matches("[0-9]{1,4}");
-    return seconds ? Integer.parseInt(header) : 0;
+    boolean isSeconds = header != null && header.matches("[0-9]{1,4}");
+    return isSeconds ? Integer.parseInt(header) : 0;
   }
 
   private void connect(Exchange exchange) {
-    open++;
+    openConnections++;
     UndertowClient.getInstance()
         .connect(
             new ClientCallback<>() {
               @Override
               public void completed(ClientConnection connection) {
-                connection.getCloseSetter().set(ch -> open--);
-                if (exchange.over) {
+                connection.getCloseSetter().set(closed -> openConnections--);
+                if (exchange.isFinished) {
                   release(connection);
                 } else {
                   exchange.send(connection);
@@ -128,9 +172,9 @@
 
               @Override
               public void failed(IOException failure) {
-                open--;
+                openConnections--;
                 exchange.finish(Outcome.REFUSED, 0, null, 0);
-                pump();
+                connectForNextQueued();
               }
             },
             uri,
@@ -139,74 +183,79 @@
             OptionMap.EMPTY);
   }
 
-  private void pump() {
-    while (!queue.isEmpty() && queue.peek().over) {
+  /** Opens a connection for the next queued exchange, if there is one and the limit allows it. */
+  private void connectForNextQueued() {
+    while (!queue.isEmpty() && queue.peek().isFinished) {
       queue.poll();
     }
-    if (!queue.isEmpty() && open < maxConnections) {
+    if (!queue.isEmpty() && openConnections < maxConnections) {
       connect(queue.poll());
     }
   }
 
+  /** Gives a connection to the next queued exchange, or keeps it as an idle one. */
   private void release(ClientConnection connection) {
     if (!connection.isOpen()) {
-      pump();
+      connectForNextQueued();
       return;
     }
     Exchange next;
     while ((next = queue.poll()) != null) {
-      if (!next.over) {
+      if (!next.isFinished) {
         next.send(connection);
         return;
       }
     }
     long now = System.nanoTime();
-    idle.addLast(new Idle(connection, now));
-    Idle oldest = idle.peekFirst();
-    if (oldest != null && now - oldest.sinceNanos > IDLE_CLOSE_MS * 1_000_000 && idle.size() > 1) {
-      idle.pollFirst();
+    idleConnections.addLast(new IdleConnection(connection, now));
+    IdleConnection oldest = idleConnections.peekFirst();
+    if (oldest != null
+        && now - oldest.sinceNanos > MAX_IDLE_MS * NANOS_PER_MS
+        && idleConnections.size() > 1) {
+      idleConnections.pollFirst();
       IoUtils.safeClose(oldest.connection);
     }
   }
 
+  /** One request and its response. */
   private final class Exchange {
     final String method;
     final String path;
     final byte[] body;
-    final ResponseHandler then;
+    final ResponseHandler responseHandler;
     private XnioExecutor.Key timer;
     private ClientConnection connection;
-    private boolean over;
+    private boolean isFinished;
 
-    Exchange(String method, String path, byte[] body, ResponseHandler then) {
+    Exchange(String method, String path, byte[] body, ResponseHandler responseHandler) {
       this.method = method;
       this.path = path;
       this.body = body;
-      this.then = then;
+      this.responseHandler = responseHandler;
     }
 
-    void timedOut() {
-      boolean sent = connection != null;
-      if (sent) {
+    void onTimeout() {
+      boolean wasSent = connection != null;
+      if (wasSent) {
         IoUtils.safeClose(connection);
       }
-      finish(sent ? Outcome.UNKNOWN : Outcome.REFUSED, 0, null, 0);
-      pump();
+      finish(wasSent ? Outcome.UNKNOWN : Outcome.REFUSED, 0, null, 0);
+      connectForNextQueued();
     }
 
-    void finish(Outcome outcome, int status, byte[] reply, int retryAfterS) {
-      if (over) {
+    void finish(Outcome outcome, int status, byte[] responseBody, int retryAfterS) {
+      if (isFinished) {
         return;
       }
-      over = true;
+      isFinished = true;
       timer.remove();
-      then.onResult(outcome, status, reply, retryAfterS);
+      responseHandler.onResult(outcome, status, responseBody, retryAfterS);
     }
 
-    void broken(IOException failure) {
+    void fail(IOException failure) {
       IoUtils.safeClose(connection);
       finish(Outcome.UNKNOWN, 0, null, 0);
-      pump();
+      connectForNextQueued();
     }
 
     void send(ClientConnection target) {
@@ -224,51 +273,52 @@
           new ClientCallback<>() {
             @Override
             public void completed(ClientExchange clientExchange) {
-              sent(clientExchange);
+              onSent(clientExchange);
             }
 
             @Override
             public void failed(IOException failure) {
-              broken(failure);
+              fail(failure);
             }
           });
     }
 
-    private void sent(ClientExchange clientExchange) {
+    private void onSent(ClientExchange clientExchange) {
       clientExchange.setResponseListener(
           new ClientCallback<>() {
             @Override
-            public void completed(ClientExchange done) {
-              int status = done.getResponse().getResponseCode();
+            public void completed(ClientExchange answered) {
+              int status = answered.getResponse().getResponseCode();
               int retryAfterS =
                   retryAfterS(
-                      done.getResponse().getResponseHeaders().getFirst(Headers.RETRY_AFTER));
+                      answered.getResponse().getResponseHeaders().getFirst(Headers.RETRY_AFTER));
               BodyReader.read(
-                  done.getResponseChannel(),
+                  answered.getResponseChannel(),
                   buffers,
                   MAX_BODY_BYTES,
                   bytes -> {
-                    boolean close =
+                    boolean shouldClose =
                         "close"
                             .equalsIgnoreCase(
-                                done.getResponse()
+                                answered
+                                    .getResponse()
                                     .getResponseHeaders()
                                     .getFirst(Headers.CONNECTION));
-                    if (over || close) {
+                    if (isFinished || shouldClose) {
                       IoUtils.safeClose(connection);
                     }
-                    // Released only after this stack has unwound: the client's own state for the
-                    // exchange is cleared behind this call.
+                    // Released in a later task: the HTTP client clears its own state of the
+                    // exchange only after this callback has returned.
                     ClientConnection released = connection;
                     io.execute(() -> release(released));
                     finish(Outcome.ANSWERED, status, bytes, retryAfterS);
                   },
-                  Exchange.this::broken);
+                  Exchange.this::fail);
             }
 
             @Override
             public void failed(IOException failure) {
-              broken(failure);
+              fail(failure);
             }
           });
       if (body != null) {
@@ -279,27 +329,29 @@
     private void write(StreamSinkChannel channel) {
       ByteBuffer buffer = ByteBuffer.wrap(body);
       try {
-        if (!writeSome(channel, buffer)) {
+        if (!writeAvailable(channel, buffer)) {
           channel
               .getWriteSetter()
               .set(
-                  ch -> {
+                  writable -> {
                     try {
-                      if (writeSome(ch, buffer)) {
-                        ch.suspendWrites();
+                      if (writeAvailable(writable, buffer)) {
+                        writable.suspendWrites();
                       }
                     } catch (IOException e) {
-                      broken(e);
+                      fail(e);
                     }
                   });
           channel.resumeWrites();
         }
       } catch (IOException e) {
-        broken(e);
+        fail(e);
       }
     }
 
-    private boolean writeSome(StreamSinkChannel channel, ByteBuffer buffer) throws IOException {
+    /** Returns true once the whole body is written and flushed, false if the socket is full. */
+    private boolean writeAvailable(StreamSinkChannel channel, ByteBuffer buffer)
+        throws IOException {
       while (buffer.hasRemaining()) {
         if (channel.write(buffer) == 0) {
           return false;
--- a/src/main/java/org/snowturn/net/package-info.java
+++ b/src/main/java/org/snowturn/net/package-info.java
@@ -1,2 +1,2 @@
-/** Calls over persistent HTTP connections. */
+/** HTTP client with persistent connections, which turns responses into inputs of the core. */
 package org.snowturn.net;
--- a/src/main/java/org/snowturn/worker/WorkerClient.java
+++ b/src/main/java/org/snowturn/worker/WorkerClient.java
@@ -13,70 +13,94 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Direct commands to workers, one persistent connection each, and no more connections than this
- * node can spare beside those that the workers and users open: the longest unused is closed first.
- * As theirs grow, these give way: a command then costs a connection, but nobody is refused one.
- * Belongs to the I/O thread that it is given.
+ * HTTP client for direct commands to workers, with one persistent connection for each worker.
+ *
+ * <p>The number of connections is limited to what this node can spare beside the connections that
+ * workers and users open to it; above the limit, the least recently used ones are closed. As the
+ * incoming connections grow, the limit falls: a command may then need a new connection, but no
+ * incoming connection is refused.
+ *
+ * <p>Not thread-safe: all methods run on the I/O thread that is passed to the constructor.
  */
 public final class WorkerClient {
+  private static final int INITIAL_CAPACITY = 64;
+  private static final float LOAD_FACTOR = 0.75f;
+  private static final int CONNECTIONS_PER_WORKER = 1;
+
   private final XnioIoThread io;
   private final ByteBufferPool buffers;
-  private final IntSupplier maxOpen;
-  private final LinkedHashMap<String, HttpCaller> callers = new LinkedHashMap<>(64, 0.75f, true);
+  private final IntSupplier maxConnections;
+
+  /** Callers by worker address, the least recently used one first. */
+  private final LinkedHashMap<String, HttpCaller> callers =
+      new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
   /**
-   * Runs on the given thread.
+   * Creates a client without connections.
    *
-   * @param maxOpen about how many connections it may have now; asked at each new one
+   * @param io I/O thread that the client and its connections run on
+   * @param maxConnections supplies the current limit of connections to workers; read at each new
+   *     connection and at each {@link #trim}
    */
-  public WorkerClient(XnioIoThread io, ByteBufferPool buffers, IntSupplier maxOpen) {
+  public WorkerClient(XnioIoThread io, ByteBufferPool buffers, IntSupplier maxConnections) {
     this.io = io;
     this.buffers = buffers;
-    this.maxOpen = maxOpen;
+    this.maxConnections = maxConnections;
   }
 
-  /** Makes the call and hands in its reply. */
-  public void call(Effect.Call call, Consumer<Input> reply) {
+  /**
+   * Calls a worker.
+   *
+   * @param onReply handles the reply; called at once with {@link Outcome#REFUSED} if the call's
+   *     address is invalid
+   */
+  public void call(Effect.Call call, Consumer<Input> onReply) {
     HttpCaller caller = callers.get(call.addr());
     if (caller == null) {
       caller = connectTo(call.addr());
       if (caller == null) {
-        reply.accept(new Input.Reply(call.id(), Outcome.REFUSED, 0, null));
+        onReply.accept(new Input.Reply(call.id(), Outcome.REFUSED, 0, null));
         return;
       }
-      keep(maxOpen.getAsInt() - 1);
+      closeIdleAbove(maxConnections.getAsInt() - 1);
       callers.put(call.addr(), caller);
     }
-    caller.call(call, reply);
+    caller.call(call, onReply);
   }
 
   /**
-   * Gives way at once to connections that have come in meanwhile. When all workers turn to this
-   * node within a second or two, no new command may be due for a while, and the table would be
-   * full.
+   * Closes idle connections above the current limit. Called at regular intervals, since the limit
+   * also falls while no command is sent: when all workers connect to this node within a second or
+   * two, waiting for the next command could leave the node without free sockets.
    */
   public void trim() {
-    keep(maxOpen.getAsInt());
+    closeIdleAbove(maxConnections.getAsInt());
   }
 
-  private void keep(int most) {
-    // A caller that is let go must hold no connection, or nobody would ever close it.
-    Iterator<HttpCaller> longestUnused = callers.values().iterator();
-    while (callers.size() > most && longestUnused.hasNext()) {
-      if (longestUnused.next().closeIfIdle()) {
-        longestUnused.remove();
+  private void closeIdleAbove(int maxKept) {
+    // A caller is dropped only once it has closed its connection: no later call could close it.
+    Iterator<HttpCaller> leastRecentlyUsed = callers.values().iterator();
+    while (callers.size() > maxKept && leastRecentlyUsed.hasNext()) {
+      if (leastRecentlyUsed.next().closeIfIdle()) {
+        leastRecentlyUsed.remove();
       }
     }
   }
 
-  /** Null for an address that is none: workers name their own, and it must be an IP address. */
+  /**
+   * Returns a caller for an address, or null if the address is invalid. Workers report their own
+   * addresses, which must have the form IPv4:port.
+   */
   private HttpCaller connectTo(String addr) {
     int colon = addr.lastIndexOf(':');
     try {
       if (colon > 0 && addr.substring(0, colon).matches("[0-9.]{7,15}")) {
         int port = Integer.parseInt(addr.substring(colon + 1));
         return new HttpCaller(
-            new InetSocketAddress(addr.substring(0, colon), port), io, buffers, 1);
+            new InetSocketAddress(addr.substring(0, colon), port),
+            io,
+            buffers,
+            CONNECTIONS_PER_WORKER);
       }
     } catch (IllegalArgumentException e) {
       return null;
--- a/src/main/java/org/snowturn/worker/package-info.java
+++ b/src/main/java/org/snowturn/worker/package-info.java
@@ -1,2 +1,2 @@
-/** Client for direct commands to workers. */
+/** HTTP client for commands that this node sends directly to workers. */
 package org.snowturn.worker;
--- a/src/test/java/org/snowturn/worker/WorkerClientTest.java
+++ b/src/test/java/org/snowturn/worker/WorkerClientTest.java
@@ -24,10 +24,15 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Connections to more workers than there are sockets for. */
+/**
+ * Guards against a client that keeps connections to all workers open when the node has sockets for
+ * only a few of them.
+ */
 class WorkerClientTest {
-  private static final int MOST = 4;
+  private static final int MAX_CONNECTIONS = 4;
   private static final int WORKERS = 20;
+  private static final int MAX_WAIT_MS = 30_000;
+  private static final int POLL_INTERVAL_MS = 10;
   private Undertow server;
   private XnioWorker worker;
 
@@ -56,9 +61,11 @@
   void noMoreConnectionsStayOpenThanTheNodeCanSpare() throws Exception {
     WorkerClient client =
         new WorkerClient(
-            worker.getIoThread(), new DefaultByteBufferPool(false, 16 * 1024, 8, 0), () -> MOST);
+            worker.getIoThread(),
+            new DefaultByteBufferPool(false, 16 * 1024, 8, 0),
+            () -> MAX_CONNECTIONS);
     int port = ((InetSocketAddress) server.getListenerInfo().get(0).getAddress()).getPort();
-    ConnectorStatistics seen = server.getListenerInfo().get(0).getConnectorStatistics();
+    ConnectorStatistics statistics = server.getListenerInfo().get(0).getConnectorStatistics();
     BlockingQueue<Input> replies = new LinkedBlockingQueue<>();
     for (int i = 0; i < 2 * WORKERS; i++) {
       // Each loopback address stands for a worker.
@@ -69,18 +76,21 @@
       worker.getIoThread().execute(() -> client.call(call, replies::add));
       Input.Reply reply = (Input.Reply) replies.poll(30, TimeUnit.SECONDS);
       assertEquals(Outcome.ANSWERED, reply.outcome());
-      assertOpenConnectionsFallToMost(seen);
+      assertOpenConnectionsFallToLimit(statistics);
     }
     assertTrue(
-        seen.getMaxActiveConnections() < 2 * MOST, "open: " + seen.getMaxActiveConnections());
+        statistics.getMaxActiveConnections() < 2 * MAX_CONNECTIONS,
+        "open: " + statistics.getMaxActiveConnections());
   }
 
   @Test
-  void connectionsGiveWayWhenTheSocketsAreNeededOtherwise() throws Exception {
-    AtomicInteger most = new AtomicInteger(WORKERS);
+  void idleConnectionsAreClosedWhenTheLimitFalls() throws Exception {
+    AtomicInteger maxConnections = new AtomicInteger(WORKERS);
     WorkerClient client =
         new WorkerClient(
-            worker.getIoThread(), new DefaultByteBufferPool(false, 16 * 1024, 8, 0), most::get);
+            worker.getIoThread(),
+            new DefaultByteBufferPool(false, 16 * 1024, 8, 0),
+            maxConnections::get);
     int port = ((InetSocketAddress) server.getListenerInfo().get(0).getAddress()).getPort();
     BlockingQueue<Input> replies = new LinkedBlockingQueue<>();
     for (int i = 0; i < WORKERS; i++) {
@@ -96,29 +106,35 @@
       worker.getIoThread().execute(() -> client.call(call, replies::add));
       assertEquals(Outcome.ANSWERED, ((Input.Reply) replies.poll(30, TimeUnit.SECONDS)).outcome());
     }
-    ConnectorStatistics seen = server.getListenerInfo().get(0).getConnectorStatistics();
-    assertTrue(seen.getMaxActiveConnections() > 2 * MOST, "they were open before");
-    // No command is due.
-    most.set(MOST);
+    ConnectorStatistics statistics = server.getListenerInfo().get(0).getConnectorStatistics();
+    assertTrue(
+        statistics.getMaxActiveConnections() > 2 * MAX_CONNECTIONS,
+        "open before the limit falls: " + statistics.getMaxActiveConnections());
+    // The limit falls while no command is sent.
+    maxConnections.set(MAX_CONNECTIONS);
     worker.getIoThread().execute(client::trim);
-    assertOpenConnectionsFallToMost(seen);
+    assertOpenConnectionsFallToLimit(statistics);
   }
 
   /**
    * Waits up to 30 s for the server to notice the closes: it may answer requests on new connections
    * before it notices that the client closed earlier ones.
    */
-  private static void assertOpenConnectionsFallToMost(ConnectorStatistics seen)
+  private static void assertOpenConnectionsFallToLimit(ConnectorStatistics statistics)
       throws InterruptedException {
-    for (int i = 0; i < 3000 && seen.getActiveConnections() > MOST; i++) {
-      Thread.sleep(10);
+    for (int i = 0;
+        i < MAX_WAIT_MS / POLL_INTERVAL_MS && statistics.getActiveConnections() > MAX_CONNECTIONS;
+        i++) {
+      Thread.sleep(POLL_INTERVAL_MS);
     }
-    assertTrue(seen.getActiveConnections() <= MOST, "open: " + seen.getActiveConnections());
+    assertTrue(
+        statistics.getActiveConnections() <= MAX_CONNECTIONS,
+        "open: " + statistics.getActiveConnections());
   }
 
   @Test
-  void anAddressThatIsNoneIsRefused() {
-    WorkerClient client = new WorkerClient(null, null, () -> MOST);
+  void callsToAMalformedAddressAreRefused() {
+    WorkerClient client = new WorkerClient(null, null, () -> MAX_CONNECTIONS);
     BlockingQueue<Input> replies = new LinkedBlockingQueue<>();
     client.call(
         new Effect.Call(1, Effect.Target.WORKER, "no-address", "POST", "/", null, 10),
