--- a/src/main/java/org/snowturn/daemon/ClassLoadingWarmup.java
+++ b/src/main/java/org/snowturn/daemon/ClassLoadingWarmup.java
@@ -16,22 +16,32 @@
 import org.snowturn.config.Tunables;
 
 /**
- * Runs the daemon for a moment so that the build can archive the classes it loads: on a small share
- * of a core most of the start-up is class loading.
+ * Warm-up run of the daemon, in which the build records the loaded classes for a class data
+ * archive. Where the process gets only a small share of a core, class loading takes most of the
+ * start-up.
  */
 final class ClassLoadingWarmup {
-  /**
-   * A build machine may be busy with much else: two seconds were too few for two builds at once.
-   */
-  private static final int PATIENCE_MS = 30_000;
+  /** Timeout of each request. 2 s were too short for two builds at once on the same machine. */
+  private static final int REQUEST_TIMEOUT_MS = 30_000;
+
+  /** Time after the last request for the daemon's own calls, whose classes are recorded too. */
+  private static final int RUN_TIME_MS = 600;
+
+  private static final int EXIT_START_FAILED = 1;
+  private static final String CLASS_SUFFIX = ".class";
 
   private ClassLoadingWarmup() {}
 
+  /**
+   * Runs a daemon on loopback ports, sends it a few requests and stops it.
+   *
+   * @return the exit status: 0, or 1 if the daemon cannot start
+   */
   static int run() throws Exception {
-    int serve = freePort();
-    int nowhere = freePort();
-    Path file = Files.createTempFile("rehearsal", ".toml");
-    String text =
+    int servePort = freePort();
+    int unusedPort = freePort();
+    Path settingsFile = Files.createTempFile("rehearsal", ".toml");
+    String settingsText =
         """
         node = "a"
         location = "z"
@@ -67,38 +77,46 @@
         rps = 2.0
         list_lag_s = 1.0
         """
-            .formatted(serve, freePort(), nowhere, nowhere, serve);
-    Files.writeString(file, text);
-    Settings settings = SettingsReader.read(file);
-    Files.delete(file);
+            .formatted(servePort, freePort(), unusedPort, unusedPort, servePort);
+    Files.writeString(settingsFile, settingsText);
+    Settings settings = SettingsReader.read(settingsFile);
+    Files.delete(settingsFile);
     Daemon daemon = new Daemon(settings, Tunables.defaults(), System.nanoTime());
     if (daemon.start() != Daemon.KEEPS_RUNNING) {
-      return 1;
+      return EXIT_START_FAILED;
     }
-    // The daemon is its own state service here: it answers itself 404, which loads the client too.
-    request(serve, "GET /ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-    request(serve, "GET /metrics HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-    request(serve, "GET /v2/runs/wk-000001 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-    post(serve, "/v2/runs", "{\"id\":\"wk-000001\"}");
+    // The settings name the daemon itself as the state service. It answers these requests with 404,
+    // which loads the classes of the client too.
+    request(servePort, "GET /ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+    request(servePort, "GET /metrics HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+    request(servePort, "GET /v2/runs/wk-000001 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+    post(servePort, "/v2/runs", "{\"id\":\"wk-000001\"}");
     post(
-        serve,
+        servePort,
         "/checkin",
         "{\"drift\":\"i-1\",\"addr\":\"127.0.0.1:1\",\"hull\":\"h\",\"field\":\"z\",\"thaw\":1,"
             + "\"tally\":1,\"flakes\":[{\"flake\":\"wk-000001/0\",\"try\":1,"
             + "\"phase\":\"running\"}]}");
-    Thread.sleep(600);
+    Thread.sleep(RUN_TIME_MS);
     loadOwnClasses();
     daemon.stop();
     return 0;
   }
 
-  /** What only a leader uses is not met in a rehearsal, but a takeover should not wait for it. */
+  /**
+   * Loads all classes of the program's own jar. The warm-up run never becomes leader, and a
+   * takeover must not wait until the classes that only a leader uses are loaded.
+   */
   private static void loadOwnClasses() throws Exception {
     URI jar = ClassLoadingWarmup.class.getProtectionDomain().getCodeSource().getLocation().toURI();
-    try (JarFile file = new JarFile(Path.of(jar).toFile())) {
-      for (JarEntry e : Collections.list(file.entries())) {
-        if (e.getName().endsWith(".class")) {
-          Class.forName(e.getName().replace('/', '.').substring(0, e.getName().length() - 6));
+    try (JarFile jarFile = new JarFile(Path.of(jar).toFile())) {
+      for (JarEntry entry : Collections.list(jarFile.entries())) {
+        if (entry.getName().endsWith(CLASS_SUFFIX)) {
+          Class.forName(
+              entry
+                  .getName()
+                  .replace('/', '.')
+                  .substring(0, entry.getName().length() - CLASS_SUFFIX.length()));
         }
       }
     }
@@ -115,18 +133,19 @@
             + body);
   }
 
-  private static void request(int port, String text) throws Exception {
-    try (Socket s = new Socket()) {
-      s.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), PATIENCE_MS);
-      s.setSoTimeout(PATIENCE_MS);
-      s.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
-      s.getInputStream().readAllBytes();
+  private static void request(int port, String requestText) throws Exception {
+    try (Socket socket = new Socket()) {
+      socket.connect(
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), port), REQUEST_TIMEOUT_MS);
+      socket.setSoTimeout(REQUEST_TIMEOUT_MS);
+      socket.getOutputStream().write(requestText.getBytes(StandardCharsets.US_ASCII));
+      socket.getInputStream().readAllBytes();
     }
   }
 
   private static int freePort() throws Exception {
-    try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      return s.getLocalPort();
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      return socket.getLocalPort();
     }
   }
 }
--- a/src/main/java/org/snowturn/daemon/Daemon.java
+++ b/src/main/java/org/snowturn/daemon/Daemon.java
@@ -35,118 +35,136 @@
 import org.xnio.XnioWorker;
 
 /**
- * Wires the core to the world, on two I/O threads. One has the core, the state service, the cloud
- * and the peers; the other has users and workers. When a thousand workers turn to this node at
- * once, reading their requests takes seconds: on a thread of its own that cannot keep the renewal
- * of this node's lease waiting. The core needs no locks, since only its thread enters it.
+ * Connects the core to the network, on two I/O threads. The core thread runs the core and the
+ * connections to the state service, the cloud and the peers. The API thread runs the connections of
+ * users and workers, in both directions. When a thousand workers connect to this node at once,
+ * reading their requests takes seconds; on a thread of its own, that cannot delay the renewal of
+ * this node's lease. The core needs no locks, since only the core thread calls it.
  */
 public final class Daemon {
-  /** The start-up result that leaves the process running. */
+  /** Result of {@link #start} if the process keeps running, in place of an exit status. */
   static final int KEEPS_RUNNING = -1;
 
   private static final Logger LOG = LoggerFactory.getLogger("snowturn");
-  private static final long TICK_MS = 40;
+  private static final long TICK_INTERVAL_MS = 40;
+
+  /** Pause between two slices of the inbound queue. */
   private static final long INBOUND_PAUSE_MS = 1;
-  private static final long TRIM_MS = 100;
 
-  private static final int LISTEN_FAILED = 1;
+  /** Interval between two checks of the number of connections to workers. */
+  private static final long TRIM_INTERVAL_MS = 100;
+
+  private static final long NANOS_PER_MS = 1_000_000;
+
+  private static final int EXIT_LISTEN_FAILED = 1;
   private static final int IDLE_TIMEOUT_MS = 60_000;
   private static final int REQUEST_PARSE_TIMEOUT_MS = 10_000;
   private static final int MAX_HEADER_BYTES = 16 * 1024;
   private static final int BUFFER_BYTES = 16 * 1024;
   private static final int MAX_POOLED_BUFFERS = 64;
   private static final int BUFFERS_PER_THREAD = 4;
-  private static final int MIN_OPEN_REQUESTS = 64;
 
-  private static final int AUTHORITY_CONNECTIONS = 2;
-  private static final int STATE_CONNECTIONS = 12;
-  private static final int WATCHES = 4;
-  private static final int CLOUD_CONNECTIONS = 4;
+  /** Smallest limit of the requests that wait for an answer of the core. */
+  private static final int MIN_PENDING_REQUEST_LIMIT = 64;
+
+  private static final int MAX_AUTHORITY_CONNECTIONS = 2;
+  private static final int MAX_STATE_CONNECTIONS = 12;
+  private static final int MAX_WATCH_CONNECTIONS = 4;
+  private static final int MAX_CLOUD_CONNECTIONS = 4;
 
-  /** One in so many of the node's sockets may go out to workers. */
+  /** The limit of connections to workers is at most the node's sockets divided by this. */
   private static final int WORKER_SOCKETS_DIVISOR = 4;
 
-  /** What may be used of the node's sockets, all in all; the rest is for what comes in a burst. */
-  private static final double USED_SOCKETS_SHARE = 0.85;
+  /** Share of the node's sockets that may be in use; the rest is reserved for bursts. */
+  private static final double MAX_USED_SOCKETS_SHARE = 0.85;
 
-  private static final int MIN_WORKER_CONNECTIONS = 64;
+  /** Smallest limit of the connections to workers. */
+  private static final int MIN_WORKER_CONNECTION_LIMIT = 64;
 
   private final Settings settings;
   private final Controller controller;
   private final Metrics metrics = new Metrics();
   private Undertow server;
-  private XnioWorker worker;
-  private XnioWorker bulkWorker;
-  private XnioIoThread io;
-  private XnioIoThread bulk;
+  private XnioWorker coreWorker;
+  private XnioWorker apiWorker;
+  private XnioIoThread coreThread;
+  private XnioIoThread apiThread;
   private final InboundQueue inbound = new InboundQueue(this::scheduleInbound);
-  private final List<Runnable> forBulk = new ArrayList<>();
-  private volatile boolean ready = true;
-  private StateClient state;
-  private CloudClient cloud;
-  private WorkerClient workers;
-  private PeerLinks peers;
-  private HttpApi front;
+  private final List<Runnable> pendingApiTasks = new ArrayList<>();
+  private volatile boolean isReady = true;
+  private StateClient stateClient;
+  private CloudClient cloudClient;
+  private WorkerClient workerClient;
+  private PeerLinks peerLinks;
+  private HttpApi httpApi;
 
   /**
-   * Prepares a controller.
+   * Creates a controller process that does not serve yet.
    *
-   * @param beganNanos when the process began, by {@link System#nanoTime}
+   * @param processStartNanos time at which the process started, by {@link System#nanoTime}
    */
-  public Daemon(Settings settings, Tunables tunables, long beganNanos) {
+  public Daemon(Settings settings, Tunables tunables, long processStartNanos) {
     this.settings = settings;
     this.controller =
-        new Controller(settings, tunables, UUID.randomUUID().toString(), beganNanos / 1_000_000);
+        new Controller(
+            settings, tunables, UUID.randomUUID().toString(), processStartNanos / NANOS_PER_MS);
     controller.logDetails(LOG.isDebugEnabled());
   }
 
-  /** Starts serving; returns an exit status, or {@link #KEEPS_RUNNING}. */
+  /**
+   * Starts serving.
+   *
+   * @return the exit status if an address cannot be bound, otherwise {@link #KEEPS_RUNNING}
+   * @throws IOException if the I/O threads cannot be created
+   */
   public int start() throws IOException {
-    worker = oneThread();
-    io = worker.getIoThread();
-    bulkWorker = oneThread();
-    bulk = bulkWorker.getIoThread();
+    coreWorker = createSingleThreadWorker();
+    coreThread = coreWorker.getIoThread();
+    apiWorker = createSingleThreadWorker();
+    apiThread = apiWorker.getIoThread();
     createClientsAndServer();
     if (!listen()) {
       stop();
-      return LISTEN_FAILED;
+      return EXIT_LISTEN_FAILED;
     }
-    io.execute(
+    coreThread.execute(
         () -> {
-          settings.peers().forEach(peer -> peers.connect(peer.addr()));
+          settings.peers().forEach(peer -> peerLinks.connect(peer.addr()));
           tick();
         });
-    bulk.execute(this::trim);
+    apiThread.execute(this::trimWorkerConnections);
     LOG.info("event=started node={} address={}", settings.node(), settings.serveOn());
     return KEEPS_RUNNING;
   }
 
   private void createClientsAndServer() {
-    // On the heap: a connection that is closed within its own callback frees its buffers while the
-    // client still reads into them, which with direct memory ended the process.
+    // Heap buffers: a connection that is closed within its own callback frees its buffers while the
+    // client still reads into them. With direct buffers this crashed the process.
     ByteBufferPool buffers =
         new DefaultByteBufferPool(false, BUFFER_BYTES, MAX_POOLED_BUFFERS, BUFFERS_PER_THREAD);
-    state =
+    stateClient =
         new StateClient(
-            new HttpCaller(settings.state(), io, buffers, STATE_CONNECTIONS),
-            new HttpCaller(settings.state(), io, buffers, WATCHES),
-            new HttpCaller(settings.state(), io, buffers, AUTHORITY_CONNECTIONS));
-    cloud = new CloudClient(new HttpCaller(settings.cloud(), io, buffers, CLOUD_CONNECTIONS));
-    workers = new WorkerClient(bulk, buffers, this::connectionsToWorkers);
-    peers = new PeerLinks(io, this::accept);
-    front =
+            new HttpCaller(settings.state(), coreThread, buffers, MAX_STATE_CONNECTIONS),
+            new HttpCaller(settings.state(), coreThread, buffers, MAX_WATCH_CONNECTIONS),
+            new HttpCaller(settings.state(), coreThread, buffers, MAX_AUTHORITY_CONNECTIONS));
+    cloudClient =
+        new CloudClient(
+            new HttpCaller(settings.cloud(), coreThread, buffers, MAX_CLOUD_CONNECTIONS));
+    workerClient = new WorkerClient(apiThread, buffers, this::maxWorkerConnections);
+    peerLinks = new PeerLinks(coreThread, this::handleAndFlush);
+    httpApi =
         new HttpApi(
             inbound::offer,
-            () -> ready,
+            () -> isReady,
             metrics,
-            then -> io.execute(() -> gauges(then)),
-            Math.max(MIN_OPEN_REQUESTS, settings.maxConnections() / 2));
+            onGauges -> coreThread.execute(() -> collectGauges(onGauges)),
+            Math.max(MIN_PENDING_REQUEST_LIMIT, settings.maxConnections() / 2));
     server = createServer(buffers);
   }
 
   private Undertow createServer(ByteBufferPool buffers) {
     return Undertow.builder()
-        .setWorker(bulkWorker)
+        .setWorker(apiWorker)
         .setByteBufferPool(buffers)
         .addHttpListener(
             settings.serveOn().getPort(), settings.serveOn().getAddress().getHostAddress())
@@ -158,36 +176,36 @@
         .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
         .setSocketOption(Options.TCP_NODELAY, true)
         .setSocketOption(Options.REUSE_ADDRESSES, true)
-        .setHandler(front)
+        .setHandler(httpApi)
         .build();
   }
 
   private boolean listen() {
     try {
       server.start();
-      peers.listen(settings.peerBind());
+      peerLinks.listen(settings.peerBind());
       return true;
     } catch (RuntimeException | IOException e) {
-      boolean inUse = e instanceof BindException || e.getCause() instanceof BindException;
+      boolean isBindFailure = e instanceof BindException || e.getCause() instanceof BindException;
       LOG.error(
           "event=listen_failed address={} peer_address={} error=\"{}\"",
           settings.serveOn(),
           settings.peerBind(),
-          inUse ? "address in use or not ours" : e.toString());
+          isBindFailure ? "address already in use or not assigned to this host" : e.toString());
       return false;
     }
   }
 
-  /** Stops serving. */
+  /** Stops serving and closes all connections. */
   public void stop() {
     if (server != null) {
       server.stop();
     }
-    worker.shutdownNow();
-    bulkWorker.shutdownNow();
+    coreWorker.shutdownNow();
+    apiWorker.shutdownNow();
   }
 
-  private static XnioWorker oneThread() throws IOException {
+  private static XnioWorker createSingleThreadWorker() throws IOException {
     return Xnio.getInstance()
         .createWorker(
             OptionMap.builder()
@@ -198,74 +216,74 @@
                 .getMap());
   }
 
-  private void trim() {
-    safely(workers::trim);
-    bulk.executeAfter(this::trim, TRIM_MS, TimeUnit.MILLISECONDS);
+  private void trimWorkerConnections() {
+    runSafely(workerClient::trim);
+    apiThread.executeAfter(this::trimWorkerConnections, TRIM_INTERVAL_MS, TimeUnit.MILLISECONDS);
   }
 
   private void tick() {
-    accept(new Input.Tick());
-    ready = controller.ready();
-    io.executeAfter(this::tick, TICK_MS, TimeUnit.MILLISECONDS);
+    handleAndFlush(new Input.Tick());
+    isReady = controller.ready();
+    coreThread.executeAfter(this::tick, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Connections to workers give way to those that workers and users open. */
-  private int connectionsToWorkers() {
-    long in = server.getListenerInfo().get(0).getConnectorStatistics().getActiveConnections();
-    int left = (int) (settings.maxConnections() * USED_SOCKETS_SHARE - in);
-    int share = settings.maxConnections() / WORKER_SOCKETS_DIVISOR;
-    return Math.max(MIN_WORKER_CONNECTIONS, Math.min(share, left));
+  /** Returns the limit of connections to workers, which falls as incoming connections grow. */
+  private int maxWorkerConnections() {
+    long incoming = server.getListenerInfo().get(0).getConnectorStatistics().getActiveConnections();
+    int available = (int) (settings.maxConnections() * MAX_USED_SOCKETS_SHARE - incoming);
+    int maxShare = settings.maxConnections() / WORKER_SOCKETS_DIVISOR;
+    return Math.max(MIN_WORKER_CONNECTION_LIMIT, Math.min(maxShare, available));
   }
 
   private void scheduleInbound() {
-    io.execute(this::drainInbound);
+    coreThread.execute(this::drainInbound);
   }
 
   private void drainInbound() {
-    if (inbound.drain(this::handle)) {
-      // Not at once: the thread runs all that is to be executed before it looks at its sockets.
-      io.executeAfter(this::drainInbound, INBOUND_PAUSE_MS, TimeUnit.MILLISECONDS);
+    if (inbound.drain(this::handleInput)) {
+      // After a pause: the I/O thread runs all queued tasks before it selects its sockets.
+      coreThread.executeAfter(this::drainInbound, INBOUND_PAUSE_MS, TimeUnit.MILLISECONDS);
     }
-    toBulk();
+    flushApiTasks();
   }
 
-  private void gauges(Consumer<Map<String, Double>> then) {
+  private void collectGauges(Consumer<Map<String, Double>> onGauges) {
     Map<String, Double> gauges = controller.gauges();
-    bulk.execute(() -> then.accept(gauges));
+    apiThread.execute(() -> onGauges.accept(gauges));
   }
 
-  private void accept(Input input) {
-    handle(input);
-    toBulk();
+  private void handleAndFlush(Input input) {
+    handleInput(input);
+    flushApiTasks();
   }
 
-  /** Hands over what is for users and workers: all of an input, or of a slice, at once. */
-  private void toBulk() {
-    if (!forBulk.isEmpty()) {
-      List<Runnable> all = List.copyOf(forBulk);
-      forBulk.clear();
-      bulk.execute(() -> all.forEach(this::safely));
+  /** Passes answers and commands to the API thread, all of an input or a slice in one task. */
+  private void flushApiTasks() {
+    if (!pendingApiTasks.isEmpty()) {
+      List<Runnable> tasks = List.copyOf(pendingApiTasks);
+      pendingApiTasks.clear();
+      apiThread.execute(() -> tasks.forEach(this::runSafely));
     }
   }
 
-  /** One answer that cannot be sent must not take the others with it. */
-  private void safely(Runnable run) {
+  /** Runs a task; logs its failure, so that the tasks after it still run. */
+  private void runSafely(Runnable task) {
     try {
-      run.run();
+      task.run();
     } catch (RuntimeException e) {
       LOG.error("event=answer_or_command_failed", e);
       metrics.count("snowturn.failures", "Bulk");
     }
   }
 
-  private void handle(Input input) {
+  private void handleInput(Input input) {
     try {
-      long now = System.nanoTime() / 1_000_000;
-      for (Effect effect : controller.handle(now, System.currentTimeMillis(), input)) {
+      long nowMs = System.nanoTime() / NANOS_PER_MS;
+      for (Effect effect : controller.handle(nowMs, System.currentTimeMillis(), input)) {
         perform(effect);
       }
     } catch (RuntimeException e) {
-      // One input must not end the process; what it was about is settled by time-outs.
+      // The process goes on after a failed input; time-outs resolve the work left unfinished.
       LOG.error("event=input_failed input={}", input.getClass().getSimpleName(), e);
       metrics.count("snowturn.failures", input.getClass().getSimpleName());
     }
@@ -273,17 +291,17 @@
 
   private void perform(Effect effect) {
     if (effect instanceof Effect.Answer answer) {
-      forBulk.add(() -> front.answer(answer));
+      pendingApiTasks.add(() -> httpApi.answer(answer));
     } else if (effect instanceof Effect.Call call) {
       metrics.count("snowturn.calls", call.target().name().toLowerCase(Locale.ROOT));
       switch (call.target()) {
-        case AUTHORITY, STATE, STATE_WATCH -> state.call(call, this::later);
-        case CLOUD -> cloud.call(call, this::later);
-        case WORKER -> forBulk.add(() -> workers.call(call, this::fromWorker));
-        default -> throw new IllegalStateException();
+        case AUTHORITY, STATE, STATE_WATCH -> stateClient.call(call, this::onServiceReply);
+        case CLOUD -> cloudClient.call(call, this::onServiceReply);
+        case WORKER -> pendingApiTasks.add(() -> workerClient.call(call, this::onWorkerReply));
+        default -> throw new IllegalStateException("unexpected call target: " + call.target());
       }
     } else if (effect instanceof Effect.Broadcast broadcast) {
-      peers.send(broadcast.message());
+      peerLinks.send(broadcast.message());
     } else if (effect instanceof Effect.Event event) {
       log(event);
     }
@@ -297,18 +315,18 @@
     }
   }
 
-  /** Replies are taken after the present input: the core is not entered twice. */
-  private void later(Input input) {
-    noteFailure(input);
-    io.execute(() -> accept(input));
+  /** Handles a reply in a later task, so that the core is not called while it handles an input. */
+  private void onServiceReply(Input input) {
+    recordFailedCall(input);
+    coreThread.execute(() -> handleAndFlush(input));
   }
 
-  private void fromWorker(Input input) {
-    noteFailure(input);
+  private void onWorkerReply(Input input) {
+    recordFailedCall(input);
     inbound.offer(input);
   }
 
-  private void noteFailure(Input input) {
+  private void recordFailedCall(Input input) {
     if (input instanceof Input.Reply reply && reply.outcome() != Outcome.ANSWERED) {
       metrics.count("snowturn.calls.failed", reply.outcome().name().toLowerCase(Locale.ROOT));
       LOG.debug(
--- a/src/main/java/org/snowturn/daemon/InboundQueue.java
+++ b/src/main/java/org/snowturn/daemon/InboundQueue.java
@@ -6,60 +6,70 @@
 import org.snowturn.core.Input;
 
 /**
- * What waits for the core: the requests of users and workers and the answers of workers, which come
- * by the thousand after a change of leader. They are taken in slices, so that ticks, the state
- * service's replies and the peers' records, on which this node's authority rests, never wait behind
- * more than one slice. Users go first, but not alone.
+ * Queue of inputs that wait for the core: requests of users and workers, and replies of workers to
+ * commands, which arrive by the thousand after a change of leader.
  *
- * <p>The queues need no bound of their own: requests are bounded where they come in, and of answers
- * there are no more than questions.
+ * <p>The core takes them in time slices. Ticks, replies of the state service and messages of peers,
+ * on which this node's authority depends, therefore wait for one slice at most. Users' requests
+ * take precedence, but workers' messages are taken in between.
+ *
+ * <p>The queue has no bound of its own: the HTTP API limits pending requests, and there are at most
+ * as many replies as commands.
  */
 final class InboundQueue {
+  /** Duration of a slice. */
   private static final long SLICE_NANOS = 4_000_000;
 
-  /** So many users' requests are taken for each of the workers' messages. */
-  private static final int USERS_AT_ONCE = 4;
+  /** Maximum number of users' requests taken in a row while a worker's message waits. */
+  private static final int MAX_USERS_IN_A_ROW = 4;
 
-  private final ConcurrentLinkedQueue<Input> users = new ConcurrentLinkedQueue<>();
-  private final ConcurrentLinkedQueue<Input> workers = new ConcurrentLinkedQueue<>();
-  private final AtomicBoolean scheduled = new AtomicBoolean();
-  private final Runnable schedule;
+  private final ConcurrentLinkedQueue<Input> userInputs = new ConcurrentLinkedQueue<>();
+  private final ConcurrentLinkedQueue<Input> workerInputs = new ConcurrentLinkedQueue<>();
+  private final AtomicBoolean isDrainScheduled = new AtomicBoolean();
+  private final Runnable scheduleDrain;
 
-  /** Calls {@code schedule} when something waits and {@link #drain} is not about to be called. */
-  InboundQueue(Runnable schedule) {
-    this.schedule = schedule;
+  /**
+   * Creates an empty queue.
+   *
+   * @param scheduleDrain arranges a call of {@link #drain} on the core's thread; called when an
+   *     input is added and no call is arranged
+   */
+  InboundQueue(Runnable scheduleDrain) {
+    this.scheduleDrain = scheduleDrain;
   }
 
-  /** Takes an input, on any thread. */
+  /** Adds an input. May be called on any thread. */
   void offer(Input input) {
-    boolean worker = input instanceof Input.HeartbeatReceived || input instanceof Input.Reply;
-    (worker ? workers : users).offer(input);
-    if (scheduled.compareAndSet(false, true)) {
-      schedule.run();
+    boolean isFromWorker = input instanceof Input.HeartbeatReceived || input instanceof Input.Reply;
+    (isFromWorker ? workerInputs : userInputs).offer(input);
+    if (isDrainScheduled.compareAndSet(false, true)) {
+      scheduleDrain.run();
     }
   }
 
   /**
-   * Hands the core what waits, for one slice of time at the most, on the core's thread.
+   * Passes waiting inputs to the core until the slice ends or the queue is empty. Called on the
+   * core's thread.
    *
-   * @return whether more waits, so that it has to be called again
+   * @param onInput handles an input
+   * @return true if inputs may still wait, and the caller must arrange another call
    */
-  boolean drain(Consumer<Input> core) {
-    long until = System.nanoTime() + SLICE_NANOS;
-    int inARow = 0;
+  boolean drain(Consumer<Input> onInput) {
+    long sliceEndNanos = System.nanoTime() + SLICE_NANOS;
+    int usersInARow = 0;
     do {
-      Input next = inARow < USERS_AT_ONCE ? users.poll() : null;
-      inARow = next != null ? inARow + 1 : 0;
-      next = next != null ? next : workers.poll();
-      next = next != null ? next : users.poll();
+      Input next = usersInARow < MAX_USERS_IN_A_ROW ? userInputs.poll() : null;
+      usersInARow = next != null ? usersInARow + 1 : 0;
+      next = next != null ? next : workerInputs.poll();
+      next = next != null ? next : userInputs.poll();
       if (next == null) {
-        scheduled.set(false);
-        // What came between the last look and the mark would otherwise wait for the next one.
-        boolean late = !users.isEmpty() || !workers.isEmpty();
-        return late && scheduled.compareAndSet(false, true);
+        isDrainScheduled.set(false);
+        // An input added after the last poll, but before the reset of the flag, scheduled no drain.
+        boolean hasLateInput = !userInputs.isEmpty() || !workerInputs.isEmpty();
+        return hasLateInput && isDrainScheduled.compareAndSet(false, true);
       }
-      core.accept(next);
-    } while (System.nanoTime() < until);
+      onInput.accept(next);
+    } while (System.nanoTime() < sliceEndNanos);
     return true;
   }
 }
--- a/src/main/java/org/snowturn/daemon/Main.java
+++ b/src/main/java/org/snowturn/daemon/Main.java
@@ -12,36 +12,41 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command line. */
+/** Entry point and command line of a controller process. */
 @Command(
     name = "snowturn",
     mixinStandardHelpOptions = true,
     versionProvider = Main.Version.class,
     description = "A controller of the snowturn cluster scheduler.")
 public final class Main implements Callable<Integer> {
-  private static final int BAD_SETTINGS = 2;
+  /** Exit status for an invalid command line or invalid settings. */
+  private static final int EXIT_USAGE_OR_SETTINGS_ERROR = 2;
 
-  @Option(names = "--config", paramLabel = "FILE", description = "The platform's settings (TOML).")
+  @Option(
+      names = "--config",
+      paramLabel = "FILE",
+      description = "Settings file of the platform (TOML).")
   private Path config;
 
   @Option(
       names = "--tunables",
       paramLabel = "FILE",
-      description = "The operators' own settings (XML); defaults apply without it.")
+      description = "Tunables file of the operators (XML); without it, default values apply.")
   private Path tunables;
 
-  @Option(names = "--check", description = "Check the settings and exit.")
+  @Option(names = "--check", description = "Check the settings and tunables files and exit.")
   private boolean check;
 
   @Option(
       names = "--rehearse",
       hidden = true,
-      description = "Start on loopback, serve a few requests, exit: the build records the classes.")
+      description =
+          "Serve a few requests on loopback and exit; the build records the loaded classes.")
   private boolean rehearse;
 
-  private final long beganNanos = System.nanoTime();
+  private final long processStartNanos = System.nanoTime();
 
-  /** Reports the version that the build wrote into the jar. */
+  /** Provider of the version that the build wrote into the jar. */
   static final class Version implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
@@ -50,16 +55,21 @@
     }
   }
 
-  /** Starts the program. */
+  /**
+   * Runs the command line. The process keeps running if a controller has started, and exits with
+   * the status of the command otherwise.
+   *
+   * @param args options, see {@code --help}
+   */
   public static void main(String[] args) {
     setUpLogging(System.getenv("LOG_LEVEL"));
-    CommandLine line = new CommandLine(new Main());
-    line.setParameterExceptionHandler(
-        (e, a) -> {
-          System.err.println("snowturn: " + e.getMessage());
-          return BAD_SETTINGS;
+    CommandLine commandLine = new CommandLine(new Main());
+    commandLine.setParameterExceptionHandler(
+        (error, arguments) -> {
+          System.err.println("snowturn: " + error.getMessage());
+          return EXIT_USAGE_OR_SETTINGS_ERROR;
         });
-    int status = line.execute(args);
+    int status = commandLine.execute(args);
     if (status != Daemon.KEEPS_RUNNING) {
       System.exit(status);
     }
@@ -67,10 +77,10 @@
 
   private static void setUpLogging(String level) {
     String name = level == null ? "info" : level.toLowerCase(Locale.ROOT);
-    boolean known =
+    boolean isKnown =
         name.equals("error") || name.equals("warn") || name.equals("info") || name.equals("debug");
     System.setProperty("org.jboss.logging.provider", "slf4j");
-    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", known ? name : "info");
+    System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", isKnown ? name : "info");
     System.setProperty("org.slf4j.simpleLogger.log.io.undertow", "error");
     System.setProperty("org.slf4j.simpleLogger.log.org.xnio", "error");
     System.setProperty("org.slf4j.simpleLogger.log.org.jboss", "error");
@@ -84,22 +94,22 @@
       return ClassLoadingWarmup.run();
     }
     if (config == null) {
-      System.err.println("snowturn: --config FILE is missing");
-      return BAD_SETTINGS;
+      System.err.println("snowturn: missing required option --config FILE");
+      return EXIT_USAGE_OR_SETTINGS_ERROR;
     }
     Settings settings;
-    Tunables figures;
+    Tunables tunableValues;
     try {
       settings = SettingsReader.read(config);
-      figures = tunables == null ? Tunables.defaults() : TunablesReader.read(tunables);
+      tunableValues = tunables == null ? Tunables.defaults() : TunablesReader.read(tunables);
     } catch (SettingsException e) {
       System.err.println("snowturn: " + e.getMessage());
-      return BAD_SETTINGS;
+      return EXIT_USAGE_OR_SETTINGS_ERROR;
     }
     if (check) {
       System.out.println("settings are valid");
       return 0;
     }
-    return new Daemon(settings, figures, beganNanos).start();
+    return new Daemon(settings, tunableValues, processStartNanos).start();
   }
 }
--- a/src/main/java/org/snowturn/daemon/package-info.java
+++ b/src/main/java/org/snowturn/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** The process: command line, wiring, I/O threads. */
+/** Process of a controller: command line, I/O threads, and connections between the components. */
 package org.snowturn.daemon;
--- a/src/test/java/org/snowturn/daemon/InboundQueueTest.java
+++ b/src/test/java/org/snowturn/daemon/InboundQueueTest.java
@@ -10,65 +10,73 @@
 import org.snowturn.core.Input;
 import org.snowturn.core.Outcome;
 
-/** Bulk work is taken in slices, in order, and is never left lying. */
+/**
+ * Guards against a queue that blocks the core's thread for long, lets one kind of input starve the
+ * other, or leaves an input without a scheduled drain.
+ */
 class InboundQueueTest {
-  private int scheduled;
-  private final InboundQueue intake = new InboundQueue(() -> scheduled++);
+  /** Time for which an input occupies the core: more than one slice. */
+  private static final long INPUT_NANOS = 10_000_000;
 
-  private static Input worker(long i) {
-    return new Input.Reply(i, Outcome.UNKNOWN, 0, null);
+  private int scheduledDrains;
+  private final InboundQueue queue = new InboundQueue(() -> scheduledDrains++);
+
+  private static Input workerReply(long id) {
+    return new Input.Reply(id, Outcome.UNKNOWN, 0, null);
   }
 
-  private static Input user(long i) {
-    return new Input.Poll(i, "wk-000001");
+  private static Input userPoll(long id) {
+    return new Input.Poll(id, "wk-000001");
   }
 
   @Test
-  void howeverMuchWaitsOneSliceIsTakenAtATime() {
+  void drainTakesOneSliceFromALongQueue() {
     for (int i = 0; i < 1000; i++) {
-      intake.offer(worker(i));
+      queue.offer(workerReply(i));
     }
-    assertEquals(1, scheduled);
+    assertEquals(1, scheduledDrains);
     int[] taken = {0};
-    // Each input takes longer than a slice: then a slice is one input, and the caller goes on.
+    // Each input takes longer than a slice, so that a slice is one input.
     assertTrue(
-        intake.drain(
+        queue.drain(
             input -> {
               taken[0]++;
-              long until = System.nanoTime() + 10_000_000;
-              while (System.nanoTime() < until) {
+              long endNanos = System.nanoTime() + INPUT_NANOS;
+              while (System.nanoTime() < endNanos) {
                 Thread.onSpinWait();
               }
             }));
     assertEquals(1, taken[0]);
-    assertEquals(1, scheduled);
+    assertEquals(1, scheduledDrains);
   }
 
   @Test
-  void usersGoFirstButNotAlone() {
+  void userInputsTakePrecedenceWithoutStarvingWorkers() {
     for (int i = 0; i < 10; i++) {
-      intake.offer(worker(i));
-      intake.offer(user(i));
+      queue.offer(workerReply(i));
+      queue.offer(userPoll(i));
     }
     List<Input> order = new ArrayList<>();
-    while (intake.drain(order::add)) {
-      // until nothing is left
+    while (queue.drain(order::add)) {
+      // Each call appends one slice.
     }
     assertEquals(20, order.size());
     assertTrue(order.get(0) instanceof Input.Poll);
-    // A slice may end early on a busy machine, so the exact place is left open.
+    // The exact position is not checked, since a slice may end early on a busy machine.
     int firstWorker = 0;
     while (!(order.get(firstWorker) instanceof Input.Reply)) {
       firstWorker++;
     }
-    assertTrue(firstWorker < 10, "all users went before the first worker");
+    assertTrue(
+        firstWorker < 10,
+        "all user inputs came before the first worker input, at index " + firstWorker);
   }
 
   @Test
-  void whatComesAfterTheLastLookIsScheduledAgain() {
-    intake.offer(worker(1));
-    assertFalse(intake.drain(input -> {}));
-    intake.offer(worker(2));
-    assertEquals(2, scheduled);
+  void inputAfterAnEmptyDrainSchedulesAnotherDrain() {
+    queue.offer(workerReply(1));
+    assertFalse(queue.drain(input -> {}));
+    queue.offer(workerReply(2));
+    assertEquals(2, scheduledDrains);
   }
 }
