--- a/src/main/java/org/snowturn/daemon/ClassLoadingWarmup.java
+++ b/src/main/java/org/snowturn/daemon/ClassLoadingWarmup.java
@@ -16,9 +16,9 @@
 import org.snowturn.config.Tunables;
 
 /**
- * Warm-up run of the daemon, in which the build records the loaded classes for a class data
- * archive. Where the process gets only a small share of a core, class loading takes most of the
- * start-up.
+ * Warm-up run of the daemon, in which the build records the loaded classes for a class data sharing
+ * (CDS) archive. Where the process gets only a small share of a core, class loading takes most of
+ * the start-up.
  */
 final class ClassLoadingWarmup {
   /** Timeout of each request. 2 s were too short for two builds at once on the same machine. */
--- a/src/main/java/org/snowturn/daemon/Daemon.java
+++ b/src/main/java/org/snowturn/daemon/Daemon.java
@@ -64,7 +64,7 @@
   private static final int MAX_POOLED_BUFFERS = 64;
   private static final int BUFFERS_PER_THREAD = 4;
 
-  /** Smallest limit of the requests that wait for an answer of the core. */
+  /** Lower bound of the limit of requests that wait for an answer of the core. */
   private static final int MIN_PENDING_REQUEST_LIMIT = 64;
 
   private static final int MAX_AUTHORITY_CONNECTIONS = 2;
@@ -72,21 +72,26 @@
   private static final int MAX_WATCH_CONNECTIONS = 4;
   private static final int MAX_CLOUD_CONNECTIONS = 4;
 
-  /** The limit of connections to workers is at most the node's sockets divided by this. */
+  /**
+   * Divisor of the node's sockets; the quotient is the upper bound of the connections to workers.
+   */
   private static final int WORKER_SOCKETS_DIVISOR = 4;
 
-  /** Share of the node's sockets that may be in use; the rest is reserved for bursts. */
+  /**
+   * Share of the node's sockets that incoming connections and connections to workers may use
+   * together; the rest is reserved for bursts of incoming connections.
+   */
   private static final double MAX_USED_SOCKETS_SHARE = 0.85;
 
-  /** Smallest limit of the connections to workers. */
+  /** Lower bound of the limit of connections to workers. */
   private static final int MIN_WORKER_CONNECTION_LIMIT = 64;
 
   private final Settings settings;
   private final Controller controller;
   private final Metrics metrics = new Metrics();
   private Undertow server;
-  private XnioWorker coreWorker;
-  private XnioWorker apiWorker;
+  private XnioWorker coreXnioWorker;
+  private XnioWorker apiXnioWorker;
   private XnioIoThread coreThread;
   private XnioIoThread apiThread;
   private final InboundQueue inbound = new InboundQueue(this::scheduleInbound);
@@ -118,10 +123,10 @@
    * @throws IOException if the I/O threads cannot be created
    */
   public int start() throws IOException {
-    coreWorker = createSingleThreadWorker();
-    coreThread = coreWorker.getIoThread();
-    apiWorker = createSingleThreadWorker();
-    apiThread = apiWorker.getIoThread();
+    coreXnioWorker = createSingleThreadWorker();
+    coreThread = coreXnioWorker.getIoThread();
+    apiXnioWorker = createSingleThreadWorker();
+    apiThread = apiXnioWorker.getIoThread();
     createClientsAndServer();
     if (!listen()) {
       stop();
@@ -164,7 +169,7 @@
 
   private Undertow createServer(ByteBufferPool buffers) {
     return Undertow.builder()
-        .setWorker(apiWorker)
+        .setWorker(apiXnioWorker)
         .setByteBufferPool(buffers)
         .addHttpListener(
             settings.serveOn().getPort(), settings.serveOn().getAddress().getHostAddress())
@@ -201,8 +206,8 @@
     if (server != null) {
       server.stop();
     }
-    coreWorker.shutdownNow();
-    apiWorker.shutdownNow();
+    coreXnioWorker.shutdownNow();
+    apiXnioWorker.shutdownNow();
   }
 
   private static XnioWorker createSingleThreadWorker() throws IOException {
@@ -241,7 +246,7 @@
 
   private void drainInbound() {
     if (inbound.drain(this::handleInput)) {
-      // After a pause: the I/O thread runs all queued tasks before it selects its sockets.
+      // The pause lets the I/O thread select its sockets: it runs all queued tasks before that.
       coreThread.executeAfter(this::drainInbound, INBOUND_PAUSE_MS, TimeUnit.MILLISECONDS);
     }
     flushApiTasks();
@@ -257,7 +262,7 @@
     flushApiTasks();
   }
 
-  /** Passes answers and commands to the API thread, all of an input or a slice in one task. */
+  /** Passes the answers and commands of an input or of a slice to the API thread in one task. */
   private void flushApiTasks() {
     if (!pendingApiTasks.isEmpty()) {
       List<Runnable> tasks = List.copyOf(pendingApiTasks);
@@ -283,7 +288,7 @@
         perform(effect);
       }
     } catch (RuntimeException e) {
-      // The process goes on after a failed input; time-outs resolve the work left unfinished.
+      // A failed input must not end the process; timeouts resolve the work that it left unfinished.
       LOG.error("event=input_failed input={}", input.getClass().getSimpleName(), e);
       metrics.count("snowturn.failures", input.getClass().getSimpleName());
     }
--- a/src/main/java/org/snowturn/daemon/InboundQueue.java
+++ b/src/main/java/org/snowturn/daemon/InboundQueue.java
@@ -31,8 +31,8 @@
   /**
    * Creates an empty queue.
    *
-   * @param scheduleDrain arranges a call of {@link #drain} on the core's thread; called when an
-   *     input is added and no call is arranged
+   * @param scheduleDrain schedules a call of {@link #drain} on the core's thread; run when an input
+   *     is added and no drain is scheduled
    */
   InboundQueue(Runnable scheduleDrain) {
     this.scheduleDrain = scheduleDrain;
@@ -52,7 +52,7 @@
    * core's thread.
    *
    * @param onInput handles an input
-   * @return true if inputs may still wait, and the caller must arrange another call
+   * @return true if inputs may remain; the caller must then schedule another drain
    */
   boolean drain(Consumer<Input> onInput) {
     long sliceEndNanos = System.nanoTime() + SLICE_NANOS;
--- a/src/main/java/org/snowturn/net/HttpCaller.java
+++ b/src/main/java/org/snowturn/net/HttpCaller.java
@@ -50,7 +50,7 @@
      * Handles the result. All parameters but the first are meaningful only for {@link
      * Outcome#ANSWERED}.
      *
-     * @param outcome whether the request was executed, as far as the client can tell
+     * @param outcome whether the request was executed, was not executed, or may have been
      * @param status HTTP status
      * @param body response body
      * @param retryAfterS value of the Retry-After header in seconds, or 0 for none
@@ -206,11 +206,11 @@
         return;
       }
     }
-    long now = System.nanoTime();
-    idleConnections.addLast(new IdleConnection(connection, now));
+    long nowNanos = System.nanoTime();
+    idleConnections.addLast(new IdleConnection(connection, nowNanos));
     IdleConnection oldest = idleConnections.peekFirst();
     if (oldest != null
-        && now - oldest.sinceNanos > MAX_IDLE_MS * NANOS_PER_MS
+        && nowNanos - oldest.sinceNanos > MAX_IDLE_MS * NANOS_PER_MS
         && idleConnections.size() > 1) {
       idleConnections.pollFirst();
       IoUtils.safeClose(oldest.connection);
--- a/src/main/java/org/snowturn/net/HttpReplies.java
+++ b/src/main/java/org/snowturn/net/HttpReplies.java
@@ -47,8 +47,8 @@
     }
     boolean isWorker = call.target() == Effect.Target.WORKER;
     if (status == STATUS_TOO_MANY_REQUESTS || status == STATUS_UNAVAILABLE) {
-      Outcome repliedOutcome = isWorker ? Outcome.UNKNOWN : Outcome.REFUSED;
-      return new Input.Reply(call.id(), repliedOutcome, status, body, retryAfterS * MS_PER_S);
+      Outcome rejectionOutcome = isWorker ? Outcome.UNKNOWN : Outcome.REFUSED;
+      return new Input.Reply(call.id(), rejectionOutcome, status, body, retryAfterS * MS_PER_S);
     }
     if (status >= MIN_SERVER_ERROR_STATUS) {
       return new Input.Reply(call.id(), Outcome.UNKNOWN, status, body);
