--- a/src/main/java/org/snowturn/core/api/LiveJobCache.java
+++ b/src/main/java/org/snowturn/core/api/LiveJobCache.java
@@ -95,7 +95,8 @@
     this.backoff = runtime.backoff(MIN_REQUEST_INTERVAL_MS, MAX_RETRY_DELAY_MS);
     Settings.Workers workers = settings.workers();
     long intervalMs =
-        (long) (1000 * (workers.cancellationDeadlineS() - workers.leaseS()) / VALIDATIONS_PER_SLACK);
+        (long)
+            (1000 * (workers.cancellationDeadlineS() - workers.leaseS()) / VALIDATIONS_PER_SLACK);
     this.validationIntervalMs =
         Math.max(MIN_VALIDATION_INTERVAL_MS, Math.min(MAX_VALIDATION_INTERVAL_MS, intervalMs));
     int nodes = settings.peers().size() + 1;
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
@@ -100,13 +100,16 @@
   public static long maxLeaderDiscoveryMs(Settings settings) {
     return Math.min(
         leaseExpiryMs(settings),
-        (long) (1000 * settings.workers().heartbeatIntervalS() * MAX_INTERVAL_FACTOR) + FAILOVER_ATTEMPTS_MS);
+        (long) (1000 * settings.workers().heartbeatIntervalS() * MAX_INTERVAL_FACTOR)
+            + FAILOVER_ATTEMPTS_MS);
   }
 
   /** Returns the longest usual time between two heartbeats of a machine, in milliseconds. */
   public static long maxHeartbeatIntervalMs(Settings settings) {
     return (long)
-        (1000 * (settings.workers().heartbeatIntervalS() * MAX_INTERVAL_FACTOR + MAX_HEARTBEAT_DELAY_S));
+        (1000
+            * (settings.workers().heartbeatIntervalS() * MAX_INTERVAL_FACTOR
+                + MAX_HEARTBEAT_DELAY_S));
   }
 
   /**
--- a/src/main/java/org/snowturn/core/autoscaling/MachineInventory.java
+++ b/src/main/java/org/snowturn/core/autoscaling/MachineInventory.java
@@ -93,7 +93,8 @@
       return;
     }
     listing = false;
-    double intervalS = Math.max(MIN_INTERVAL_S, CALLS_PER_INTERVAL / settings.cloudLimits().maxRps());
+    double intervalS =
+        Math.max(MIN_INTERVAL_S, CALLS_PER_INTERVAL / settings.cloudLimits().maxRps());
     nextListAt = runtime.now() + (long) (1000 * intervalS);
   }
 
--- a/src/main/java/org/snowturn/core/autoscaling/MachineTermination.java
+++ b/src/main/java/org/snowturn/core/autoscaling/MachineTermination.java
@@ -52,7 +52,8 @@
     this.budget = budget;
     this.refusals = refusals;
     this.spotPreemptions = spotPreemptions;
-    this.intervalMs = (long) (1000 * CALLS_PER_INTERVAL / cluster.settings().cloudLimits().maxRps());
+    this.intervalMs =
+        (long) (1000 * CALLS_PER_INTERVAL / cluster.settings().cloudLimits().maxRps());
   }
 
   /** Marks a machine for deletion: once the cloud confirms it, all that was there has ended. */
--- a/src/main/java/org/snowturn/core/election/CancellationWatermark.java
+++ b/src/main/java/org/snowturn/core/election/CancellationWatermark.java
@@ -97,7 +97,8 @@
   static long slackMs(Settings settings) {
     double leaseMs = settings.workers().leaseS() * 1000 * (1 + ClockDrift.MAX_RATE);
     double slack =
-        (settings.workers().cancellationDeadlineS() * 1000 - leaseMs) * (1 - ClockDrift.MAX_RATE) - MARGIN_MS;
+        (settings.workers().cancellationDeadlineS() * 1000 - leaseMs) * (1 - ClockDrift.MAX_RATE)
+            - MARGIN_MS;
     return (long) Math.max(MIN_SLACK_MS, slack);
   }
 
--- a/src/main/java/org/snowturn/core/election/ElectionRequests.java
+++ b/src/main/java/org/snowturn/core/election/ElectionRequests.java
@@ -96,7 +96,8 @@
    * @param ttlMs the time-to-live of the lease, in milliseconds
    */
   void acquireLease(long ttlMs, ReplyHandler onReply) {
-    runtime.callForAuthority("POST", "/leases", StateMessage.leaseRequest(ttlMs), TIMEOUT_MS, onReply);
+    runtime.callForAuthority(
+        "POST", "/leases", StateMessage.leaseRequest(ttlMs), TIMEOUT_MS, onReply);
   }
 
   /** Renews a lease. */
--- a/src/main/java/org/snowturn/core/model/MachineTypes.java
+++ b/src/main/java/org/snowturn/core/model/MachineTypes.java
@@ -61,7 +61,8 @@
    */
   public boolean canHold(JobSpec spec) {
     for (MachineType type : types.values()) {
-      boolean allowed = spec.allowedMachineTypes() == null || spec.allowedMachineTypes().contains(type.name());
+      boolean allowed =
+          spec.allowedMachineTypes() == null || spec.allowedMachineTypes().contains(type.name());
       boolean offered =
           spec.zone() == null || type.zones().isEmpty() || type.zones().contains(spec.zone());
       if (allowed && offered && type.fits(spec)) {
--- a/src/main/java/org/snowturn/core/scheduling/PlacementConstraints.java
+++ b/src/main/java/org/snowturn/core/scheduling/PlacementConstraints.java
@@ -43,7 +43,8 @@
     if (machine.isSpot() && !spec.canUseSpot()) {
       return false;
     }
-    if (spec.allowedMachineTypes() != null && !spec.allowedMachineTypes().contains(machine.type())) {
+    if (spec.allowedMachineTypes() != null
+        && !spec.allowedMachineTypes().contains(machine.type())) {
       return false;
     }
     return spec.zone() == null || machines.zoneIndex(spec.zone()) == machine.zone();
--- a/src/main/java/org/snowturn/core/scheduling/PlacementScore.java
+++ b/src/main/java/org/snowturn/core/scheduling/PlacementScore.java
@@ -98,7 +98,9 @@
       score += fetchS(spec, machine) + (isFetchTooLate(spec, machine) ? LATE_START_PENALTY_S : 0);
     }
     score =
-        spec.isService() ? addReplicaScore(score, job, machine) : addArrayScore(score, spec, machine);
+        spec.isService()
+            ? addReplicaScore(score, job, machine)
+            : addArrayScore(score, spec, machine);
     double freeShare = machine.cpusFree() / machine.machineType().cpus();
     // Where cost is an objective, full machines are preferred so that empty ones can be returned.
     score +=
--- a/src/main/java/org/snowturn/core/storage/FormatGate.java
+++ b/src/main/java/org/snowturn/core/storage/FormatGate.java
@@ -54,7 +54,8 @@
     this.runtime = runtime;
     int first =
         Math.max(
-            MIN_FIRST_FORMAT_TASKS, settings.stateLimits().maxValueBytes() / FIRST_FORMAT_ENTRY_BYTES);
+            MIN_FIRST_FORMAT_TASKS,
+            settings.stateLimits().maxValueBytes() / FIRST_FORMAT_ENTRY_BYTES);
     tasksPerRecord =
         new TasksPerRecord(first, TaskLayout.tasksPerRecord(smallerLimits().maxValueBytes()));
   }
--- a/src/main/java/org/snowturn/core/storage/JobLookup.java
+++ b/src/main/java/org/snowturn/core/storage/JobLookup.java
@@ -183,7 +183,8 @@
           }
           try {
             JsonNode body = reply.body();
-            onPageRead(prefixIndex, wanted, StateMessage.entries(body), StateMessage.isTruncated(body));
+            onPageRead(
+                prefixIndex, wanted, StateMessage.entries(body), StateMessage.isTruncated(body));
           } catch (MalformedException e) {
             finishIncomplete();
           }
--- a/src/main/java/org/snowturn/core/storage/WriteBudget.java
+++ b/src/main/java/org/snowturn/core/storage/WriteBudget.java
@@ -69,7 +69,8 @@
 
   /** Returns the maximum number of changes in a transaction now. */
   int maxChanges() {
-    return (int) Math.min(Math.min(limits.get().maxTransactionOps(), maxBatchSize), Math.floor(available));
+    return (int)
+        Math.min(Math.min(limits.get().maxTransactionOps(), maxBatchSize), Math.floor(available));
   }
 
   /**
