--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -64,7 +64,7 @@
             settings.stateLimits().least(settings.nextStateLimits()).writeRps(),
             runtime.random(),
             startedMs);
-    runtime.limitStateRequests(rateAllocator.budget());
+    runtime.setStateRequestBudget(rateAllocator.budget());
     watermark = new CancellationWatermark(settings, runtime, incarnation);
     watermark.listen(this::onCancellation);
     liveJobs = new LiveJobCache(settings, runtime, cacheListener());
@@ -137,7 +137,7 @@
   public List<Effect> handle(long nowMs, long wallMs, Input input) {
     runtime.setTime(nowMs, wallMs);
     dispatch(input);
-    runtime.rejectUnbudgeted();
+    runtime.deliverBudgetRefusals();
     followElection();
     if (leader != null) {
       leader.flush();
--- a/src/main/java/org/snowturn/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/snowturn/core/autoscaling/CapacityDemand.java
@@ -103,7 +103,7 @@
    * for what these would take too long to work off, or as far as headroom is worth its price.
    */
   private double spilloverCpus(double overprovisioning) {
-    if (!refusals.isEveryPoolRefused(true)) {
+    if (!refusals.isEveryPoolInBackoff(true)) {
       return 0;
     }
     double backlogCpuS = 0;
--- a/src/main/java/org/snowturn/core/autoscaling/CapacityRefusals.java
+++ b/src/main/java/org/snowturn/core/autoscaling/CapacityRefusals.java
@@ -29,18 +29,18 @@
   }
 
   /** The pool had fewer machines than were requested: it is left alone, longer each time. */
-  void refused(CapacityPool pool) {
+  void recordRefusal(CapacityPool pool) {
     int count = consecutiveRefusals.merge(pool, 1, Integer::sum);
     refusedUntil.put(pool, runtime.now() + Math.min(MAX_BACKOFF_MS, BACKOFF_STEP_MS * count));
   }
 
   /** The pool had all the machines that were requested. */
-  void granted(CapacityPool pool) {
+  void recordGrant(CapacityPool pool) {
     consecutiveRefusals.remove(pool);
   }
 
   /** A machine has ended: its pool may be asked again soon. */
-  void released(Machine machine) {
+  void recordRelease(Machine machine) {
     if (machine.type() != null) {
       CapacityPool pool = CapacityPool.of(machine);
       consecutiveRefusals.remove(pool);
@@ -50,15 +50,15 @@
   }
 
   /** Whether the pool is left alone for now. */
-  boolean isRefused(CapacityPool pool) {
+  boolean isInBackoff(CapacityPool pool) {
     return runtime.now() < refusedUntil.getOrDefault(pool, 0L);
   }
 
   /** Whether all pools of spot or of on-demand machines are left alone for now. */
-  boolean isEveryPoolRefused(boolean spot) {
+  boolean isEveryPoolInBackoff(boolean spot) {
     for (MachineType type : machineTypes.all()) {
       for (String zone : type.zones()) {
-        if (!isRefused(new CapacityPool(type.name(), machines.zone(zone), spot))) {
+        if (!isInBackoff(new CapacityPool(type.name(), machines.zone(zone), spot))) {
           return false;
         }
       }
--- a/src/main/java/org/snowturn/core/autoscaling/ExternallyManagedMachines.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ExternallyManagedMachines.java
@@ -111,7 +111,7 @@
   }
 
   /** Whether there are any. */
-  public boolean present() {
+  public boolean hasMachines() {
     return machineCount > 0;
   }
 }
--- a/src/main/java/org/snowturn/core/autoscaling/MachineInventory.java
+++ b/src/main/java/org/snowturn/core/autoscaling/MachineInventory.java
@@ -194,7 +194,7 @@
           && machine.assigned.isEmpty()
           && now - lastKnownAt > unlistedMs) {
         machines.remove(machine);
-        refusals.released(machine);
+        refusals.recordRelease(machine);
       }
     }
   }
--- a/src/main/java/org/snowturn/core/autoscaling/MachineRentals.java
+++ b/src/main/java/org/snowturn/core/autoscaling/MachineRentals.java
@@ -113,14 +113,14 @@
       onRented(request, body);
       return;
     }
-    if (outcome == Outcome.UNKNOWN && request.mayBeRetried()) {
+    if (outcome == Outcome.UNKNOWN && request.canRetry()) {
       retries.add(request); // of the same name: if it was executed, the same machines come back
       return;
     }
     openRequests.remove(request);
     boolean noCapacity = body != null && "no capacity".equals(body.path("error").asText());
     if (noCapacity) {
-      refusals.refused(request.pool());
+      refusals.recordRefusal(request.pool());
     } else {
       pausedUntil = runtime.now() + FAILURE_PAUSE_MS;
     }
@@ -134,9 +134,9 @@
       }
       logRented(request, ids);
       if (ids.size() < request.count()) {
-        refusals.refused(request.pool());
+        refusals.recordRefusal(request.pool());
       } else {
-        refusals.granted(request.pool());
+        refusals.recordGrant(request.pool());
       }
     } catch (MalformedException e) {
       runtime
--- a/src/main/java/org/snowturn/core/autoscaling/MachineTermination.java
+++ b/src/main/java/org/snowturn/core/autoscaling/MachineTermination.java
@@ -131,7 +131,7 @@
     runtime.events().info(LogEvent.TERMINATED).with(LogField.MACHINE, machine.id).write();
     machines.remove(machine);
     machine.confirmTermination();
-    refusals.released(machine);
+    refusals.recordRelease(machine);
     heartbeats.machineDeleted(machine);
   }
 }
--- a/src/main/java/org/snowturn/core/autoscaling/OpenScaleOutRequests.java
+++ b/src/main/java/org/snowturn/core/autoscaling/OpenScaleOutRequests.java
@@ -24,12 +24,12 @@
     requests.remove(request);
   }
 
-  boolean mayOpenAnother() {
+  boolean canAdd() {
     return requests.size() < MAX_OPEN;
   }
 
   /** Whether one is open for this pool: its outcome tells whether the pool has more. */
-  boolean isOpenFor(CapacityPool pool) {
+  boolean hasRequestFor(CapacityPool pool) {
     for (ScaleOutRequest request : requests) {
       if (request.pool().equals(pool)) {
         return true;
@@ -39,7 +39,7 @@
   }
 
   /** Whether one is open for any pool of this zone. */
-  boolean isOpenInZone(int zone) {
+  boolean hasRequestInZone(int zone) {
     return requests.stream().anyMatch(request -> request.pool().zone() == zone);
   }
 
--- a/src/main/java/org/snowturn/core/autoscaling/PoolSelector.java
+++ b/src/main/java/org/snowturn/core/autoscaling/PoolSelector.java
@@ -62,9 +62,9 @@
     // One machine in a zone with an outage tells when it is over; more would be idle.
     boolean idle = zoneOutages.hasOutage(zone) && capacity.hasMachineIn(zone);
     return machines.zoneKnown(zone)
-        && !refusals.isRefused(pool)
+        && !refusals.isInBackoff(pool)
         && !idle
-        && !openRequests.isOpenFor(pool);
+        && !openRequests.hasRequestFor(pool);
   }
 
   /** The price of each CPU that would be used, weighted by what the zone has already. */
--- a/src/main/java/org/snowturn/core/autoscaling/ProvisionedCapacity.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ProvisionedCapacity.java
@@ -56,7 +56,7 @@
       if (up && !machine.isSpot() && !machine.isRentedByThisTerm()) {
         notRentedByThisTerm++;
       }
-      if (counts(machine)) {
+      if (isCounted(machine)) {
         adjust(machine, 1);
         spotUp += machine.isSpot() && up ? 1 : 0;
       }
@@ -67,7 +67,7 @@
   }
 
   /** Whether the machine is, or soon will be, of use to waiting work. */
-  boolean counts(Machine machine) {
+  boolean isCounted(Machine machine) {
     return !isLeaving(machine)
         && !machine.isQuarantined()
         && !machine.isSuspected()
@@ -115,6 +115,6 @@
 
   /** Whether any machine is present in the zone, or one is requested there. */
   boolean hasMachineIn(int zone) {
-    return machinesInZone[zone] > 0 || openRequests.isOpenInZone(zone);
+    return machinesInZone[zone] > 0 || openRequests.hasRequestInZone(zone);
   }
 }
--- a/src/main/java/org/snowturn/core/autoscaling/ScaleIn.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ScaleIn.java
@@ -122,7 +122,7 @@
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : machines.present()) {
       if (machine.isSpot() == spot
-          && capacity.counts(machine)
+          && capacity.isCounted(machine)
           && machine.lastHeartbeatAt() != MonotonicTime.NEVER
           && runtime.now() - machine.firstSeenAt() > MIN_BILLED_MS / 2
           && isSurplus(machine, targetCpus)) {
--- a/src/main/java/org/snowturn/core/autoscaling/ScaleOut.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ScaleOut.java
@@ -40,7 +40,7 @@
   private void scaleOut(boolean spot) {
     double targetCpus = demand.targetCpus(spot);
     cancelScaleIn(spot, targetCpus);
-    while (capacity.cpus(spot) < targetCpus && openRequests.mayOpenAnother()) {
+    while (capacity.cpus(spot) < targetCpus && openRequests.canAdd()) {
       double missingCpus = targetCpus - capacity.cpus(spot);
       CapacityPool pool = poolSelector.select(spot, missingCpus);
       if (pool == null || !rentals.tryRequest(pool, poolSelector.machineCount(pool, missingCpus))) {
--- a/src/main/java/org/snowturn/core/autoscaling/ScaleOutRequest.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ScaleOutRequest.java
@@ -38,7 +38,7 @@
     attempts++;
   }
 
-  boolean mayBeRetried() {
+  boolean canRetry() {
     return attempts < MAX_ATTEMPTS;
   }
 }
--- a/src/main/java/org/snowturn/core/connectivity/StateRequestRelay.java
+++ b/src/main/java/org/snowturn/core/connectivity/StateRequestRelay.java
@@ -83,7 +83,7 @@
       return;
     }
     if (tooLong(body) || open.size() >= MAX_OPEN) {
-      then.on(Outcome.REFUSED, UNAVAILABLE, null);
+      then.onReply(Outcome.REFUSED, UNAVAILABLE, null);
       return;
     }
     long id = ++lastRequestId;
@@ -101,7 +101,7 @@
   private void complete(long id, Outcome outcome, int status, JsonNode body) {
     CoreRuntime.ReplyHandler then = open.remove(id);
     if (then != null) {
-      then.on(outcome, status, body);
+      then.onReply(outcome, status, body);
     }
   }
 
--- a/src/main/java/org/snowturn/core/dependency/DependencyGraph.java
+++ b/src/main/java/org/snowturn/core/dependency/DependencyGraph.java
@@ -75,7 +75,7 @@
   }
 
   /** How many jobs wait for others. */
-  public int waitingJobs() {
+  public int waitingJobCount() {
     int count = 0;
     for (Job job : assignments.jobs()) {
       count += job.awaitsDependencies() ? 1 : 0;
@@ -119,7 +119,7 @@
   }
 
   /** Takes in new jobs, looks up what is not known, and writes what is to be cancelled. */
-  public void step() {
+  public void update() {
     while (!joined.isEmpty()) {
       join(joined.poll());
     }
--- a/src/main/java/org/snowturn/core/dispatch/CommandQueue.java
+++ b/src/main/java/org/snowturn/core/dispatch/CommandQueue.java
@@ -32,7 +32,7 @@
   private static final long FIRST_SESSION = 1;
 
   /** What the queue needs of the leader. */
-  public interface Host {
+  public interface Context {
     /** Whether this node may act now. */
     boolean hasAuthority();
 
@@ -40,20 +40,20 @@
     long token();
 
     /** The machine has answered with its heartbeat. */
-    void reported(Heartbeat heartbeat);
+    void onHeartbeat(Heartbeat heartbeat);
 
     /** Whether a start that was decided earlier may leave for the machine now. */
-    boolean mayStart(Machine machine, Command start);
+    boolean canStart(Machine machine, Command start);
 
     /** The queue has something to send and waits for {@link CommandQueue#flush}. */
-    void readyToSend(CommandQueue queue);
+    void onReadyToSend(CommandQueue queue);
 
     /** A message to the machine got no usable answer. */
-    void unanswered(Machine machine);
+    void onUnanswered(Machine machine);
   }
 
   private final CoreRuntime runtime;
-  private final Host host;
+  private final Context host;
   private final Machine machine;
   private final Map<String, Command> queue = new LinkedHashMap<>();
   private boolean busy;
@@ -61,7 +61,7 @@
   private boolean queued;
 
   /** An empty queue of commands for the machine. */
-  public CommandQueue(CoreRuntime runtime, Host host, Machine machine) {
+  public CommandQueue(CoreRuntime runtime, Context host, Machine machine) {
     this.runtime = runtime;
     this.host = host;
     this.machine = machine;
@@ -88,7 +88,7 @@
   private void requestFlush() {
     if (!queued && !busy) {
       queued = true;
-      host.readyToSend(this);
+      host.onReadyToSend(this);
     }
   }
 
@@ -130,7 +130,7 @@
     }
     List<Command> commands = new ArrayList<>(queue.values());
     commands.removeIf(
-        command -> command.op() == Command.Op.START && !host.mayStart(machine, command));
+        command -> command.op() == Command.Op.START && !host.canStart(machine, command));
     queue.clear();
     if (commands.isEmpty() && !probe) {
       return;
@@ -197,13 +197,13 @@
     if (runtime.now() - sentAt >= IN_VAIN_MS) {
       machine.reachability.messageUnanswered(runtime.now());
     }
-    host.unanswered(machine);
+    host.onUnanswered(machine);
   }
 
   /** Takes in the heartbeat that is in the answer; tells whether it could be read. */
   private boolean reported(long session, int status, JsonNode body) {
     try {
-      host.reported(Heartbeat.parse(body));
+      host.onHeartbeat(Heartbeat.parse(body));
       if (status == 409 && machine.epoch() > session) {
         probe(); // a new leader did not know the session: now the machine can learn the token
       }
--- a/src/main/java/org/snowturn/core/effects/CoreRuntime.java
+++ b/src/main/java/org/snowturn/core/effects/CoreRuntime.java
@@ -28,7 +28,7 @@
   /** Continues after a reply. */
   public interface ReplyHandler {
     /** Takes the reply; status and body are only meaningful if the outcome is an answer. */
-    void on(Outcome outcome, int status, JsonNode body);
+    void onReply(Outcome outcome, int status, JsonNode body);
   }
 
   private static final long MIN_RETRY_DELAY_MS = 50;
@@ -69,7 +69,7 @@
   }
 
   /** From now on, calls to the state service have to find room in this. */
-  public void limitStateRequests(StateRequestBudget requestBudget) {
+  public void setStateRequestBudget(StateRequestBudget requestBudget) {
     budget = requestBudget;
   }
 
@@ -204,10 +204,10 @@
    * Tells who asked that calls were refused here. Not at once: nobody expects an answer while still
    * asking.
    */
-  public void rejectUnbudgeted() {
+  public void deliverBudgetRefusals() {
     List<ReplyHandler> all = rejected;
     rejected = new ArrayList<>();
-    all.forEach(handler -> handler.on(Outcome.REFUSED, 0, null));
+    all.forEach(handler -> handler.onReply(Outcome.REFUSED, 0, null));
   }
 
   /** A call on which this node's authority rests: it waits for no others. */
@@ -266,7 +266,7 @@
         budget.refusedThere(now);
       }
       retryAfterMs = reply.retryAfterMs();
-      open.then.on(reply.outcome(), reply.status(), reply.body());
+      open.then.onReply(reply.outcome(), reply.status(), reply.body());
       retryAfterMs = 0;
     }
   }
--- a/src/main/java/org/snowturn/core/effects/StateReply.java
+++ b/src/main/java/org/snowturn/core/effects/StateReply.java
@@ -20,22 +20,22 @@
   private static final int CONFLICT = 409;
 
   /** Whether the call was executed and succeeded. */
-  public boolean ok() {
+  public boolean isOk() {
     return answered(OK);
   }
 
   /** Whether the key that was read does not exist. */
-  public boolean notFound() {
+  public boolean isNotFound() {
     return answered(NOT_FOUND);
   }
 
   /** Whether the service will never accept the call in this form. */
-  public boolean rejected() {
+  public boolean isRejected() {
     return answered(BAD_REQUEST);
   }
 
   /** Whether the call was certainly not executed, and may be made again. */
-  public boolean notExecuted() {
+  public boolean isNotExecuted() {
     return outcome == Outcome.REFUSED;
   }
 
--- a/src/main/java/org/snowturn/core/leader/ClusterSummary.java
+++ b/src/main/java/org/snowturn/core/leader/ClusterSummary.java
@@ -60,7 +60,7 @@
       job.countStates(states);
     }
     line.with(LogField.JOBS, assignments.jobs().size())
-        .with(LogField.JOBS_AWAITING_DEPENDENCIES, services.dependencies().waitingJobs())
+        .with(LogField.JOBS_AWAITING_DEPENDENCIES, services.dependencies().waitingJobCount())
         .with(LogField.TASKS_WAITING, tasks.waiting())
         .with(LogField.TASKS_ASSIGNED, tasks.assigned())
         .with(LogField.TASKS_PLACING, states.of(TaskState.PLACING))
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -19,7 +19,7 @@
  * One term of leadership: composes the parts that act under one fencing token and runs them in
  * turn. A new term gets a new leader. Not thread-safe; owned by the controller's event loop.
  */
-public final class Leader implements RecordWriter.Host, CommandQueue.Host {
+public final class Leader implements RecordWriter.Host, CommandQueue.Context {
   private static final long SPECULATION_INTERVAL_MS = 500;
 
   private final CoreRuntime runtime;
@@ -116,7 +116,7 @@
       sweepAt = now + HealthSweep.INTERVAL_MS;
       sweep();
     }
-    services.dependencies().step();
+    services.dependencies().update();
     if (node.machineTypes().known() && assignments.consumeChanged()) {
       schedule(now);
     }
@@ -154,7 +154,7 @@
       return;
     }
     if (recovery.loaded()) {
-      services.dependencies().step();
+      services.dependencies().update();
     }
     services.writer().flush();
     dispatcher.flush();
@@ -222,22 +222,22 @@
   }
 
   @Override
-  public void reported(Heartbeat heartbeat) {
+  public void onHeartbeat(Heartbeat heartbeat) {
     heartbeatHandler.handleReply(heartbeat);
   }
 
   @Override
-  public boolean mayStart(Machine machine, Command start) {
+  public boolean canStart(Machine machine, Command start) {
     return assignments.mayStart(machine, start);
   }
 
   @Override
-  public void readyToSend(CommandQueue queue) {
+  public void onReadyToSend(CommandQueue queue) {
     dispatcher.add(queue);
   }
 
   @Override
-  public void unanswered(Machine machine) {
+  public void onUnanswered(Machine machine) {
     reachability.messageUnanswered(machine);
   }
 }
--- a/src/main/java/org/snowturn/core/leader/LeaderGauges.java
+++ b/src/main/java/org/snowturn/core/leader/LeaderGauges.java
@@ -34,7 +34,7 @@
     TaskCounts tasks = TaskCounts.of(assignments.jobs());
     Map<String, Double> gauges = new HashMap<>();
     gauges.put(
-        "snowturn.jobs.awaiting.dependencies", (double) services.dependencies().waitingJobs());
+        "snowturn.jobs.awaiting.dependencies", (double) services.dependencies().waitingJobCount());
     gauges.put("snowturn.jobs.live", (double) assignments.jobs().size());
     gauges.put("snowturn.tasks.waiting", (double) tasks.waiting());
     gauges.put("snowturn.tasks.assigned", (double) tasks.assigned());
--- a/src/main/java/org/snowturn/core/leader/SchedulingServices.java
+++ b/src/main/java/org/snowturn/core/leader/SchedulingServices.java
@@ -35,7 +35,8 @@
     ExternallyManagedMachines externallyManaged =
         new ExternallyManagedMachines(runtime, services.writer());
     ScalingPolicy scalingPolicy =
-        ScalingPolicy.of(settings, node.machineTypes()::quickestBootS, externallyManaged::present);
+        ScalingPolicy.of(
+            settings, node.machineTypes()::quickestBootS, externallyManaged::hasMachines);
     TaskScheduler scheduler = newScheduler(node, services, scalingPolicy, mayPreempt);
     Speculator speculator =
         new Speculator(
--- a/src/main/java/org/snowturn/core/storage/BatchSettlement.java
+++ b/src/main/java/org/snowturn/core/storage/BatchSettlement.java
@@ -32,17 +32,17 @@
 
   /** Handles the reply to a batch that has been sent. */
   void settle(RecordBatch batch, StateReply reply) {
-    if (reply.ok() && succeeded(batch, reply)) {
+    if (reply.isOk() && succeeded(batch, reply)) {
       return;
     }
-    if (reply.rejected() && batch.size() == 1) {
+    if (reply.isRejected() && batch.size() == 1) {
       recordRejected(batch.writes().get(0), reply);
       return;
     }
     requeue(batch);
-    if (reply.rejected()) {
+    if (reply.isRejected()) {
       batchRejected(batch, reply);
-    } else if (reply.notExecuted()) {
+    } else if (reply.isNotExecuted()) {
       endWrites(batch);
       budget.pauseUntil(runtime.now() + PAUSE_AFTER_REFUSAL_MS);
     } else {
@@ -144,11 +144,11 @@
   }
 
   private boolean versionRead(PendingRecord record, StateReply reply) {
-    if (reply.notFound()) {
+    if (reply.isNotFound()) {
       record.endWrite(0);
       return true;
     }
-    if (!reply.ok()) {
+    if (!reply.isOk()) {
       return false;
     }
     try {
--- a/src/main/java/org/snowturn/core/storage/FormatGate.java
+++ b/src/main/java/org/snowturn/core/storage/FormatGate.java
@@ -118,7 +118,7 @@
   }
 
   private boolean evaluated(StateReply reply) {
-    if (!reply.ok()) {
+    if (!reply.isOk()) {
       return false;
     }
     try {
@@ -168,7 +168,7 @@
         value,
         reply -> {
           announcing = false;
-          if (reply.ok()) {
+          if (reply.isOk()) {
             runtime
                 .events()
                 .info(LogEvent.FORMAT_SUPPORTED)
@@ -189,7 +189,7 @@
         StorageKeys.FORMAT_GATE,
         value,
         reply -> {
-          if (reply.ok()) {
+          if (reply.isOk()) {
             setOpen(value);
           } else {
             nextCheckAt = runtime.now(); // another node was first, or the effect is unknown
--- a/src/main/java/org/snowturn/core/storage/JobLookup.java
+++ b/src/main/java/org/snowturn/core/storage/JobLookup.java
@@ -121,11 +121,11 @@
         StateMessage.keyPath(prefixes.get(step) + id),
         TIMEOUT_MS,
         reply -> {
-          if (reply.notFound() && step + 1 < prefixes.size()) {
+          if (reply.isNotFound() && step + 1 < prefixes.size()) {
             readOne(step + 1, id);
             return;
           }
-          if (!reply.notFound()) {
+          if (!reply.isNotFound()) {
             takeOne(id, reply);
           }
           unanswered--;
@@ -134,7 +134,7 @@
   }
 
   private void takeOne(String id, StateReply reply) {
-    if (!reply.ok()) {
+    if (!reply.isOk()) {
       fail();
       return;
     }
@@ -163,7 +163,7 @@
             .toString(),
         TIMEOUT_MS,
         reply -> {
-          if (!reply.ok()) {
+          if (!reply.isOk()) {
             fail();
             return;
           }
--- a/src/main/java/org/snowturn/core/storage/RangeReader.java
+++ b/src/main/java/org/snowturn/core/storage/RangeReader.java
@@ -67,7 +67,7 @@
         path.toString(),
         TIMEOUT_MS,
         reply -> {
-          if (reply.ok()) {
+          if (reply.isOk()) {
             try {
               take(prefix, reply.body(), entriesBefore, revision, then);
               return;
--- a/src/main/java/org/snowturn/core/storage/RecordWriter.java
+++ b/src/main/java/org/snowturn/core/storage/RecordWriter.java
@@ -262,13 +262,13 @@
 
   private void settle(Transaction transaction, StateReply reply) {
     budget.callEnded();
-    if (reply.notExecuted()) {
+    if (reply.isNotExecuted()) {
       budget.pauseUntil(runtime.now() + PAUSE_AFTER_REFUSAL_MS);
       transactions.get(transaction.turn).addFirst(transaction);
     } else if (reply.failedKeys().contains(StorageKeys.LEADER)) {
       host.leaderKeyLost();
     } else {
-      transaction.onReply.on(reply.outcome(), reply.status(), reply.body());
+      transaction.onReply.onReply(reply.outcome(), reply.status(), reply.body());
     }
   }
 
--- a/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
+++ b/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
@@ -74,8 +74,8 @@
     }
   }
 
-  private static final CommandQueue.Host HOST =
-      new CommandQueue.Host() {
+  private static final CommandQueue.Context HOST =
+      new CommandQueue.Context() {
         @Override
         public boolean hasAuthority() {
           return true;
@@ -87,18 +87,18 @@
         }
 
         @Override
-        public void reported(Heartbeat heartbeat) {}
+        public void onHeartbeat(Heartbeat heartbeat) {}
 
         @Override
-        public boolean mayStart(Machine machine, Command start) {
+        public boolean canStart(Machine machine, Command start) {
           return true;
         }
 
         @Override
-        public void readyToSend(CommandQueue queue) {}
+        public void onReadyToSend(CommandQueue queue) {}
 
         @Override
-        public void unanswered(Machine machine) {}
+        public void onUnanswered(Machine machine) {}
       };
 
   HeartbeatCommandsTest() {
