--- a/src/main/java/org/snowturn/core/dispatch/CommandQueue.java
+++ b/src/main/java/org/snowturn/core/dispatch/CommandQueue.java
@@ -32,7 +32,7 @@
   private static final long FIRST_SESSION = 1;
 
   /** What the queue needs of the leader. */
-  public interface Context {
+  public interface Host {
     /** Whether this node may act now. */
     boolean hasAuthority();
 
@@ -53,7 +53,7 @@
   }
 
   private final CoreRuntime runtime;
-  private final Context host;
+  private final Host host;
   private final Machine machine;
   private final Map<String, Command> queue = new LinkedHashMap<>();
   private boolean busy;
@@ -61,7 +61,7 @@
   private boolean queued;
 
   /** An empty queue of commands for the machine. */
-  public CommandQueue(CoreRuntime runtime, Context host, Machine machine) {
+  public CommandQueue(CoreRuntime runtime, Host host, Machine machine) {
     this.runtime = runtime;
     this.host = host;
     this.machine = machine;
--- a/src/main/java/org/snowturn/core/leader/AssignmentServices.java
+++ b/src/main/java/org/snowturn/core/leader/AssignmentServices.java
@@ -43,7 +43,7 @@
       LeaderDependencies node,
       Term term,
       RecordWriter.Host writerHost,
-      CommandQueue.Context commandHost) {
+      CommandQueue.Host commandHost) {
     CoreRuntime runtime = node.runtime();
     FormatGate gate = node.gate();
     MachineIndex machines =
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -19,7 +19,7 @@
  * One term of leadership: composes the parts that act under one fencing token and runs them in
  * turn. A new term gets a new leader. Not thread-safe; owned by the controller's event loop.
  */
-public final class Leader implements RecordWriter.Host, CommandQueue.Context {
+public final class Leader implements RecordWriter.Host, CommandQueue.Host {
   private static final long SPECULATION_INTERVAL_MS = 500;
 
   private final CoreRuntime runtime;
--- a/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
+++ b/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
@@ -74,8 +74,8 @@
     }
   }
 
-  private static final CommandQueue.Context HOST =
-      new CommandQueue.Context() {
+  private static final CommandQueue.Host HOST =
+      new CommandQueue.Host() {
         @Override
         public boolean hasAuthority() {
           return true;
