--- a/src/main/java/org/snowturn/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/snowturn/core/autoscaling/Autoscaler.java
@@ -5,7 +5,10 @@
 import org.snowturn.core.model.PreemptionRate;
 import org.snowturn.core.scheduling.TaskScheduler;
 
-/** Scales the fleet out and in, within the cloud's request rate, and deletes failed machines. */
+/**
+ * The scaling of the fleet: rents machines, returns them and deletes failed ones, within the
+ * cloud's limit on the rate of requests.
+ */
 public final class Autoscaler {
   private final MachineTypes machineTypes;
   private final CloudCallBudget budget;
@@ -17,9 +20,10 @@
   private final ScaleIn scaleIn;
 
   /**
-   * Knows nothing of the cloud's machines yet.
+   * Creates an autoscaler for one term of leadership. It does not scale until the cloud's list of
+   * machines has been read.
    *
-   * @param spotPreemptions is told of the uptime and the losses of spot machines
+   * @param spotPreemptions collects the uptime and the preemptions of spot machines
    * @param token the fencing token of the term
    */
   public Autoscaler(
@@ -55,7 +59,7 @@
     scaleIn = new ScaleIn(cluster, demand, capacity, relocation, termination);
   }
 
-  /** Acts on the time that has passed: deletes, lists, rents and returns machines. */
+  /** Sends the calls that are due: deletes, lists, rents and returns machines. */
   public void tick() {
     budget.refill();
     termination.deleteMarked();
@@ -68,9 +72,9 @@
   }
 
   /**
-   * Marks a machine for deletion: when the cloud confirms it, all that was there has ended.
+   * Marks a machine for deletion. Once the cloud confirms the deletion, all its tasks have ended.
    *
-   * @param reason for the log
+   * @param reason the reason that is written to the log
    */
   public void terminate(Machine machine, String reason) {
     termination.terminate(machine, reason);
--- a/src/main/java/org/snowturn/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/snowturn/core/autoscaling/CapacityDemand.java
@@ -7,17 +7,21 @@
 import org.snowturn.wire.JobSpec;
 import org.snowturn.wire.MachineType;
 
-/** How many CPUs the fleet should have for the unfinished work, and the headroom beside it. */
+/** The number of CPUs that the fleet should have for the unfinished work, including headroom. */
 final class CapacityDemand {
-  /** Waiting work that spot machines can do within this time needs no on-demand ones. */
+  /** Backlog that spot machines work off within this time is not given on-demand machines. */
   private static final double MAX_BACKLOG_S = 50;
 
-  /** On-demand headroom for new replicas, counted in the largest one's size. */
+  /** Replicas of the largest service's size for which on-demand headroom is held. */
   private static final int SPARE_REPLICAS = 4;
 
-  /** After a burst its machines stay for a while: the next array finds them up, with images. */
+  /**
+   * Time for which the machines of a burst are kept, so that the next array finds them up and with
+   * its image.
+   */
   private static final long PEAK_WINDOW_MS = 30_000;
 
+  /** Share of the recent peak demand that is kept during that time. */
   private static final double PEAK_SHARE = 0.6;
 
   private final CoreRuntime runtime;
@@ -27,7 +31,7 @@
   private final ProvisionedCapacity capacity;
   private final CapacityRefusals refusals;
   private double peakArrayCpus;
-  private long peakAt;
+  private long peakRecordedAt;
 
   CapacityDemand(
       ClusterContext cluster,
@@ -42,7 +46,10 @@
     this.refusals = refusals;
   }
 
-  /** The CPUs that all spot or all on-demand machines together should have. */
+  /**
+   * Returns the number of CPUs that all spot or all on-demand machines together should have, or
+   * {@link Double#MAX_VALUE} if the policy holds all capacity that can be rented.
+   */
   double targetCpus(boolean spot) {
     double overprovisioning = scalingPolicy.overprovisioning();
     if (overprovisioning >= 1) {
@@ -59,7 +66,10 @@
     return required + headroom + spilloverCpus(overprovisioning);
   }
 
-  /** CPUs that the unfinished tasks need; memory is converted by the leanest type's ratio. */
+  /**
+   * Returns the number of CPUs that the unfinished tasks need. A task's memory is converted to CPUs
+   * by the highest ratio of memory to CPUs of all machine types.
+   */
   private double requiredCpus(boolean spot) {
     double gbPerCpu = 0;
     for (MachineType type : machineTypes.all()) {
@@ -76,7 +86,10 @@
     return cpus;
   }
 
-  /** A job that fails wherever it runs has no use for more than what it has. */
+  /**
+   * Returns the number of tasks for which the job needs capacity. A suspect job, which fails on
+   * every machine, needs its assigned tasks and one trial.
+   */
   private static int requiredTasks(Job job) {
     return job.failures.isSuspect() ? job.assigned() + 1 : job.taskCount() - job.done();
   }
@@ -89,18 +102,24 @@
     return cpus;
   }
 
+  /**
+   * Returns the number of CPUs for arrays: the current demand or a share of its recent peak,
+   * whichever is higher, plus headroom.
+   */
   private double arrayTarget(double required) {
     long now = runtime.now();
-    if (required >= peakArrayCpus || now - peakAt > PEAK_WINDOW_MS) {
+    if (required >= peakArrayCpus || now - peakRecordedAt > PEAK_WINDOW_MS) {
       peakArrayCpus = required;
-      peakAt = now;
+      peakRecordedAt = now;
     }
     return Math.max(required, PEAK_SHARE * peakArrayCpus) * (1 + scalingPolicy.arrayHeadroom());
   }
 
   /**
-   * CPUs of on-demand machines for arrays: only where no more spot machines can be had, and only
-   * for what these would take too long to work off, or as far as headroom is worth its price.
+   * Returns the number of on-demand CPUs for arrays. It is 0 unless every spot pool is in back-off.
+   * Then it covers the backlog that the spot machines would take longer than {@link #MAX_BACKLOG_S}
+   * to work off, or the array headroom weighted by the square of {@code overprovisioning},
+   * whichever is more.
    */
   private double spilloverCpus(double overprovisioning) {
     if (!refusals.isEveryPoolInBackoff(true)) {
--- a/src/main/java/org/snowturn/core/autoscaling/CapacityPool.java
+++ b/src/main/java/org/snowturn/core/autoscaling/CapacityPool.java
@@ -2,10 +2,17 @@
 
 import org.snowturn.core.model.Machine;
 
-/** A source of machines: capacity of one pool says nothing about that of another. */
+/**
+ * A source of machines with a capacity of its own: one machine type in one zone, either spot or
+ * on-demand.
+ *
+ * @param type the name of the machine type
+ * @param zone the index of the zone
+ * @param spot whether the machines are spot machines
+ */
 record CapacityPool(String type, int zone, boolean spot) {
 
-  /** The pool that a machine of known type belongs to. */
+  /** Returns the pool of a machine whose type is known. */
   static CapacityPool of(Machine machine) {
     return new CapacityPool(machine.type(), machine.zone(), machine.isSpot());
   }
--- a/src/main/java/org/snowturn/core/autoscaling/CapacityRefusals.java
+++ b/src/main/java/org/snowturn/core/autoscaling/CapacityRefusals.java
@@ -8,18 +8,20 @@
 import org.snowturn.core.model.MachineTypes;
 import org.snowturn.wire.MachineType;
 
-/** The pools in which the cloud had too few machines, and when each may be asked again. */
+/** The pools that lacked capacity for a request, and the time of the next request to each. */
 final class CapacityRefusals {
+  /** Increase of the back-off with each consecutive refusal. */
   private static final long BACKOFF_STEP_MS = 6_000;
+
   private static final long MAX_BACKOFF_MS = 30_000;
 
-  /** A machine of the pool has ended, so there is probably room for another. */
+  /** Back-off after a machine of the pool has ended, since its capacity is probably free again. */
   private static final long RETRY_AFTER_RELEASE_MS = 2_000;
 
   private final CoreRuntime runtime;
   private final MachineTypes machineTypes;
   private final MachineIndex machines;
-  private final Map<CapacityPool, Long> refusedUntil = new HashMap<>();
+  private final Map<CapacityPool, Long> retryAtByPool = new HashMap<>();
   private final Map<CapacityPool, Integer> consecutiveRefusals = new HashMap<>();
 
   CapacityRefusals(CoreRuntime runtime, MachineTypes machineTypes, MachineIndex machines) {
@@ -28,33 +30,33 @@
     this.machines = machines;
   }
 
-  /** The pool had fewer machines than were requested: it is left alone, longer each time. */
+  /** Backs off from a pool that had too few machines, for longer after each consecutive refusal. */
   void recordRefusal(CapacityPool pool) {
     int count = consecutiveRefusals.merge(pool, 1, Integer::sum);
-    refusedUntil.put(pool, runtime.now() + Math.min(MAX_BACKOFF_MS, BACKOFF_STEP_MS * count));
+    retryAtByPool.put(pool, runtime.now() + Math.min(MAX_BACKOFF_MS, BACKOFF_STEP_MS * count));
   }
 
-  /** The pool had all the machines that were requested. */
+  /** Ends the series of consecutive refusals: the pool had all the machines that were requested. */
   void recordGrant(CapacityPool pool) {
     consecutiveRefusals.remove(pool);
   }
 
-  /** A machine has ended: its pool may be asked again soon. */
+  /** Shortens the back-off from the pool of a machine that has ended. */
   void recordRelease(Machine machine) {
     if (machine.type() != null) {
       CapacityPool pool = CapacityPool.of(machine);
       consecutiveRefusals.remove(pool);
       long retryAt = runtime.now() + RETRY_AFTER_RELEASE_MS;
-      refusedUntil.computeIfPresent(pool, (key, until) -> Math.min(until, retryAt));
+      retryAtByPool.computeIfPresent(pool, (key, until) -> Math.min(until, retryAt));
     }
   }
 
-  /** Whether the pool is left alone for now. */
+  /** Returns whether no machines are to be requested from the pool for now. */
   boolean isInBackoff(CapacityPool pool) {
-    return runtime.now() < refusedUntil.getOrDefault(pool, 0L);
+    return runtime.now() < retryAtByPool.getOrDefault(pool, 0L);
   }
 
-  /** Whether all pools of spot or of on-demand machines are left alone for now. */
+  /** Returns whether every spot pool or every on-demand pool is in back-off. */
   boolean isEveryPoolInBackoff(boolean spot) {
     for (MachineType type : machineTypes.all()) {
       for (String zone : type.zones()) {
--- a/src/main/java/org/snowturn/core/autoscaling/CloudCallBudget.java
+++ b/src/main/java/org/snowturn/core/autoscaling/CloudCallBudget.java
@@ -2,12 +2,15 @@
 
 import org.snowturn.core.effects.CoreRuntime;
 
-/** A token bucket for calls to the cloud, so that the cloud's request rate is not exceeded. */
+/** A token bucket that keeps calls to the cloud below the cloud's request rate. */
 final class CloudCallBudget {
-  /** The share of the cloud's rate that is used. */
+  /** Share of the cloud's request rate that is used. */
   private static final double RATE_SHARE = 0.85;
 
+  /** Size of the bucket in seconds of the permitted rate, without {@link #BURST_CALLS}. */
   private static final double BURST_S = 1.5;
+
+  /** Calls that the bucket holds in addition, whatever the rate. */
   private static final double BURST_CALLS = 0.5;
 
   private final CoreRuntime runtime;
@@ -16,9 +19,9 @@
   private long refilledAt;
 
   /**
-   * A full bucket.
+   * Creates a bucket that holds one second's worth of calls.
    *
-   * @param cloudRate calls a second that the cloud accepts
+   * @param cloudRate calls per second that the cloud accepts
    */
   CloudCallBudget(CoreRuntime runtime, double cloudRate) {
     this.runtime = runtime;
@@ -35,7 +38,7 @@
     refilledAt = now;
   }
 
-  /** Takes a token for one call; false if there is none, and the call must wait. */
+  /** Takes a token for one call. Returns false if none is left and the call must wait. */
   boolean tryAcquire() {
     if (tokens < 1) {
       return false;
--- a/src/main/java/org/snowturn/core/autoscaling/ClusterContext.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ClusterContext.java
@@ -8,7 +8,7 @@
 import org.snowturn.core.model.MachineIndex;
 import org.snowturn.core.model.MachineTypes;
 
-/** The parts of a leader that the autoscaler reads and acts on. */
+/** The parts of a leader that the autoscaler reads and changes. */
 public record ClusterContext(
     CoreRuntime runtime,
     Settings settings,
--- a/src/main/java/org/snowturn/core/autoscaling/ExternallyManagedMachines.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ExternallyManagedMachines.java
@@ -16,30 +16,34 @@
 import org.snowturn.wire.StateMessage.Condition;
 
 /**
- * Whether the operators keep on-demand machines up themselves, beside those that this service
- * rents: a sign that capacity counts more to them than cost, which the settings do not tell. The
- * first leader ever observes it in its first seconds and stores what it saw for the others.
+ * The number of on-demand machines that the operators run themselves, besides those that this
+ * service rents. Such machines show that the operators value capacity more than cost, which no
+ * setting states. The first leader of a cluster counts them in its first seconds and stores the
+ * count for later leaders.
  */
 public final class ExternallyManagedMachines {
   private static final int TIMEOUT_MS = 1_500;
   private static final int STATUS_OK = 200;
   private static final int STATUS_NOT_FOUND = 404;
 
-  /** Hardly any machine that the first leader rents is up before this. */
+  /**
+   * Time after its start for which the first leader counts machines. Hardly any machine that it
+   * rents boots faster.
+   */
   private static final long OBSERVATION_MS = 10_000;
 
-  /** The stored field's name. */
+  /** Name of the stored field that holds the count. */
   private static final String COUNT_FIELD = "ordinary";
 
   private final CoreRuntime runtime;
   private final RecordWriter writer;
   private final Backoff backoff;
   private final long startedAt;
-  private boolean known;
+  private boolean isCountKnown;
   private int machineCount;
-  private boolean recordAbsent;
+  private boolean isRecordAbsent;
 
-  /** Knows nothing before {@link #load}. */
+  /** Creates a count of 0, which {@link #load} replaces by the stored count. */
   public ExternallyManagedMachines(CoreRuntime runtime, RecordWriter writer) {
     this.runtime = runtime;
     this.writer = writer;
@@ -47,7 +51,7 @@
     this.startedAt = runtime.now();
   }
 
-  /** Reads what an earlier leader stored, and tries again until there is an answer. */
+  /** Reads the count that an earlier leader stored, and repeats the call until it is answered. */
   public void load() {
     runtime.callState(
         "GET", "/kv/" + StorageKeys.EXTERNALLY_MANAGED_MACHINES, null, TIMEOUT_MS, this::onReply);
@@ -58,7 +62,7 @@
       return;
     }
     if (outcome == Outcome.ANSWERED && status == STATUS_NOT_FOUND) {
-      recordAbsent = true;
+      isRecordAbsent = true;
     } else if (!writer.over()) {
       runtime.retry(backoff, this::load);
     }
@@ -67,7 +71,7 @@
   private boolean parse(JsonNode body) {
     try {
       machineCount = StateMessage.entry(body).value().path(COUNT_FIELD).asInt(0);
-      known = true;
+      isCountKnown = true;
     } catch (MalformedException e) {
       runtime
           .events()
@@ -76,20 +80,23 @@
           .with(LogField.ERROR, e.getMessage())
           .write();
     }
-    return known;
+    return isCountKnown;
   }
 
   /**
-   * Told how many on-demand machines are up that this leader has not rented. The first leader takes
-   * all of them for the operators' until a machine of its own has had the time to boot.
+   * Raises the count to this number if no leader has stored a count yet. The count is final and
+   * stored after {@link #OBSERVATION_MS}, before most rented machines have booted. So all machines
+   * that are up until then are considered run by the operators.
+   *
+   * @param onDemandMachines on-demand machines that are up and were not rented in this term
    */
   void observe(int onDemandMachines) {
-    if (!recordAbsent || known) {
+    if (!isRecordAbsent || isCountKnown) {
       return;
     }
     machineCount = Math.max(machineCount, onDemandMachines);
     if (runtime.now() - startedAt >= OBSERVATION_MS) {
-      known = true;
+      isCountKnown = true;
       store();
     }
   }
@@ -110,7 +117,7 @@
                 .write());
   }
 
-  /** Whether there are any. */
+  /** Returns whether the operators run any on-demand machines themselves. */
   public boolean hasMachines() {
     return machineCount > 0;
   }
--- a/src/main/java/org/snowturn/core/autoscaling/MachineInventory.java
+++ b/src/main/java/org/snowturn/core/autoscaling/MachineInventory.java
@@ -19,22 +19,26 @@
 import org.snowturn.wire.CloudMachine;
 import org.snowturn.wire.MalformedException;
 
-/** Lists the cloud's machines, page by page, and brings the machine index in line with the list. */
+/** The cloud's list of machines, which is read page by page to update the machine index. */
 final class MachineInventory {
   private static final String PATH = "/machines?most=500";
   private static final int TIMEOUT_MS = 5000;
   private static final int STATUS_OK = 200;
   private static final double MIN_INTERVAL_S = 3;
 
-  /** The list takes one of so many calls, where the cloud's rate is low. */
+  /**
+   * Calls that the cloud's rate allows between two listings, so that listings leave most of a low
+   * rate to other calls.
+   */
   private static final double CALLS_PER_INTERVAL = 4;
 
-  /** A machine is given up so much later than {@link Tunables#bootPatience} says. */
+  /** Time allowed for a boot in addition to {@link Tunables#bootPatience} boot times. */
   private static final double BOOT_MARGIN_S = 10;
 
-  /** A machine is taken for gone after so many times the list's lag, and a margin. */
+  /** Multiple of the list's lag after which an unlisted machine counts as gone. */
   private static final double LIST_LAGS = 3;
 
+  /** Time added to {@link #LIST_LAGS} times the lag. */
   private static final double LIST_MARGIN_S = 8;
 
   private final CoreRuntime runtime;
@@ -47,8 +51,8 @@
   private final CloudCallBudget budget;
   private final CapacityRefusals refusals;
   private List<CloudMachine> listedSoFar = new ArrayList<>();
-  private boolean listing;
-  private boolean loaded;
+  private boolean isListing;
+  private boolean isLoaded;
   private long nextListAt;
 
   MachineInventory(ClusterContext cluster, CloudCallBudget budget, CapacityRefusals refusals) {
@@ -63,15 +67,15 @@
     this.refusals = refusals;
   }
 
-  /** Whether the list has been read once by this leader. */
+  /** Returns whether this leader has read the list completely at least once. */
   boolean isLoaded() {
-    return loaded;
+    return isLoaded;
   }
 
-  /** Reads the list if it is time and a call may be made. */
+  /** Starts a listing if one is due and the call budget allows it. */
   void refreshIfDue() {
-    if (!listing && runtime.now() >= nextListAt && budget.tryAcquire()) {
-      listing = true;
+    if (!isListing && runtime.now() >= nextListAt && budget.tryAcquire()) {
+      isListing = true;
       listedSoFar = new ArrayList<>();
       requestPage(null);
     }
@@ -92,12 +96,12 @@
     if (outcome == Outcome.ANSWERED && status == STATUS_OK && !isComplete(body)) {
       return;
     }
-    listing = false;
+    isListing = false;
     double intervalS = Math.max(MIN_INTERVAL_S, CALLS_PER_INTERVAL / settings.cloudLimits().rps());
     nextListAt = runtime.now() + (long) (1000 * intervalS);
   }
 
-  /** Takes a page; false if another one was requested. */
+  /** Adds a page to the list. Returns whether it was the last; otherwise requests the next one. */
   private boolean isComplete(JsonNode body) {
     try {
       CloudMachine.Page page = CloudMachine.Page.parse(body);
@@ -106,7 +110,7 @@
         requestPage(page.machines().get(page.machines().size() - 1).id());
         return false;
       }
-      apply(listedSoFar);
+      applyList(listedSoFar);
     } catch (MalformedException e) {
       runtime
           .events()
@@ -118,11 +122,11 @@
     return true;
   }
 
-  private void apply(List<CloudMachine> listed) {
-    loaded = true;
+  private void applyList(List<CloudMachine> listed) {
+    isLoaded = true;
     for (CloudMachine cloudMachine : listed) {
       Machine machine = machines.getOrAdd(cloudMachine.id());
-      if (!machine.isTerminationConfirmed()) { // else the list lags
+      if (!machine.isTerminationConfirmed()) { // a deleted machine is still listed for a while
         update(machine, cloudMachine);
       }
     }
@@ -154,11 +158,14 @@
     runtime.events().info(event).with(LogField.MACHINE, machine.id).write();
   }
 
-  /** A new leader learns a machine's age from the list only: what is idle is judged by it. */
+  /**
+   * Sets the time since which the machine exists from its listed age. A new leader has no other
+   * source for it, and scale-in depends on it.
+   */
   private void updateAge(Machine machine, CloudMachine cloudMachine) {
     long rentedAt = runtime.now() - (long) (cloudMachine.ageS() * 1000);
-    boolean isNew = machine.firstSeenAt() == 0;
-    machine.setFirstSeenAt(isNew ? rentedAt : Math.min(machine.firstSeenAt(), rentedAt));
+    boolean isNewMachine = machine.firstSeenAt() == 0;
+    machine.setFirstSeenAt(isNewMachine ? rentedAt : Math.min(machine.firstSeenAt(), rentedAt));
     machine.setListedAt(runtime.now());
   }
 
@@ -172,7 +179,7 @@
     }
   }
 
-  /** Whether the machine should have booted and reported by now. */
+  /** Returns whether the machine should have booted and sent a heartbeat by now. */
   private boolean isOverdue(Machine machine, CloudMachine cloudMachine) {
     return machine.lastHeartbeatAt() == MonotonicTime.NEVER
         && machine.assigned.isEmpty()
@@ -182,7 +189,7 @@
             > tunables.bootPatience() * machine.machineType().bootS() + BOOT_MARGIN_S;
   }
 
-  /** Takes machines for gone that are neither listed nor heard, and hold no tasks. */
+  /** Removes machines that are neither listed nor sending heartbeats and have no assigned tasks. */
   private void removeUnlisted() {
     long now = runtime.now();
     long unlistedMs =
--- a/src/main/java/org/snowturn/core/autoscaling/MachineRentals.java
+++ b/src/main/java/org/snowturn/core/autoscaling/MachineRentals.java
@@ -15,15 +15,13 @@
 import org.snowturn.wire.CloudMachine;
 import org.snowturn.wire.MalformedException;
 
-/**
- * Sends requests for machines to the cloud, repeats those of unknown outcome, takes the replies.
- */
+/** The requests for machines that are sent to the cloud, with their replies and retries. */
 final class MachineRentals {
   private static final String PATH = "/machines";
   private static final int TIMEOUT_MS = 5000;
   private static final int STATUS_OK = 200;
 
-  /** After a failure of the cloud, scaling pauses for this long. */
+  /** Pause of all scaling after the cloud has failed a request. */
   private static final long FAILURE_PAUSE_MS = 1_000;
 
   private final CoreRuntime runtime;
@@ -39,7 +37,7 @@
   private long pausedUntil;
 
   /**
-   * No request is open.
+   * Creates the rentals of one term without any open request.
    *
    * @param token the fencing token of the term, which makes the names of its requests unique
    */
@@ -59,19 +57,19 @@
     this.requestNamePrefix = "r-" + token + "-";
   }
 
-  /** Whether the cloud has just failed, so that scaling waits a little. */
+  /** Returns whether scaling pauses because the cloud has just failed a request. */
   boolean isPaused() {
     return runtime.now() < pausedUntil;
   }
 
-  /** Sends requests of unknown outcome again, as far as the budget of calls allows. */
+  /** Repeats requests of unknown outcome, as far as the call budget allows. */
   void sendRetries() {
     while (!retries.isEmpty() && budget.tryAcquire()) {
       send(retries.remove(0));
     }
   }
 
-  /** Requests machines; false if no call may be made now. */
+  /** Requests machines from a pool. Returns false if the call budget does not allow it now. */
   boolean tryRequest(CapacityPool pool, int count) {
     if (!budget.tryAcquire()) {
       return false;
@@ -114,7 +112,7 @@
       return;
     }
     if (outcome == Outcome.UNKNOWN && request.canRetry()) {
-      retries.add(request); // of the same name: if it was executed, the same machines come back
+      retries.add(request); // the name makes it idempotent: no machine is rented twice
       return;
     }
     openRequests.remove(request);
--- a/src/main/java/org/snowturn/core/autoscaling/MachineTermination.java
+++ b/src/main/java/org/snowturn/core/autoscaling/MachineTermination.java
@@ -14,19 +14,23 @@
 import org.snowturn.core.model.PreemptionRate;
 import org.snowturn.wire.CloudMachine;
 
-/** Has the cloud delete machines, several in one call, until it confirms that they are gone. */
+/** The deletion of machines, in batches that are repeated until the cloud confirms them. */
 final class MachineTermination {
   private static final int TIMEOUT_MS = 5000;
   private static final int STATUS_OK = 200;
   private static final int MAX_BATCH = 100;
   private static final int MAX_CALLS_IN_FLIGHT = 2;
 
-  /** A call without a reply is repeated so long after its timeout. */
+  /** Time between the timeout of a call without a reply and its repetition. */
   private static final long RETRY_MARGIN_MS = 500;
 
+  /** Time between a failed deletion and its repetition. */
   private static final long RETRY_AFTER_FAILURE_MS = 1_000;
 
-  /** Between two deletions the cloud's rate allows so many calls, for requests of replacements. */
+  /**
+   * Calls that the cloud's rate allows between two deletions, which leaves calls to request
+   * replacements.
+   */
   private static final double CALLS_PER_INTERVAL = 2.4;
 
   private final CoreRuntime runtime;
@@ -55,7 +59,9 @@
     this.intervalMs = (long) (1000 * CALLS_PER_INTERVAL / cluster.settings().cloudLimits().rps());
   }
 
-  /** Marks a machine for deletion: once the cloud confirms it, all that was there has ended. */
+  /**
+   * Marks a machine for deletion. Once the cloud confirms the deletion, all its tasks have ended.
+   */
   void terminate(Machine machine, String reason) {
     if (!machine.isTerminating() && !machine.isTerminated()) {
       runtime
@@ -72,7 +78,7 @@
     }
   }
 
-  /** Deletes the machines that are marked, if a call may be made now. */
+  /** Deletes a batch of marked machines, if the limits on calls allow it now. */
   void deleteMarked() {
     long now = runtime.now();
     if (callsInFlight >= MAX_CALLS_IN_FLIGHT || now < nextCallAt) {
--- a/src/main/java/org/snowturn/core/autoscaling/OpenScaleOutRequests.java
+++ b/src/main/java/org/snowturn/core/autoscaling/OpenScaleOutRequests.java
@@ -5,7 +5,7 @@
 import org.snowturn.core.model.MachineTypes;
 import org.snowturn.wire.MachineType;
 
-/** The requests for machines of which the outcome is not known yet. */
+/** The requests for machines whose outcome is not known yet. */
 final class OpenScaleOutRequests {
   private static final int MAX_OPEN = 6;
 
@@ -28,7 +28,9 @@
     return requests.size() < MAX_OPEN;
   }
 
-  /** Whether one is open for this pool: its outcome tells whether the pool has more. */
+  /**
+   * Returns whether a request is open for this pool. Its outcome shows whether capacity is left.
+   */
   boolean hasRequestFor(CapacityPool pool) {
     for (ScaleOutRequest request : requests) {
       if (request.pool().equals(pool)) {
@@ -38,12 +40,14 @@
     return false;
   }
 
-  /** Whether one is open for any pool of this zone. */
+  /** Returns whether a request is open for any pool of this zone. */
   boolean hasRequestInZone(int zone) {
     return requests.stream().anyMatch(request -> request.pool().zone() == zone);
   }
 
-  /** The CPUs of the requested spot or on-demand machines, added to {@code cpus}. */
+  /**
+   * Returns {@code cpus} plus the CPUs of all requested spot or all requested on-demand machines.
+   */
   double addRequestedCpus(double cpus, boolean spot) {
     double total = cpus;
     for (ScaleOutRequest request : requests) {
--- a/src/main/java/org/snowturn/core/autoscaling/PoolSelector.java
+++ b/src/main/java/org/snowturn/core/autoscaling/PoolSelector.java
@@ -4,11 +4,14 @@
 import org.snowturn.core.model.MachineTypes;
 import org.snowturn.wire.MachineType;
 
-/** Chooses the pool that machines are requested from, and how many to request at a time. */
+/** The choice of the pool to request machines from and of the number of machines per request. */
 final class PoolSelector {
   private static final int MAX_MACHINES_PER_REQUEST = 50;
 
-  /** What each CPU already held in a zone adds to the relative cost of another one there. */
+  /**
+   * Relative increase of a pool's cost for each CPU that the zone already has of the same kind,
+   * spot or on-demand. It spreads machines over the zones.
+   */
   private static final double ZONE_BALANCE_WEIGHT = 0.002;
 
   private final MachineTypes machineTypes;
@@ -34,9 +37,10 @@
   }
 
   /**
-   * The cheapest pool for a shortage that may be asked now; null if there is none.
+   * Returns the cheapest pool that machines may be requested from now, or null if there is none.
    *
-   * @param missingCpus how many CPUs are to be added
+   * @param spot whether to select among spot or on-demand pools
+   * @param missingCpus the number of CPUs to add
    */
   CapacityPool select(boolean spot, double missingCpus) {
     CapacityPool best = null;
@@ -59,15 +63,17 @@
 
   private boolean isEligible(CapacityPool pool) {
     int zone = pool.zone();
-    // One machine in a zone with an outage tells when it is over; more would be idle.
-    boolean idle = zoneOutages.hasOutage(zone) && capacity.hasMachineIn(zone);
+    // The first heartbeat of one machine shows the end of an outage; more machines would be idle.
+    boolean wouldBeIdle = zoneOutages.hasOutage(zone) && capacity.hasMachineIn(zone);
     return machines.zoneKnown(zone)
         && !refusals.isInBackoff(pool)
-        && !idle
+        && !wouldBeIdle
         && !openRequests.hasRequestFor(pool);
   }
 
-  /** The price of each CPU that would be used, weighted by what the zone has already. */
+  /**
+   * Returns the price per CPU used, weighted by the CPUs that the zone already has of this kind.
+   */
   private double cost(CapacityPool pool, MachineType type, double missingCpus) {
     double price = pool.spot() ? type.spotPrice() : type.price();
     double usedCpus = Math.min(missingCpus, type.cpus());
@@ -76,7 +82,10 @@
         * (1 + ZONE_BALANCE_WEIGHT * capacity.cpusInMarketOf(pool));
   }
 
-  /** How many machines to request at once: the shortage, shared among the type's zones. */
+  /**
+   * Returns the number of machines for one request: the missing CPUs divided among the zones of the
+   * pool's machine type.
+   */
   int machineCount(CapacityPool pool, double missingCpus) {
     if (zoneOutages.hasOutage(pool.zone())) {
       return 1;
--- a/src/main/java/org/snowturn/core/autoscaling/ProvisionedCapacity.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ProvisionedCapacity.java
@@ -9,8 +9,9 @@
 import org.snowturn.core.model.MachineIndex;
 import org.snowturn.core.model.PreemptionRate;
 
-/** The CPUs of the machines that are up, booting or requested, counted anew on each tick. */
+/** The CPUs of the machines that are up, booting or requested, recounted on each tick. */
 final class ProvisionedCapacity {
+  /** All spot or all on-demand machines of a zone. */
   private record Market(int zone, boolean spot) {}
 
   private final CoreRuntime runtime;
@@ -23,7 +24,7 @@
   private final int[] machinesInZone;
   private double onDemandCpus;
   private double spotCpus;
-  private long countedAt;
+  private long lastCountedAt;
 
   ProvisionedCapacity(
       CoreRuntime runtime,
@@ -39,34 +40,37 @@
     this.externallyManaged = externallyManaged;
     this.spotPreemptions = spotPreemptions;
     this.machinesInZone = new int[machines.zoneCount()];
-    this.countedAt = runtime.now();
+    this.lastCountedAt = runtime.now();
   }
 
-  /** Counts all machines, and reports to those who keep statistics of them. */
+  /**
+   * Recounts all machines and updates the statistics on externally managed machines and on spot
+   * uptime.
+   */
   void recount() {
     onDemandCpus = 0;
     spotCpus = 0;
     cpusByMarket.clear();
     Arrays.fill(machinesInZone, 0);
-    int spotUp = 0;
-    int notRentedByThisTerm = 0;
+    int spotMachinesUp = 0;
+    int onDemandNotRentedByThisTerm = 0;
     for (Machine machine : machines.present()) {
       machinesInZone[machine.zone()]++;
-      boolean up = machine.lastHeartbeatAt() != MonotonicTime.NEVER;
-      if (up && !machine.isSpot() && !machine.isRentedByThisTerm()) {
-        notRentedByThisTerm++;
+      boolean isUp = machine.lastHeartbeatAt() != MonotonicTime.NEVER;
+      if (isUp && !machine.isSpot() && !machine.isRentedByThisTerm()) {
+        onDemandNotRentedByThisTerm++;
       }
       if (isCounted(machine)) {
         adjust(machine, 1);
-        spotUp += machine.isSpot() && up ? 1 : 0;
+        spotMachinesUp += machine.isSpot() && isUp ? 1 : 0;
       }
     }
-    externallyManaged.observe(notRentedByThisTerm);
-    spotPreemptions.recordUptime(spotUp, (runtime.now() - countedAt) / 1000.0);
-    countedAt = runtime.now();
+    externallyManaged.observe(onDemandNotRentedByThisTerm);
+    spotPreemptions.recordUptime(spotMachinesUp, (runtime.now() - lastCountedAt) / 1000.0);
+    lastCountedAt = runtime.now();
   }
 
-  /** Whether the machine is, or soon will be, of use to waiting work. */
+  /** Returns whether the machine can run waiting tasks now or after its boot. */
   boolean isCounted(Machine machine) {
     return !isLeaving(machine)
         && !machine.isQuarantined()
@@ -83,12 +87,12 @@
         || machine.preemptionAt() != Long.MAX_VALUE;
   }
 
-  /** Counts a machine that is taken back into use. */
+  /** Adds the CPUs of a machine whose scale-in was cancelled. */
   void add(Machine machine) {
     adjust(machine, 1);
   }
 
-  /** Counts a machine no more that is to be scaled in. */
+  /** Subtracts the CPUs of a machine that is to be scaled in. */
   void remove(Machine machine) {
     adjust(machine, -1);
   }
@@ -103,17 +107,17 @@
     cpusByMarket.merge(new Market(machine.zone(), machine.isSpot()), cpus, Double::sum);
   }
 
-  /** CPUs of all spot or on-demand machines, including those that are requested. */
+  /** Returns the CPUs of all spot or all on-demand machines, including requested ones. */
   double cpus(boolean spot) {
     return openRequests.addRequestedCpus(spot ? spotCpus : onDemandCpus, spot);
   }
 
-  /** CPUs of all machines in the pool's zone that are spot or not as the pool is. */
+  /** Returns the CPUs of the pool's zone: of its spot machines for a spot pool, else on-demand. */
   double cpusInMarketOf(CapacityPool pool) {
     return cpusByMarket.getOrDefault(new Market(pool.zone(), pool.spot()), 0.0);
   }
 
-  /** Whether any machine is present in the zone, or one is requested there. */
+  /** Returns whether any machine is present in the zone or requested there. */
   boolean hasMachineIn(int zone) {
     return machinesInZone[zone] > 0 || openRequests.hasRequestInZone(zone);
   }
--- a/src/main/java/org/snowturn/core/autoscaling/ReplicaRelocation.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ReplicaRelocation.java
@@ -10,8 +10,9 @@
 import org.snowturn.core.model.MachineIndex;
 import org.snowturn.core.scheduling.TaskScheduler;
 
-/** Moves replicas of services off machines that are to be returned, one at a time. */
+/** The relocation of service replicas off machines that are being scaled in, one at a time. */
 final class ReplicaRelocation {
+  /** Minimum time between two relocations. */
   private static final long INTERVAL_MS = 1_500;
 
   private final CoreRuntime runtime;
@@ -27,10 +28,13 @@
     this.scheduler = scheduler;
   }
 
-  /** Whether each replica there could start at once on another machine that has its image. */
+  /**
+   * Returns whether each replica on the machine could start at once on another machine that has its
+   * image.
+   */
   boolean isPossibleForAll(Machine machine) {
-    for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
-      Job job = assignments.job(ref);
+    for (long taskRef : HeartbeatProcessor.copy(machine.assigned)) {
+      Job job = assignments.job(taskRef);
       if (job.spec.service() && !scheduler.canStartElsewhere(job, machine)) {
         return false;
       }
@@ -38,7 +42,7 @@
     return true;
   }
 
-  /** Stops one replica that can start elsewhere, on any machine that is to be returned. */
+  /** Stops one replica that can start elsewhere, on any machine that is being scaled in. */
   void relocateOne() {
     if (runtime.now() < nextAt) {
       return;
@@ -51,9 +55,9 @@
   }
 
   private boolean relocateOneFrom(Machine machine) {
-    for (long ref : HeartbeatProcessor.copy(machine.assigned)) {
-      Job job = assignments.job(ref);
-      int task = TaskAssignments.task(ref);
+    for (long taskRef : HeartbeatProcessor.copy(machine.assigned)) {
+      Job job = assignments.job(taskRef);
+      int task = TaskAssignments.task(taskRef);
       if (job.isMovable(task, runtime.now()) && scheduler.canStartElsewhere(job, machine)) {
         runtime
             .events()
--- a/src/main/java/org/snowturn/core/autoscaling/ScaleIn.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ScaleIn.java
@@ -11,21 +11,27 @@
 import org.snowturn.core.model.Machine;
 import org.snowturn.core.model.MachineIndex;
 
-/** Empties machines that are not needed and returns idle and quarantined ones. */
+/** The draining of surplus machines and the return of idle and quarantined ones to the cloud. */
 final class ScaleIn {
-  /** Each machine is paid for at least this long. */
+  /** Minimum time that the cloud bills for a machine. */
   private static final long MIN_BILLED_MS = 60_000;
 
-  /** An idle machine is returned so long before its first billed period ends, at the earliest. */
+  /** Maximum time before the end of {@link #MIN_BILLED_MS} at which an idle machine is returned. */
   private static final long BILLING_MARGIN_MS = 5_000;
 
-  /** While more than a third of the fleet is quarantined, one goes each time. */
+  /**
+   * Time between two returns of quarantined machines while more than a third of the fleet is
+   * quarantined.
+   */
   private static final long QUARANTINE_INTERVAL_MS = 3_000;
 
-  /** One surplus machine of so many is emptied at a time: after a burst there are hundreds. */
+  /**
+   * Surplus machines for each machine beyond the first that is drained at a time, since a burst
+   * leaves hundreds of them.
+   */
   private static final int SURPLUS_PER_RETURN = 100;
 
-  /** Surplus machines that are examined at a time, the least used first. */
+  /** Maximum number of surplus machines examined at a time, the least used first. */
   private static final int MAX_EXAMINED = 8;
 
   private final CoreRuntime runtime;
@@ -36,7 +42,7 @@
   private final ProvisionedCapacity capacity;
   private final ReplicaRelocation relocation;
   private final MachineTermination termination;
-  private long nextQuarantinedAt;
+  private long nextQuarantinedReturnAt;
 
   ScaleIn(
       ClusterContext cluster,
@@ -54,7 +60,10 @@
     this.termination = termination;
   }
 
-  /** Marks surplus machines, moves a replica off one, returns what is idle or quarantined. */
+  /**
+   * Drains surplus machines, moves at most one replica off them, and returns idle and quarantined
+   * machines.
+   */
   void run() {
     int presentCount = 0;
     int quarantinedCount = 0;
@@ -65,19 +74,19 @@
     markSurplus(false, demand.targetCpus(false));
     markSurplus(true, demand.targetCpus(true));
     relocation.relocateOne();
-    boolean fewQuarantined = quarantinedCount * 3 <= presentCount;
+    boolean hasFewQuarantined = quarantinedCount * 3 <= presentCount;
     for (Machine machine : machines.present()) {
       if (!machine.isTerminating()) {
-        returnIfUseless(machine, fewQuarantined);
+        returnIfIdleOrQuarantined(machine, hasFewQuarantined);
       }
     }
   }
 
-  private void returnIfUseless(Machine machine, boolean fewQuarantined) {
+  private void returnIfIdleOrQuarantined(Machine machine, boolean hasFewQuarantined) {
     long now = runtime.now();
-    if (machine.isQuarantined() && (fewQuarantined || now >= nextQuarantinedAt)) {
-      // Where most are quarantined, one by one: their replacements have to prove themselves first.
-      nextQuarantinedAt = now + QUARANTINE_INTERVAL_MS;
+    if (machine.isQuarantined() && (hasFewQuarantined || now >= nextQuarantinedReturnAt)) {
+      // Many are returned one by one, so that the replacements are known to work in the meantime.
+      nextQuarantinedReturnAt = now + QUARANTINE_INTERVAL_MS;
       termination.terminate(machine, "quarantined");
     }
     if (isIdle(machine, now)) {
@@ -93,14 +102,17 @@
         && now - machine.idleSince() > tunables.idleReturnS() * 1000;
   }
 
-  /** Gives the least used surplus machines no more work: arrays end soon, replicas are moved. */
+  /**
+   * Stops placing tasks on the least used surplus machines. Their array tasks end soon, and their
+   * replicas are relocated.
+   */
   private void markSurplus(boolean spot, double targetCpus) {
     if (isAnyArrayWaiting()) {
-      return; // what is paid for already may as well work
+      return; // machines that are already paid for can run the waiting arrays
     }
-    List<Machine> candidates = surplus(spot, targetCpus);
+    List<Machine> candidates = findSurplus(spot, targetCpus);
     candidates.sort(Comparator.comparingDouble(machine -> machine.cpusUsed()));
-    int remaining = 1 + candidates.size() / SURPLUS_PER_RETURN;
+    int remainingToDrain = 1 + candidates.size() / SURPLUS_PER_RETURN;
     int examined = 0;
     for (Machine machine : candidates) {
       if (!isSurplus(machine, targetCpus)) {
@@ -109,16 +121,16 @@
       if (spot || relocation.isPossibleForAll(machine)) {
         machine.beginScaleIn();
         capacity.remove(machine);
-        remaining--;
+        remainingToDrain--;
       }
       examined++;
-      if (remaining == 0 || examined == MAX_EXAMINED) {
+      if (remainingToDrain == 0 || examined == MAX_EXAMINED) {
         return;
       }
     }
   }
 
-  private List<Machine> surplus(boolean spot, double targetCpus) {
+  private List<Machine> findSurplus(boolean spot, double targetCpus) {
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : machines.present()) {
       if (machine.isSpot() == spot
--- a/src/main/java/org/snowturn/core/autoscaling/ScaleOut.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ScaleOut.java
@@ -4,7 +4,7 @@
 import org.snowturn.core.model.Machine;
 import org.snowturn.core.model.MachineIndex;
 
-/** Adds machines while the fleet has fewer CPUs than the demand asks for. */
+/** The addition of machines while the fleet has fewer CPUs than demanded. */
 final class ScaleOut {
   private final MachineIndex machines;
   private final TaskAssignments assignments;
@@ -30,7 +30,9 @@
     this.rentals = rentals;
   }
 
-  /** Takes machines back that were to be returned, and then requests new ones. */
+  /**
+   * Cancels the scale-in of machines that are needed again, and requests more if these are too few.
+   */
   void run() {
     rentals.sendRetries();
     scaleOut(false);
--- a/src/main/java/org/snowturn/core/autoscaling/ScaleOutRequest.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ScaleOutRequest.java
@@ -1,6 +1,6 @@
 package org.snowturn.core.autoscaling;
 
-/** One request for machines. The cloud executes a request of the same name only once. */
+/** A request for machines. The cloud executes requests with the same name only once. */
 final class ScaleOutRequest {
   private static final int MAX_ATTEMPTS = 4;
 
@@ -15,7 +15,7 @@
     this.count = count;
   }
 
-  /** The idempotency key. */
+  /** Returns the name of the request, which is its idempotency key. */
   String name() {
     return name;
   }
@@ -24,12 +24,12 @@
     return pool;
   }
 
-  /** How many machines are requested. */
+  /** Returns the number of requested machines. */
   int count() {
     return count;
   }
 
-  /** How many times it has been sent. */
+  /** Returns the number of times that the request has been sent. */
   int attempts() {
     return attempts;
   }
--- a/src/main/java/org/snowturn/core/autoscaling/ScalingPolicy.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ScalingPolicy.java
@@ -7,38 +7,46 @@
 import org.snowturn.config.Settings;
 
 /**
- * How much headroom to hold, as a share of what is needed. The settings give no weight to cost, but
- * they have two service-level objectives that cannot be met without machines that are up
- * beforehand: hardly an array late, or arrays that start sooner than a machine boots. Both count as
- * far as they are asked for, so that a small change of one setting does not turn a fleet that
- * follows demand into one that holds everything.
+ * The headroom to hold, as a share of the CPUs needed. The settings give no weight to cost, but
+ * they have two service-level objectives that can only be met by machines that are up beforehand: a
+ * very low share of late arrays, and arrays that start sooner than a machine boots. The headroom
+ * grows continuously with the strictness of both, so that a small change of one setting does not
+ * turn a fleet that follows demand into one that holds all available capacity.
  */
 public final class ScalingPolicy {
   /** Headroom for services, and for arrays without demanding objectives. */
   private static final double BASE_HEADROOM = 0.15;
 
-  /** Such a share of late arrays can be kept by following demand; half of it cannot. */
+  /** Share of late arrays that is achievable by following demand; half this share is not. */
   private static final double ACHIEVABLE_LATE_SHARE = 0.05;
 
-  /** Where a fleet is kept up anyway, headroom grows with this power of the strictness. */
+  /** Power of the strictness with which headroom grows if operators run machines themselves. */
   private static final double STRICTNESS_EXPONENT = 5;
 
+  /** Limit of the strictness if all machines are rented by this service. */
   private static final double MAX_STRICTNESS = 10;
 
-  /** At so many times what is needed, the fleet holds nearly all that a cloud gives. */
+  /** Headroom at which the fleet holds nearly all capacity that a cloud provides. */
   private static final double MAX_HEADROOM = 3;
 
+  /** Lower bound of shares that are used as divisors. */
   private static final double MIN_SHARE = 1e-3;
 
+  /** Ratio of {@link #ACHIEVABLE_LATE_SHARE} to the share of arrays that may be late. */
   private final double strictness;
+
+  /** The earliest start objective of each class of arrays. */
   private final Map<String, Settings.Objective> startObjectives = new HashMap<>();
+
   private final DoubleSupplier quickestBootS;
-  private final BooleanSupplier externallyManaged;
+  private final BooleanSupplier hasExternallyManagedMachines;
 
   private ScalingPolicy(
-      Settings settings, DoubleSupplier quickestBootS, BooleanSupplier externallyManaged) {
+      Settings settings,
+      DoubleSupplier quickestBootS,
+      BooleanSupplier hasExternallyManagedMachines) {
     this.quickestBootS = quickestBootS;
-    this.externallyManaged = externallyManaged;
+    this.hasExternallyManagedMachines = hasExternallyManagedMachines;
     this.strictness = ACHIEVABLE_LATE_SHARE / Math.max(MIN_SHARE, allowedLateShare(settings));
     for (Settings.Objective objective : settings.objectives()) {
       if (objective.kind().equals("wait") && isArrayClass(settings, objective.jobClass())) {
@@ -61,7 +69,7 @@
     return lateShare;
   }
 
-  /** Only arrays have deadlines. */
+  /** Returns whether jobs of the class are arrays: only arrays have deadline objectives. */
   private static boolean isArrayClass(Settings settings, String jobClass) {
     return settings.objectives().stream()
         .anyMatch(
@@ -70,45 +78,51 @@
   }
 
   /**
-   * The policy that these settings ask for.
+   * Returns the policy for these settings.
    *
-   * @param quickestBootS the boot time of the machine type that boots fastest, in seconds
-   * @param externallyManaged whether the operators keep machines up themselves
+   * @param quickestBootS supplies the boot time of the fastest booting machine type, in seconds
+   * @param hasExternallyManagedMachines supplies whether the operators run machines themselves
    */
   public static ScalingPolicy of(
-      Settings settings, DoubleSupplier quickestBootS, BooleanSupplier externallyManaged) {
-    return new ScalingPolicy(settings, quickestBootS, externallyManaged);
+      Settings settings,
+      DoubleSupplier quickestBootS,
+      BooleanSupplier hasExternallyManagedMachines) {
+    return new ScalingPolicy(settings, quickestBootS, hasExternallyManagedMachines);
   }
 
   /**
-   * Where all machines are rented for the work, headroom grows only in proportion to the
-   * strictness: what is late there is late by bursts that no affordable headroom covers.
+   * Returns the headroom for the deadline objectives, as a share of the CPUs needed. If this
+   * service rents all machines, the headroom grows only in proportion to the strictness, because
+   * arrays are then late in bursts that no affordable headroom covers.
    */
   private double deadlineHeadroom() {
     return BASE_HEADROOM
-        * (externallyManaged.getAsBoolean()
+        * (hasExternallyManagedMachines.getAsBoolean()
             ? Math.pow(strictness, STRICTNESS_EXPONENT)
             : Math.min(strictness, MAX_STRICTNESS));
   }
 
-  /** Headroom for arrays, as a share of what they need. */
+  /** Returns the headroom for arrays, as a share of the CPUs that they need. */
   public double arrayHeadroom() {
     double startHeadroom = 0;
     for (Settings.Objective objective : startObjectives.values()) {
       double bootS = Math.max(1, quickestBootS.getAsDouble());
-      double beforeBoot = Math.max(0, 1 - objective.withinS() / bootS);
+      double shareBeforeBoot = Math.max(0, 1 - objective.withinS() / bootS);
       double odds = objective.share() / Math.max(MIN_SHARE, 1 - objective.share());
-      startHeadroom = Math.max(startHeadroom, beforeBoot * odds);
+      startHeadroom = Math.max(startHeadroom, shareBeforeBoot * odds);
     }
     return BASE_HEADROOM + deadlineHeadroom() + startHeadroom;
   }
 
-  /** Headroom for services, as a share of what they need. */
+  /** Returns the headroom for services, as a share of the CPUs that they need. */
   public double serviceHeadroom() {
     return BASE_HEADROOM;
   }
 
-  /** From 0, where capacity follows demand closely, to 1, where all that can be had is held. */
+  /**
+   * Returns the degree of overprovisioning, from 0 (capacity follows demand closely) to 1 (the
+   * fleet holds all capacity that can be rented).
+   */
   public double overprovisioning() {
     return Math.min(1, (arrayHeadroom() - BASE_HEADROOM) / (MAX_HEADROOM - BASE_HEADROOM));
   }
--- a/src/main/java/org/snowturn/core/autoscaling/ZoneOutages.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ZoneOutages.java
@@ -4,70 +4,83 @@
 import org.snowturn.core.model.Machine;
 
 /**
- * Whether silent machines point to the machines themselves, to an outage of their zone, or to this
- * node's own connection.
+ * A detector of zone outages, which distinguishes failures of single machines, outages of their
+ * zone and faults of this node's own connection. A machine is silent if its heartbeats are missing.
  *
- * <p>A zone that has fallen silent as a whole while others are heard has an outage: machines rented
- * there would not be heard either, and those that boot there are no help for now.
+ * <p>A zone has an outage if all its machines are silent while machines of other zones send
+ * heartbeats. Machines that boot or are rented there cannot be reached until the outage ends.
  */
 public final class ZoneOutages {
-  /** Fewer silent machines than this may have died one by one. */
+  /**
+   * Minimum number of machines that shows the state of a zone: fewer may have failed one by one.
+   */
   private static final int MIN_MACHINES = 3;
 
-  private final boolean[] out;
-  private final int[] heard;
-  private final int[] silent;
+  /** Whether each zone has an outage. */
+  private final boolean[] hasOutage;
+
+  /** Number of machines by zone that send heartbeats. */
+  private final int[] heardMachines;
+
+  /** Number of machines by zone whose heartbeats are missing. */
+  private final int[] silentMachines;
 
-  /** Of the silent ones, those that are not about to be deleted. */
-  private final int[] silentRemaining;
+  /** Number of silent machines by zone that are not about to be deleted. */
+  private final int[] silentRemainingMachines;
 
-  private boolean connected;
+  private boolean isConnected;
 
-  /** No outage is known in any of so many zones. */
+  /** Creates a detector for this number of zones, all of them without an outage. */
   public ZoneOutages(int zoneCount) {
-    out = new boolean[zoneCount];
-    heard = new int[zoneCount];
-    silent = new int[zoneCount];
-    silentRemaining = new int[zoneCount];
+    hasOutage = new boolean[zoneCount];
+    heardMachines = new int[zoneCount];
+    silentMachines = new int[zoneCount];
+    silentRemainingMachines = new int[zoneCount];
   }
 
-  /** Starts a new count. */
+  /** Resets the counts of machines. */
   public void reset() {
-    Arrays.fill(heard, 0);
-    Arrays.fill(silent, 0);
-    Arrays.fill(silentRemaining, 0);
+    Arrays.fill(heardMachines, 0);
+    Arrays.fill(silentMachines, 0);
+    Arrays.fill(silentRemainingMachines, 0);
   }
 
-  /** Counts a machine that has been up. */
+  /** Counts a machine that has sent at least one heartbeat. */
   public void count(Machine machine, boolean isSilent) {
-    (isSilent ? silent : heard)[machine.zone()]++;
-    silentRemaining[machine.zone()] += isSilent && !machine.isTerminating() ? 1 : 0;
+    (isSilent ? silentMachines : heardMachines)[machine.zone()]++;
+    silentRemainingMachines[machine.zone()] += isSilent && !machine.isTerminating() ? 1 : 0;
   }
 
-  /** Evaluates the count; an outage lasts until one of the zone's machines is heard. */
+  /** Evaluates the counts. An outage ends as soon as one of the zone's machines is heard. */
   public void evaluate() {
-    boolean anyHeard = Arrays.stream(heard).anyMatch(count -> count > 0);
-    for (int zone = 0; zone < out.length; zone++) {
-      out[zone] = anyHeard && heard[zone] == 0 && (out[zone] || silent[zone] >= MIN_MACHINES);
+    boolean anyHeard = Arrays.stream(heardMachines).anyMatch(count -> count > 0);
+    for (int zone = 0; zone < hasOutage.length; zone++) {
+      hasOutage[zone] =
+          anyHeard
+              && heardMachines[zone] == 0
+              && (hasOutage[zone] || silentMachines[zone] >= MIN_MACHINES);
     }
-    int allHeard = Arrays.stream(heard).sum();
-    int allSilent = Arrays.stream(silentRemaining).sum();
-    connected = allSilent <= Math.max(2, allHeard * 2 / 3);
-    for (int zone = 0; zone < out.length; zone++) {
-      connected |= heard[zone] >= MIN_MACHINES && silentRemaining[zone] * 3 <= heard[zone] * 2;
+    int allHeard = Arrays.stream(heardMachines).sum();
+    int allSilent = Arrays.stream(silentRemainingMachines).sum();
+    isConnected = allSilent <= Math.max(2, allHeard * 2 / 3);
+    for (int zone = 0; zone < hasOutage.length; zone++) {
+      isConnected |=
+          heardMachines[zone] >= MIN_MACHINES
+              && silentRemainingMachines[zone] * 3 <= heardMachines[zone] * 2;
     }
   }
 
   /**
-   * Whether silence is not this node's own: it hears most machines, or most of some zone. A zone
-   * with an outage may hold more machines than all others together.
+   * Returns whether this node's own connection works: it receives heartbeats of most machines, or
+   * of most machines of at least one zone, since a zone with an outage may hold more machines than
+   * all others together.
    */
   public boolean isConnected() {
-    return connected;
+    return isConnected;
   }
 
-  /** Whether the zone has an outage. */
+  /** Returns whether the zone has an outage. */
   public boolean hasOutage(int zone) {
-    return out[zone];
+    return hasOutage[zone];
   }
 }
--- a/src/main/java/org/snowturn/core/autoscaling/package-info.java
+++ b/src/main/java/org/snowturn/core/autoscaling/package-info.java
@@ -1,2 +1,2 @@
-/** Scales the fleet of rented machines out and in with demand, within the cloud's request rate. */
+/** Scaling of the fleet of rented machines with demand, within the cloud's request rate. */
 package org.snowturn.core.autoscaling;
--- a/src/main/java/org/snowturn/core/dependency/DependencyGraph.java
+++ b/src/main/java/org/snowturn/core/dependency/DependencyGraph.java
@@ -31,41 +31,60 @@
 import org.snowturn.wire.StateMessage.Condition;
 
 /**
- * Which live jobs wait for which others. A job is released when all that it awaits are durably
- * done, cancelled when one of them is, and until then lends its priority and its deadline to those
- * it waits for. All of it follows from stored records, so every leader comes to the same.
+ * The dependencies between live jobs. A job is released when all its dependencies are durably done,
+ * and cancelled when one of them is cancelled. Until then its dependencies inherit its priority and
+ * deadline. All of this is derived from stored records, so every leader reaches the same result.
  */
 public final class DependencyGraph implements JobListener {
+  private static final int STATUS_OK = 200;
   private static final long LOOKUP_RETRY_MS = 500;
   private static final long LOOKUP_TIMEOUT_MS = 10_000;
-  private static final long RECOMPUTE_MS = 250;
-  private static final int MAX_FINISHED = 5_000;
+
+  /** Minimum time between two recomputations of all inherited priorities and deadlines. */
+  private static final long MIN_RECOMPUTE_INTERVAL_MS = 250;
+
+  /** Maximum number of finished jobs whose final phase is cached. */
+  private static final int MAX_FINISHED_JOBS = 5_000;
 
   /**
-   * What a stage takes beside its estimate: image, start, result. It is not to be more than usual:
-   * a job that seems late whatever is done goes last, and all behind it with it.
+   * Typical time that a stage takes in addition to its estimate: image fetch, start and result. A
+   * higher value would make jobs seem bound to be late, and such jobs and their dependents are
+   * scheduled last.
    */
   private static final double STAGE_OVERHEAD_S = 1;
 
+  /** Factor on a job's deadline that gives its late deadline. */
+  private static final double LATE_DEADLINE_FACTOR = 1.5;
+
   private final CoreRuntime runtime;
   private final FormatGate gate;
   private final TaskAssignments assignments;
   private final RecordWriter writer;
 
-  /** By the id of a job that is not known to be over: the jobs that wait for it. */
-  private final Map<String, Set<Job>> waiting = new HashMap<>();
+  /** The jobs that wait for a job, by the id of that job, which is not known to have ended. */
+  private final Map<String, Set<Job>> dependentsById = new HashMap<>();
+
+  /** Ids of dependencies whose state must be looked up in the stored records. */
+  private final Set<String> unknownDependencies = new LinkedHashSet<>();
 
-  private final Set<String> unknown = new LinkedHashSet<>();
-  private final Map<String, JobStatus.Phase> over = new LruMap<>(MAX_FINISHED);
-  private final ArrayDeque<Job> joined = new ArrayDeque<>();
+  /** Final phases of jobs that have ended, by id. */
+  private final Map<String, JobStatus.Phase> finalPhases = new LruMap<>(MAX_FINISHED_JOBS);
+
+  /** Jobs with dependencies that the next update adds to the graph. */
+  private final ArrayDeque<Job> newJobs = new ArrayDeque<>();
+
+  /** Jobs whose cancellation has not been submitted yet. */
   private final Set<Job> toCancel = new LinkedHashSet<>();
+
+  /** Jobs whose cancellation has been submitted and is not confirmed yet. */
   private final Set<Job> cancelling = new HashSet<>();
-  private boolean lookupInProgress;
-  private long lookupAt;
-  private boolean recompute;
-  private long recomputeAt;
 
-  /** No job is known yet; it is to be told of all jobs as a listener. */
+  private boolean isLookupInProgress;
+  private long nextLookupAt;
+  private boolean isRecomputeDue;
+  private long nextRecomputeAt;
+
+  /** Creates an empty graph, which must be registered as a listener for all jobs. */
   public DependencyGraph(
       CoreRuntime runtime, FormatGate gate, TaskAssignments assignments, RecordWriter writer) {
     this.runtime = runtime;
@@ -74,7 +93,7 @@
     this.writer = writer;
   }
 
-  /** How many jobs wait for others. */
+  /** Returns the number of jobs that wait for others. */
   public int waitingJobCount() {
     int count = 0;
     for (Job job : assignments.jobs()) {
@@ -86,97 +105,101 @@
   @Override
   public void joined(Job job) {
     if (job.awaitsDependencies()) {
-      joined.add(job); // looked at once all records that came together are known
+      newJobs.add(job); // resolved in update(), once all records of the batch are known
     }
   }
 
   @Override
   public void cancelled(Job job) {
-    leave(job);
-    recompute = true;
-    aborted(job.spec.id());
+    removeWaiting(job);
+    isRecomputeDue = true;
+    cancelDependents(job.spec.id());
   }
 
   @Override
   public void over(Job job, JobStatus.Phase phase) {
-    leave(job);
-    over(job.spec.id(), phase);
+    removeWaiting(job);
+    recordPhase(job.spec.id(), phase);
   }
 
-  private void over(String id, JobStatus.Phase phase) {
+  /** Records the final phase of a job. A null phase has to be looked up. */
+  private void recordPhase(String id, JobStatus.Phase phase) {
     if (phase == null) {
-      if (waiting.containsKey(id)) {
-        unknown.add(id);
+      if (dependentsById.containsKey(id)) {
+        unknownDependencies.add(id);
       }
       return;
     }
-    over.put(id, phase);
+    finalPhases.put(id, phase);
     if (phase == JobStatus.Phase.DONE) {
-      done(id);
+      resolveDependency(id);
     } else {
-      aborted(id);
+      cancelDependents(id);
     }
   }
 
-  /** Takes in new jobs, looks up what is not known, and writes what is to be cancelled. */
+  /**
+   * Adds new jobs to the graph, looks up dependencies of unknown state, recomputes inherited
+   * priorities if necessary, and submits cancellations.
+   */
   public void update() {
-    while (!joined.isEmpty()) {
-      join(joined.poll());
+    while (!newJobs.isEmpty()) {
+      addToGraph(newJobs.poll());
     }
-    if (!unknown.isEmpty() && !lookupInProgress && runtime.now() >= lookupAt) {
-      lookUp();
+    if (!unknownDependencies.isEmpty() && !isLookupInProgress && runtime.now() >= nextLookupAt) {
+      lookUpUnknown();
     }
-    if (recompute && runtime.now() >= recomputeAt) {
-      recompute = false;
-      recomputeAt = runtime.now() + RECOMPUTE_MS;
+    if (isRecomputeDue && runtime.now() >= nextRecomputeAt) {
+      isRecomputeDue = false;
+      nextRecomputeAt = runtime.now() + MIN_RECOMPUTE_INTERVAL_MS;
       recompute();
     }
     writeCancelled();
   }
 
-  private boolean live(Job job) {
+  private boolean isLive(Job job) {
     return assignments.job(job.spec.id()) == job && !job.isCancellationRecorded();
   }
 
-  private void join(Job job) {
-    if (!live(job)) {
+  private void addToGraph(Job job) {
+    if (!isLive(job)) {
       return;
     }
     for (String id : List.copyOf(job.unmetDependencies)) {
-      Job needed = assignments.job(id);
+      Job dependency = assignments.job(id);
       JobStatus.Phase phase =
-          needed != null && needed.isCancellationRecorded()
+          dependency != null && dependency.isCancellationRecorded()
               ? JobStatus.Phase.ABORTED
-              : over.get(id);
+              : finalPhases.get(id);
       if (phase == JobStatus.Phase.DONE) {
         job.unmetDependencies.remove(id);
         continue;
       }
-      waiting.computeIfAbsent(id, k -> new LinkedHashSet<>()).add(job);
+      dependentsById.computeIfAbsent(id, key -> new LinkedHashSet<>()).add(job);
       if (phase == JobStatus.Phase.ABORTED) {
-        aborted(id);
+        cancelDependents(id);
         return;
       }
-      if (needed == null) {
-        unknown.add(id);
+      if (dependency == null) {
+        unknownDependencies.add(id);
       }
     }
     if (job.awaitsDependencies()) {
-      lendPriority(job);
+      passPriorityToDependencies(job);
     } else {
       release(job);
     }
   }
 
-  private void done(String id) {
-    unknown.remove(id);
-    Set<Job> freed = waiting.remove(id);
-    if (freed == null) {
+  private void resolveDependency(String id) {
+    unknownDependencies.remove(id);
+    Set<Job> dependents = dependentsById.remove(id);
+    if (dependents == null) {
       return;
     }
-    for (Job job : freed) {
+    for (Job job : dependents) {
       job.unmetDependencies.remove(id);
-      if (!job.awaitsDependencies() && live(job)) {
+      if (!job.awaitsDependencies() && isLive(job)) {
         release(job);
       }
     }
@@ -193,36 +216,36 @@
     assignments.markChanged();
   }
 
-  /** All that need the job, directly or through others, are to be cancelled with it. */
-  private void aborted(String id) {
-    unknown.remove(id);
+  /** Marks all direct and transitive dependents of the job for cancellation. */
+  private void cancelDependents(String id) {
+    unknownDependencies.remove(id);
     ArrayDeque<String> ids = new ArrayDeque<>(List.of(id));
     while (!ids.isEmpty()) {
-      for (Job job : waiting.getOrDefault(ids.poll(), Set.of())) {
-        if (live(job) && !cancelling.contains(job) && toCancel.add(job)) {
+      for (Job job : dependentsById.getOrDefault(ids.poll(), Set.of())) {
+        if (isLive(job) && !cancelling.contains(job) && toCancel.add(job)) {
           ids.add(job.spec.id());
         }
       }
     }
   }
 
-  /** The job waits for nothing any more: it is cancelled. */
-  private void leave(Job job) {
+  /** Removes a cancelled or finished job from the dependents of its dependencies. */
+  private void removeWaiting(Job job) {
     toCancel.remove(job);
     for (String id : job.unmetDependencies) {
-      Set<Job> others = waiting.get(id);
-      if (others != null && others.remove(job) && others.isEmpty()) {
-        waiting.remove(id);
-        unknown.remove(id);
+      Set<Job> waitingJobs = dependentsById.get(id);
+      if (waitingJobs != null && waitingJobs.remove(job) && waitingJobs.isEmpty()) {
+        dependentsById.remove(id);
+        unknownDependencies.remove(id);
       }
     }
   }
 
-  // --- what is over already ---
+  // --- Lookup of dependencies of unknown state ---
 
-  private void lookUp() {
-    lookupInProgress = true;
-    List<String> ids = List.copyOf(unknown);
+  private void lookUpUnknown() {
+    isLookupInProgress = true;
+    List<String> ids = List.copyOf(unknownDependencies);
     JobLookup.find(
         runtime,
         RequestClass.WORK,
@@ -230,35 +253,35 @@
         ids,
         LOOKUP_TIMEOUT_MS,
         (found, complete) -> {
-          lookupInProgress = false;
-          lookupAt = complete ? runtime.now() : runtime.now() + LOOKUP_RETRY_MS;
+          isLookupInProgress = false;
+          nextLookupAt = complete ? runtime.now() : runtime.now() + LOOKUP_RETRY_MS;
           for (String id : ids) {
             if (complete || found.containsKey(id)) {
-              found(id, found.get(id));
+              onLookupResult(id, found.get(id));
             }
           }
         });
   }
 
-  private void found(String id, JobLookup.StoredJob fact) {
-    if (!unknown.contains(id)) {
-      return; // known by now
+  private void onLookupResult(String id, JobLookup.StoredJob storedJob) {
+    if (!unknownDependencies.contains(id)) {
+      return; // resolved in the meantime
     }
-    if (fact == null) {
-      // Accepted before the job that names it, so it must be there.
-      lookupAt = runtime.now() + LOOKUP_RETRY_MS;
+    if (storedJob == null) {
+      // A dependency is accepted before its dependents, so its record must exist.
+      nextLookupAt = runtime.now() + LOOKUP_RETRY_MS;
       runtime.events().info(LogEvent.DEPENDENCY_MISSING).with(LogField.JOB, id).write();
-    } else if (!fact.live()) {
-      over(id, fact.phase());
+    } else if (!storedJob.live()) {
+      recordPhase(id, storedJob.phase());
     } else if (assignments.job(id) != null) {
-      unknown.remove(id);
+      unknownDependencies.remove(id);
     } else {
       assignments.registry().reread(id);
-      lookupAt = runtime.now() + LOOKUP_RETRY_MS;
+      nextLookupAt = runtime.now() + LOOKUP_RETRY_MS;
     }
   }
 
-  // --- cancelling what needs a cancelled job ---
+  // --- Cancellation of the dependents of cancelled jobs ---
 
   private void writeCancelled() {
     while (!toCancel.isEmpty()) {
@@ -276,24 +299,25 @@
   }
 
   /**
-   * One transaction; where it fails, what is still to be cancelled is read again and tried anew.
+   * Writes the cancellations of the batch in one transaction. If it fails, rereads the records and
+   * retries the jobs that still have to be cancelled.
    */
   private void writeCancelled(Collection<Job> batch) {
-    List<Condition> when = new ArrayList<>();
-    List<Change> apply = new ArrayList<>();
+    List<Condition> conditions = new ArrayList<>();
+    List<Change> changes = new ArrayList<>();
     for (Job job : batch) {
       String key = StorageKeys.job(job.spec.id());
-      when.add(new Condition(key, job.version()));
-      apply.add(Change.put(key, job.cancelledRecord().live()));
+      conditions.add(new Condition(key, job.version()));
+      changes.add(Change.put(key, job.cancelledRecord().live()));
     }
     writer.submit(
         RecordWriter.TransactionPriority.IMMEDIATE,
-        when,
-        apply,
+        conditions,
+        changes,
         (outcome, status, body) -> {
-          if (outcome == Outcome.ANSWERED && status == 200) {
+          if (outcome == Outcome.ANSWERED && status == STATUS_OK) {
             batch.forEach(cancelling::remove);
-            batch.forEach(job -> cancelled(job, body));
+            batch.forEach(job -> onCancellationWritten(job, body));
           } else {
             batch.forEach(
                 job -> assignments.registry().reread(job.spec.id(), () -> retryCancel(job)));
@@ -301,7 +325,7 @@
         });
   }
 
-  private void cancelled(Job job, JsonNode body) {
+  private void onCancellationWritten(Job job, JsonNode body) {
     try {
       assignments.registry().add(job.spec.id(), job.cancelledRecord(), StateMessage.revision(body));
     } catch (MalformedException e) {
@@ -311,13 +335,14 @@
 
   private void retryCancel(Job job) {
     cancelling.remove(job);
-    if (live(job) && job.awaitsDependencies()) {
+    if (isLive(job) && job.awaitsDependencies()) {
       toCancel.add(job);
     }
   }
 
-  // --- priorities and deadlines ---
+  // --- Inheritance of priorities and deadlines ---
 
+  /** Recomputes all inherited priorities and deadlines from scratch. */
   private void recompute() {
     for (Job job : assignments.jobs()) {
       assignments.reprioritize(job, job.spec.priority());
@@ -325,39 +350,49 @@
       job.setDependentsLateDeadline(Double.MAX_VALUE);
     }
     for (Job job : List.copyOf(assignments.jobs())) {
-      if (job.awaitsDependencies() && live(job)) {
-        lendPriority(job);
+      if (job.awaitsDependencies() && isLive(job)) {
+        passPriorityToDependencies(job);
       }
     }
   }
 
-  /** Hands the job's priority and what it leaves of its deadline on to those that it needs. */
-  private void lendPriority(Job from) {
-    ArrayDeque<Job> lenders = new ArrayDeque<>(List.of(from));
-    while (!lenders.isEmpty()) {
-      Job job = lenders.poll();
-      double takesMs = 1000 * (STAGE_OVERHEAD_S + job.spec.estimateS());
-      double due = job.deadlineWallMs(1) - takesMs;
-      double lateDue = job.deadlineWallMs(1.5) - takesMs;
+  /**
+   * Passes the job's priority, and its deadline minus its own run time, to all its direct and
+   * transitive dependencies.
+   */
+  private void passPriorityToDependencies(Job from) {
+    ArrayDeque<Job> queue = new ArrayDeque<>(List.of(from));
+    while (!queue.isEmpty()) {
+      Job job = queue.poll();
+      double runTimeMs = 1000 * (STAGE_OVERHEAD_S + job.spec.estimateS());
+      double deadline = job.deadlineWallMs(1) - runTimeMs;
+      double lateDeadline = job.deadlineWallMs(LATE_DEADLINE_FACTOR) - runTimeMs;
       for (String id : job.unmetDependencies) {
-        Job needed = assignments.job(id);
-        if (needed != null && lendTo(needed, job.priority(), due, lateDue)) {
-          lenders.add(needed);
+        Job dependency = assignments.job(id);
+        if (dependency != null
+            && applyInheritance(dependency, job.priority(), deadline, lateDeadline)) {
+          queue.add(dependency);
         }
       }
     }
   }
 
-  private boolean lendTo(Job needed, Priority priority, double due, double lateDue) {
-    boolean more =
-        priority.compareTo(needed.priority()) < 0
-            || due < needed.dependentsDeadline()
-            || lateDue < needed.dependentsLateDeadline();
-    if (priority.compareTo(needed.priority()) < 0) {
-      assignments.reprioritize(needed, priority);
+  /**
+   * Applies an inherited priority and inherited deadlines to a dependency. Returns whether its
+   * priority rose or one of its deadlines became earlier.
+   */
+  private boolean applyInheritance(
+      Job dependency, Priority priority, double deadline, double lateDeadline) {
+    boolean isRaised =
+        priority.compareTo(dependency.priority()) < 0
+            || deadline < dependency.dependentsDeadline()
+            || lateDeadline < dependency.dependentsLateDeadline();
+    if (priority.compareTo(dependency.priority()) < 0) {
+      assignments.reprioritize(dependency, priority);
     }
-    needed.setDependentsDeadline(Math.min(needed.dependentsDeadline(), due));
-    needed.setDependentsLateDeadline(Math.min(needed.dependentsLateDeadline(), lateDue));
-    return more;
+    dependency.setDependentsDeadline(Math.min(dependency.dependentsDeadline(), deadline));
+    dependency.setDependentsLateDeadline(
+        Math.min(dependency.dependentsLateDeadline(), lateDeadline));
+    return isRaised;
   }
 }
--- a/src/main/java/org/snowturn/core/dependency/package-info.java
+++ b/src/main/java/org/snowturn/core/dependency/package-info.java
@@ -1,2 +1,2 @@
-/** Which live jobs wait for which others. */
+/** Dependencies between live jobs: release, cancellation and inherited priorities. */
 package org.snowturn.core.dependency;
--- a/src/main/java/org/snowturn/core/dispatch/CommandLog.java
+++ b/src/main/java/org/snowturn/core/dispatch/CommandLog.java
@@ -7,14 +7,17 @@
 import org.snowturn.core.model.Machine;
 import org.snowturn.wire.Command;
 
-/** Lines of the log about commands that leave for machines, one for each command. */
+/** Debug log lines about commands that are sent to machines, one for each command. */
 public final class CommandLog {
   private CommandLog() {}
 
   /**
-   * Writes them where debugging is on.
+   * Writes one line for each command if debug logging is enabled.
    *
-   * @param path how they leave: {@code direct}, or {@code answer} to a check-in
+   * @param path how the commands are sent: {@code direct}, or {@code answer} for the reply to a
+   *     heartbeat
+   * @param session the epoch of the machine's agent that the commands are for
+   * @param token the fencing token of the term
    */
   public static void write(
       CoreRuntime runtime,
--- a/src/main/java/org/snowturn/core/dispatch/CommandQueue.java
+++ b/src/main/java/org/snowturn/core/dispatch/CommandQueue.java
@@ -17,38 +17,52 @@
 import org.snowturn.wire.MalformedException;
 
 /**
- * Direct commands to one machine, one message at a time. What gets no answer is not repeated here:
- * the next report's response carries every command that still matters.
+ * A queue of commands that are sent directly to one machine, one message at a time. Unanswered
+ * messages are not repeated here, because the reply to the machine's next heartbeat carries every
+ * command that is still needed.
  */
 public final class CommandQueue implements CommandChannel {
   private static final int TIMEOUT_MS = 2000;
 
-  /** A machine that only has to say that it is there answers sooner. */
-  private static final int ASK_TIMEOUT_MS = 1000;
+  /**
+   * Timeout of a message without commands, which a machine answers sooner than one with commands.
+   */
+  private static final int PROBE_TIMEOUT_MS = 1000;
 
-  /** Without an answer for so long, a message was in vain. */
-  private static final long IN_VAIN_MS = 400;
+  /**
+   * Minimum time after which a failed message shows that the machine may receive nothing. A call
+   * that fails sooner was refused at once for lack of a socket, on this node or on the machine.
+   */
+  private static final long MIN_UNANSWERED_MS = 400;
 
+  /** Epoch of the first session of a machine's agent. */
   private static final long FIRST_SESSION = 1;
 
-  /** What the queue needs of the leader. */
+  /** Factor that exceeds the number of tasks of any job. */
+  private static final long ATTEMPT_KEY_FACTOR = 131_072;
+
+  private static final int STATUS_OK = 200;
+  private static final int STATUS_CONFLICT = 409;
+  private static final int MIN_SERVER_ERROR_STATUS = 500;
+
+  /** The leader's functions that the queue uses. */
   public interface Host {
-    /** Whether this node may act now. */
+    /** Returns whether this node has the authority to send commands now. */
     boolean hasAuthority();
 
-    /** The fencing token of the term. */
+    /** Returns the fencing token of the term. */
     long token();
 
-    /** The machine has answered with its heartbeat. */
+    /** Handles the heartbeat with which the machine has answered a message. */
     void onHeartbeat(Heartbeat heartbeat);
 
-    /** Whether a start that was decided earlier may leave for the machine now. */
+    /** Returns whether a queued start command may still be sent to the machine. */
     boolean canStart(Machine machine, Command start);
 
-    /** The queue has something to send and waits for {@link CommandQueue#flush}. */
+    /** Handles a queue that has something to send and waits for {@link CommandQueue#flush}. */
     void onReadyToSend(CommandQueue queue);
 
-    /** A message to the machine got no usable answer. */
+    /** Handles a message to the machine that got no usable answer. */
     void onUnanswered(Machine machine);
   }
 
@@ -56,11 +70,11 @@
   private final Host host;
   private final Machine machine;
   private final Map<String, Command> queue = new LinkedHashMap<>();
-  private boolean busy;
-  private boolean probe;
-  private boolean queued;
+  private boolean isBusy;
+  private boolean isProbeRequested;
+  private boolean isFlushRequested;
 
-  /** An empty queue of commands for the machine. */
+  /** Creates an empty queue of commands for the machine. */
   public CommandQueue(CoreRuntime runtime, Host host, Machine machine) {
     this.runtime = runtime;
     this.host = host;
@@ -84,30 +98,33 @@
     return command.op() + command.job() + "/" + command.task() + "#" + command.attempt();
   }
 
-  /** Only queues with something to send are looked at: most machines have nothing. */
+  /** Registers the queue for the next flush, which visits only queues with something to send. */
   private void requestFlush() {
-    if (!queued && !busy) {
-      queued = true;
+    if (!isFlushRequested && !isBusy) {
+      isFlushRequested = true;
       host.onReadyToSend(this);
     }
   }
 
-  /** Sends a message even without commands, to learn what the machine runs. */
+  /** Requests a message even without commands, to learn which tasks the machine runs. */
   @Override
   public void probe() {
-    probe = true;
+    isProbeRequested = true;
     requestFlush();
   }
 
-  /** One number for an attempt of a task; attempts of a gang's tasks are the same. */
+  /**
+   * Returns a number that identifies an attempt of a task. The attempt number alone does not, since
+   * it is the same for all tasks of a gang.
+   */
   public static long attemptKey(long attempt, int task) {
-    return attempt * 131_072 + task;
+    return attempt * ATTEMPT_KEY_FACTOR + task;
   }
 
-  /** The machine's address has become known. */
+  /** Requests a flush of pending commands, for example once the machine's address is known. */
   @Override
   public void resume() {
-    if (!queue.isEmpty() || probe) {
+    if (!queue.isEmpty() || isProbeRequested) {
       requestFlush();
     }
   }
@@ -119,53 +136,56 @@
 
   @Override
   public boolean idle() {
-    return !busy && queue.isEmpty();
+    return !isBusy && queue.isEmpty();
   }
 
-  /** Sends what waits, if the machine can be reached and this node may act. */
+  /**
+   * Sends the pending commands or probe, if the machine's address is known and this node may act.
+   */
   public void flush() {
-    queued = false;
-    if (!maySend()) {
+    isFlushRequested = false;
+    if (!canSend()) {
       return;
     }
     List<Command> commands = new ArrayList<>(queue.values());
     commands.removeIf(
         command -> command.op() == Command.Op.START && !host.canStart(machine, command));
     queue.clear();
-    if (commands.isEmpty() && !probe) {
+    if (commands.isEmpty() && !isProbeRequested) {
       return;
     }
-    probe = false;
-    busy = true;
+    isProbeRequested = false;
+    isBusy = true;
     send(commands, markInDoubt(commands));
   }
 
-  private boolean maySend() {
-    return !busy
+  private boolean canSend() {
+    return !isBusy
         && machine.addr() != null
-        && (!queue.isEmpty() || probe)
+        && (!queue.isEmpty() || isProbeRequested)
         && !machine.isTerminated()
         && host.hasAuthority();
   }
 
   /**
-   * From here until an answer the starts may be executed at any later time of the session; returns
-   * the attempts that were not in doubt before.
+   * Marks the attempts of all start commands as in doubt: until an answer arrives, the machine may
+   * execute them at any later time of the session. Returns the attempts that were not in doubt
+   * before.
    */
   private List<Long> markInDoubt(List<Command> commands) {
-    List<Long> doubts = new ArrayList<>();
+    List<Long> newlyInDoubt = new ArrayList<>();
     for (Command command : commands) {
       if (command.op() == Command.Op.START
           && machine.startsInDoubt.add(attemptKey(command.attempt(), command.task()))) {
-        doubts.add(attemptKey(command.attempt(), command.task()));
+        newlyInDoubt.add(attemptKey(command.attempt(), command.task()));
       }
     }
-    return doubts;
+    return newlyInDoubt;
   }
 
-  private void send(List<Command> commands, List<Long> doubts) {
-    // Not known of a machine on which an earlier leader had nothing: most are in their first, and
-    // the others refuse and tell.
+  private void send(List<Command> commands, List<Long> newlyInDoubt) {
+    // The session is unknown for a machine on which earlier leaders placed nothing. Most such
+    // machines are in their first session; the others refuse the message and report their session.
     long session = Math.max(FIRST_SESSION, machine.epoch());
     CommandLog.write(runtime, "direct", machine, session, host.token(), commands);
     long sentAt = runtime.now();
@@ -175,37 +195,43 @@
         "POST",
         "/commands",
         Command.direct(host.token(), session, commands),
-        commands.isEmpty() ? ASK_TIMEOUT_MS : TIMEOUT_MS,
-        (outcome, status, body) -> answered(session, sentAt, doubts, outcome, status, body));
-  }
-
-  private void answered(
-      long session, long sentAt, List<Long> doubts, Outcome outcome, int status, JsonNode body) {
-    busy = false;
+        commands.isEmpty() ? PROBE_TIMEOUT_MS : TIMEOUT_MS,
+        (outcome, status, body) -> onReply(session, sentAt, newlyInDoubt, outcome, status, body));
+  }
+
+  private void onReply(
+      long session,
+      long sentAt,
+      List<Long> newlyInDoubt,
+      Outcome outcome,
+      int status,
+      JsonNode body) {
+    isBusy = false;
     resume();
-    boolean settled = outcome == Outcome.REFUSED || (outcome == Outcome.ANSWERED && status < 500);
-    if (settled) {
-      // An earlier copy that got no answer keeps its doubt: only this message's own are settled.
-      doubts.forEach(attempt -> machine.startsInDoubt.remove(attempt.longValue()));
+    boolean isSettled =
+        outcome == Outcome.REFUSED
+            || (outcome == Outcome.ANSWERED && status < MIN_SERVER_ERROR_STATUS);
+    if (isSettled) {
+      // Attempts that an earlier unanswered message put in doubt stay in doubt.
+      newlyInDoubt.forEach(attempt -> machine.startsInDoubt.remove(attempt.longValue()));
     }
-    boolean reports = outcome == Outcome.ANSWERED && (status == 200 || status == 409);
-    if (reports && reported(session, status, body)) {
+    boolean hasHeartbeat =
+        outcome == Outcome.ANSWERED && (status == STATUS_OK || status == STATUS_CONFLICT);
+    if (hasHeartbeat && handleHeartbeat(session, status, body)) {
       return;
     }
-    // What is refused at once says that there was no socket, here or there: not that nothing gets
-    // in.
-    if (runtime.now() - sentAt >= IN_VAIN_MS) {
+    if (runtime.now() - sentAt >= MIN_UNANSWERED_MS) {
       machine.reachability.messageUnanswered(runtime.now());
     }
     host.onUnanswered(machine);
   }
 
-  /** Takes in the heartbeat that is in the answer; tells whether it could be read. */
-  private boolean reported(long session, int status, JsonNode body) {
+  /** Handles the heartbeat in the answer. Returns whether it could be parsed. */
+  private boolean handleHeartbeat(long session, int status, JsonNode body) {
     try {
       host.onHeartbeat(Heartbeat.parse(body));
-      if (status == 409 && machine.epoch() > session) {
-        probe(); // a new leader did not know the session: now the machine can learn the token
+      if (status == STATUS_CONFLICT && machine.epoch() > session) {
+        probe(); // the machine accepts the token with its session, which is known now
       }
       return true;
     } catch (MalformedException e) {
--- a/src/main/java/org/snowturn/core/dispatch/package-info.java
+++ b/src/main/java/org/snowturn/core/dispatch/package-info.java
@@ -1,2 +1,2 @@
-/** Commands on their way to machines. */
+/** Delivery of commands to machines. */
 package org.snowturn.core.dispatch;
--- a/src/main/java/org/snowturn/core/effects/CoreRuntime.java
+++ b/src/main/java/org/snowturn/core/effects/CoreRuntime.java
@@ -21,101 +21,141 @@
 import org.snowturn.wire.StateMessage.Condition;
 
 /**
- * Collects the effects of the present input, and remembers what to do with each reply and when a
- * timer expires. Only the core's thread may use it.
+ * The core's access to calls, timers, clocks and the log. It collects the effects of the current
+ * input and keeps the handlers of open calls. It is not thread-safe: only the core's thread may use
+ * it.
  */
 public final class CoreRuntime {
-  /** Continues after a reply. */
+  /** A handler of the reply to a call. */
   public interface ReplyHandler {
-    /** Takes the reply; status and body are only meaningful if the outcome is an answer. */
+    /**
+     * Handles the reply.
+     *
+     * @param outcome whether the call was answered, and if not, whether it may have been executed
+     * @param status the HTTP status; only meaningful if the call was answered
+     * @param body the body of the answer; may be null
+     */
     void onReply(Outcome outcome, int status, JsonNode body);
   }
 
   private static final long MIN_RETRY_DELAY_MS = 50;
   private static final long MAX_RETRY_DELAY_MS = 2_000;
-  private static final int TOO_MANY_REQUESTS = 429;
+  private static final int STATUS_TOO_MANY_REQUESTS = 429;
 
-  private record Timer(long at, long order, Runnable run) implements Comparable<Timer> {
+  /**
+   * An action that runs at the first tick at or after a time.
+   *
+   * @param atMs the monotonic time in milliseconds
+   * @param order the number of the timer, which orders timers of the same time
+   * @param action the action to run
+   */
+  private record Timer(long atMs, long order, Runnable action) implements Comparable<Timer> {
     @Override
     public int compareTo(Timer other) {
-      return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+      return atMs != other.atMs ? Long.compare(atMs, other.atMs) : Long.compare(order, other.order);
     }
   }
 
-  /** A call that has no reply yet. */
-  private record OpenCall(ReplyHandler then, boolean countsRequests) {}
+  /**
+   * A call without a reply yet.
+   *
+   * @param replyHandler the handler of the reply
+   * @param isLimitedByRequests whether a status 429 always means that the state service's limit on
+   *     requests was exceeded
+   */
+  private record OpenCall(ReplyHandler replyHandler, boolean isLimitedByRequests) {}
 
   private final Map<Long, OpenCall> openCalls = new HashMap<>();
   private StateRequestBudget budget;
 
   /**
-   * Calls that were not made for want of budget: told as refused once the present input is over.
+   * Handlers of calls that exceeded the request budget. They receive a refusal after the current
+   * input has been handled.
    */
-  private List<ReplyHandler> rejected = new ArrayList<>();
+  private List<ReplyHandler> overBudgetHandlers = new ArrayList<>();
 
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
   private final RandomGenerator random;
-  private long timerOrder;
+  private long nextTimerOrder;
   private long retryAfterMs;
   private List<Effect> effects = new ArrayList<>();
   private final EventLog events = new EventLog(effect -> effects.add(effect), this::wallMs);
-  private long nextId = 1;
+  private long nextCallId = 1;
   private long now;
   private long wallMs;
 
-  /** All that is drawn at random is drawn from this seed. */
+  /**
+   * Creates a runtime without timers or open calls.
+   *
+   * @param seed the seed of all random numbers of this node
+   */
   public CoreRuntime(long seed) {
     random = new SplittableRandom(seed);
   }
 
-  /** From now on, calls to the state service have to find room in this. */
+  /** Sets the budget that limits calls to the state service from now on. */
   public void setStateRequestBudget(StateRequestBudget requestBudget) {
     budget = requestBudget;
   }
 
-  /** The source of all random draws of this node. */
+  /** Returns the source of all random numbers of this node. */
   public RandomGenerator random() {
     return random;
   }
 
-  /** The monotonic time of the present input, in milliseconds. */
+  /** Returns the monotonic time of the current input, in milliseconds. */
   public long now() {
     return now;
   }
 
-  /** Delays between the tries of one call. */
+  /** Returns a new back-off for one call, with the default bounds. */
   public Backoff backoff() {
     return backoff(MIN_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS);
   }
 
-  /** The same between other bounds, in milliseconds. */
+  /**
+   * Returns a new back-off for one call.
+   *
+   * @param minMs the upper bound of the first delay, in milliseconds
+   * @param maxMs the upper bound of all delays that no reply requests, in milliseconds
+   */
   public Backoff backoff(long minMs, long maxMs) {
     return new Backoff(random, minMs, maxMs);
   }
 
-  /** What the reply that is being handled asks for, in milliseconds; 0 if nothing. */
+  /**
+   * Returns the delay before a retry that the reply being handled requests, in milliseconds. It is
+   * 0 if the reply requests none, or if no reply is being handled.
+   */
   public long retryAfterMs() {
     return retryAfterMs;
   }
 
-  /** While a failed reply is handled: repeats the call after the delay that is due. */
-  public void retry(Backoff backoff, Runnable run) {
-    schedule(backoff.next(retryAfterMs), run);
+  /**
+   * Schedules a retry of the call whose failed reply is being handled. The delay is the next of the
+   * back-off, or the one that the reply requests if that is longer.
+   */
+  public void retry(Backoff backoff, Runnable action) {
+    schedule(backoff.next(retryAfterMs), action);
   }
 
-  /** Runs something at the first tick after this delay, in milliseconds. */
-  public void schedule(long ms, Runnable run) {
-    timers.add(new Timer(now + ms, timerOrder++, run));
+  /**
+   * Schedules an action for the first tick after a delay.
+   *
+   * @param delayMs the delay in milliseconds
+   */
+  public void schedule(long delayMs, Runnable action) {
+    timers.add(new Timer(now + delayMs, nextTimerOrder++, action));
   }
 
   /** Runs the timers that have expired. */
   public void tick() {
-    while (!timers.isEmpty() && timers.peek().at <= now) {
-      timers.poll().run.run();
+    while (!timers.isEmpty() && timers.peek().atMs <= now) {
+      timers.poll().action.run();
     }
   }
 
-  /** The time of day of the present input, in milliseconds since the epoch. */
+  /** Returns the wall-clock time of the current input, in milliseconds since the epoch. */
   public long wallMs() {
     return wallMs;
   }
@@ -126,102 +166,116 @@
     this.wallMs = wallMs;
   }
 
-  /** A read or write of a term; see {@link #readState} and {@link #writeState}. */
+  /**
+   * Calls the state service on behalf of a term. Where they suffice, {@link #readState} and {@link
+   * #writeState} are simpler.
+   */
   public void callState(
-      String method, String path, JsonNode body, int timeoutMs, ReplyHandler then) {
-    callState(RequestClass.WORK, method, path, body, timeoutMs, then);
+      String method, String path, JsonNode body, int timeoutMs, ReplyHandler replyHandler) {
+    callState(RequestClass.WORK, method, path, body, timeoutMs, replyHandler);
   }
 
-  /** A call to the state service, if the request budget allows it; else it counts as refused. */
+  /**
+   * Calls the state service. A call that exceeds the request budget is refused without being made.
+   */
   public void callState(
       RequestClass purpose,
       String method,
       String path,
       JsonNode body,
       int timeoutMs,
-      ReplyHandler then) {
-    if (withinBudget(purpose, then)) {
-      call(Effect.Target.STATE, null, method, path, body, timeoutMs, then);
+      ReplyHandler replyHandler) {
+    if (tryAcquireBudget(purpose, replyHandler)) {
+      call(Effect.Target.STATE, null, method, path, body, timeoutMs, replyHandler);
     }
   }
 
   /**
-   * Reads from the state service for a term.
+   * Reads from the state service on behalf of a term.
    *
-   * @param path of a key or a range, from {@link StateMessage}
+   * @param path the path of a key or a range, from {@link StateMessage}
    */
-  public void readState(String path, int timeoutMs, Consumer<StateReply> then) {
-    readState(RequestClass.WORK, path, timeoutMs, then);
+  public void readState(String path, int timeoutMs, Consumer<StateReply> replyHandler) {
+    readState(RequestClass.WORK, path, timeoutMs, replyHandler);
   }
 
   /**
    * Reads from the state service.
    *
-   * @param path of a key or a range, from {@link StateMessage}
+   * @param path the path of a key or a range, from {@link StateMessage}
    */
   public void readState(
-      RequestClass purpose, String path, int timeoutMs, Consumer<StateReply> then) {
-    callState(purpose, "GET", path, null, timeoutMs, typed(then));
+      RequestClass purpose, String path, int timeoutMs, Consumer<StateReply> replyHandler) {
+    callState(purpose, "GET", path, null, timeoutMs, toReplyHandler(replyHandler));
   }
 
-  /** Makes the changes for a term in one transaction if all conditions hold (compare-and-swap). */
+  /** Applies changes for a term in one transaction if all conditions hold (compare-and-swap). */
   public void writeState(
-      List<Condition> conditions, List<Change> changes, int timeoutMs, Consumer<StateReply> then) {
-    writeState(RequestClass.WORK, conditions, changes, timeoutMs, then);
+      List<Condition> conditions,
+      List<Change> changes,
+      int timeoutMs,
+      Consumer<StateReply> replyHandler) {
+    writeState(RequestClass.WORK, conditions, changes, timeoutMs, replyHandler);
   }
 
-  /** Makes the changes in one transaction if all conditions hold (compare-and-swap). */
+  /** Applies changes in one transaction if all conditions hold (compare-and-swap). */
   public void writeState(
       RequestClass purpose,
       List<Condition> conditions,
       List<Change> changes,
       int timeoutMs,
-      Consumer<StateReply> then) {
+      Consumer<StateReply> replyHandler) {
     JsonNode body = StateMessage.transaction(conditions, changes);
-    callState(purpose, "POST", StateMessage.TXN_PATH, body, timeoutMs, typed(then));
+    callState(
+        purpose, "POST", StateMessage.TXN_PATH, body, timeoutMs, toReplyHandler(replyHandler));
   }
 
-  private static ReplyHandler typed(Consumer<StateReply> then) {
-    return (outcome, status, body) -> then.accept(new StateReply(outcome, status, body));
+  private static ReplyHandler toReplyHandler(Consumer<StateReply> replyHandler) {
+    return (outcome, status, body) -> replyHandler.accept(new StateReply(outcome, status, body));
   }
 
-  /** A question for changes, which may be held open. */
-  public void watchState(RequestClass purpose, String path, int timeoutMs, ReplyHandler then) {
-    if (withinBudget(purpose, then)) {
-      call(Effect.Target.STATE_WATCH, null, "GET", path, null, timeoutMs, then);
+  /** Watches for changes by a long poll, which the state service may hold open. */
+  public void watchState(
+      RequestClass purpose, String path, int timeoutMs, ReplyHandler replyHandler) {
+    if (tryAcquireBudget(purpose, replyHandler)) {
+      call(Effect.Target.STATE_WATCH, null, "GET", path, null, timeoutMs, replyHandler);
     }
   }
 
-  private boolean withinBudget(RequestClass purpose, ReplyHandler then) {
+  /** Takes one call out of the budget. Returns false and queues a refusal if none is left. */
+  private boolean tryAcquireBudget(RequestClass purpose, ReplyHandler replyHandler) {
     if (budget == null || budget.tryAcquire(purpose, now)) {
       return true;
     }
-    rejected.add(then);
+    overBudgetHandlers.add(replyHandler);
     return false;
   }
 
   /**
-   * Tells who asked that calls were refused here. Not at once: nobody expects an answer while still
-   * asking.
+   * Delivers a refusal to the handler of each call that exceeded the request budget. This is done
+   * after the current input, so that no handler runs while its call is still being made.
    */
   public void deliverBudgetRefusals() {
-    List<ReplyHandler> all = rejected;
-    rejected = new ArrayList<>();
-    all.forEach(handler -> handler.onReply(Outcome.REFUSED, 0, null));
+    List<ReplyHandler> handlers = overBudgetHandlers;
+    overBudgetHandlers = new ArrayList<>();
+    handlers.forEach(handler -> handler.onReply(Outcome.REFUSED, 0, null));
   }
 
-  /** A call on which this node's authority rests: it waits for no others. */
+  /**
+   * Makes a call that this node's authority depends on. The call counts towards the request budget,
+   * which never refuses it.
+   */
   public void callForAuthority(
-      String method, String path, JsonNode body, int timeoutMs, ReplyHandler then) {
-    withinBudget(RequestClass.AUTHORITY, then);
-    call(Effect.Target.AUTHORITY, null, method, path, body, timeoutMs, then);
+      String method, String path, JsonNode body, int timeoutMs, ReplyHandler replyHandler) {
+    tryAcquireBudget(RequestClass.AUTHORITY, replyHandler);
+    call(Effect.Target.AUTHORITY, null, method, path, body, timeoutMs, replyHandler);
   }
 
   /**
-   * A call to another service.
+   * Calls another service or a worker.
    *
-   * @param addr the worker's address; null for the other targets
-   * @param body null for none
+   * @param addr the worker's address; null for other targets
+   * @param body the request body; null if there is none
    */
   public void call(
       Effect.Target target,
@@ -230,20 +284,31 @@
       String path,
       JsonNode body,
       int timeoutMs,
-      ReplyHandler then) {
-    long id = nextId++;
-    boolean changes = path.equals(StateMessage.TXN_PATH); // refused for either rate
-    boolean state = target != Effect.Target.CLOUD && target != Effect.Target.WORKER;
-    openCalls.put(id, new OpenCall(then, state && !changes));
+      ReplyHandler replyHandler) {
+    long id = nextCallId++;
+    // A transaction can be refused for the limit on requests as well as for that on changes.
+    boolean isTransaction = path.equals(StateMessage.TXN_PATH);
+    boolean isStateCall = target != Effect.Target.CLOUD && target != Effect.Target.WORKER;
+    openCalls.put(id, new OpenCall(replyHandler, isStateCall && !isTransaction));
     effects.add(new Effect.Call(id, target, addr, method, path, body, timeoutMs));
   }
 
-  /** Answers a request; {@code body} may be null. */
+  /**
+   * Answers a request.
+   *
+   * @param exchange the id of the request
+   * @param body the body of the answer; may be null
+   */
   public void answer(long exchange, int status, JsonNode body) {
     effects.add(new Effect.Answer(exchange, status, body, 0));
   }
 
-  /** Answers a request that is to be made again after some seconds. */
+  /**
+   * Answers a request that the client is to repeat later.
+   *
+   * @param exchange the id of the request
+   * @param retryAfterS the delay before the repetition, in seconds
+   */
   public void answerUnavailable(long exchange, int status, int retryAfterS) {
     effects.add(new Effect.Answer(exchange, status, null, retryAfterS));
   }
@@ -253,28 +318,30 @@
     effects.add(new Effect.Broadcast(message));
   }
 
-  /** Structured lines for the log. */
+  /** Returns the structured log. */
   public EventLog events() {
     return events;
   }
 
-  /** Hands a reply to whoever made the call. */
+  /** Passes a reply to the handler of its call. */
   public void handleReply(Input.Reply reply) {
-    OpenCall open = openCalls.remove(reply.call());
-    if (open != null) {
-      if (reply.status() == TOO_MANY_REQUESTS && open.countsRequests && budget != null) {
+    OpenCall openCall = openCalls.remove(reply.call());
+    if (openCall != null) {
+      if (reply.status() == STATUS_TOO_MANY_REQUESTS
+          && openCall.isLimitedByRequests
+          && budget != null) {
         budget.refusedThere(now);
       }
       retryAfterMs = reply.retryAfterMs();
-      open.then.onReply(reply.outcome(), reply.status(), reply.body());
+      openCall.replyHandler.onReply(reply.outcome(), reply.status(), reply.body());
       retryAfterMs = 0;
     }
   }
 
-  /** All effects since the last time. */
+  /** Returns and clears the effects collected since the last call. */
   public List<Effect> drainEffects() {
-    List<Effect> out = effects;
+    List<Effect> drained = effects;
     effects = new ArrayList<>();
-    return out;
+    return drained;
   }
 }
--- a/src/main/java/org/snowturn/core/effects/EventLog.java
+++ b/src/main/java/org/snowturn/core/effects/EventLog.java
@@ -7,48 +7,52 @@
 import org.snowturn.core.Effect.Severity;
 
 /**
- * Structured lines of the log: {@code event=NAME}, the time of day in milliseconds, and then {@code
- * key=value} fields, whose names stay the same. Lines for single tasks and messages are made only
- * where debugging is on, and cost nothing otherwise.
+ * The structured log of the core. Each line has {@code event=NAME}, the time of day in milliseconds
+ * and {@code key=value} fields. The names of events and fields are stable between versions. Debug
+ * lines, which concern single tasks and messages, are built only if debug logging is enabled, so
+ * that they cost nothing otherwise.
  */
 public final class EventLog {
   private static final String AT_MS = "at_ms";
 
   private final Consumer<Effect> out;
   private final LongSupplier wallMs;
-  private boolean debug;
+  private boolean isDebugEnabled;
 
   EventLog(Consumer<Effect> out, LongSupplier wallMs) {
     this.out = out;
     this.wallMs = wallMs;
   }
 
-  /** Whether lines for single tasks and messages are written from now on. */
-  public void debug(boolean on) {
-    debug = on;
+  /** Enables or disables debug lines. */
+  public void debug(boolean isEnabled) {
+    isDebugEnabled = isEnabled;
   }
 
-  /** Whether lines for single tasks and messages are written. */
+  /** Returns whether debug lines are enabled. */
   public boolean debug() {
-    return debug;
+    return isDebugEnabled;
   }
 
-  /** Begins a line about something rare. */
+  /** Creates a line about an infrequent event. */
   public Line info(LogEvent event) {
     return new Line(Severity.INFO, event);
   }
 
-  /** Begins a line about a violated invariant. */
+  /** Creates a line about a violated invariant. */
   public Line error(LogEvent event) {
     return new Line(Severity.ERROR, event);
   }
 
-  /** Begins a line about a single task or message; ask {@link #debug()} first. */
+  /**
+   * Creates a line about a single task or message. Callers check {@link #debug()} first, since this
+   * method does not.
+   */
   public Line debug(LogEvent event) {
     return new Line(Severity.DEBUG, event);
   }
 
-  /** One line that is being put together. */
+  /** A line under construction. */
   public final class Line {
     private final Severity severity;
     private final StringBuilder text;
@@ -56,14 +60,14 @@
     private Line(Severity severity, LogEvent event) {
       this.severity = severity;
       this.text = new StringBuilder("event=").append(event.text());
-      field(AT_MS).append(wallMs.getAsLong());
+      appendName(AT_MS).append(wallMs.getAsLong());
     }
 
-    /** Adds a field; a text with spaces is put in quotes. */
+    /** Adds a text field. A value with spaces is put in quotes. */
     public Line with(LogField field, String value) {
-      boolean quoted = value != null && value.indexOf(' ') >= 0;
-      field(field.text());
-      if (quoted) {
+      boolean isQuoted = value != null && value.indexOf(' ') >= 0;
+      appendName(field.text());
+      if (isQuoted) {
         text.append('"').append(value.replace('"', '\'')).append('"');
       } else {
         text.append(value);
@@ -71,25 +75,25 @@
       return this;
     }
 
-    /** Adds a field. */
+    /** Adds an integer field. */
     public Line with(LogField field, long value) {
-      field(field.text()).append(value);
+      appendName(field.text()).append(value);
       return this;
     }
 
-    /** Adds a field. */
+    /** Adds a boolean field. */
     public Line with(LogField field, boolean value) {
-      field(field.text()).append(value);
+      appendName(field.text()).append(value);
       return this;
     }
 
-    /** Adds a field. */
+    /** Adds a decimal field, rounded to two places. */
     public Line with(LogField field, double value) {
-      field(field.text()).append(String.format(Locale.ROOT, "%.2f", value));
+      appendName(field.text()).append(String.format(Locale.ROOT, "%.2f", value));
       return this;
     }
 
-    private StringBuilder field(String name) {
+    private StringBuilder appendName(String name) {
       return text.append(' ').append(name).append('=');
     }
 
--- a/src/main/java/org/snowturn/core/effects/LogEvent.java
+++ b/src/main/java/org/snowturn/core/effects/LogEvent.java
@@ -2,15 +2,15 @@
 
 import java.util.Locale;
 
-/** The names of all structured lines of the core's log; they stay the same between versions. */
+/** The names of the events in the core's structured log. They are stable between versions. */
 public enum LogEvent {
-  /** The ground of a node's right to act has changed. */
+  /** The basis of a node's authority has changed. */
   AUTHORITY_CHANGED,
-  /** A candidate leaves the claim to a better connected peer. */
+  /** A candidate defers its candidacy to a better connected peer. */
   CANDIDACY_DEFERRED,
-  /** All cancellations are known again, workers are answered. */
+  /** This node knows all cancellations again and answers workers. */
   CANCELLATIONS_CURRENT,
-  /** Cancellations may be unknown here, workers are not answered. */
+  /** This node may lack recent cancellations and does not answer workers. */
   CANCELLATIONS_STALE,
   /** A term of leadership has begun. */
   LEADERSHIP_ACQUIRED,
@@ -20,39 +20,41 @@
   RECORDS_READ,
   /** All records of earlier terms have been read. */
   RECOVERY_COMPLETED,
-  /** All machines of earlier terms have been heard or given up. */
+  /** All machines of earlier terms have sent a heartbeat or been given up. */
   RECONCILIATION_COMPLETED,
-  /** Tasks of cancelled jobs, placed by earlier terms, are to be stopped. */
+  /** Tasks of cancelled jobs that earlier terms placed are to be stopped. */
   CANCELLED_TASKS_RECOVERED,
-  /** A stored record cannot be read and is left alone. */
+  /** A stored record cannot be parsed and is ignored. */
   RECORD_UNREADABLE,
-  /** A reply of the outside cannot be used. */
+  /** A reply from another service or a worker cannot be parsed. */
   REPLY_MALFORMED,
-  /** The state service will not have a record. */
+  /** The state service has rejected a record. */
   RECORD_REJECTED,
-  /** The state service will not have a group of changes at once. */
+  /** The state service has rejected several changes in one transaction. */
   TRANSACTION_REJECTED,
-  /** This node has told that it reads the next stored format. */
+  /** This node has announced that it supports the next stored format. */
   FORMAT_SUPPORTED,
-  /** All nodes read the next stored format. */
+  /** All nodes support the next stored format. */
   FORMAT_GATE_OPENED,
-  /** A node reaches something that it did not reach, or no more. */
+  /** A node's connectivity to workers, peers or services has changed. */
   CONNECTIVITY_CHANGED,
   /** The start of a task has been handed to the machine's command queue. */
   START_SENT,
-  /** A task runs. */
+  /** A task has started running. */
   TASK_RUNNING,
-  /** A task has ended since it was told to. */
+  /** A task has ended after a stop command. */
   TASK_STOPPED,
   /** A task has ended by itself. */
   TASK_ENDED,
   /** A task has failed. */
   TASK_FAILED,
-  /** A start was refused since another attempt is on the machine. */
+  /** A machine has refused a start because it has another attempt of the task. */
   TASK_ALREADY_PRESENT,
-  /** A task was told to stop for one of higher priority. */
+  /** A task is stopped to make room for one of higher priority. */
   TASK_PREEMPTED,
-  /** A task leaves a machine that is drained or about to be reclaimed. */
+  /**
+   * A task is moved off its machine, which is drained, about to be reclaimed, or needed otherwise.
+   */
   TASK_EVICTED,
   /** A slow task is restarted on a faster machine. */
   TASK_RESTARTED,
@@ -60,9 +62,9 @@
   ASSIGNMENT_RELEASED,
   /** A job's final state is durable. */
   JOB_FINISHED,
-  /** A job's cancellation was read. */
+  /** A job's cancellation has been read. */
   JOB_CANCELLED,
-  /** A user was told that a job is cancelled. */
+  /** A user has received the confirmation that a job is cancelled. */
   JOB_CANCELLATION_CONFIRMED,
   /** A job's dependencies are all done. */
   JOB_RELEASED,
@@ -72,52 +74,52 @@
   JOB_SUSPECTED,
   /** A suspected job has succeeded. */
   JOB_CLEARED,
-  /** A machine gets no more work since tasks of sound jobs fail there. */
+  /** A machine gets no more tasks, because tasks of jobs that succeed elsewhere fail there. */
   MACHINE_QUARANTINED,
-  /** A machine was silent past its lease. */
+  /** A machine's lease has expired without a heartbeat. */
   MACHINE_LEASE_EXPIRED,
-  /** A machine does not receive what it is sent. */
+  /** A machine does not receive the messages that are sent to it. */
   MACHINE_UNREACHABLE,
-  /** A heartbeat was refused since a cancelled task may still start there. */
+  /** A heartbeat has been refused because a cancelled task may still start on the machine. */
   MACHINE_LEASE_NOT_RENEWED,
   /** A spot machine is about to be reclaimed. */
   PREEMPTION_NOTICE,
-  /** A machine that was taken for gone is listed again. */
+  /** The cloud lists a machine that was considered gone. */
   MACHINE_RELISTED,
-  /** The cloud says that a machine has failed. */
+  /** The cloud reports that a machine has failed. */
   MACHINE_FAILED,
-  /** A machine was not up in time. */
+  /** A machine has not booted in time. */
   MACHINE_NEVER_UP,
-  /** Machines are requested. */
+  /** Machines are requested from the cloud. */
   SCALE_OUT,
   /** The cloud has rented machines. */
   MACHINES_RENTED,
-  /** Machines are to be terminated. */
+  /** The deletion of a machine is requested from the cloud. */
   TERMINATE,
-  /** A machine is to be terminated. */
+  /** A machine is marked for deletion. */
   MACHINE_TERMINATING,
-  /** The cloud has confirmed that machines are gone. */
+  /** The cloud has confirmed the deletion of a machine. */
   TERMINATED,
-  /** The operators keep machines up themselves. */
+  /** The number of machines that the operators run themselves has been determined. */
   EXTERNALLY_MANAGED_MACHINES,
-  /** A heartbeat was answered. */
+  /** A heartbeat has been answered. */
   HEARTBEAT,
-  /** A start command has left. */
+  /** A start command has been sent. */
   START,
-  /** A stop command has left. */
+  /** A stop command has been sent. */
   STOP,
-  /** A forget command has left. */
+  /** A forget command has been sent. */
   FORGET,
-  /** A user was answered. */
+  /** A user's request has been answered. */
   USER_ANSWER,
-  /** How full the cluster is. */
+  /** Periodic summary of the cluster's load. */
   SUMMARY,
-  /** A fault of this program. */
+  /** An invariant of this program has been violated. */
   INVARIANT_VIOLATED;
 
   private final String text = name().toLowerCase(Locale.ROOT);
 
-  /** The name in the log. */
+  /** Returns the name of the event in the log. */
   public String text() {
     return text;
   }
--- a/src/main/java/org/snowturn/core/effects/LogField.java
+++ b/src/main/java/org/snowturn/core/effects/LogField.java
@@ -3,8 +3,8 @@
 import java.util.Locale;
 
 /**
- * The names of the fields of structured log lines; they stay the same between versions. A unit is
- * part of the name.
+ * The names of the fields of structured log lines. They are stable between versions and include the
+ * unit of the value.
  */
 public enum LogField {
   AGENT_EPOCH,
@@ -92,7 +92,7 @@
 
   private final String text = name().toLowerCase(Locale.ROOT);
 
-  /** The name in the log. */
+  /** Returns the name of the field in the log. */
   public String text() {
     return text;
   }
--- a/src/main/java/org/snowturn/core/effects/StateReply.java
+++ b/src/main/java/org/snowturn/core/effects/StateReply.java
@@ -10,8 +10,8 @@
  *
  * @param outcome whether the service has answered, and if not, whether it may have executed the
  *     call
- * @param status the HTTP status; only meaningful if it has answered
- * @param body the answer's body; may be null
+ * @param status the HTTP status; only meaningful if the service has answered
+ * @param body the body of the answer; may be null
  */
 public record StateReply(Outcome outcome, int status, JsonNode body) {
   private static final int OK = 200;
@@ -19,35 +19,35 @@
   private static final int NOT_FOUND = 404;
   private static final int CONFLICT = 409;
 
-  /** Whether the call was executed and succeeded. */
+  /** Returns whether the call was executed and succeeded. */
   public boolean isOk() {
-    return answered(OK);
+    return hasStatus(OK);
   }
 
-  /** Whether the key that was read does not exist. */
+  /** Returns whether the key that was read does not exist. */
   public boolean isNotFound() {
-    return answered(NOT_FOUND);
+    return hasStatus(NOT_FOUND);
   }
 
-  /** Whether the service will never accept the call in this form. */
+  /** Returns whether the service will never accept the call in this form. */
   public boolean isRejected() {
-    return answered(BAD_REQUEST);
+    return hasStatus(BAD_REQUEST);
   }
 
-  /** Whether the call was certainly not executed, and may be made again. */
+  /** Returns whether the call was certainly not executed, and so may be repeated. */
   public boolean isNotExecuted() {
     return outcome == Outcome.REFUSED;
   }
 
   /**
-   * The keys whose conditions failed, and with them the transaction. Empty if it did not fail for
-   * its conditions.
+   * Returns the keys whose failed conditions made the transaction fail. The list is empty if the
+   * transaction succeeded or failed for another reason.
    */
   public List<String> failedKeys() {
-    return answered(CONFLICT) ? StateMessage.failedKeys(body) : List.of();
+    return hasStatus(CONFLICT) ? StateMessage.failedKeys(body) : List.of();
   }
 
-  private boolean answered(int expected) {
+  private boolean hasStatus(int expected) {
     return outcome == Outcome.ANSWERED && status == expected;
   }
 }
