--- a/src/main/java/org/snowturn/core/autoscaling/CapacityDemand.java
+++ b/src/main/java/org/snowturn/core/autoscaling/CapacityDemand.java
@@ -12,7 +12,7 @@
   /** Backlog that spot machines work off within this time is not given on-demand machines. */
   private static final double MAX_BACKLOG_S = 50;
 
-  /** Replicas of the largest service's size for which on-demand headroom is held. */
+  /** Number of replicas of the largest service for which on-demand headroom is held. */
   private static final int SPARE_REPLICAS = 4;
 
   /**
--- a/src/main/java/org/snowturn/core/autoscaling/CloudCallBudget.java
+++ b/src/main/java/org/snowturn/core/autoscaling/CloudCallBudget.java
@@ -10,7 +10,7 @@
   /** Size of the bucket in seconds of the permitted rate, without {@link #BURST_CALLS}. */
   private static final double BURST_S = 1.5;
 
-  /** Calls that the bucket holds in addition, whatever the rate. */
+  /** Calls that the bucket holds in addition, independent of the rate. */
   private static final double BURST_CALLS = 0.5;
 
   private final CoreRuntime runtime;
--- a/src/main/java/org/snowturn/core/dependency/DependencyGraph.java
+++ b/src/main/java/org/snowturn/core/dependency/DependencyGraph.java
@@ -61,7 +61,7 @@
   private final TaskAssignments assignments;
   private final RecordWriter writer;
 
-  /** The jobs that wait for a job, by the id of that job, which is not known to have ended. */
+  /** Dependents of each dependency that is not known to have ended, by the dependency's id. */
   private final Map<String, Set<Job>> dependentsById = new HashMap<>();
 
   /** Ids of dependencies whose state must be looked up in the stored records. */
