--- a/src/main/java/org/snowturn/core/effects/LogEvent.java
+++ b/src/main/java/org/snowturn/core/effects/LogEvent.java
@@ -24,7 +24,7 @@
   RECONCILIATION_COMPLETED,
   /** Tasks of cancelled jobs that earlier terms placed are to be stopped. */
   CANCELLED_TASKS_RECOVERED,
-  /** A stored record cannot be parsed and is ignored. */
+  /** A stored record cannot be parsed and is left unchanged. */
   RECORD_UNREADABLE,
   /** A reply from another service or a worker cannot be parsed. */
   REPLY_MALFORMED,
@@ -53,7 +53,8 @@
   /** A task is stopped to make room for one of higher priority. */
   TASK_PREEMPTED,
   /**
-   * A task is moved off its machine, which is drained, about to be reclaimed, or needed otherwise.
+   * A task is moved off its machine, which is drained, about to be reclaimed, or needed by another
+   * task.
    */
   TASK_EVICTED,
   /** A slow task is restarted on a faster machine. */
