--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -68,7 +68,7 @@
             settings.stateLimits().min(settings.nextStateLimits()).maxWriteRps(),
             runtime.random(),
             startedAtMs);
-    runtime.limitStateRequests(rateAllocator.budget());
+    runtime.setStateRequestBudget(rateAllocator.budget());
     watermark = new CancellationWatermark(settings, runtime, incarnation);
     watermark.setListener(this::onCancellation);
     liveJobs = new LiveJobCache(settings, runtime, liveJobListener());
@@ -153,7 +153,7 @@
   public List<Effect> handle(long nowMs, long wallMs, Input input) {
     runtime.setTime(nowMs, wallMs);
     dispatch(input);
-    runtime.rejectUnbudgeted();
+    runtime.deliverBudgetRefusals();
     updateTerm();
     if (leader != null) {
       leader.flush();
--- a/src/main/java/org/snowturn/core/connectivity/StateRequestRelay.java
+++ b/src/main/java/org/snowturn/core/connectivity/StateRequestRelay.java
@@ -98,7 +98,7 @@
       return;
     }
     if (isTooLong(body) || openRequests.size() >= MAX_OPEN_REQUESTS) {
-      onResult.on(Outcome.REFUSED, SERVICE_UNAVAILABLE, null);
+      onResult.onReply(Outcome.REFUSED, SERVICE_UNAVAILABLE, null);
       return;
     }
     long id = ++lastRequestId;
@@ -116,7 +116,7 @@
   private void complete(long id, Outcome outcome, int status, JsonNode body) {
     CoreRuntime.ReplyHandler onResult = openRequests.remove(id);
     if (onResult != null) {
-      onResult.on(outcome, status, body);
+      onResult.onReply(outcome, status, body);
     }
   }
 
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -131,7 +131,7 @@
       nextSweepAt = now + HealthSweep.INTERVAL_MS;
       sweep();
     }
-    services.dependencyGraph().step();
+    services.dependencyGraph().update();
     if (shared.machineTypes().isLoaded() && assignments.consumeChanged()) {
       schedule(now);
     }
@@ -169,7 +169,7 @@
       return;
     }
     if (recovery.isLoaded()) {
-      services.dependencyGraph().step();
+      services.dependencyGraph().update();
     }
     services.writer().flush();
     dispatcher.flush();
@@ -237,22 +237,22 @@
   }
 
   @Override
-  public void reported(Heartbeat heartbeat) {
+  public void onHeartbeat(Heartbeat heartbeat) {
     heartbeatHandler.handleReply(heartbeat);
   }
 
   @Override
-  public boolean mayStart(Machine machine, Command start) {
+  public boolean canStart(Machine machine, Command start) {
     return assignments.mayStart(machine, start);
   }
 
   @Override
-  public void readyToSend(CommandQueue queue) {
+  public void onReadyToSend(CommandQueue queue) {
     dispatcher.add(queue);
   }
 
   @Override
-  public void unanswered(Machine machine) {
+  public void onUnanswered(Machine machine) {
     reachability.onMessageUnanswered(machine);
   }
 }
--- a/src/main/java/org/snowturn/core/storage/BatchSettlement.java
+++ b/src/main/java/org/snowturn/core/storage/BatchSettlement.java
@@ -32,17 +32,17 @@
 
   /** Handles the reply to a batch that was sent. */
   void onReply(RecordBatch batch, StateReply reply) {
-    if (reply.ok() && endSuccessfulWrites(batch, reply)) {
+    if (reply.isOk() && endSuccessfulWrites(batch, reply)) {
       return;
     }
-    if (reply.rejected() && batch.size() == 1) {
+    if (reply.isRejected() && batch.size() == 1) {
       onRecordRejected(batch.writes().get(0), reply);
       return;
     }
     requeue(batch);
-    if (reply.rejected()) {
+    if (reply.isRejected()) {
       onBatchRejected(batch, reply);
-    } else if (reply.notExecuted()) {
+    } else if (reply.isNotExecuted()) {
       endWrites(batch);
       budget.pauseUntil(runtime.now() + PAUSE_AFTER_REFUSAL_MS);
     } else {
@@ -165,11 +165,11 @@
    * @return whether the reply contains the version, or says that the key does not exist
    */
   private boolean endWriteAtVersionRead(PendingRecord record, StateReply reply) {
-    if (reply.notFound()) {
+    if (reply.isNotFound()) {
       record.endWrite(0);
       return true;
     }
-    if (!reply.ok()) {
+    if (!reply.isOk()) {
       return false;
     }
     try {
--- a/src/main/java/org/snowturn/core/storage/FormatGate.java
+++ b/src/main/java/org/snowturn/core/storage/FormatGate.java
@@ -128,7 +128,7 @@
   }
 
   private boolean tryEvaluate(StateReply reply) {
-    if (!reply.ok()) {
+    if (!reply.isOk()) {
       return false;
     }
     try {
@@ -178,7 +178,7 @@
         value,
         reply -> {
           isAnnouncing = false;
-          if (reply.ok()) {
+          if (reply.isOk()) {
             runtime
                 .events()
                 .info(LogEvent.FORMAT_SUPPORTED)
@@ -199,7 +199,7 @@
         StorageKeys.FORMAT_GATE,
         value,
         reply -> {
-          if (reply.ok()) {
+          if (reply.isOk()) {
             markOpen(value);
           } else {
             nextCheckAtMs = runtime.now(); // another node was first, or the outcome is unknown
--- a/src/main/java/org/snowturn/core/storage/JobLookup.java
+++ b/src/main/java/org/snowturn/core/storage/JobLookup.java
@@ -135,11 +135,11 @@
         StateMessage.keyPath(prefixes.get(prefixIndex) + id),
         TIMEOUT_MS,
         reply -> {
-          if (reply.notFound() && prefixIndex + 1 < prefixes.size()) {
+          if (reply.isNotFound() && prefixIndex + 1 < prefixes.size()) {
             readOne(prefixIndex + 1, id);
             return;
           }
-          if (!reply.notFound()) {
+          if (!reply.isNotFound()) {
             onRecordRead(id, reply);
           }
           pendingReads--;
@@ -148,7 +148,7 @@
   }
 
   private void onRecordRead(String id, StateReply reply) {
-    if (!reply.ok()) {
+    if (!reply.isOk()) {
       finishIncomplete();
       return;
     }
@@ -177,7 +177,7 @@
             .toString(),
         TIMEOUT_MS,
         reply -> {
-          if (!reply.ok()) {
+          if (!reply.isOk()) {
             finishIncomplete();
             return;
           }
--- a/src/main/java/org/snowturn/core/storage/RangeReader.java
+++ b/src/main/java/org/snowturn/core/storage/RangeReader.java
@@ -81,7 +81,7 @@
         path.toString(),
         TIMEOUT_MS,
         reply -> {
-          if (reply.ok()) {
+          if (reply.isOk()) {
             try {
               onPage(prefix, reply.body(), entries, oldestRevision, onRange);
               return;
--- a/src/main/java/org/snowturn/core/storage/RecordWriter.java
+++ b/src/main/java/org/snowturn/core/storage/RecordWriter.java
@@ -308,13 +308,13 @@
 
   private void onReply(Transaction transaction, StateReply reply) {
     budget.onCallEnded();
-    if (reply.notExecuted()) {
+    if (reply.isNotExecuted()) {
       budget.pauseUntil(runtime.now() + PAUSE_AFTER_REFUSAL_MS);
       transactions.get(transaction.priority).addFirst(transaction);
     } else if (reply.failedKeys().contains(StorageKeys.LEADER)) {
       host.onLeaderKeyLost();
     } else {
-      transaction.onReply.on(reply.outcome(), reply.status(), reply.body());
+      transaction.onReply.onReply(reply.outcome(), reply.status(), reply.body());
     }
   }
 
--- a/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
+++ b/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
@@ -91,18 +91,18 @@
         }
 
         @Override
-        public void reported(Heartbeat heartbeat) {}
+        public void onHeartbeat(Heartbeat heartbeat) {}
 
         @Override
-        public boolean mayStart(Machine machine, Command start) {
+        public boolean canStart(Machine machine, Command start) {
           return true;
         }
 
         @Override
-        public void readyToSend(CommandQueue queue) {}
+        public void onReadyToSend(CommandQueue queue) {}
 
         @Override
-        public void unanswered(Machine machine) {}
+        public void onUnanswered(Machine machine) {}
       };
 
   HeartbeatCommandsTest() {
