--- a/src/test/java/org/snowturn/simulation/ElectionExplorerTest.java
+++ b/src/test/java/org/snowturn/simulation/ElectionExplorerTest.java
@@ -61,7 +61,7 @@
               1_000,
               cluster -> cluster.state.refuse(leader(cluster).name, 6_000)),
           new Beginning("the leader stands still", 2_400, cluster -> leader(cluster).pause(3_500)),
-          new Beginning("an outage ends", 2_400, cluster -> cluster.state.outage(3_000)),
+          new Beginning("an outage ends", 2_400, cluster -> cluster.state.startOutage(3_000)),
           new Beginning(
               "all end",
               100,
@@ -104,7 +104,7 @@
         Set<Direction> some =
             Set.copyOf(List.of(directions.get(i), directions.get(j)).subList(0, i == j ? 1 : 2));
         for (int ends = -1; ends < 3; ends++) {
-          play(beginning, at, some, SimulatedCluster.Links.LOST, ends);
+          play(beginning, at, some, SimulatedCluster.LinkDelays.LOST, ends);
         }
         play(beginning, at, some, SLOW_MS, -1);
       }
@@ -118,11 +118,13 @@
     cluster.nodes.forEach(SimulatedCluster.Node::start);
     cluster.after(FROM_MS, () -> beginning.start.in(cluster));
     cluster.after(
-        at, () -> cluster.links((from, to) -> some.contains(new Direction(from, to)) ? late : 0));
+        at,
+        () ->
+            cluster.setLinkDelays((from, to) -> some.contains(new Direction(from, to)) ? late : 0));
     if (ends >= 0) {
       cluster.after(at + STEP_MS / 2, () -> cluster.nodes.get(ends).crash(50));
     }
-    cluster.after(at + DEAD_MS, () -> cluster.links((from, to) -> 0));
+    cluster.after(at + DEAD_MS, () -> cluster.setLinkDelays((from, to) -> 0));
     cluster.runUntil(at + DEAD_MS + CALM_MS);
     String what = at + " ms: " + some + " late by " + late + ", node " + ends + " ends";
     assertEquals(List.of(), cluster.invariants.details, what);
--- a/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
+++ b/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
@@ -122,15 +122,15 @@
               .filter(p -> p != node)
               .forEach(p -> cut(cluster, node, p.name, fault.lastsMs));
       case 6 -> cluster.state.refuse(node.name, fault.lastsMs);
-      case 7 -> cluster.state.outage(fault.lastsMs);
+      case 7 -> cluster.state.startOutage(fault.lastsMs);
       default -> {
-        cluster.state.lateTransactions = 0.5;
-        cluster.state.loseReplies = 0.3;
+        cluster.state.lateTransactionProbability = 0.5;
+        cluster.state.replyLossProbability = 0.3;
         cluster.after(
             fault.lastsMs,
             () -> {
-              cluster.state.lateTransactions = 0;
-              cluster.state.loseReplies = 0;
+              cluster.state.lateTransactionProbability = 0;
+              cluster.state.replyLossProbability = 0;
             });
       }
     }
--- a/src/test/java/org/snowturn/simulation/InvariantCheckerTest.java
+++ b/src/test/java/org/snowturn/simulation/InvariantCheckerTest.java
@@ -38,7 +38,7 @@
 
   private JobSpec accepted(Map<String, String> options) {
     JobSpec spec = SimulatedJobs.spec(JOB, "batch", options);
-    cluster.clients.adopt(spec, "queued");
+    cluster.clients.addAcceptedJob(spec, "queued");
     return spec;
   }
 
@@ -48,7 +48,7 @@
     task.index = index;
     task.attempt = attempt;
     task.phase = "running";
-    task.present = true;
+    task.running = true;
     on.tasks.put(task.name() + "#" + attempt, task);
     cluster.invariants.started(on, task, spec);
     cluster.invariants.check();
@@ -90,8 +90,8 @@
     for (String part :
         List.of(
             JOB + "/0",
-            "attempt 7 on " + workers.get(0).rented.id + " since 10000",
-            "attempt 8 on " + workers.get(1).rented.id + " since 10500")) {
+            "attempt 7 on " + workers.get(0).machine.id + " since 10000",
+            "attempt 8 on " + workers.get(1).machine.id + " since 10500")) {
       assertTrue(detail.contains(part), detail);
     }
   }
@@ -99,7 +99,7 @@
   @Test
   void aTaskThatHasEndedElsewhereHasNotRunTwice() {
     JobSpec spec = accepted(Map.of("cpus", "1", "team", "u"));
-    start(workers.get(0), spec, 0, 7).present = false;
+    start(workers.get(0), spec, 0, 7).running = false;
     start(workers.get(1), spec, 0, 8);
     broken();
   }
@@ -115,7 +115,7 @@
 
   @Test
   void wrongPlace() {
-    String other = workers.get(0).rented.zone.equals("a") ? "b" : "a";
+    String other = workers.get(0).machine.zone.equals("a") ? "b" : "a";
     JobSpec spec = accepted(Map.of("cpus", "1", "team", "u", "zone", other));
     start(workers.get(0), spec, 0, 7);
     broken("wrong_place");
@@ -171,7 +171,7 @@
   @Test
   void wentBack() {
     accepted(Map.of("team", "u", "tasks", "1"));
-    cluster.clients.completed(JOB + "/0");
+    cluster.clients.recordResult(JOB + "/0");
     answering(200, phase("done"));
     cluster.clients.pollOnce(JOB);
     cluster.now += 10;
--- a/src/test/java/org/snowturn/simulation/WorkBoundTest.java
+++ b/src/test/java/org/snowturn/simulation/WorkBoundTest.java
@@ -14,7 +14,7 @@
   private static Map<String, Double> figures(int machines) {
     SimulatedCluster cluster =
         new SimulatedCluster(1, new Scenario().settings(), Tunables.defaults());
-    cluster.cloud.perZone = 0;
+    cluster.cloud.capacityPerZone = 0;
     for (int i = 0; i < machines; i++) {
       cluster.cloud.rent(cluster.settings[0].zones().get(i % 3), false);
     }
--- a/src/testbench/java/org/snowturn/simulation/DirectedLinks.java
+++ b/src/testbench/java/org/snowturn/simulation/DirectedLinks.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** Ways that are cut in one direction; all machines together count as one end. */
-final class DirectedLinks implements SimulatedCluster.Links {
+final class DirectedLinks implements SimulatedCluster.LinkDelays {
   private record Way(String from, String to) {}
 
   private final SimulatedCluster cluster;
--- a/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
+++ b/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
@@ -27,12 +27,12 @@
   /** A task that was started on a machine, and may have left it since. */
   private record Started(SimulatedWorker on, SimulatedWorker.Task task, long atMs) {
     boolean present() {
-      return task.present && on.has(task);
+      return task.running && on.hasTask(task);
     }
 
     @Override
     public String toString() {
-      return "attempt " + task.attempt + " on " + on.rented.id + " since " + atMs;
+      return "attempt " + task.attempt + " on " + on.machine.id + " since " + atMs;
     }
   }
 
@@ -65,7 +65,7 @@
   void started(SimulatedWorker worker, SimulatedWorker.Task task, JobSpec spec) {
     checkAwaited(task, spec);
     checkWanted(task);
-    cluster.clients.started(task.job);
+    cluster.clients.recordStart(task.job);
     starts++;
     int[] sameZone = {0};
     int[] otherZone = {0};
@@ -76,14 +76,14 @@
       if (s.task.index == task.index) {
         report("ran_twice", task.name() + ": " + s + ", and " + now);
       }
-      (s.on.rented.zone.equals(worker.rented.zone) ? sameZone : otherZone)[0]++;
+      (s.on.machine.zone.equals(worker.machine.zone) ? sameZone : otherZone)[0]++;
     }
     ofJob.add(now);
-    if ((worker.rented.spot && !spec.spot())
-        || (spec.zone() != null && !spec.zone().equals(worker.rented.zone))
+    if ((worker.machine.spot && !spec.spot())
+        || (spec.zone() != null && !spec.zone().equals(worker.machine.zone))
         || (spec.spreadAcrossZones() && sameZone[0] + 1 > spec.perZoneLimit())
         || (spec.singleZone() && otherZone[0] > 0)) {
-      report("wrong_place", task.name() + " on " + worker.rented.id);
+      report("wrong_place", task.name() + " on " + worker.machine.id);
     }
   }
 
@@ -92,17 +92,17 @@
    * it may leave. A leader hears what its peers have told in a moment, not at once.
    */
   private void checkWanted(SimulatedWorker.Task task) {
-    Long told = cluster.clients.cancelConfirmed(task.job);
-    if (told != null && task.startLeftAt > told + HEARD_OF_MS) {
+    Long told = cluster.clients.cancelConfirmedAt(task.job);
+    if (told != null && task.startSentAt > told + HEARD_OF_MS) {
       report(
-          "started_cancelled", task.name() + ", told at " + told + ", sent at " + task.startLeftAt);
+          "started_cancelled", task.name() + ", told at " + told + ", sent at " + task.startSentAt);
     }
   }
 
   /** All that a job needs must be durably done before any task of it starts. */
   private void checkAwaited(SimulatedWorker.Task task, JobSpec spec) {
     for (String id : spec.dependencies()) {
-      JsonNode over = cluster.state.peek("d/" + id);
+      JsonNode over = cluster.state.storedValue("d/" + id);
       if (over == null || !over.path("p").asText().equals("done")) {
         report("too_early", task.name() + " before " + id);
       }
@@ -123,7 +123,7 @@
     ledAt = cluster.now;
     if (both && !asking) {
       asking = true;
-      if (other.leadsNow() && node.leadsNow()) {
+      if (other.hasAuthorityNow() && node.hasAuthorityNow()) {
         report("two_leaders", other.name + " and " + node.name);
       }
       asking = false;
@@ -139,7 +139,7 @@
     if (cluster.now > cluster.faultsEndMs) {
       checkWaiting();
     }
-    for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
+    for (SimulatedClients.SubmittedJob submitted : cluster.clients.allJobs()) {
       long from =
           Math.max(submitted.acceptedAt, Math.max(submitted.answeredAt, cluster.faultsEndMs));
       if (submitted.accepted
@@ -167,7 +167,7 @@
     Map<SimulatedWorker, Integer> taken = new HashMap<>();
     for (SimulatedWorker worker : cluster.workers.values()) {
       for (SimulatedWorker.Task task : worker.tasks.values()) {
-        if (task.alive()) {
+        if (task.isAlive()) {
           JobSpec spec = cluster.clients.spec(task.job);
           placed.add(task.job);
           use.merge(spec.team(), spec.cpus(), Double::sum);
@@ -176,14 +176,14 @@
         }
       }
     }
-    for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
+    for (SimulatedClients.SubmittedJob submitted : cluster.clients.allJobs()) {
       boolean could =
           submitted.accepted
               && !submitted.cancelRequested
-              && !submitted.broken
-              && submitted.terminal == null
+              && !submitted.alwaysFails
+              && submitted.terminalPhase == null
               && !placed.contains(submitted.spec.id())
-              && !cluster.clients.allDone(submitted)
+              && !cluster.clients.areAllTasksDone(submitted)
               && released(submitted.spec)
               && underLimit(submitted.spec, use)
               && cluster.workers.values().stream()
@@ -204,7 +204,7 @@
 
   private boolean released(JobSpec spec) {
     for (String id : spec.dependencies()) {
-      JsonNode over = cluster.state.peek("d/" + id);
+      JsonNode over = cluster.state.storedValue("d/" + id);
       if (over == null || !over.path("p").asText().equals("done")) {
         return false;
       }
@@ -227,10 +227,10 @@
     return !worker.dead
         && !worker.hung
         && !worker.outboundDropped
-        && Double.isNaN(worker.noticeS)
-        && worker.rented.goneAt == Long.MAX_VALUE
-        && (spec.spot() || !worker.rented.spot)
-        && (spec.zone() == null || spec.zone().equals(worker.rented.zone))
+        && Double.isNaN(worker.reclaimNoticeS)
+        && worker.machine.terminatedAt == Long.MAX_VALUE
+        && (spec.spot() || !worker.machine.spot)
+        && (spec.zone() == null || spec.zone().equals(worker.machine.zone))
         && taken.getOrDefault(worker, 0) + spec.cpus() <= worker.cluster.parameters.cpus()
         && taken.getOrDefault(worker, 0) + spec.memoryGb() / 4
             <= worker.cluster.parameters.memoryGb() / 4;
@@ -244,13 +244,13 @@
     Set<String> placed = new HashSet<>();
     for (SimulatedWorker worker : cluster.workers.values()) {
       worker.tasks.values().stream()
-          .filter(SimulatedWorker.Task::alive)
+          .filter(SimulatedWorker.Task::isAlive)
           .forEach(task -> placed.add(task.job));
     }
     List<String> open = new ArrayList<>();
-    for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
+    for (SimulatedClients.SubmittedJob submitted : cluster.clients.allJobs()) {
       String id = submitted.spec.id();
-      if (!submitted.accepted || submitted.terminal != null) {
+      if (!submitted.accepted || submitted.terminalPhase != null) {
         continue;
       }
       if (submitted.answeredAt < answeredSince) {
@@ -269,8 +269,8 @@
    */
   void checkServed(double least, long beginMs) {
     Map<String, List<SimulatedClients.SubmittedJob>> groups = new TreeMap<>();
-    for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
-      if (submitted.accepted && !submitted.cancelRequested && !submitted.broken) {
+    for (SimulatedClients.SubmittedJob submitted : cluster.clients.allJobs()) {
+      if (submitted.accepted && !submitted.cancelRequested && !submitted.alwaysFails) {
         groups
             .computeIfAbsent("class " + submitted.spec.jobClass(), g -> new ArrayList<>())
             .add(submitted);
@@ -299,7 +299,7 @@
                 submitted ->
                     submitted.spec.service()
                         ? submitted.firstStartAt >= 0
-                        : "done".equals(submitted.terminal))
+                        : "done".equals(submitted.terminalPhase))
             .count();
     if (n < least * jobs.size()) {
       report("unserved", name + ": " + n + " of " + jobs.size());
@@ -316,7 +316,7 @@
 
   /** A job is called queued or running, though one that it needs was cancelled long ago. */
   void calledLive(SimulatedClients.SubmittedJob submitted) {
-    Long told = cluster.clients.dependencyCancelConfirmed(submitted.spec.id());
+    Long told = cluster.clients.dependencyCancelConfirmedAt(submitted.spec.id());
     double cancelMs = cluster.settings[0].workers().cancelS() * 1000;
     if (told != null && cluster.now > Math.max(told, submitted.acceptedAt) + cancelMs) {
       report("orphaned", submitted.spec.id());
@@ -327,18 +327,18 @@
   void check() {
     checkKnown();
     boolean limits = cluster.settings[0].teams().stream().anyMatch(team -> team.cpusMax() > 0);
-    if (!limits && !cluster.clients.anyCancelConfirmed()) {
+    if (!limits && !cluster.clients.hasConfirmedCancel()) {
       return; // nothing that time alone can break; a start is checked when it happens
     }
     Map<String, Double> use = new HashMap<>();
     for (SimulatedWorker worker : cluster.workers.values()) {
       for (SimulatedWorker.Task task : worker.tasks.values()) {
-        if (!task.present) {
+        if (!task.running) {
           continue;
         }
         JobSpec spec = cluster.clients.spec(task.job);
         use.merge(spec.team(), spec.cpus(), Double::sum);
-        Long told = cluster.clients.cancelConfirmed(task.job);
+        Long told = cluster.clients.cancelConfirmedAt(task.job);
         double cancelMs = cluster.settings[0].workers().cancelS() * 1000;
         if (told != null && cluster.now > told + cancelMs) {
           report("ran_cancelled", task.name());
--- a/src/testbench/java/org/snowturn/simulation/LoadGenerator.java
+++ b/src/testbench/java/org/snowturn/simulation/LoadGenerator.java
@@ -55,8 +55,8 @@
 
   long over() {
     long n = 0;
-    for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
-      n += submitted.terminal != null ? 1 : 0;
+    for (SimulatedClients.SubmittedJob submitted : cluster.clients.allJobs()) {
+      n += submitted.terminalPhase != null ? 1 : 0;
     }
     return n;
   }
--- a/src/testbench/java/org/snowturn/simulation/LoopbackCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackCluster.java
@@ -73,8 +73,8 @@
             cpus, cpus * MEMORY_PER_CPU_GB, POLL_MS, false, LEASE_CHECK_MS, id -> address(id));
     this.cluster = SimulatedCluster.ofProcesses(plan.seed(), new Settings[] {settings()}, sizes);
     this.links = new DirectedLinks(cluster);
-    cluster.links(links);
-    cluster.cloud.perZone = plan.hireablePerZone();
+    cluster.setLinkDelays(links);
+    cluster.cloud.capacityPerZone = plan.hireablePerZone();
     cluster.cloud.bootMs = BOOT_MS;
     cluster.cloud.listLagMs = (long) (plan.cloud().listLagS() * 1000);
     this.loop = new RealTimeDriver(cluster, "world-" + plan.number());
@@ -141,7 +141,7 @@
     XnioWorker workers = threads("hollow", 2);
     Map<String, InetSocketAddress> ports = server.start(plan.controllers(), state, workers);
     workersPort = server.workersPort();
-    return new Outside(ports, server.cloud());
+    return new Outside(ports, server.cloudAddresses());
   }
 
   private XnioWorker threads(String role, int count) throws IOException {
@@ -227,7 +227,7 @@
           int left = count;
           for (SimulatedWorker worker : List.copyOf(cluster.workers.values())) {
             if (left > 0 && !worker.dead) {
-              cluster.cloud.fail(worker.rented);
+              cluster.cloud.fail(worker.machine);
               left--;
             }
           }
@@ -239,13 +239,13 @@
     loop.post(
         () ->
             List.copyOf(cluster.workers.values()).stream()
-                .filter(worker -> !worker.dead && worker.rented.zone.equals(zone))
-                .forEach(worker -> cluster.cloud.fail(worker.rented)));
+                .filter(worker -> !worker.dead && worker.machine.zone.equals(zone))
+                .forEach(worker -> cluster.cloud.fail(worker.machine)));
   }
 
   /** The state service does not answer for so long. */
   public void stateOutage(long ms) {
-    loop.post(() -> cluster.state.outage(ms));
+    loop.post(() -> cluster.state.startOutage(ms));
   }
 
   /** What can go wrong in this region. */
@@ -263,14 +263,14 @@
   public void insistentUsers(long forMs) {
     loop.post(
         () -> {
-          cluster.clients.readAfterWrite(forMs);
+          cluster.clients.enableReadsAfterWrite(forMs);
           cluster.clients.sendInvalidRequests(forMs);
         });
   }
 
   /** Every message from now on is written there, a line each. */
   public void keepMessages(Writer out) {
-    loop.post(() -> cluster.messages = new MessageWriter(out));
+    loop.post(() -> cluster.messageLog = new MessageWriter(out));
   }
 
   /** Jobs that are open though nothing is in trouble any more; see {@code Rules.unsettled}. */
@@ -299,7 +299,7 @@
     for (SimulatedWorker worker : cluster.workers.values()) {
       up += worker.dead ? 0 : 1;
       for (SimulatedWorker.Task task : worker.tasks.values()) {
-        running += task.present ? 1 : 0;
+        running += task.running ? 1 : 0;
       }
     }
     List<String> broken = new ArrayList<>(cluster.invariants.violated);
@@ -316,8 +316,8 @@
         cluster.state.writes,
         cluster.state.requests,
         cluster.state.refusals.getOrDefault("429", 0),
-        cluster.heartbeats,
-        cluster.commands,
+        cluster.heartbeatsSent,
+        cluster.commandsReceived,
         broken);
   }
 
--- a/src/testbench/java/org/snowturn/simulation/LoopbackFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackFaults.java
@@ -40,7 +40,7 @@
 
   /** The state service is out for everybody. */
   public void outage(long ms) {
-    loop.post(() -> cluster.state.outage(ms));
+    loop.post(() -> cluster.state.startOutage(ms));
   }
 
   /** The state service answers so many times slower. */
@@ -50,13 +50,18 @@
 
   /** That share of the transactions is carried out, and only the answer is lost. */
   public void loseAnswers(double share, long ms) {
-    forAWhile(ms, () -> cluster.state.loseReplies = share, () -> cluster.state.loseReplies = 0);
+    forAWhile(
+        ms,
+        () -> cluster.state.replyLossProbability = share,
+        () -> cluster.state.replyLossProbability = 0);
   }
 
   /** That share of the transactions gets no answer and is carried out seconds later. */
   public void lateTransactions(double share, long ms) {
     forAWhile(
-        ms, () -> cluster.state.lateTransactions = share, () -> cluster.state.lateTransactions = 0);
+        ms,
+        () -> cluster.state.lateTransactionProbability = share,
+        () -> cluster.state.lateTransactionProbability = 0);
   }
 
   /** Direct commands are held up for so long, or up to twice that. */
@@ -91,12 +96,12 @@
 
   /** Some machines stop on their own. */
   public void killWorkers(int count) {
-    onWorkers(count, worker -> cluster.cloud.fail(worker.rented));
+    onWorkers(count, worker -> cluster.cloud.fail(worker.machine));
   }
 
   /** The cloud takes some machines away. */
   public void takeWorkers(int count) {
-    onWorkers(count, worker -> cluster.cloud.end(worker.rented.id));
+    onWorkers(count, worker -> cluster.cloud.terminate(worker.machine.id));
   }
 
   /** Some machines fail whatever starts there. */
@@ -111,6 +116,6 @@
 
   /** Users call off so many jobs that run, within a fifth of a second. */
   public void cancelJobs(int count) {
-    loop.post(() -> cluster.clients.cancelNow(count, 0));
+    loop.post(() -> cluster.clients.cancelRunningJobs(count, 0));
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/RandomFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/RandomFaults.java
@@ -51,7 +51,7 @@
       case 0 -> n.crash(ms / 4);
       case 1 -> cluster.nodes.forEach(x -> x.crash(ms / 4));
       case 2 -> n.pause(ms);
-      case 3 -> cluster.state.outage(ms);
+      case 3 -> cluster.state.startOutage(ms);
       case 4 -> cut(n.name, List.of("state"), how, ms);
       case 5 -> cut(n.name, List.copyOf(cluster.workers.keySet()), how, ms);
       case 6 ->
@@ -62,13 +62,13 @@
               ms);
       case 7 -> cluster.state.refuse(n.name, ms);
       case 8 -> {
-        cluster.state.loseReplies = 0.3;
-        cluster.state.lateTransactions = 0.2;
+        cluster.state.replyLossProbability = 0.3;
+        cluster.state.lateTransactionProbability = 0.2;
         cluster.after(
             ms,
             () -> {
-              cluster.state.loseReplies = 0;
-              cluster.state.lateTransactions = 0;
+              cluster.state.replyLossProbability = 0;
+              cluster.state.lateTransactionProbability = 0;
             });
       }
       case 9 -> {
@@ -83,7 +83,7 @@
       }
       case 11 -> {
         if (w != null) {
-          cluster.cloud.fail(w.rented);
+          cluster.cloud.fail(w.machine);
         }
       }
       default -> {
--- a/src/testbench/java/org/snowturn/simulation/RandomJobs.java
+++ b/src/testbench/java/org/snowturn/simulation/RandomJobs.java
@@ -88,7 +88,7 @@
   }
 
   private void cancel(String id) {
-    if (cluster.clients.job(id).refused == null) {
+    if (cluster.clients.job(id).refusalStatus == null) {
       cluster.clients.cancel(id);
     }
   }
--- a/src/testbench/java/org/snowturn/simulation/RealTimeDriver.java
+++ b/src/testbench/java/org/snowturn/simulation/RealTimeDriver.java
@@ -51,8 +51,9 @@
   private void run() {
     while (!stopped) {
       try {
-        Runnable next = inbox.poll(cluster.idleMs(LONGEST_SLEEP_MS), TimeUnit.MILLISECONDS);
-        cluster.runDue(nowMs());
+        Runnable next =
+            inbox.poll(cluster.msUntilNextEvent(LONGEST_SLEEP_MS), TimeUnit.MILLISECONDS);
+        cluster.runDueEvents(nowMs());
         for (int n = 0; next != null && n < AT_ONCE; n++) {
           safely(next);
           next = inbox.poll();
--- a/src/testbench/java/org/snowturn/simulation/RemoteEndpoint.java
+++ b/src/testbench/java/org/snowturn/simulation/RemoteEndpoint.java
@@ -50,7 +50,7 @@
 
   @Override
   void heartbeat(String from, JsonNode report, Answer answer) {
-    cluster.messages.message(cluster.now, from, name, "/checkin", report);
+    cluster.messageLog.message(cluster.now, from, name, "/checkin", report);
     links.on(
         from,
         addr,
@@ -72,9 +72,9 @@
       answeredWorkersAt = cluster.now;
     }
     // When the answer left its node cannot be seen from here: no start is judged by it.
-    cluster.answerLeftAt = Long.MIN_VALUE;
+    cluster.answerSentAt = Long.MIN_VALUE;
     int got = answered ? status : 0;
-    cluster.messages.message(cluster.now, name, from, "" + got, body);
+    cluster.messageLog.message(cluster.now, name, from, "" + got, body);
     cluster.send(name, from, () -> answer.on(got, body));
   }
 
@@ -100,7 +100,7 @@
   private void ask(String method, String path, byte[] body, int timeoutMs, Answer answer) {
     boolean probe = path.equals(READY);
     if (!probe) {
-      cluster.messages.message(cluster.now, USERS, name, method + " " + path, null);
+      cluster.messageLog.message(cluster.now, USERS, name, method + " " + path, null);
     }
     usersThread.execute(
         () ->
@@ -115,7 +115,7 @@
                   loop.post(
                       () -> {
                         if (!probe) {
-                          cluster.messages.message(
+                          cluster.messageLog.message(
                               cluster.now, name, USERS, got + " " + path, json);
                         }
                         answer.on(got, json);
--- a/src/testbench/java/org/snowturn/simulation/Scenario.java
+++ b/src/testbench/java/org/snowturn/simulation/Scenario.java
@@ -81,7 +81,7 @@
     if (settings.has("boot")) {
       cluster.cloud.bootMs = settings.line("boot").millis(1);
     }
-    cluster.cloud.perZone = settings.count("capacity", 2);
+    cluster.cloud.capacityPerZone = settings.count("capacity", 2);
     cluster.seededBugs.addAll(settings.words("seeded-bugs", ""));
     List<String> zones = cluster.settings[0].zones();
     int machines = settings.count("machines", 3);
--- a/src/testbench/java/org/snowturn/simulation/ScenarioEvents.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioEvents.java
@@ -58,20 +58,21 @@
     ACTIONS.put("resubmit", (cluster, line) -> line.jobs(FIRST).forEach(cluster.clients::resubmit));
     ACTIONS.put("poll", (cluster, line) -> cluster.clients.pollOnce(line.word(FIRST)));
     ACTIONS.put(
-        "read-after-write", (cluster, line) -> cluster.clients.readAfterWrite(line.millis(FIRST)));
+        "read-after-write",
+        (cluster, line) -> cluster.clients.enableReadsAfterWrite(line.millis(FIRST)));
     ACTIONS.put(
         "invalid-requests",
         (cluster, line) -> cluster.clients.sendInvalidRequests(line.millis(FIRST)));
     ACTIONS.put(
         "cancel-now",
         (cluster, line) ->
-            cluster.clients.cancelNow(
+            cluster.clients.cancelRunningJobs(
                 line.count(FIRST), line.has(SECOND) ? line.millis(SECOND) : 0));
     ACTIONS.put(
         "cancel-at-end",
         (cluster, line) -> {
-          cluster.clients.cancelAtEnd(line.number(FIRST));
-          cluster.after(line.millis(SECOND), () -> cluster.clients.cancelAtEnd(0));
+          cluster.clients.cancelOnCompletion(line.number(FIRST));
+          cluster.after(line.millis(SECOND), () -> cluster.clients.cancelOnCompletion(0));
         });
   }
 
@@ -107,15 +108,15 @@
     ACTIONS.put(
         "lower-limits",
         (cluster, line) -> cluster.state.limits = cluster.settings[0].nextStateLimits());
-    ACTIONS.put("outage", (cluster, line) -> cluster.state.outage(line.millis(FIRST)));
+    ACTIONS.put("outage", (cluster, line) -> cluster.state.startOutage(line.millis(FIRST)));
     ACTIONS.put(
         "refuse",
         (cluster, line) -> cluster.state.refuse(node(cluster, line), line.millis(SECOND)));
     ACTIONS.put(
         "lose-replies",
         (cluster, line) -> {
-          cluster.state.loseReplies = line.number(FIRST);
-          cluster.after(line.millis(SECOND), () -> cluster.state.loseReplies = 0);
+          cluster.state.replyLossProbability = line.number(FIRST);
+          cluster.after(line.millis(SECOND), () -> cluster.state.replyLossProbability = 0);
         });
     ACTIONS.put(
         "slow-state",
@@ -128,8 +129,8 @@
     ACTIONS.put(
         "late-transactions",
         (cluster, line) -> {
-          cluster.state.lateTransactions = line.number(FIRST);
-          cluster.after(line.millis(SECOND), () -> cluster.state.lateTransactions = 0);
+          cluster.state.lateTransactionProbability = line.number(FIRST);
+          cluster.after(line.millis(SECOND), () -> cluster.state.lateTransactionProbability = 0);
         });
   }
 
@@ -151,8 +152,8 @@
     ACTIONS.put(
         "slow-links",
         (cluster, line) -> {
-          cluster.linkDelayMs = line.millis(FIRST);
-          cluster.after(line.millis(SECOND), () -> cluster.linkDelayMs = 0);
+          cluster.messageDelayMs = line.millis(FIRST);
+          cluster.after(line.millis(SECOND), () -> cluster.messageDelayMs = 0);
         });
     ACTIONS.put(
         "slow-heartbeats",
@@ -186,16 +187,17 @@
     ACTIONS.put(
         "fail-many",
         (cluster, line) ->
-            manyWorkers(cluster, line).forEach(worker -> cluster.cloud.fail(worker.rented)));
-    ACTIONS.put("fail", (cluster, line) -> cluster.cloud.fail(workerOfTask(cluster, line).rented));
+            manyWorkers(cluster, line).forEach(worker -> cluster.cloud.fail(worker.machine)));
+    ACTIONS.put("fail", (cluster, line) -> cluster.cloud.fail(workerOfTask(cluster, line).machine));
     ACTIONS.put(
-        "reclaim", (cluster, line) -> cluster.cloud.end(workerOfTask(cluster, line).rented.id));
+        "reclaim",
+        (cluster, line) -> cluster.cloud.terminate(workerOfTask(cluster, line).machine.id));
     ACTIONS.put(
         "preemption-notice",
         (cluster, line) -> {
           SimulatedWorker worker = workerOfTask(cluster, line);
-          worker.noticeS = line.number(SECOND);
-          cluster.after(line.millis(SECOND), () -> cluster.cloud.end(worker.rented.id));
+          worker.reclaimNoticeS = line.number(SECOND);
+          cluster.after(line.millis(SECOND), () -> cluster.cloud.terminate(worker.machine.id));
         });
   }
 
@@ -208,9 +210,11 @@
     ACTIONS.put(
         "failing-many",
         (cluster, line) -> manyWorkers(cluster, line).forEach(worker -> worker.failing = true));
-    ACTIONS.put("slow", (cluster, line) -> workerOfTask(cluster, line).slow = line.number(SECOND));
     ACTIONS.put(
-        "slow-machine", (cluster, line) -> worker(cluster, line).slow = line.number(SECOND));
+        "slow", (cluster, line) -> workerOfTask(cluster, line).runtimeFactor = line.number(SECOND));
+    ACTIONS.put(
+        "slow-machine",
+        (cluster, line) -> worker(cluster, line).runtimeFactor = line.number(SECOND));
     dropping("drop-inbound", SimulatedCluster::dropInbound);
     dropping("drop-outbound", ClusterFaults::dropOutbound);
   }
@@ -238,7 +242,7 @@
         (cluster, line) -> {
           Consumer<SimulatedWorker> drop = worker -> fault.on(cluster, worker, line.millis(SECOND));
           cluster.workers.values().stream()
-              .filter(worker -> worker.rented.zone.equals(line.word(FIRST)))
+              .filter(worker -> worker.machine.zone.equals(line.word(FIRST)))
               .forEach(drop);
         });
   }
@@ -270,7 +274,7 @@
         SimulatedJobs.spec(job, line.word(SECOND), options, dependencies),
         millis(options.getOrDefault("run", "10")),
         stragglers);
-    cluster.clients.job(job).broken = options.containsKey("broken");
+    cluster.clients.job(job).alwaysFails = options.containsKey("broken");
   }
 
   private static long millis(String seconds) {
@@ -315,7 +319,7 @@
   private static SimulatedWorker workerOfTask(SimulatedCluster cluster, ScenarioLine line) {
     for (SimulatedWorker worker : cluster.workers.values()) {
       for (SimulatedWorker.Task task : worker.tasks.values()) {
-        if (task.alive() && task.name().equals(line.word(FIRST))) {
+        if (task.isAlive() && task.name().equals(line.word(FIRST))) {
           return worker;
         }
       }
--- a/src/testbench/java/org/snowturn/simulation/ScenarioExpectations.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioExpectations.java
@@ -96,8 +96,8 @@
     CHECKS.put(
         "all-over",
         (cluster, line, failures) -> {
-          for (SimulatedClients.SubmittedJob job : cluster.clients.all()) {
-            if (job.terminal == null && !job.spec.service()) {
+          for (SimulatedClients.SubmittedJob job : cluster.clients.allJobs()) {
+            if (job.terminalPhase == null && !job.spec.service()) {
               failures.found.add(job.spec.id() + " is not over");
             }
           }
@@ -105,7 +105,7 @@
     CHECKS.put(
         "refused",
         (cluster, line, failures) -> {
-          String status = cluster.clients.job(line.word(FIRST)).refused;
+          String status = cluster.clients.job(line.word(FIRST)).refusalStatus;
           if (!line.word(SECOND).equals(status)) {
             failures.add(line, status);
           }
@@ -113,8 +113,8 @@
     CHECKS.put(
         "before",
         (cluster, line, failures) -> {
-          long first = cluster.clients.job(line.word(FIRST)).doneAt;
-          long second = cluster.clients.job(line.word(SECOND)).doneAt;
+          long first = cluster.clients.job(line.word(FIRST)).finishedAt;
+          long second = cluster.clients.job(line.word(SECOND)).finishedAt;
           if (first >= second) {
             failures.add(line, first + " and " + second);
           }
@@ -124,9 +124,9 @@
   private static void terminal(SimulatedCluster cluster, ScenarioLine line, Failures failures) {
     for (String id : line.jobs(FIRST)) {
       SimulatedClients.SubmittedJob job = cluster.clients.job(id);
-      boolean late = line.has(THIRD) && job.doneAt > line.millis(THIRD);
-      if (!line.word(1).equals(job.terminal) || late) {
-        failures.add(line, id + " " + job.terminal + " at " + job.doneAt);
+      boolean late = line.has(THIRD) && job.finishedAt > line.millis(THIRD);
+      if (!line.word(1).equals(job.terminalPhase) || late) {
+        failures.add(line, id + " " + job.terminalPhase + " at " + job.finishedAt);
       }
     }
   }
@@ -146,7 +146,7 @@
         "on-ordinary",
         (cluster, line, failures) ->
             failures.expectCount(
-                line, SECOND, running(cluster, line.word(FIRST), worker -> !worker.rented.spot)));
+                line, SECOND, running(cluster, line.word(FIRST), worker -> !worker.machine.spot)));
     CHECKS.put(
         "running-outside",
         (cluster, line, failures) ->
@@ -156,7 +156,7 @@
                 running(
                     cluster,
                     line.word(SECOND),
-                    worker -> !worker.rented.zone.equals(line.word(FIRST)))));
+                    worker -> !worker.machine.zone.equals(line.word(FIRST)))));
     CHECKS.put(
         "same-machine",
         (cluster, line, failures) -> {
@@ -173,7 +173,7 @@
     return cluster.workers.values().stream()
         .filter(where)
         .flatMap(worker -> worker.tasks.values().stream())
-        .filter(task -> task.present && task.job.equals(job))
+        .filter(task -> task.running && task.job.equals(job))
         .count();
   }
 
@@ -224,13 +224,14 @@
   private static void counts() {
     CHECKS.put(
         "min-relayed",
-        (cluster, line, failures) -> failures.expectAtLeast(line, FIRST, cluster.relayed));
+        (cluster, line, failures) -> failures.expectAtLeast(line, FIRST, cluster.relayedCalls));
     CHECKS.put(
         "max-starts-lost",
-        (cluster, line, failures) -> failures.expectAtMost(line, FIRST, cluster.startsLost));
+        (cluster, line, failures) -> failures.expectAtMost(line, FIRST, cluster.lostStarts));
     CHECKS.put(
         "max-starts-unleased",
-        (cluster, line, failures) -> failures.expectAtMost(line, FIRST, cluster.startsUnleased));
+        (cluster, line, failures) ->
+            failures.expectAtMost(line, FIRST, cluster.startsWithoutLease));
     CHECKS.put(
         "max-probes",
         (cluster, line, failures) -> failures.expectAtMost(line, FIRST, cluster.probes));
@@ -240,7 +241,7 @@
           long rented =
               cluster.cloud.machines.values().stream()
                   .filter(machine -> machine.zone.equals(line.word(FIRST)))
-                  .filter(machine -> machine.at >= line.millis(THIRD + 1))
+                  .filter(machine -> machine.rentedAt >= line.millis(THIRD + 1))
                   .count();
           failures.expectAtMost(line, SECOND, rented);
         });
@@ -248,7 +249,7 @@
         "max-cloud-calls",
         (cluster, line, failures) ->
             failures.expectAtMost(
-                line, SECOND, cluster.cloud.calls.getOrDefault(line.word(FIRST), 0)));
+                line, SECOND, cluster.cloud.callsByPath.getOrDefault(line.word(FIRST), 0)));
     CHECKS.put(
         "max-refused",
         (cluster, line, failures) ->
@@ -257,6 +258,6 @@
     CHECKS.put(
         "keys",
         (cluster, line, failures) ->
-            failures.expectCount(line, SECOND, cluster.state.count(line.word(FIRST))));
+            failures.expectCount(line, SECOND, cluster.state.countKeys(line.word(FIRST))));
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
@@ -25,18 +25,18 @@
     boolean accepted;
     long acceptedAt;
     boolean cancelRequested;
-    Long cancelConfirmed;
+    Long cancelConfirmedAt;
 
     /** Fails wherever it runs. */
-    boolean broken;
+    boolean alwaysFails;
 
     long submittedAt;
     long answeredAt;
     long firstStartAt = -1;
     final JobHistory history = new JobHistory();
-    String terminal;
-    long doneAt = -1;
-    String refused;
+    String terminalPhase;
+    long finishedAt = -1;
+    String refusalStatus;
   }
 
   /** Questions that a user asks about one change, within milliseconds and at all nodes. */
@@ -46,7 +46,7 @@
 
   /** Is told of each start how long after the job's submission it came. */
   interface StartListener {
-    void on(JobSpec spec, long delayMs);
+    void onStart(JobSpec spec, long delayMs);
   }
 
   StartListener startListener = (spec, delayMs) -> {};
@@ -57,11 +57,11 @@
   private final SimulatedCluster cluster;
   private long readAfterWriteUntil;
   private long invalidRequestsUntil;
-  private int nextInvalidJob = 900_000;
-  private double cancelAtEnd;
-  private boolean anyCancelConfirmed;
+  private int lastInvalidJobNumber = 900_000;
+  private double cancelOnCompletionProbability;
+  private boolean hasConfirmedCancel;
   private final Map<String, SubmittedJob> jobs = new LinkedHashMap<>();
-  private final Set<String> results = new HashSet<>();
+  private final Set<String> completedTasks = new HashSet<>();
 
   SimulatedClients(SimulatedCluster cluster) {
     this.cluster = cluster;
@@ -73,17 +73,17 @@
   }
 
   /** Users know of the jobs that another version accepted. */
-  void adopt(JobSpec spec, String phase) {
+  void addAcceptedJob(JobSpec spec, String phase) {
     SubmittedJob submitted = new SubmittedJob();
     submitted.spec = spec;
     submitted.runMs = 10_000;
     submitted.accepted = true;
     if (phase.equals("aborted")) {
       submitted.cancelRequested = true;
-      submitted.cancelConfirmed = cluster.now;
-      submitted.terminal = phase;
-      submitted.doneAt = cluster.now;
-      anyCancelConfirmed = true;
+      submitted.cancelConfirmedAt = cluster.now;
+      submitted.terminalPhase = phase;
+      submitted.finishedAt = cluster.now;
+      hasConfirmedCancel = true;
     }
     jobs.put(spec.id(), submitted);
     poll(submitted);
@@ -93,7 +93,7 @@
     return jobs.get(id);
   }
 
-  Iterable<SubmittedJob> all() {
+  Iterable<SubmittedJob> allJobs() {
     return jobs.values();
   }
 
@@ -102,80 +102,84 @@
     return submitted.stragglerRunMs.getOrDefault(task, submitted.runMs);
   }
 
-  boolean broken(String id) {
+  boolean alwaysFails(String id) {
     SubmittedJob submitted = jobs.get(id);
-    return submitted != null && submitted.broken;
+    return submitted != null && submitted.alwaysFails;
   }
 
   /** A task of the job starts. */
-  void started(String id) {
+  void recordStart(String id) {
     SubmittedJob submitted = jobs.get(id);
     submitted.firstStartAt = submitted.firstStartAt < 0 ? cluster.now : submitted.firstStartAt;
-    startListener.on(submitted.spec, cluster.now - submitted.submittedAt);
+    startListener.onStart(submitted.spec, cluster.now - submitted.submittedAt);
   }
 
-  boolean anyCancelConfirmed() {
-    return anyCancelConfirmed;
+  boolean hasConfirmedCancel() {
+    return hasConfirmedCancel;
   }
 
-  Long cancelConfirmed(String id) {
-    return jobs.get(id).cancelConfirmed;
+  Long cancelConfirmedAt(String id) {
+    return jobs.get(id).cancelConfirmedAt;
   }
 
   /** When a user was first told that one of the jobs that this one needs is cancelled, or null. */
-  Long dependencyCancelConfirmed(String id) {
-    Long first = null;
-    for (String needed : allDependencies(id)) {
-      Long told = jobs.get(needed).cancelConfirmed;
-      first = first == null || (told != null && told < first) ? told : first;
+  Long dependencyCancelConfirmedAt(String id) {
+    Long earliestAt = null;
+    for (String dependency : allDependencies(id)) {
+      Long confirmedAt = jobs.get(dependency).cancelConfirmedAt;
+      earliestAt =
+          earliestAt == null || (confirmedAt != null && confirmedAt < earliestAt)
+              ? confirmedAt
+              : earliestAt;
     }
-    return first;
+    return earliestAt;
   }
 
   private Set<String> allDependencies(String id) {
-    Set<String> out = new LinkedHashSet<>();
-    ArrayDeque<String> next = new ArrayDeque<>(List.of(id));
-    while (!next.isEmpty()) {
-      SubmittedJob submitted = jobs.get(next.poll());
-      for (String needed : submitted == null ? List.<String>of() : submitted.spec.dependencies()) {
-        if (jobs.containsKey(needed) && out.add(needed)) {
-          next.add(needed);
+    Set<String> dependencies = new LinkedHashSet<>();
+    ArrayDeque<String> queue = new ArrayDeque<>(List.of(id));
+    while (!queue.isEmpty()) {
+      SubmittedJob submitted = jobs.get(queue.poll());
+      for (String dependency :
+          submitted == null ? List.<String>of() : submitted.spec.dependencies()) {
+        if (jobs.containsKey(dependency) && dependencies.add(dependency)) {
+          queue.add(dependency);
         }
       }
     }
-    return out;
+    return dependencies;
   }
 
-  boolean result(String task) {
-    return results.contains(task);
+  boolean hasResult(String task) {
+    return completedTasks.contains(task);
   }
 
-  void completed(String task) {
-    results.add(task);
+  void recordResult(String task) {
+    completedTasks.add(task);
     SubmittedJob submitted = jobs.get(task.substring(0, task.lastIndexOf('/')));
     if (submitted != null
-        && cancelAtEnd > 0
-        && allDone(submitted)
-        && cluster.random.nextDouble() < cancelAtEnd) {
+        && cancelOnCompletionProbability > 0
+        && areAllTasksDone(submitted)
+        && cluster.random.nextDouble() < cancelOnCompletionProbability) {
       cluster.after(cluster.random.nextInt(20), () -> cancel(submitted.spec.id()));
     }
   }
 
-  boolean allDone(SubmittedJob submitted) {
+  boolean areAllTasksDone(SubmittedJob submitted) {
     return IntStream.range(0, submitted.spec.tasks())
-        .allMatch(t -> results.contains(submitted.spec.id() + "/" + t));
+        .allMatch(t -> completedTasks.contains(submitted.spec.id() + "/" + t));
   }
 
   // --- users at their worst ---
 
   /** Users ask at all nodes within milliseconds after a job was accepted, or is over. */
-  void readAfterWrite(long ms) {
-    readAfterWriteUntil = cluster.now + ms;
+  void enableReadsAfterWrite(long durationMs) {
+    readAfterWriteUntil = cluster.now + durationMs;
   }
 
   /** So many of the jobs that end are called off at the moment of the end. */
-  void cancelAtEnd(double share) {
-    cancelAtEnd = share;
+  void cancelOnCompletion(double probability) {
+    cancelOnCompletionProbability = probability;
   }
 
   private void readAtAllNodes(SubmittedJob submitted) {
@@ -183,17 +187,19 @@
       return;
     }
     String id = submitted.spec.id();
-    boolean calledOff =
-        submitted.terminal == null && !submitted.spec.service() && cluster.random.nextInt(8) == 0;
+    boolean shouldCancel =
+        submitted.terminalPhase == null
+            && !submitted.spec.service()
+            && cluster.random.nextInt(8) == 0;
     for (int i = 0; i < READS_AFTER_WRITE; i++) {
-      Endpoint n = cluster.endpoints.get(i % cluster.endpoints.size());
-      int kind = i == 4 && calledOff ? 2 : cluster.random.nextInt(3) / 2;
+      Endpoint endpoint = cluster.endpoints.get(i % cluster.endpoints.size());
+      int kind = i == 4 && shouldCancel ? 2 : cluster.random.nextInt(3) / 2;
       cluster.after(
           cluster.random.nextInt((int) READS_WITHIN_MS),
           () -> {
             switch (kind) {
-              case 0 -> poll(n, id);
-              case 1 -> trySubmit(n, submitted, () -> {});
+              case 0 -> poll(endpoint, id);
+              case 1 -> trySubmit(endpoint, submitted, () -> {});
               default -> cancel(id);
             }
           });
@@ -204,8 +210,8 @@
    * Users repeat submissions of jobs that are not over, cancel jobs that are, and submit what can
    * never run.
    */
-  void sendInvalidRequests(long ms) {
-    invalidRequestsUntil = cluster.now + ms;
+  void sendInvalidRequests(long durationMs) {
+    invalidRequestsUntil = cluster.now + durationMs;
     sendInvalidRequest();
   }
 
@@ -217,12 +223,12 @@
     SubmittedJob submitted = all.isEmpty() ? null : all.get(cluster.random.nextInt(all.size()));
     switch (cluster.random.nextInt(4)) {
       case 0 -> {
-        if (submitted != null && submitted.accepted && submitted.terminal == null) {
+        if (submitted != null && submitted.accepted && submitted.terminalPhase == null) {
           trySubmit(submitted);
         }
       }
       case 1 -> {
-        if (submitted != null && "done".equals(submitted.terminal)) {
+        if (submitted != null && "done".equals(submitted.terminalPhase)) {
           cancel(submitted.spec.id());
         }
       }
@@ -233,12 +239,13 @@
 
   /** No node accepts what fits no machine, or is of no team; it says so, or that it cannot tell. */
   private void submitImpossibleJob() {
-    String id = "wk-" + ++nextInvalidJob;
-    boolean large = cluster.random.nextBoolean();
+    String id = "wk-" + ++lastInvalidJobNumber;
+    boolean isTooLarge = cluster.random.nextBoolean();
     JobSpec spec =
-        SimulatedJobs.spec(id, "batch", large ? Map.of("cpus", "99") : Map.of("team", "nobody"));
-    ask(
-        anyNode(),
+        SimulatedJobs.spec(
+            id, "batch", isTooLarge ? Map.of("cpus", "99") : Map.of("team", "nobody"));
+    sendRequest(
+        anyEndpoint(),
         x -> new Input.Submit(x, spec),
         (status, body) -> {
           if (status < 500 && status != 422 && status != 0) {
@@ -249,21 +256,21 @@
   }
 
   /** Users call off so many jobs that run and have long to go, within a fifth of a second. */
-  void cancelNow(int count, long hangMs) {
-    Map<SubmittedJob, List<SimulatedWorker>> running = new LinkedHashMap<>();
+  void cancelRunningJobs(int count, long hangMs) {
+    Map<SubmittedJob, List<SimulatedWorker>> workersByJob = new LinkedHashMap<>();
     for (SimulatedWorker worker : cluster.workers.values()) {
       for (SimulatedWorker.Task task : worker.tasks.values()) {
         SubmittedJob submitted = jobs.get(task.job);
-        if (task.present
+        if (task.running
             && submitted.accepted
             && !submitted.cancelRequested
-            && submitted.terminal == null) {
-          running.computeIfAbsent(submitted, k -> new ArrayList<>()).add(worker);
+            && submitted.terminalPhase == null) {
+          workersByJob.computeIfAbsent(submitted, k -> new ArrayList<>()).add(worker);
         }
       }
     }
-    List<SimulatedWorker> hung = new ArrayList<>();
-    running.keySet().stream()
+    List<SimulatedWorker> hangCandidates = new ArrayList<>();
+    workersByJob.keySet().stream()
         .sorted(
             Comparator.comparingLong(
                 submitted -> submitted.spec.service() ? Long.MIN_VALUE : -submitted.runMs))
@@ -271,105 +278,108 @@
         .forEach(
             submitted -> {
               cluster.after(cluster.random.nextInt(200), () -> cancel(submitted.spec.id()));
-              hung.addAll(running.get(submitted));
+              hangCandidates.addAll(workersByJob.get(submitted));
             });
     if (hangMs > 0) {
-      hung.stream()
+      hangCandidates.stream()
           .distinct()
           .limit(8)
           .forEach(worker -> ClusterFaults.hang(cluster, worker, hangMs));
     }
   }
 
-  void submit(JobSpec spec, long runMs, Map<Integer, Long> odd) {
+  void submit(JobSpec spec, long runMs, Map<Integer, Long> stragglerRunMs) {
     SubmittedJob submitted = new SubmittedJob();
     submitted.spec = spec;
     submitted.submittedAt = cluster.now;
     submitted.runMs = runMs;
-    submitted.stragglerRunMs.putAll(odd);
+    submitted.stragglerRunMs.putAll(stragglerRunMs);
     jobs.put(spec.id(), submitted);
-    submitInTurn(submitted);
+    submitAfterDependencies(submitted);
   }
 
   /** The jobs of a pipeline are submitted one after another, each when those it names are taken. */
-  private void submitInTurn(SubmittedJob submitted) {
+  private void submitAfterDependencies(SubmittedJob submitted) {
     for (String id : submitted.spec.dependencies()) {
-      SubmittedJob needed = jobs.get(id);
-      if (needed != null && needed != submitted && !needed.accepted && needed.refused == null) {
-        cluster.after(100, () -> submitInTurn(submitted));
+      SubmittedJob dependency = jobs.get(id);
+      if (dependency != null
+          && dependency != submitted
+          && !dependency.accepted
+          && dependency.refusalStatus == null) {
+        cluster.after(100, () -> submitAfterDependencies(submitted));
         return;
       }
     }
     trySubmit(submitted);
   }
 
-  private Endpoint anyNode() {
+  private Endpoint anyEndpoint() {
     // The load balancer tries another node where one refuses the connection.
-    List<Endpoint> up = cluster.endpoints.stream().filter(n -> n.up).toList();
-    List<Endpoint> among = up.isEmpty() ? cluster.endpoints : up;
-    return among.get(cluster.random.nextInt(among.size()));
+    List<Endpoint> available = cluster.endpoints.stream().filter(n -> n.up).toList();
+    List<Endpoint> candidates = available.isEmpty() ? cluster.endpoints : available;
+    return candidates.get(cluster.random.nextInt(candidates.size()));
   }
 
-  private void ask(
-      Endpoint node,
+  private void sendRequest(
+      Endpoint endpoint,
       java.util.function.LongFunction<Input> input,
       Endpoint.Answer answer,
-      Runnable again) {
-    boolean[] over = {false};
-    node.request(
+      Runnable onTimeout) {
+    boolean[] isFinished = {false};
+    endpoint.request(
         "user",
         input,
         (status, body) -> {
-          if (!over[0]) {
-            over[0] = true;
+          if (!isFinished[0]) {
+            isFinished[0] = true;
             answer.on(status, body);
           }
         });
     cluster.after(
         3000,
         () -> {
-          if (!over[0]) {
-            over[0] = true;
-            again.run();
+          if (!isFinished[0]) {
+            isFinished[0] = true;
+            onTimeout.run();
           }
         });
   }
 
   private void trySubmit(SubmittedJob submitted) {
-    trySubmit(anyNode(), submitted, () -> cluster.after(1000, () -> trySubmit(submitted)));
+    trySubmit(anyEndpoint(), submitted, () -> cluster.after(1000, () -> trySubmit(submitted)));
   }
 
-  private void trySubmit(Endpoint node, SubmittedJob submitted, Runnable again) {
-    long askedAt = cluster.now;
-    ask(
-        node,
-        x -> new Input.Submit(x, asAccepted(submitted.spec)),
+  private void trySubmit(Endpoint endpoint, SubmittedJob submitted, Runnable retry) {
+    long requestedAt = cluster.now;
+    sendRequest(
+        endpoint,
+        x -> new Input.Submit(x, specToSubmit(submitted.spec)),
         (status, body) -> {
           if (status == 200 || status == 201) {
-            boolean first = !submitted.accepted;
+            boolean isFirstAcceptance = !submitted.accepted;
             submitted.accepted = true;
-            submitted.acceptedAt = first ? cluster.now : submitted.acceptedAt;
-            if (first) {
+            submitted.acceptedAt = isFirstAcceptance ? cluster.now : submitted.acceptedAt;
+            if (isFirstAcceptance) {
               acceptedListener.accept(cluster.now - submitted.submittedAt);
             }
-            recordAnswer(submitted, askedAt, body);
-            if (first) {
+            recordAnswer(submitted, requestedAt, body);
+            if (isFirstAcceptance) {
               poll(submitted);
               readAtAllNodes(submitted);
             }
           } else if (status == 422 || status == 400) {
-            submitted.refused = "" + status;
+            submitted.refusalStatus = "" + status;
             if (submitted.accepted) {
               cluster.invariants.report("forgotten", submitted.spec.id() + " got " + status);
             }
           } else {
-            again.run();
+            retry.run();
           }
         },
-        again);
+        retry);
   }
 
-  private JobSpec asAccepted(JobSpec spec) {
+  private JobSpec specToSubmit(JobSpec spec) {
     return cluster.seededBugs.contains("forget_awaits")
         ? SimulatedJobs.withoutDependencies(spec)
         : spec;
@@ -381,7 +391,7 @@
   }
 
   private void poll(SubmittedJob submitted) {
-    if (submitted.terminal != null && !cluster.parameters.pollsWhenOver()) {
+    if (submitted.terminalPhase != null && !cluster.parameters.pollsWhenOver()) {
       return;
     }
     cluster.after(
@@ -393,13 +403,13 @@
   }
 
   void pollOnce(String id) {
-    poll(anyNode(), id);
+    poll(anyEndpoint(), id);
   }
 
-  private void poll(Endpoint node, String id) {
-    long askedAt = cluster.now;
-    ask(
-        node,
+  private void poll(Endpoint endpoint, String id) {
+    long requestedAt = cluster.now;
+    sendRequest(
+        endpoint,
         x -> new Input.Poll(x, id),
         (status, body) -> {
           SubmittedJob submitted = jobs.get(id);
@@ -413,9 +423,9 @@
               cluster.invariants.report("invented", id);
             }
           } else if (status == 404) {
-            checkAnswer(submitted, askedAt, null);
+            checkAnswer(submitted, requestedAt, null);
           } else if (status == 200) {
-            recordAnswer(submitted, askedAt, body);
+            recordAnswer(submitted, requestedAt, body);
           }
         },
         () -> {});
@@ -424,37 +434,37 @@
   void cancel(String id) {
     SubmittedJob submitted = jobs.get(id);
     submitted.cancelRequested = true;
-    Runnable again = () -> cluster.after(1000, () -> cancel(id));
-    long askedAt = cluster.now;
-    ask(
-        anyNode(),
+    Runnable retry = () -> cluster.after(1000, () -> cancel(id));
+    long requestedAt = cluster.now;
+    sendRequest(
+        anyEndpoint(),
         x -> new Input.Cancel(x, id),
         (status, body) -> {
           if (status == 200) {
-            recordAnswer(submitted, askedAt, body);
+            recordAnswer(submitted, requestedAt, body);
           } else {
-            again.run();
+            retry.run();
           }
         },
-        again);
+        retry);
   }
 
-  private void checkAnswer(SubmittedJob submitted, long askedAt, String phase) {
-    String rule = submitted.history.answered(askedAt, cluster.now, phase);
+  private void checkAnswer(SubmittedJob submitted, long requestedAt, String phase) {
+    String rule = submitted.history.answered(requestedAt, cluster.now, phase);
     if (rule != null) {
       cluster.invariants.report(
-          rule, submitted.spec.id() + ": " + submitted.terminal + " then " + phase);
+          rule, submitted.spec.id() + ": " + submitted.terminalPhase + " then " + phase);
     }
   }
 
-  private void recordAnswer(SubmittedJob submitted, long askedAt, JsonNode body) {
+  private void recordAnswer(SubmittedJob submitted, long requestedAt, JsonNode body) {
     String phase = body.path("phase").asText();
     String id = submitted.spec.id();
-    if (submitted.terminal != null && cluster.seededBugs.contains("stale_answers")) {
+    if (submitted.terminalPhase != null && cluster.seededBugs.contains("stale_answers")) {
       phase = "queued";
     }
-    checkAnswer(submitted, askedAt, phase);
-    if (submitted.terminal != null && !phase.equals(submitted.terminal)) {
+    checkAnswer(submitted, requestedAt, phase);
+    if (submitted.terminalPhase != null && !phase.equals(submitted.terminalPhase)) {
       return;
     }
     if (phase.equals("aborted")) {
@@ -462,9 +472,9 @@
           && allDependencies(id).stream().noneMatch(n -> jobs.get(n).cancelRequested)) {
         cluster.invariants.report("went_back", id + " cancelled by nobody");
       }
-      if (submitted.cancelConfirmed == null) {
-        submitted.cancelConfirmed = cluster.now;
-        anyCancelConfirmed = true;
+      if (submitted.cancelConfirmedAt == null) {
+        submitted.cancelConfirmedAt = cluster.now;
+        hasConfirmedCancel = true;
       }
     }
     if (phase.equals("queued") || phase.equals("running")) {
@@ -472,14 +482,14 @@
     }
     if (phase.equals("done")) {
       for (int t = 0; t < submitted.spec.tasks(); t++) {
-        if (!results.contains(id + "/" + t)) {
+        if (!completedTasks.contains(id + "/" + t)) {
           cluster.invariants.report("not_done", id + "/" + t);
         }
       }
     }
-    if (submitted.terminal == null && (phase.equals("done") || phase.equals("aborted"))) {
-      submitted.terminal = phase;
-      submitted.doneAt = cluster.now;
+    if (submitted.terminalPhase == null && (phase.equals("done") || phase.equals("aborted"))) {
+      submitted.terminalPhase = phase;
+      submitted.finishedAt = cluster.now;
       readAtAllNodes(submitted);
     }
   }
--- a/src/testbench/java/org/snowturn/simulation/SimulatedCloud.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedCloud.java
@@ -18,155 +18,163 @@
   private static final int MAX_LISTED = 500;
 
   /** What the cloud knows of a machine. */
-  static final class Rented {
+  static final class RentedMachine {
     String id;
     String zone;
     boolean spot;
-    long at;
-    long goneAt = Long.MAX_VALUE;
+    long rentedAt;
+    long terminatedAt = Long.MAX_VALUE;
     boolean failed;
     SimulatedWorker worker;
   }
 
   private final SimulatedCluster cluster;
-  final TreeMap<String, Rented> machines = new TreeMap<>();
-  private final Map<String, List<String>> answeredRequests = new LinkedHashMap<>();
-  private final Map<String, Integer> capacity = new HashMap<>();
-  final Map<String, Integer> calls = new HashMap<>();
-  int perZone = 2;
+  final TreeMap<String, RentedMachine> machines = new TreeMap<>();
+  private final Map<String, List<String>> machinesByRequest = new LinkedHashMap<>();
+  private final Map<String, Integer> freeCapacity = new HashMap<>();
+  final Map<String, Integer> callsByPath = new HashMap<>();
+  int capacityPerZone = 2;
   long bootMs = 4000;
   boolean outage;
   boolean loseNextRentalReply;
   long listLagMs = 3000;
-  private int next = 1;
+  private int nextMachineNumber = 1;
 
   SimulatedCloud(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
-  void accept(Effect.Call call, SimulatedCluster.Reply back) {
-    calls.merge(call.path(), 1, Integer::sum);
+  void handle(Effect.Call call, SimulatedCluster.ReplyHandler reply) {
+    callsByPath.merge(call.path(), 1, Integer::sum);
     if (outage) {
-      back.on(Outcome.REFUSED, 503, Json.object().put("error", "trouble"));
+      reply.onReply(Outcome.REFUSED, 503, Json.object().put("error", "trouble"));
     } else if (call.path().equals("/catalog")) {
-      back.on(Outcome.ANSWERED, 200, catalog());
+      reply.onReply(Outcome.ANSWERED, 200, catalog());
     } else if (call.path().equals("/machines")) {
-      handleRental(call.body(), back);
+      handleRental(call.body(), reply);
     } else if (call.path().equals("/machines/delete")) {
       for (JsonNode node : call.body().path("drifts")) {
         if (!cluster.seededBugs.contains("keep_deleted")) {
-          end(node.asText());
+          terminate(node.asText());
         }
       }
-      back.on(Outcome.ANSWERED, 200, Json.object());
+      reply.onReply(Outcome.ANSWERED, 200, Json.object());
     } else {
-      back.on(Outcome.ANSWERED, 200, list(call.path()));
+      reply.onReply(Outcome.ANSWERED, 200, list(call.path()));
     }
   }
 
   private JsonNode catalog() {
     ObjectNode object = Json.object();
-    ObjectNode t = object.putArray("hulls").addObject();
-    t.put("label", "t8")
+    ObjectNode machineType = object.putArray("hulls").addObject();
+    machineType
+        .put("label", "t8")
         .put("cores", cluster.parameters.cpus())
         .put("cards", 0)
         .put("ram_gb", cluster.parameters.memoryGb());
-    t.put("local_gb", 20).put("pull_gb_per_s", 1.0).put("hourly", 1.0).put("market_price", 0.3);
-    t.put("ready_s", bootMs / 1000.0);
-    ArrayNode zones = t.putArray("fields");
+    machineType
+        .put("local_gb", 20)
+        .put("pull_gb_per_s", 1.0)
+        .put("hourly", 1.0)
+        .put("market_price", 0.3);
+    machineType.put("ready_s", bootMs / 1000.0);
+    ArrayNode zones = machineType.putArray("fields");
     cluster.settings[0].zones().forEach(zones::add);
     return object;
   }
 
-  private void handleRental(JsonNode body, SimulatedCluster.Reply back) {
-    String name = body.path("hire").asText();
-    List<String> ids = answeredRequests.get(name);
+  private void handleRental(JsonNode body, SimulatedCluster.ReplyHandler reply) {
+    String requestName = body.path("hire").asText();
+    List<String> ids = machinesByRequest.get(requestName);
     if (ids == null) {
       ids = new ArrayList<>();
-      String kind = body.path("field").asText() + body.path("loaners").asBoolean();
-      int free = capacity.computeIfAbsent(kind, k -> perZone);
-      int count = Math.min(free, body.path("number").asInt());
+      String capacityKey = body.path("field").asText() + body.path("loaners").asBoolean();
+      int freeCount = freeCapacity.computeIfAbsent(capacityKey, k -> capacityPerZone);
+      int count = Math.min(freeCount, body.path("number").asInt());
       if (count == 0) {
-        back.on(Outcome.REFUSED, 503, Json.object().put("error", "no capacity"));
+        reply.onReply(Outcome.REFUSED, 503, Json.object().put("error", "no capacity"));
         return;
       }
-      capacity.put(kind, free - count);
+      freeCapacity.put(capacityKey, freeCount - count);
       for (int i = 0; i < count; i++) {
         ids.add(rent(body.path("field").asText(), body.path("loaners").asBoolean()));
       }
-      answeredRequests.put(name, ids);
+      machinesByRequest.put(requestName, ids);
     }
     ObjectNode object = Json.object();
     ids.forEach(object.putArray("drifts")::add);
     if (loseNextRentalReply) {
       loseNextRentalReply = false;
     } else {
-      back.on(Outcome.ANSWERED, 200, object);
+      reply.onReply(Outcome.ANSWERED, 200, object);
     }
   }
 
   /** Rents a machine; its worker starts to report once it is up. */
   String rent(String zone, boolean spot) {
-    Rented r = new Rented();
-    r.id = String.format("i-%06d", next++);
-    r.zone = zone;
-    r.spot = spot;
-    r.at = cluster.now;
-    machines.put(r.id, r);
+    RentedMachine machine = new RentedMachine();
+    machine.id = String.format("i-%06d", nextMachineNumber++);
+    machine.zone = zone;
+    machine.spot = spot;
+    machine.rentedAt = cluster.now;
+    machines.put(machine.id, machine);
     cluster.after(
         cluster.jitter(bootMs),
         () -> {
-          if (r.goneAt == Long.MAX_VALUE && !r.failed) {
-            r.worker = new SimulatedWorker(cluster, r);
-            cluster.workers.put(r.worker.addr, r.worker);
-            r.worker.boot();
+          if (machine.terminatedAt == Long.MAX_VALUE && !machine.failed) {
+            machine.worker = new SimulatedWorker(cluster, machine);
+            cluster.workers.put(machine.worker.addr, machine.worker);
+            machine.worker.boot();
           }
         });
-    return r.id;
+    return machine.id;
   }
 
   /** The machine and all on it are gone at once. */
-  void end(String id) {
-    Rented r = machines.get(id);
-    if (r == null || r.goneAt != Long.MAX_VALUE) {
+  void terminate(String id) {
+    RentedMachine machine = machines.get(id);
+    if (machine == null || machine.terminatedAt != Long.MAX_VALUE) {
       return;
     }
-    r.goneAt = cluster.now;
-    capacity.merge(r.zone + r.spot, 1, Integer::sum);
-    if (r.worker != null) {
-      r.worker.die();
+    machine.terminatedAt = cluster.now;
+    freeCapacity.merge(machine.zone + machine.spot, 1, Integer::sum);
+    if (machine.worker != null) {
+      machine.worker.shutDown();
     }
   }
 
   /** The machine stops on its own; the cloud says so about 30 s later. */
-  void fail(Rented r) {
-    if (r.worker != null) {
-      r.worker.die();
+  void fail(RentedMachine machine) {
+    if (machine.worker != null) {
+      machine.worker.shutDown();
     }
-    cluster.after(30_000, () -> r.failed = true);
+    cluster.after(30_000, () -> machine.failed = true);
   }
 
   private JsonNode list(String path) {
-    Map<String, String> q = SimulatedStateService.query(path);
-    int most = Integer.parseInt(q.getOrDefault("most", "" + MAX_LISTED));
+    Map<String, String> query = SimulatedStateService.query(path);
+    int maxEntries = Integer.parseInt(query.getOrDefault("most", "" + MAX_LISTED));
     long asOf = cluster.now - listLagMs;
     ObjectNode object = Json.object().put("truncated", false);
     ArrayNode array = object.putArray("drifts");
-    for (Rented r : machines.tailMap(q.getOrDefault("since", ""), false).values()) {
-      if (r.at > asOf || r.goneAt <= asOf) {
+    for (RentedMachine machine :
+        machines.tailMap(query.getOrDefault("since", ""), false).values()) {
+      if (machine.rentedAt > asOf || machine.terminatedAt <= asOf) {
         continue;
       }
-      if (array.size() == most) {
+      if (array.size() == maxEntries) {
         object.put("truncated", true);
         break;
       }
-      ObjectNode n = array.addObject();
-      n.put("id", r.id)
-          .put("addr", cluster.parameters.addresses().apply(r.id))
+      ObjectNode entry = array.addObject();
+      entry
+          .put("id", machine.id)
+          .put("addr", cluster.parameters.addresses().apply(machine.id))
           .put("hull", "t8")
-          .put("field", r.zone);
-      n.put("loaners", r.spot).put("held_s", (asOf - r.at) / 1000.0);
-      n.put("phase", r.failed ? "failed" : r.worker == null ? "starting" : "running");
+          .put("field", machine.zone);
+      entry.put("loaners", machine.spot).put("held_s", (asOf - machine.rentedAt) / 1000.0);
+      entry.put(
+          "phase", machine.failed ? "failed" : machine.worker == null ? "starting" : "running");
     }
     return object;
   }
--- a/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
@@ -28,7 +28,7 @@
 final class SimulatedCluster {
   private static final long TICK_MS = 40;
 
-  private record Event(long at, long order, Runnable run) {}
+  private record Event(long at, long sequence, Runnable action) {}
 
   /** Stands for all machines, those that come up later included, at one end of a cut. */
   static final String ALL_WORKERS = "workers";
@@ -55,35 +55,35 @@
   final Set<String> seededBugs = new HashSet<>();
   final ClusterLog log = new ClusterLog();
   long now;
-  private long order;
+  private long nextSequence;
   private final PriorityQueue<Event> events =
-      new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
+      new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::sequence));
   private final Map<String, Cut> cuts = new LinkedHashMap<>();
   private final Map<String, List<Runnable>> heldMessages = new LinkedHashMap<>();
   private final Set<String> inboundDropped = new HashSet<>();
   private final Set<String> cutZones = new HashSet<>();
-  private long lateCommandsMs;
-  private long lateCommandRepliesMs;
+  private long commandDelayMs;
+  private long commandReplyDelayMs;
   private long maxDuplicateDelayMs;
   private boolean holdingHeartbeats;
   private final List<Runnable> heldHeartbeats = new ArrayList<>();
 
   /** Every message takes so much longer, and up to twice that. */
-  long linkDelayMs;
+  long messageDelayMs;
 
   /** Check-ins wait so long on their way, as in a node that is behind; direct answers do not. */
   long heartbeatDelayMs;
 
-  private Links links = (from, to) -> 0;
+  private LinkDelays linkDelays = (from, to) -> 0;
 
   /** Is told of every message that the stand-ins of a world in real time take or give. */
-  MessageLog messages = MessageLog.NONE;
+  MessageLog messageLog = MessageLog.NONE;
 
   /** Is told of everything that the controllers send. */
   EffectObserver observer = EffectObserver.NONE;
 
   /** When the answer to a check-in that a worker is just taking in left its node. */
-  long answerLeftAt;
+  long answerSentAt;
 
   /** Direct messages to workers so far, and those of them without any command. */
   int directMessages;
@@ -91,21 +91,21 @@
   int probes;
 
   /** Tasks started on machines that reached no controller, and so could renew no lease. */
-  int startsUnleased;
+  int startsWithoutLease;
 
   /** Starts sent to machines that received nothing. */
-  int startsLost;
+  int lostStarts;
 
   /** From then on nothing is in trouble any more. */
   long faultsEndMs = Long.MAX_VALUE;
 
   /** Check-ins that workers have sent, and direct messages that they have received. */
-  long heartbeats;
+  long heartbeatsSent;
 
-  long commands;
+  long commandsReceived;
 
   /** Calls to the state service that went through a peer and were answered. */
-  int relayed;
+  int relayedCalls;
 
   /** Figures of the machines and of the users' habits. */
   SimulationParameters parameters = SimulationParameters.SMALL;
@@ -132,31 +132,31 @@
     return cluster;
   }
 
-  void after(long ms, Runnable run) {
-    events.add(new Event(now + Math.max(0, ms), order++, run));
+  void after(long ms, Runnable action) {
+    events.add(new Event(now + Math.max(0, ms), nextSequence++, action));
   }
 
   void runUntil(long end) {
     while (!events.isEmpty() && events.peek().at <= end) {
-      Event e = events.poll();
-      now = e.at;
-      e.run.run();
+      Event event = events.poll();
+      now = event.at;
+      event.action.run();
       invariants.check();
     }
     now = end;
   }
 
   /** Runs what is due by now in real time; the rules are looked at by whoever drives it. */
-  void runDue(long realNow) {
-    now = Math.max(now, realNow);
+  void runDueEvents(long realTimeMs) {
+    now = Math.max(now, realTimeMs);
     while (!events.isEmpty() && events.peek().at <= now) {
-      events.poll().run.run();
+      events.poll().action.run();
     }
   }
 
   /** Milliseconds until the next event, at most so many. */
-  long idleMs(long most) {
-    return events.isEmpty() ? most : Math.max(0, Math.min(most, events.peek().at - now));
+  long msUntilNextEvent(long maxMs) {
+    return events.isEmpty() ? maxMs : Math.max(0, Math.min(maxMs, events.peek().at - now));
   }
 
   long jitter(long ms) {
@@ -165,41 +165,41 @@
 
   // --- the network ---
 
-  private static String pair(String a, String b) {
-    return a.compareTo(b) < 0 ? a + "|" + b : b + "|" + a;
+  private static String linkKey(String first, String second) {
+    return first.compareTo(second) < 0 ? first + "|" + second : second + "|" + first;
   }
 
-  void cut(String a, String b, Cut how) {
-    cuts.put(pair(a, b), how);
+  void cut(String first, String second, Cut mode) {
+    cuts.put(linkKey(first, second), mode);
   }
 
-  void heal(String a, String b) {
-    cuts.remove(pair(a, b));
-    List<Runnable> late = heldMessages.remove(pair(a, b));
-    if (late != null) {
-      late.forEach(r -> after(jitter(2), r));
+  void heal(String first, String second) {
+    cuts.remove(linkKey(first, second));
+    List<Runnable> held = heldMessages.remove(linkKey(first, second));
+    if (held != null) {
+      held.forEach(r -> after(jitter(2), r));
     }
   }
 
   void healAll() {
-    for (String p : List.copyOf(cuts.keySet())) {
-      String[] ends = p.split("\\|", -1);
+    for (String key : List.copyOf(cuts.keySet())) {
+      String[] ends = key.split("\\|", -1);
       heal(ends[0], ends[1]);
     }
   }
 
   /** How late direct commands arrive now. */
-  long lateCommandsMs() {
-    return lateCommandsMs;
+  long commandDelayMs() {
+    return commandDelayMs;
   }
 
   void delayCommands(long ms) {
-    lateCommandsMs = ms;
+    commandDelayMs = ms;
   }
 
   /** Direct commands arrive at once, but what the machine says to them only so much later. */
   void delayCommandReplies(long ms) {
-    lateCommandRepliesMs = ms;
+    commandReplyDelayMs = ms;
   }
 
   /** Cuts a zone off from everything outside of it, machines that come up later included. */
@@ -208,20 +208,21 @@
     after(ms, () -> cutZones.remove(zone));
   }
 
-  private boolean isZoneCutBetween(String a, String b) {
-    String za = zoneOf(a);
-    String zb = zoneOf(b);
-    return !za.equals(zb) && (cutZones.contains(za) || cutZones.contains(zb));
+  private boolean isZoneCutBetween(String first, String second) {
+    String firstZone = zoneOf(first);
+    String secondZone = zoneOf(second);
+    return !firstZone.equals(secondZone)
+        && (cutZones.contains(firstZone) || cutZones.contains(secondZone));
   }
 
   private String zoneOf(String end) {
     SimulatedWorker worker = workers.get(end);
-    Node n = node(end);
-    return worker != null ? worker.rented.zone : n != null ? n.settings.zone() : "";
+    Node node = node(end);
+    return worker != null ? worker.machine.zone : node != null ? node.settings.zone() : "";
   }
 
-  boolean connected(String a, String b) {
-    return !cuts.containsKey(pair(a, b));
+  boolean isConnected(String first, String second) {
+    return !cuts.containsKey(linkKey(first, second));
   }
 
   /** For a while a worker's reports get out, but nothing that is sent to it now arrives. */
@@ -231,13 +232,13 @@
   }
 
   /** From now on a copy of each report comes once more, to any node, up to so much later. */
-  void duplicateHeartbeats(long mostMs) {
-    maxDuplicateDelayMs = mostMs;
+  void duplicateHeartbeats(long maxDelayMs) {
+    maxDuplicateDelayMs = maxDelayMs;
   }
 
   /** From now on a copy of each report is kept until somebody else leads, then all nodes get it. */
-  void holdHeartbeats(boolean keep) {
-    holdingHeartbeats = keep;
+  void holdHeartbeats(boolean hold) {
+    holdingHeartbeats = hold;
   }
 
   /** Somebody else leads than before: what was kept arrives at once, or once it has acted. */
@@ -248,7 +249,7 @@
   }
 
   /** The copy's answer reaches nobody. */
-  void redeliver(String addr, JsonNode report) {
+  void deliverCopies(String addr, JsonNode report) {
     if (holdingHeartbeats) {
       heldHeartbeats.add(
           () -> endpoints.forEach(n -> n.heartbeat(addr, report, (status, body) -> {})));
@@ -262,38 +263,38 @@
   }
 
   /** Says how much later messages arrive from one end at another, in milliseconds. */
-  interface Links {
+  interface LinkDelays {
     /** What says that a message never arrives. */
     long LOST = -1;
 
     long delayMs(String from, String to);
   }
 
-  void links(Links l) {
-    links = l;
+  void setLinkDelays(LinkDelays delays) {
+    linkDelays = delays;
   }
 
   /** Delivers a message after a delay, unless the way is cut. */
   void send(String from, String to, Runnable deliver) {
-    long late = links.delayMs(from, to);
-    if (late != 0) {
-      if (late != Links.LOST) {
-        after(late, deliver);
+    long delayMs = linkDelays.delayMs(from, to);
+    if (delayMs != 0) {
+      if (delayMs != LinkDelays.LOST) {
+        after(delayMs, deliver);
       }
       return;
     }
     if (inboundDropped.contains(to) || (!cutZones.isEmpty() && isZoneCutBetween(from, to))) {
       return;
     }
-    String key = pair(from, to);
+    String key = linkKey(from, to);
     if (!cuts.containsKey(key) && (workers.containsKey(from) || workers.containsKey(to))) {
-      key = pair(workers.containsKey(from) ? to : from, ALL_WORKERS);
+      key = linkKey(workers.containsKey(from) ? to : from, ALL_WORKERS);
     }
-    Cut how = cuts.get(key);
-    if (how == Cut.HOLD) {
+    Cut mode = cuts.get(key);
+    if (mode == Cut.HOLD) {
       heldMessages.computeIfAbsent(key, k -> new ArrayList<>()).add(deliver);
-    } else if (how == null) {
-      after(jitter(1) + (linkDelayMs > 0 ? jitter(linkDelayMs) : 0), deliver);
+    } else if (mode == null) {
+      after(jitter(1) + (messageDelayMs > 0 ? jitter(messageDelayMs) : 0), deliver);
     }
   }
 
@@ -324,37 +325,37 @@
       tick(incarnation);
     }
 
-    void crash(long backMs) {
+    void crash(long restartAfterMs) {
       up = false;
       exchanges.clear();
-      after(backMs, this::start);
+      after(restartAfterMs, this::start);
     }
 
     void pause(long ms) {
       paused = true;
-      int mine = incarnation;
+      int pausedIncarnation = incarnation;
       after(
           ms,
           () -> {
-            if (mine == incarnation && paused) {
+            if (pausedIncarnation == incarnation && paused) {
               paused = false;
-              List<Input> late = List.copyOf(backlog);
+              List<Input> deferred = List.copyOf(backlog);
               backlog.clear();
-              late.forEach(this::accept);
+              deferred.forEach(this::accept);
             }
           });
     }
 
     /** Whether the node, at this very moment, takes itself for the leader. */
-    boolean leadsNow() {
+    boolean hasAuthorityNow() {
       accept(new Input.Tick());
       return up && !paused && core.hasAuthority();
     }
 
-    private void tick(int mine) {
-      if (up && mine == incarnation) {
+    private void tick(int tickedIncarnation) {
+      if (up && tickedIncarnation == incarnation) {
         accept(new Input.Tick());
-        after(TICK_MS, () -> tick(mine));
+        after(TICK_MS, () -> tick(tickedIncarnation));
       }
     }
 
@@ -379,19 +380,19 @@
     void perform(Effect effect) {
       observer.sent(now, name, effect);
       if (effect instanceof Effect.Answer answer) {
-        Exchange x = exchanges.remove(answer.exchange());
-        if (x != null) {
-          long leftAt = now;
+        Exchange exchange = exchanges.remove(answer.exchange());
+        if (exchange != null) {
+          long sentAt = now;
           send(
               name,
-              x.from,
+              exchange.from,
               () -> {
-                answerLeftAt = leftAt;
-                x.answer.on(answer.status(), answer.body());
+                answerSentAt = sentAt;
+                exchange.answer.on(answer.status(), answer.body());
               });
         }
       } else if (effect instanceof Effect.Broadcast broadcast) {
-        relayed += broadcast.message() instanceof PeerMessage.RelayReply ? 1 : 0;
+        relayedCalls += broadcast.message() instanceof PeerMessage.RelayReply ? 1 : 0;
         for (Node peer : nodes) {
           if (peer != this) {
             send(name, peer.name, () -> peer.accept(new Input.FromPeer(broadcast.message())));
@@ -399,8 +400,8 @@
         }
       } else if (effect instanceof Effect.Event event) {
         logEvent(event);
-      } else if (effect instanceof Effect.Call c) {
-        call(c);
+      } else if (effect instanceof Effect.Call call) {
+        call(call);
       }
     }
 
@@ -413,62 +414,63 @@
     }
 
     private void call(Effect.Call call) {
-      int mine = incarnation;
-      boolean[] over = {false};
-      Reply reply =
+      int callingIncarnation = incarnation;
+      boolean[] isFinished = {false};
+      ReplyHandler onReply =
           (outcome, status, body) -> {
-            if (!over[0] && incarnation == mine) {
-              over[0] = true;
+            if (!isFinished[0] && incarnation == callingIncarnation) {
+              isFinished[0] = true;
               accept(new Input.Reply(call.id(), outcome, status, body));
             }
           };
-      after(call.timeoutMs(), () -> reply.on(Outcome.UNKNOWN, 0, null));
+      after(call.timeoutMs(), () -> onReply.onReply(Outcome.UNKNOWN, 0, null));
       String to =
           switch (call.target()) {
             case AUTHORITY, STATE, STATE_WATCH -> "state";
             case CLOUD -> "cloud";
             default -> call.addr();
           };
-      long late = call.target() == Effect.Target.WORKER ? lateCommandRepliesMs : 0;
-      Reply back = (o, s, b) -> after(late, () -> send(to, name, () -> reply.on(o, s, b)));
+      long replyDelayMs = call.target() == Effect.Target.WORKER ? commandReplyDelayMs : 0;
+      ReplyHandler sendReply =
+          (o, s, b) -> after(replyDelayMs, () -> send(to, name, () -> onReply.onReply(o, s, b)));
       Runnable deliver =
           switch (call.target()) {
-            case AUTHORITY, STATE, STATE_WATCH -> () -> state.accept(name, call, back);
-            case CLOUD -> () -> cloud.accept(call, back);
-            default -> deliverToWorker(call, back);
+            case AUTHORITY, STATE, STATE_WATCH -> () -> state.handle(name, call, sendReply);
+            case CLOUD -> () -> cloud.handle(call, sendReply);
+            default -> deliverToWorker(call, sendReply);
           };
       if (call.target() == Effect.Target.WORKER && inboundDropped.contains(to)) {
-        startsLost += countStarts(call.body());
+        lostStarts += countStarts(call.body());
       }
-      if (call.target() == Effect.Target.WORKER && lateCommandsMs > 0) {
-        after(lateCommandsMs, deliver);
+      if (call.target() == Effect.Target.WORKER && commandDelayMs > 0) {
+        after(commandDelayMs, deliver);
       } else {
         send(name, to, deliver);
       }
     }
 
     private int countStarts(JsonNode body) {
-      int n = 0;
-      for (JsonNode o : body == null ? List.<JsonNode>of() : body.path("orders")) {
-        n += o.path("verb").asText().equals("start") ? 1 : 0;
+      int count = 0;
+      for (JsonNode command : body == null ? List.<JsonNode>of() : body.path("orders")) {
+        count += command.path("verb").asText().equals("start") ? 1 : 0;
       }
-      return n;
+      return count;
     }
 
-    private Runnable deliverToWorker(Effect.Call call, Reply back) {
-      long leftAt = now;
+    private Runnable deliverToWorker(Effect.Call call, ReplyHandler reply) {
+      long sentAt = now;
       return () -> {
         SimulatedWorker worker = workers.get(call.addr());
         if (call.path().equals("/status")) {
           if (worker != null) {
-            worker.status(back);
+            worker.handleStatus(reply);
           }
           return;
         }
         directMessages++;
         probes += call.body().path("orders").isEmpty() ? 1 : 0;
         if (worker != null) {
-          worker.command(call.body(), leftAt, back);
+          worker.handleCommand(call.body(), sentAt, reply);
         }
       };
     }
@@ -500,8 +502,8 @@
   private record Exchange(String from, Endpoint.Answer answer) {}
 
   /** Takes the reply to a call. */
-  interface Reply {
-    void on(Outcome outcome, int status, JsonNode body);
+  interface ReplyHandler {
+    void onReply(Outcome outcome, int status, JsonNode body);
   }
 
   Node leader() {
--- a/src/testbench/java/org/snowturn/simulation/SimulatedServer.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedServer.java
@@ -21,23 +21,23 @@
  * can be refused alone), the cloud, and all workers, each at an address of its own behind one port.
  */
 final class SimulatedServer {
-  private static final String ANY = "0.0.0.0";
+  private static final String ANY_ADDRESS = "0.0.0.0";
   private static final String STATE = "state";
   private static final String CLOUD = "cloud";
-  private static final String SOMEBODY = "somebody";
+  private static final String UNKNOWN_SENDER = "somebody";
 
   private final SimulatedCluster cluster;
-  private final RealTimeDriver loop;
-  private final Map<Integer, String> stateClients = new ConcurrentHashMap<>();
-  private final Map<Integer, String> cloudClients = new ConcurrentHashMap<>();
-  private Undertow state;
-  private Undertow workers;
-  private final Map<String, InetSocketAddress> cloud = new ConcurrentHashMap<>();
+  private final RealTimeDriver driver;
+  private final Map<Integer, String> clientByStatePort = new ConcurrentHashMap<>();
+  private final Map<Integer, String> clientByCloudPort = new ConcurrentHashMap<>();
+  private Undertow controllerServer;
+  private Undertow workerServer;
+  private final Map<String, InetSocketAddress> cloudAddresses = new ConcurrentHashMap<>();
   private int workersPort;
 
-  SimulatedServer(SimulatedCluster cluster, RealTimeDriver loop) {
+  SimulatedServer(SimulatedCluster cluster, RealTimeDriver driver) {
     this.cluster = cluster;
-    this.loop = loop;
+    this.driver = driver;
   }
 
   /**
@@ -45,35 +45,36 @@
    */
   Map<String, InetSocketAddress> start(
       List<String> controllers, XnioWorker stateThreads, XnioWorker workerThreads) {
-    Undertow.Builder builder = Undertow.builder().setWorker(stateThreads).setHandler(this::outside);
+    Undertow.Builder builder =
+        Undertow.builder().setWorker(stateThreads).setHandler(this::handleControllerCall);
     for (int i = 0; i < 2 * controllers.size(); i++) {
       builder.addHttpListener(0, InetAddress.getLoopbackAddress().getHostAddress());
     }
-    state = builder.build();
-    state.start();
-    workers =
+    controllerServer = builder.build();
+    controllerServer.start();
+    workerServer =
         Undertow.builder()
             .setWorker(workerThreads)
-            .setHandler(this::worker)
-            .addHttpListener(0, ANY)
+            .setHandler(this::handleWorkerRequest)
+            .addHttpListener(0, ANY_ADDRESS)
             .build();
-    workers.start();
-    workersPort = port(workers, 0);
-    Map<String, InetSocketAddress> out = new ConcurrentHashMap<>();
+    workerServer.start();
+    workersPort = port(workerServer, 0);
+    Map<String, InetSocketAddress> stateAddresses = new ConcurrentHashMap<>();
     for (int i = 0; i < controllers.size(); i++) {
       String name = controllers.get(i);
-      stateClients.put(port(state, i), name);
-      out.put(name, loopback(port(state, i)));
-      int cloudPort = port(state, controllers.size() + i);
-      cloudClients.put(cloudPort, name);
-      cloud.put(name, loopback(cloudPort));
+      clientByStatePort.put(port(controllerServer, i), name);
+      stateAddresses.put(name, loopback(port(controllerServer, i)));
+      int cloudPort = port(controllerServer, controllers.size() + i);
+      clientByCloudPort.put(cloudPort, name);
+      cloudAddresses.put(name, loopback(cloudPort));
     }
-    return out;
+    return stateAddresses;
   }
 
   /** Where each controller finds the cloud. */
-  Map<String, InetSocketAddress> cloud() {
-    return cloud;
+  Map<String, InetSocketAddress> cloudAddresses() {
+    return cloudAddresses;
   }
 
   int workersPort() {
@@ -81,11 +82,11 @@
   }
 
   void stop() {
-    if (state != null) {
-      state.stop();
+    if (controllerServer != null) {
+      controllerServer.stop();
     }
-    if (workers != null) {
-      workers.stop();
+    if (workerServer != null) {
+      workerServer.stop();
     }
   }
 
@@ -97,42 +98,43 @@
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
   }
 
-  private void outside(HttpServerExchange exchange) {
+  private void handleControllerCall(HttpServerExchange exchange) {
     int port = exchange.getDestinationAddress().getPort();
-    boolean toState = stateClients.containsKey(port);
-    String client = toState ? stateClients.get(port) : cloudClients.get(port);
-    String service = toState ? STATE : CLOUD;
+    boolean isStateCall = clientByStatePort.containsKey(port);
+    String client = isStateCall ? clientByStatePort.get(port) : clientByCloudPort.get(port);
+    String service = isStateCall ? STATE : CLOUD;
     withBody(
         exchange,
         body -> {
           Effect.Call call = call(exchange, body);
-          SimulatedCluster.Reply back = back(exchange, service, client);
-          loop.post(
+          SimulatedCluster.ReplyHandler reply = replyTo(exchange, service, client);
+          driver.post(
               () -> {
                 log(client, service, call.method() + " " + call.path(), body);
-                Runnable take =
-                    toState
-                        ? () -> cluster.state.accept(client, call, back)
-                        : () -> cluster.cloud.accept(call, back);
-                cluster.send(client, service, take);
+                Runnable deliver =
+                    isStateCall
+                        ? () -> cluster.state.handle(client, call, reply)
+                        : () -> cluster.cloud.handle(call, reply);
+                cluster.send(client, service, deliver);
               });
         });
   }
 
   /** Sends a reply on its way, on which it may be lost. */
-  private SimulatedCluster.Reply back(HttpServerExchange exchange, String from, String to) {
+  private SimulatedCluster.ReplyHandler replyTo(
+      HttpServerExchange exchange, String from, String to) {
     return (outcome, status, json) ->
         cluster.send(
             from,
             to,
             () -> {
               log(from, to, "" + status, json);
-              answer(exchange, status, json);
+              sendAnswer(exchange, status, json);
             });
   }
 
-  private void log(String from, String to, String what, JsonNode body) {
-    cluster.messages.message(cluster.now, from, to, what, body);
+  private void log(String from, String to, String summary, JsonNode body) {
+    cluster.messageLog.message(cluster.now, from, to, summary, body);
   }
 
   private static Effect.Call call(HttpServerExchange exchange, JsonNode body) {
@@ -143,42 +145,44 @@
   }
 
   /** A machine that is gone says nothing at all. */
-  private void worker(HttpServerExchange exchange) {
-    InetSocketAddress to = exchange.getDestinationAddress();
-    if (!to.getAddress().isLoopbackAddress()) {
+  private void handleWorkerRequest(HttpServerExchange exchange) {
+    InetSocketAddress destination = exchange.getDestinationAddress();
+    if (!destination.getAddress().isLoopbackAddress()) {
       exchange.setStatusCode(404).endExchange();
       return;
     }
-    String addr = to.getAddress().getHostAddress() + ":" + to.getPort();
-    withBody(exchange, body -> loop.post(() -> toWorker(exchange, addr, body)));
+    String addr = destination.getAddress().getHostAddress() + ":" + destination.getPort();
+    withBody(exchange, body -> driver.post(() -> deliverToWorker(exchange, addr, body)));
   }
 
-  private void toWorker(HttpServerExchange exchange, String addr, JsonNode body) {
+  private void deliverToWorker(HttpServerExchange exchange, String addr, JsonNode body) {
     SimulatedWorker worker = cluster.workers.get(addr);
     if (worker == null) {
       return;
     }
-    boolean question = exchange.getRequestPath().equals("/status");
+    boolean isStatusRequest = exchange.getRequestPath().equals("/status");
     // Who asks for the status does not say who it is; commands carry their sender's token.
-    String sender = question ? null : cluster.state.leaderUnder(body.path("baton").asLong());
-    String from = sender == null ? SOMEBODY : sender;
-    SimulatedCluster.Reply back = back(exchange, addr, from);
+    String sender = isStatusRequest ? null : cluster.state.leaderUnder(body.path("baton").asLong());
+    String from = sender == null ? UNKNOWN_SENDER : sender;
+    SimulatedCluster.ReplyHandler reply = replyTo(exchange, addr, from);
     log(from, addr, exchange.getRequestPath(), body);
     Runnable deliver =
-        question ? () -> worker.status(back) : () -> worker.command(body, Long.MIN_VALUE, back);
-    if (question || cluster.lateCommandsMs() == 0) {
+        isStatusRequest
+            ? () -> worker.handleStatus(reply)
+            : () -> worker.handleCommand(body, Long.MIN_VALUE, reply);
+    if (isStatusRequest || cluster.commandDelayMs() == 0) {
       cluster.send(from, addr, deliver);
     } else {
       // Held up on its way: its sender has given up by the time it is carried out.
-      cluster.after(cluster.jitter(cluster.lateCommandsMs()), deliver);
+      cluster.after(cluster.jitter(cluster.commandDelayMs()), deliver);
     }
   }
 
-  private interface WithBody {
-    void on(JsonNode body);
+  private interface BodyHandler {
+    void handle(JsonNode body);
   }
 
-  private static void withBody(HttpServerExchange exchange, WithBody then) {
+  private static void withBody(HttpServerExchange exchange, BodyHandler handler) {
     exchange
         .getRequestReceiver()
         .receiveFullBytes(
@@ -187,14 +191,14 @@
                     SameThreadExecutor.INSTANCE,
                     () -> {
                       try {
-                        then.on(bytes.length == 0 ? Json.object() : Json.parse(bytes));
+                        handler.handle(bytes.length == 0 ? Json.object() : Json.parse(bytes));
                       } catch (IOException e) {
                         ex.setStatusCode(400).endExchange();
                       }
                     }));
   }
 
-  private static void answer(HttpServerExchange exchange, int status, JsonNode json) {
+  private static void sendAnswer(HttpServerExchange exchange, int status, JsonNode json) {
     // Written on the world's thread: what it holds may change before another gets to it.
     byte[] body = json == null ? new byte[0] : Json.bytes(json);
     exchange
--- a/src/testbench/java/org/snowturn/simulation/SimulatedStateService.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedStateService.java
@@ -22,35 +22,35 @@
 
 /** The state service: versions, leases, watches, outages, lost replies, late execution. */
 final class SimulatedStateService {
-  private record Value(JsonNode json, long stamp, long lease) {}
+  private record StoredValue(JsonNode json, long revision, long leaseId) {}
 
-  private record Change(long stamp, String key, JsonNode json) {}
+  private record Change(long revision, String key, JsonNode json) {}
 
   private static final class Lease {
-    long ttl;
-    long until;
+    long ttlMs;
+    long expiresAt;
   }
 
-  private static final String LEADER = "l/leader";
+  private static final String LEADER_KEY = "l/leader";
 
   /** A watch from before so many changes has to begin anew. */
   private static final int MAX_HISTORY = 10_000;
 
   private final SimulatedCluster cluster;
-  private long compactedUpTo;
-  private final TreeMap<String, Value> kv = new TreeMap<>();
+  private long compactedRevision;
+  private final TreeMap<String, StoredValue> kv = new TreeMap<>();
   private final Map<Long, Lease> leases = new HashMap<>();
   private final List<Change> history = new ArrayList<>();
   private final List<Runnable> watches = new ArrayList<>();
-  final Set<String> refusing = new HashSet<>();
+  final Set<String> refusedNodes = new HashSet<>();
   boolean outage;
   long watchDelayMs;
 
   /** How many times slower than usual replies are. */
   int slowdown = 1;
 
-  double loseReplies;
-  double lateTransactions;
+  double replyLossProbability;
+  double lateTransactionProbability;
   Settings.StateLimits limits;
 
   /** How many requests were refused, by status. */
@@ -64,12 +64,12 @@
   private final Map<String, List<String[]>> runningByMachine = new HashMap<>();
   private double writesLeft;
   private double requestsLeft;
-  private long filledAt;
+  private long refilledAt;
   private long revision;
-  private long nextLease = 1;
+  private long nextLeaseId = 1;
 
   /** Who has led under which token. */
-  private final TreeMap<Long, String> leaders = new TreeMap<>();
+  private final TreeMap<Long, String> leaderByToken = new TreeMap<>();
 
   SimulatedStateService(SimulatedCluster cluster) {
     this.cluster = cluster;
@@ -81,18 +81,20 @@
   /** Loads records, running tasks and results as another version left them. */
   void load(Path file) throws IOException, MalformedException {
     for (String line : Files.readAllLines(file)) {
-      String[] words = line.split(" ", 3);
-      if (words[0].equals("#on")) {
-        runningByMachine.computeIfAbsent(words[1], k -> new ArrayList<>()).add(words[2].split(" "));
-      } else if (words[0].equals("#result")) {
-        cluster.clients.completed(words[1]);
+      String[] fields = line.split(" ", 3);
+      if (fields[0].equals("#on")) {
+        runningByMachine
+            .computeIfAbsent(fields[1], k -> new ArrayList<>())
+            .add(fields[2].split(" "));
+      } else if (fields[0].equals("#result")) {
+        cluster.clients.recordResult(fields[1]);
       } else if (!line.startsWith("#")) {
-        String key = words[0];
+        String key = fields[0];
         JsonNode value = Json.parse(line.substring(key.length() + 1));
         revision++;
-        change(key, value, 0);
+        applyChange(key, value, 0);
         if (key.startsWith("j/")) {
-          cluster.clients.adopt(JobSpec.parse(value.path("s")), value.path("p").asText());
+          cluster.clients.addAcceptedJob(JobSpec.parse(value.path("s")), value.path("p").asText());
         }
       }
     }
@@ -105,14 +107,14 @@
   /** A job that ran long ago, as its short record tells. */
   void recordDone(String id) {
     revision++;
-    change("d/" + id, Json.object().put("v", 1).put("p", "done").put("n", 1), 0);
+    applyChange("d/" + id, Json.object().put("v", 1).put("p", "done").put("n", 1), 0);
   }
 
   private void refill() {
-    double s = (cluster.now - filledAt) / 1000.0;
-    filledAt = cluster.now;
-    writesLeft = Math.min(limits.writeRps(), writesLeft + s * limits.writeRps());
-    requestsLeft = Math.min(limits.rps(), requestsLeft + s * limits.rps());
+    double elapsedS = (cluster.now - refilledAt) / 1000.0;
+    refilledAt = cluster.now;
+    writesLeft = Math.min(limits.writeRps(), writesLeft + elapsedS * limits.writeRps());
+    requestsLeft = Math.min(limits.rps(), requestsLeft + elapsedS * limits.rps());
   }
 
   /** Refuses what is beyond the rates, and for good what is beyond the sizes; 0: nothing is. */
@@ -125,42 +127,42 @@
     if (!call.path().equals("/txn")) {
       return 0;
     }
-    int ops = call.body().path("apply").size();
-    boolean wrong =
-        ops > limits.txnOps()
+    int operations = call.body().path("apply").size();
+    boolean isInvalid =
+        operations > limits.txnOps()
             || call.body().path("when").size() > 4 * limits.txnOps()
             || Json.bytes(call.body()).length > 64 * 1024;
     for (JsonNode node : call.body().path("apply")) {
-      wrong |= node.has("write") && Json.bytes(node.path("value")).length > limits.valueBytes();
+      isInvalid |= node.has("write") && Json.bytes(node.path("value")).length > limits.valueBytes();
     }
-    if (wrong) {
+    if (isInvalid) {
       return 400;
     }
-    if (writesLeft < ops) {
+    if (writesLeft < operations) {
       return 429;
     }
-    writesLeft -= ops;
+    writesLeft -= operations;
     return 0;
   }
 
-  void outage(long ms) {
+  void startOutage(long durationMs) {
     outage = true;
     cluster.after(
-        ms,
+        durationMs,
         () -> {
           outage = false;
-          leases.values().forEach(l -> l.until = cluster.now + l.ttl);
+          leases.values().forEach(l -> l.expiresAt = cluster.now + l.ttlMs);
           notifyWatches();
         });
   }
 
   /** Refuses one node alone; its open watches wait as in an outage. */
-  void refuse(String node, long ms) {
-    refusing.add(node);
+  void refuse(String node, long durationMs) {
+    refusedNodes.add(node);
     cluster.after(
-        ms,
+        durationMs,
         () -> {
-          refusing.remove(node);
+          refusedNodes.remove(node);
           notifyWatches();
         });
   }
@@ -168,70 +170,70 @@
   /** All is served again. */
   void heal() {
     outage = false;
-    refusing.clear();
+    refusedNodes.clear();
     notifyWatches();
   }
 
-  private void expire() {
+  private void expireLeases() {
     if (outage) {
       return;
     }
     for (Long id : List.copyOf(leases.keySet())) {
-      if (leases.get(id).until < cluster.now) {
-        end(id);
+      if (leases.get(id).expiresAt < cluster.now) {
+        revokeLease(id);
       }
     }
   }
 
-  private void end(long id) {
+  private void revokeLease(long id) {
     leases.remove(id);
-    List<String> gone = new ArrayList<>();
+    List<String> removedKeys = new ArrayList<>();
     kv.forEach(
         (k, v) -> {
-          if (v.lease == id) {
-            gone.add(k);
+          if (v.leaseId == id) {
+            removedKeys.add(k);
           }
         });
-    if (!gone.isEmpty()) {
+    if (!removedKeys.isEmpty()) {
       revision++;
-      gone.forEach(k -> change(k, null, 0));
+      removedKeys.forEach(k -> applyChange(k, null, 0));
       notifyWatches();
     }
   }
 
   /** Who leads by the leader key; null if the key is not there. */
   String leader() {
-    return kv.containsKey(LEADER) ? leaders.get(kv.get(LEADER).stamp) : null;
+    return kv.containsKey(LEADER_KEY) ? leaderByToken.get(kv.get(LEADER_KEY).revision) : null;
   }
 
   /** Who had the token, or null. */
   String leaderUnder(long token) {
-    return leaders.get(token);
+    return leaderByToken.get(token);
   }
 
-  private void change(String key, JsonNode json, long lease) {
-    if (key.equals(LEADER) && json != null) {
-      leaders.put(revision, json.path("node").asText());
+  private void applyChange(String key, JsonNode json, long leaseId) {
+    if (key.equals(LEADER_KEY) && json != null) {
+      leaderByToken.put(revision, json.path("node").asText());
     }
     if (json == null) {
       kv.remove(key);
     } else {
-      kv.put(key, new Value(json, revision, lease));
+      kv.put(key, new StoredValue(json, revision, leaseId));
     }
     history.add(new Change(revision, key, json));
     if (history.size() > 2 * MAX_HISTORY) {
-      compactedUpTo = history.get(MAX_HISTORY - 1).stamp;
+      compactedRevision = history.get(MAX_HISTORY - 1).revision;
       history.subList(0, MAX_HISTORY).clear();
     }
   }
 
   /** The index of the first kept change after a revision; changes are kept in their order. */
-  private int firstAfter(long stamp) {
+  private int firstChangeAfter(long since) {
     int low = 0;
     int high = history.size();
     while (low < high) {
       int middle = (low + high) >>> 1;
-      if (history.get(middle).stamp <= stamp) {
+      if (history.get(middle).revision <= since) {
         low = middle + 1;
       } else {
         high = middle;
@@ -246,161 +248,167 @@
     all.forEach(Runnable::run);
   }
 
-  void accept(String from, Effect.Call call, SimulatedCluster.Reply back) {
+  void handle(String node, Effect.Call call, SimulatedCluster.ReplyHandler reply) {
     if (slowdown > 1) {
-      SimulatedCluster.Reply prompt = back;
-      back = (o, s, b) -> cluster.after(cluster.jitter(2) * slowdown, () -> prompt.on(o, s, b));
+      SimulatedCluster.ReplyHandler undelayed = reply;
+      reply =
+          (o, s, b) ->
+              cluster.after(cluster.jitter(2) * slowdown, () -> undelayed.onReply(o, s, b));
     }
-    expire();
+    expireLeases();
     requests++;
     writes += call.path().equals("/txn") ? call.body().path("apply").size() : 0;
-    if (outage || refusing.contains(from)) {
-      back.on(Outcome.REFUSED, 503, null);
+    if (outage || refusedNodes.contains(node)) {
+      reply.onReply(Outcome.REFUSED, 503, null);
       return;
     }
     int status = refusalFor(call);
     if (status != 0) {
       refusals.merge("" + status, 1, Integer::sum);
-      back.on(status == 400 ? Outcome.ANSWERED : Outcome.REFUSED, status, null);
+      reply.onReply(status == 400 ? Outcome.ANSWERED : Outcome.REFUSED, status, null);
       return;
     }
-    boolean txn = call.path().equals("/txn");
-    if (txn && cluster.random.nextDouble() < lateTransactions) {
+    boolean isTransaction = call.path().equals("/txn");
+    if (isTransaction && cluster.random.nextDouble() < lateTransactionProbability) {
       // No reply now, executed a good while later.
       cluster.after(
-          4000 + cluster.random.nextInt(15_000), () -> execute(from, call, (o, s, b) -> {}));
+          4000 + cluster.random.nextInt(15_000), () -> execute(node, call, (o, s, b) -> {}));
       return;
     }
     if (watchDelayMs > 0 && call.path().startsWith("/watch")) {
-      SimulatedCluster.Reply then = back;
-      execute(from, call, (o, s, b) -> cluster.after(watchDelayMs, () -> then.on(o, s, b)));
+      SimulatedCluster.ReplyHandler undelayed = reply;
+      execute(
+          node, call, (o, s, b) -> cluster.after(watchDelayMs, () -> undelayed.onReply(o, s, b)));
       return;
     }
-    boolean lose = txn && cluster.random.nextDouble() < loseReplies;
-    execute(from, call, lose ? (o, s, b) -> {} : back);
+    boolean shouldLoseReply = isTransaction && cluster.random.nextDouble() < replyLossProbability;
+    execute(node, call, shouldLoseReply ? (o, s, b) -> {} : reply);
   }
 
-  private void execute(String from, Effect.Call call, SimulatedCluster.Reply back) {
-    expire();
+  private void execute(String node, Effect.Call call, SimulatedCluster.ReplyHandler reply) {
+    expireLeases();
     if (outage) {
       return;
     }
     String path = call.path();
     if (path.equals("/txn")) {
-      txn(call.body(), back);
+      handleTransaction(call.body(), reply);
     } else if (path.equals("/leases")) {
-      Lease l = new Lease();
-      l.ttl = call.body().path("life_ms").asLong();
-      l.until = cluster.now + l.ttl;
-      leases.put(nextLease, l);
-      ok(back, Json.object().put("hold", nextLease++));
+      Lease lease = new Lease();
+      lease.ttlMs = call.body().path("life_ms").asLong();
+      lease.expiresAt = cluster.now + lease.ttlMs;
+      leases.put(nextLeaseId, lease);
+      replyOk(reply, Json.object().put("hold", nextLeaseId++));
     } else if (path.startsWith("/leases/")) {
       long id = Long.parseLong(path.split("/", -1)[2]);
-      Lease l = leases.get(id);
-      if (l == null) {
-        back.on(Outcome.ANSWERED, 404, null);
+      Lease lease = leases.get(id);
+      if (lease == null) {
+        reply.onReply(Outcome.ANSWERED, 404, null);
       } else if (call.method().equals("DELETE")) {
-        end(id);
-        ok(back, Json.object());
+        revokeLease(id);
+        replyOk(reply, Json.object());
       } else {
-        l.until = cluster.now + l.ttl;
-        ok(back, Json.object());
+        lease.expiresAt = cluster.now + lease.ttlMs;
+        replyOk(reply, Json.object());
       }
     } else if (path.startsWith("/watch?")) {
-      Map<String, String> q = query(path);
-      watch(from, q, cluster.now + Long.parseLong(q.get("hold_ms")), back);
+      Map<String, String> query = query(path);
+      handleWatch(node, query, cluster.now + Long.parseLong(query.get("hold_ms")), reply);
     } else if (path.startsWith("/kv?")) {
-      range(query(path), back);
+      handleRange(query(path), reply);
     } else {
       String key = path.substring("/kv/".length());
-      Value v = kv.get(key);
-      if (v == null) {
-        back.on(Outcome.ANSWERED, 404, Json.object().put("epoch", revision));
+      StoredValue value = kv.get(key);
+      if (value == null) {
+        reply.onReply(Outcome.ANSWERED, 404, Json.object().put("epoch", revision));
       } else {
-        ok(back, entry(key, v));
+        replyOk(reply, entry(key, value));
       }
     }
   }
 
-  private static ObjectNode entry(String key, Value v) {
-    ObjectNode object = Json.object().put("path", key).put("stamp", v.stamp).put("hold", v.lease);
-    object.set("value", v.json.deepCopy());
+  private static ObjectNode entry(String key, StoredValue value) {
+    ObjectNode object =
+        Json.object().put("path", key).put("stamp", value.revision).put("hold", value.leaseId);
+    object.set("value", value.json.deepCopy());
     return object;
   }
 
-  private void ok(SimulatedCluster.Reply back, JsonNode body) {
-    back.on(Outcome.ANSWERED, 200, body);
+  private void replyOk(SimulatedCluster.ReplyHandler reply, JsonNode body) {
+    reply.onReply(Outcome.ANSWERED, 200, body);
   }
 
   static Map<String, String> query(String path) {
-    Map<String, String> q = new HashMap<>();
+    Map<String, String> parameters = new HashMap<>();
     if (path.indexOf('?') < 0) {
-      return q;
+      return parameters;
     }
     for (String part : path.substring(path.indexOf('?') + 1).split("&", -1)) {
-      int eq = part.indexOf('=');
-      q.put(part.substring(0, eq), part.substring(eq + 1));
+      int separator = part.indexOf('=');
+      parameters.put(part.substring(0, separator), part.substring(separator + 1));
     }
-    return q;
+    return parameters;
   }
 
-  private void range(Map<String, String> q, SimulatedCluster.Reply back) {
-    int most = Integer.parseInt(q.getOrDefault("most", "1000"));
+  private void handleRange(Map<String, String> query, SimulatedCluster.ReplyHandler reply) {
+    int maxEntries = Integer.parseInt(query.getOrDefault("most", "1000"));
     ObjectNode object = Json.object().put("epoch", revision);
     ArrayNode entries = object.putArray("entries");
-    boolean more = false;
-    String since = q.getOrDefault("since", "");
-    boolean fromPrefix = since.compareTo(q.get("prefix")) < 0;
-    var entriesLeft = fromPrefix ? kv.tailMap(q.get("prefix"), true) : kv.tailMap(since, false);
-    for (Map.Entry<String, Value> e : entriesLeft.entrySet()) {
-      if (!e.getKey().startsWith(q.get("prefix"))) {
+    boolean truncated = false;
+    String since = query.getOrDefault("since", "");
+    boolean fromPrefix = since.compareTo(query.get("prefix")) < 0;
+    var entriesLeft = fromPrefix ? kv.tailMap(query.get("prefix"), true) : kv.tailMap(since, false);
+    for (Map.Entry<String, StoredValue> stored : entriesLeft.entrySet()) {
+      if (!stored.getKey().startsWith(query.get("prefix"))) {
         break;
       }
-      if (entries.size() == most) {
-        more = true;
+      if (entries.size() == maxEntries) {
+        truncated = true;
         break;
       }
-      entries.add(entry(e.getKey(), e.getValue()));
+      entries.add(entry(stored.getKey(), stored.getValue()));
     }
-    ok(back, object.put("truncated", more));
+    replyOk(reply, object.put("truncated", truncated));
   }
 
-  private void watch(String from, Map<String, String> q, long until, SimulatedCluster.Reply back) {
-    if (outage || refusing.contains(from)) {
-      watches.add(() -> watch(from, q, until, back)); // stays open until that is over
+  private void handleWatch(
+      String node, Map<String, String> query, long expiresAt, SimulatedCluster.ReplyHandler reply) {
+    if (outage || refusedNodes.contains(node)) {
+      watches.add(
+          () -> handleWatch(node, query, expiresAt, reply)); // stays open until that is over
       return;
     }
     ObjectNode object = Json.object().put("epoch", revision);
     ArrayNode news = object.putArray("news");
-    long since = Long.parseLong(q.get("since"));
-    if (since < compactedUpTo) {
-      back.on(Outcome.ANSWERED, 410, Json.object().put("epoch", revision));
+    long since = Long.parseLong(query.get("since"));
+    if (since < compactedRevision) {
+      reply.onReply(Outcome.ANSWERED, 410, Json.object().put("epoch", revision));
       return;
     }
-    for (Change h : history.subList(firstAfter(since), history.size())) {
-      if (h.key.startsWith(q.get("prefix"))) {
-        ObjectNode change = news.addObject().put("stamp", h.stamp);
-        if (h.json == null) {
-          change.put("drop", h.key);
+    for (Change recorded : history.subList(firstChangeAfter(since), history.size())) {
+      if (recorded.key.startsWith(query.get("prefix"))) {
+        ObjectNode change = news.addObject().put("stamp", recorded.revision);
+        if (recorded.json == null) {
+          change.put("drop", recorded.key);
         } else {
-          change.put("write", h.key).set("value", h.json.deepCopy());
+          change.put("write", recorded.key).set("value", recorded.json.deepCopy());
         }
       }
     }
-    if (!news.isEmpty() || cluster.now >= until) {
-      ok(back, object);
+    if (!news.isEmpty() || cluster.now >= expiresAt) {
+      replyOk(reply, object);
       return;
     }
-    boolean[] done = {false};
-    Runnable again =
+    boolean[] isResumed = {false};
+    Runnable resume =
         () -> {
-          if (!done[0]) {
-            done[0] = true;
-            watch(from, q, until, back);
+          if (!isResumed[0]) {
+            isResumed[0] = true;
+            handleWatch(node, query, expiresAt, reply);
           }
         };
-    watches.add(again);
-    cluster.after(until - cluster.now, again);
+    watches.add(resume);
+    cluster.after(expiresAt - cluster.now, resume);
   }
 
   /**
@@ -411,36 +419,36 @@
     body.path("when").forEach(c -> guards.add(c.path("path").asText()));
     for (JsonNode c : body.path("apply")) {
       String key = c.has("drop") ? c.path("drop").asText() : c.path("write").asText();
-      boolean tasks = key.startsWith("t/") || key.startsWith("p/");
-      boolean leaders = tasks || key.startsWith("r/") || key.startsWith("s/");
-      boolean placement = tasks && c.has("write");
-      if (leaders && !guards.contains("l/leader")) {
+      boolean isTaskRecord = key.startsWith("t/") || key.startsWith("p/");
+      boolean isLeaderRecord = isTaskRecord || key.startsWith("r/") || key.startsWith("s/");
+      boolean isTaskWrite = isTaskRecord && c.has("write");
+      if (isLeaderRecord && !guards.contains("l/leader")) {
         cluster.invariants.report("unguarded_write", key);
       }
-      if (placement && !(guards.contains(key) && guards.contains("j/" + key.split("/", -1)[1]))) {
+      if (isTaskWrite && !(guards.contains(key) && guards.contains("j/" + key.split("/", -1)[1]))) {
         cluster.invariants.report("unguarded_write", key);
       }
     }
   }
 
-  private void txn(JsonNode body, SimulatedCluster.Reply back) {
+  private void handleTransaction(JsonNode body, SimulatedCluster.ReplyHandler reply) {
     checkGuards(body);
-    List<String> failed = new ArrayList<>();
+    List<String> failedKeys = new ArrayList<>();
     for (JsonNode c : body.path("when")) {
-      Value v = kv.get(c.path("path").asText());
-      if ((v == null ? 0 : v.stamp) != c.path("stamp").asLong()) {
-        failed.add(c.path("path").asText());
+      StoredValue value = kv.get(c.path("path").asText());
+      if ((value == null ? 0 : value.revision) != c.path("stamp").asLong()) {
+        failedKeys.add(c.path("path").asText());
       }
     }
-    if (!failed.isEmpty() && !cluster.seededBugs.contains("ignore_conditions")) {
+    if (!failedKeys.isEmpty() && !cluster.seededBugs.contains("ignore_conditions")) {
       ObjectNode object = Json.object().put("epoch", revision);
-      failed.forEach(object.putArray("failed")::add);
-      back.on(Outcome.ANSWERED, 409, object);
+      failedKeys.forEach(object.putArray("failed")::add);
+      reply.onReply(Outcome.ANSWERED, 409, object);
       return;
     }
     for (JsonNode c : body.path("apply")) {
       if (c.has("hold") && !leases.containsKey(c.path("hold").asLong())) {
-        back.on(Outcome.ANSWERED, 400, Json.object().put("error", "no such lease"));
+        reply.onReply(Outcome.ANSWERED, 400, Json.object().put("error", "no such lease"));
         return;
       }
     }
@@ -448,13 +456,13 @@
     for (JsonNode c : body.path("apply")) {
       if (c.has("drop")) {
         if (kv.containsKey(c.path("drop").asText())) {
-          change(c.path("drop").asText(), null, 0);
+          applyChange(c.path("drop").asText(), null, 0);
         }
       } else {
-        change(c.path("write").asText(), c.path("value").deepCopy(), c.path("hold").asLong(0));
+        applyChange(c.path("write").asText(), c.path("value").deepCopy(), c.path("hold").asLong(0));
       }
     }
-    ok(back, Json.object().put("epoch", revision));
+    replyOk(reply, Json.object().put("epoch", revision));
     notifyWatches();
   }
 
@@ -464,20 +472,20 @@
     if (key == null || !key.startsWith(prefix)) {
       throw new IllegalStateException("at " + cluster.now + ": nothing below " + prefix);
     }
-    Value v = kv.get(key);
-    kv.put(key, new Value(Json.array().add("spoilt"), v.stamp, v.lease));
+    StoredValue value = kv.get(key);
+    kv.put(key, new StoredValue(Json.array().add("spoilt"), value.revision, value.leaseId));
   }
 
   /** A stored value, for tests to look at; null if there is none. */
-  JsonNode peek(String key) {
+  JsonNode storedValue(String key) {
     return kv.containsKey(key) ? kv.get(key).json : null;
   }
 
-  int count(String prefix) {
-    int n = 0;
-    for (String k : kv.keySet()) {
-      n += k.startsWith(prefix) ? 1 : 0;
+  int countKeys(String prefix) {
+    int count = 0;
+    for (String key : kv.keySet()) {
+      count += key.startsWith(prefix) ? 1 : 0;
     }
-    return n;
+    return count;
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/SimulatedWorker.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedWorker.java
@@ -21,22 +21,22 @@
     long attempt;
     String phase = "pulling";
     String cause;
-    boolean present;
+    boolean running;
 
     /** When the message with the start that was carried out left its node. */
-    long startLeftAt;
+    long startSentAt;
 
     String name() {
       return job + "/" + index;
     }
 
-    boolean alive() {
+    boolean isAlive() {
       return !phase.equals("ended");
     }
   }
 
   final SimulatedCluster cluster;
-  final SimulatedCloud.Rented rented;
+  final SimulatedCloud.RentedMachine machine;
   final String addr;
   final Map<String, Task> tasks = new LinkedHashMap<>();
   private final Set<String> images = new HashSet<>();
@@ -44,45 +44,45 @@
   boolean hung;
   boolean failing;
   boolean outboundDropped;
-  double slow = 1;
-  double noticeS = Double.NaN;
+  double runtimeFactor = 1;
+  double reclaimNoticeS = Double.NaN;
   private long session = 1;
-  private long seq;
+  private long reportSequence;
   private long token;
-  private long leaseFrom;
-  private int at;
-  private long generation;
-  private long waiting;
-  private long learntAt = Long.MIN_VALUE / 2;
-  private boolean changed;
-  private boolean reporting;
+  private long leaseRenewedAt;
+  private int endpointIndex;
+  private long latestReport;
+  private long latestTimer;
+  private long tokenChangedAt = Long.MIN_VALUE / 2;
+  private boolean shouldReportSoon;
+  private boolean isAwaitingAnswer;
 
-  SimulatedWorker(SimulatedCluster cluster, SimulatedCloud.Rented rented) {
+  SimulatedWorker(SimulatedCluster cluster, SimulatedCloud.RentedMachine machine) {
     this.cluster = cluster;
-    this.rented = rented;
-    this.addr = cluster.parameters.addresses().apply(rented.id);
+    this.machine = machine;
+    this.addr = cluster.parameters.addresses().apply(machine.id);
   }
 
-  private Settings.Workers figures() {
+  private Settings.Workers workerSettings() {
     return cluster.settings[0].workers();
   }
 
   void boot() {
-    leaseFrom = cluster.now;
-    at = cluster.random.nextInt(cluster.endpoints.size());
-    watchLease();
-    cluster.state.runningOn(rented.id).forEach(this::resume);
+    leaseRenewedAt = cluster.now;
+    endpointIndex = cluster.random.nextInt(cluster.endpoints.size());
+    checkLeaseRegularly();
+    cluster.state.runningOn(machine.id).forEach(this::restore);
     report();
   }
 
   /** A task that another version's leader started before this world began. */
-  private void resume(String[] words) {
-    Task t = task(words[0], Long.parseLong(words[1]));
-    tasks.put(words[0] + "#" + t.attempt, t);
-    if (words[2].equals("running")) {
-      run(t, cluster.clients.spec(t.job), session);
+  private void restore(String[] fields) {
+    Task task = task(fields[0], Long.parseLong(fields[1]));
+    tasks.put(fields[0] + "#" + task.attempt, task);
+    if (fields[2].equals("running")) {
+      run(task, cluster.clients.spec(task.job), session);
     } else {
-      exit(t, words[3]);
+      endTask(task, fields[3]);
     }
   }
 
@@ -101,7 +101,7 @@
   }
 
   /** Whether the task is still on this machine, whatever its state. */
-  boolean has(Task task) {
+  boolean hasTask(Task task) {
     return tasks.get(task.job + "/" + task.index + "#" + task.attempt) == task;
   }
 
@@ -110,39 +110,44 @@
     tasks.clear();
     images.clear();
     session = 1;
-    seq = 0;
-    leaseFrom = cluster.now;
+    reportSequence = 0;
+    leaseRenewedAt = cluster.now;
   }
 
-  void die() {
+  void shutDown() {
     dead = true;
     tasks.clear();
   }
 
   /** Ends the session if its lease has run out. */
-  private void endLapsed() {
-    long lease = (long) (figures().leaseS() * 1000);
-    if (cluster.now - leaseFrom > lease && !cluster.seededBugs.contains("immortal_sessions")) {
+  private void endExpiredSession() {
+    long leaseMs = (long) (workerSettings().leaseS() * 1000);
+    if (cluster.now - leaseRenewedAt > leaseMs
+        && !cluster.seededBugs.contains("immortal_sessions")) {
       tasks.clear();
       session++;
-      leaseFrom = cluster.now;
+      leaseRenewedAt = cluster.now;
     }
   }
 
-  private void watchLease() {
+  private void checkLeaseRegularly() {
     if (dead) {
       return;
     }
-    endLapsed();
-    cluster.after(cluster.parameters.leaseCheckMs(), this::watchLease);
+    endExpiredSession();
+    cluster.after(cluster.parameters.leaseCheckMs(), this::checkLeaseRegularly);
   }
 
-  private ObjectNode body() {
+  private ObjectNode statusBody() {
     ObjectNode object = Json.object();
-    object.put("drift", rented.id).put("addr", addr).put("hull", "t8").put("field", rented.zone);
-    object.put("loaners", rented.spot).put("thaw", session).put("tally", ++seq).put("baton", token);
-    if (!Double.isNaN(noticeS)) {
-      object.put("recall_s", noticeS);
+    object.put("drift", machine.id).put("addr", addr).put("hull", "t8").put("field", machine.zone);
+    object
+        .put("loaners", machine.spot)
+        .put("thaw", session)
+        .put("tally", ++reportSequence)
+        .put("baton", token);
+    if (!Double.isNaN(reclaimNoticeS)) {
+      object.put("recall_s", reclaimNoticeS);
     }
     ArrayNode array = object.putArray("flakes");
     for (Task task : tasks.values()) {
@@ -163,213 +168,216 @@
       reportAfter(200);
       return;
     }
-    reporting = true;
-    changed = false;
-    Endpoint node = cluster.endpoints.get(at);
+    isAwaitingAnswer = true;
+    shouldReportSoon = false;
+    Endpoint endpoint = cluster.endpoints.get(endpointIndex);
     long sentAt = cluster.now;
-    long inSession = session;
-    long mine = ++generation;
-    ObjectNode report = body();
-    cluster.heartbeats++;
-    Runnable arrive =
+    long sessionAtSend = session;
+    long thisReport = ++latestReport;
+    ObjectNode report = statusBody();
+    cluster.heartbeatsSent++;
+    Runnable deliver =
         () ->
-            node.heartbeat(
+            endpoint.heartbeat(
                 addr,
                 report,
                 (status, reply) -> {
-                  if (mine == generation && !dead && !hung) {
-                    generation++;
-                    reporting = false;
-                    answered(status, reply, sentAt, inSession);
+                  if (thisReport == latestReport && !dead && !hung) {
+                    latestReport++;
+                    isAwaitingAnswer = false;
+                    handleAnswer(status, reply, sentAt, sessionAtSend);
                   }
                 });
-    cluster.after(cluster.heartbeatDelayMs, () -> cluster.send(addr, node.name, arrive));
-    cluster.redeliver(addr, report);
+    cluster.after(cluster.heartbeatDelayMs, () -> cluster.send(addr, endpoint.name, deliver));
+    cluster.deliverCopies(addr, report);
     cluster.after(
         4000,
         () -> {
-          if (mine == generation) {
-            generation++;
-            reporting = false;
-            next(1000);
+          if (thisReport == latestReport) {
+            latestReport++;
+            isAwaitingAnswer = false;
+            reportToNextEndpoint(1000);
           }
         });
   }
 
-  private void next(long ms) {
-    at = (at + 1) % cluster.endpoints.size();
-    reportAfter(ms);
+  private void reportToNextEndpoint(long delayMs) {
+    endpointIndex = (endpointIndex + 1) % cluster.endpoints.size();
+    reportAfter(delayMs);
   }
 
-  private void answered(int status, JsonNode reply, long sentAt, long inSession) {
+  private void handleAnswer(int status, JsonNode reply, long sentAt, long sessionAtSend) {
     if (status == 421 && reply != null && reply.has("steward")) {
       String name = reply.path("steward").asText();
       for (int i = 0; i < cluster.endpoints.size(); i++) {
-        if (cluster.endpoints.get(i).name.equals(name) && i != at) {
-          at = i;
+        if (cluster.endpoints.get(i).name.equals(name) && i != endpointIndex) {
+          endpointIndex = i;
           reportAfter(cluster.random.nextInt(500));
           return;
         }
       }
     }
     if (status != 200) {
-      next(1000);
+      reportToNextEndpoint(1000);
       return;
     }
-    long given = reply.path("baton").asLong();
-    if (given >= token && inSession == session) {
-      learn(given);
-      leaseFrom = Math.max(leaseFrom, sentAt);
-      execute(reply.path("orders"), cluster.answerLeftAt);
+    long answeredToken = reply.path("baton").asLong();
+    if (answeredToken >= token && sessionAtSend == session) {
+      updateToken(answeredToken);
+      leaseRenewedAt = Math.max(leaseRenewedAt, sentAt);
+      executeCommands(reply.path("orders"), cluster.answerSentAt);
     }
-    long every = (long) (figures().reportS() * 1000);
-    long usual = every * 3 / 4 + cluster.random.nextInt((int) (every / 2));
-    reportAfter(changed ? 500 : usual);
+    long intervalMs = (long) (workerSettings().reportS() * 1000);
+    long usualDelayMs = intervalMs * 3 / 4 + cluster.random.nextInt((int) (intervalMs / 2));
+    reportAfter(shouldReportSoon ? 500 : usualDelayMs);
   }
 
-  private void reportAfter(long ms) {
-    long mine = ++waiting;
+  private void reportAfter(long delayMs) {
+    long thisTimer = ++latestTimer;
     cluster.after(
-        ms,
+        delayMs,
         () -> {
-          if (mine == waiting) {
+          if (thisTimer == latestTimer) {
             report();
           }
         });
   }
 
   /** A higher token counts as a change, which is reported soon, but not too often. */
-  private void learn(long given) {
-    if (given > token && cluster.now - learntAt >= figures().leaseS() * 500) {
-      learntAt = cluster.now;
-      changed = true;
-      if (!reporting) {
+  private void updateToken(long receivedToken) {
+    if (receivedToken > token && cluster.now - tokenChangedAt >= workerSettings().leaseS() * 500) {
+      tokenChangedAt = cluster.now;
+      shouldReportSoon = true;
+      if (!isAwaitingAnswer) {
         reportAfter(500);
       }
     }
-    token = Math.max(token, given);
+    token = Math.max(token, receivedToken);
   }
 
   /** Says how it is, to anybody. */
-  void status(SimulatedCluster.Reply back) {
+  void handleStatus(SimulatedCluster.ReplyHandler reply) {
     if (!dead && !hung) {
-      back.on(Outcome.ANSWERED, 200, body());
+      reply.onReply(Outcome.ANSWERED, 200, statusBody());
     }
   }
 
   /** A direct command; a hung machine executes it when it resumes. */
-  void command(JsonNode body, long leftAt, SimulatedCluster.Reply back) {
+  void handleCommand(JsonNode body, long sentAt, SimulatedCluster.ReplyHandler reply) {
     if (dead) {
       return;
     }
-    cluster.commands++;
+    cluster.commandsReceived++;
     if (hung) {
-      cluster.after(300, () -> command(body, leftAt, back));
+      cluster.after(300, () -> handleCommand(body, sentAt, reply));
       return;
     }
-    boolean stale =
+    boolean isStale =
         body.path("baton").asLong() < token && !cluster.seededBugs.contains("any_token");
-    if (stale || body.path("thaw").asLong() != session) {
-      back.on(Outcome.ANSWERED, 409, body());
+    if (isStale || body.path("thaw").asLong() != session) {
+      reply.onReply(Outcome.ANSWERED, 409, statusBody());
       return;
     }
-    learn(body.path("baton").asLong());
-    execute(body.path("orders"), leftAt);
-    back.on(Outcome.ANSWERED, 200, body());
+    updateToken(body.path("baton").asLong());
+    executeCommands(body.path("orders"), sentAt);
+    reply.onReply(Outcome.ANSWERED, 200, statusBody());
   }
 
-  private void execute(JsonNode orders, long leftAt) {
-    for (JsonNode o : orders) {
-      String name = o.path("flake").asText();
-      long attempt = o.path("try").asLong();
+  private void executeCommands(JsonNode orders, long sentAt) {
+    for (JsonNode command : orders) {
+      String name = command.path("flake").asText();
+      long attempt = command.path("try").asLong();
       String key = name + "#" + attempt;
       Task task = tasks.get(key);
-      switch (o.path("verb").asText()) {
+      switch (command.path("verb").asText()) {
         case "start" -> {
           if (task == null) {
-            start(name, attempt, key, leftAt);
+            start(name, attempt, key, sentAt);
           }
         }
         case "halt" -> {
-          if (task != null && task.alive()) {
-            exit(task, "halted");
+          if (task != null && task.isAlive()) {
+            endTask(task, "halted");
           }
         }
         case "forget" -> {
-          if (task != null && !task.alive()) {
+          if (task != null && !task.isAlive()) {
             tasks.remove(key);
           }
         }
-        default -> throw new IllegalStateException("verb " + o);
+        default -> throw new IllegalStateException("verb " + command);
       }
     }
   }
 
-  private void start(String name, long attempt, String key, long leftAt) {
-    Task t = task(name, attempt);
-    t.startLeftAt = leftAt;
-    cluster.startsUnleased += outboundDropped ? 1 : 0;
-    JobSpec spec = cluster.clients.spec(t.job);
-    boolean twice = false;
+  private void start(String name, long attempt, String key, long sentAt) {
+    Task task = task(name, attempt);
+    task.startSentAt = sentAt;
+    cluster.startsWithoutLease += outboundDropped ? 1 : 0;
+    JobSpec spec = cluster.clients.spec(task.job);
+    boolean isAlreadyRunning = false;
     double cpus = 0;
     for (Task other : tasks.values()) {
-      if (other.alive()) {
-        twice |= other.name().equals(name);
+      if (other.isAlive()) {
+        isAlreadyRunning |= other.name().equals(name);
         cpus += cluster.clients.spec(other.job).cpus();
       }
     }
-    tasks.put(key, t);
+    tasks.put(key, task);
     if (spec == null) {
-      exit(t, "no_such");
-    } else if (twice) {
-      exit(t, "busy");
+      endTask(task, "no_such");
+    } else if (isAlreadyRunning) {
+      endTask(task, "busy");
     } else if (cpus + spec.cpus() > cluster.parameters.cpus()) {
-      exit(t, "full");
+      endTask(task, "full");
     } else {
-      long inSession = session;
+      long startSession = session;
       if (images.contains(spec.image())) {
-        run(t, spec, inSession); // at once: a stop that follows in the same message comes after
+        run(
+            task,
+            spec,
+            startSession); // at once: a stop that follows in the same message comes after
         return;
       }
       cluster.after(
           (long) (spec.imageGb() * 1000),
           () -> {
             images.add(spec.image());
-            run(t, spec, inSession);
+            run(task, spec, startSession);
           });
     }
   }
 
-  private void run(Task task, JobSpec spec, long inSession) {
-    if (dead || inSession != session || !task.alive()) {
+  private void run(Task task, JobSpec spec, long startSession) {
+    if (dead || startSession != session || !task.isAlive()) {
       return;
     }
     task.phase = "running";
-    task.present = true;
+    task.running = true;
     cluster.invariants.started(this, task, spec);
-    if (failing || cluster.clients.broken(task.job)) {
-      exit(task, "error");
-    } else if (cluster.clients.result(task.name())) {
-      exit(task, "done");
+    if (failing || cluster.clients.alwaysFails(task.job)) {
+      endTask(task, "error");
+    } else if (cluster.clients.hasResult(task.name())) {
+      endTask(task, "done");
     } else if (!spec.service()) {
-      long ms = (long) (cluster.clients.runMs(task.job, task.index) * slow);
-      cluster.after(ms, () -> complete(task, inSession));
+      long ms = (long) (cluster.clients.runMs(task.job, task.index) * runtimeFactor);
+      cluster.after(ms, () -> complete(task, startSession));
     }
   }
 
   /** While the machine hangs its tasks are not executed. */
-  private void complete(Task task, long inSession) {
+  private void complete(Task task, long startSession) {
     if (hung) {
-      cluster.after(300, () -> complete(task, inSession));
-    } else if (!dead && inSession == session && task.alive()) {
-      cluster.clients.completed(task.name());
-      exit(task, "done");
+      cluster.after(300, () -> complete(task, startSession));
+    } else if (!dead && startSession == session && task.isAlive()) {
+      cluster.clients.recordResult(task.name());
+      endTask(task, "done");
     }
   }
 
-  private void exit(Task task, String cause) {
+  private void endTask(Task task, String cause) {
     task.phase = "ended";
     task.cause = cause;
-    task.present = false;
+    task.running = false;
   }
 }
