--- a/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
@@ -15,68 +15,134 @@
 import org.snowturn.core.Input;
 import org.snowturn.wire.JobSpec;
 
-/** Users who submit, poll, cancel and repeat, and remember all that they were told. */
+/**
+ * Simulated users, who submit, poll, cancel and resubmit jobs. Every answer is checked against the
+ * answers received before.
+ */
 final class SimulatedClients {
-  /** One user's job. */
+  /** A job that a user has submitted, and the answers received about it. */
   static final class SubmittedJob {
     JobSpec spec;
+
+    /** Run time of each task that is not listed in {@link #stragglerRunMs}. */
     long runMs;
+
+    /** Run times of the tasks that differ from {@link #runMs}, by task index. */
     Map<Integer, Long> stragglerRunMs = new HashMap<>();
+
+    /** Whether a node has accepted the submission. */
     boolean accepted;
+
     long acceptedAt;
     boolean cancelRequested;
+
+    /** Time of the first answer that called the job cancelled; null before that. */
     Long cancelConfirmedAt;
 
-    /** Fails wherever it runs. */
+    /** Whether every task of the job fails on every machine. */
     boolean alwaysFails;
 
     long submittedAt;
+
+    /** Time of the last poll that ended with a status below 500, a refused connection included. */
     long answeredAt;
+
+    /** Time of the first start of a task; -1 before that. */
     long firstStartAt = -1;
+
     final JobHistory history = new JobHistory();
+
+    /** {@code done} or {@code aborted} once an answer said so; null before that. */
     String terminalPhase;
+
+    /** Time of the answer that set {@link #terminalPhase}; -1 before that. */
     long finishedAt = -1;
+
+    /** HTTP status with which the submission was rejected; null if it was not. */
     String refusalStatus;
   }
 
-  /** Questions that a user asks about one change, within milliseconds and at all nodes. */
+  /** Number of requests that follow one change of a job, spread over all nodes. */
   private static final int READS_AFTER_WRITE = 9;
 
+  /** Time within which the requests after a change are sent. */
   private static final long READS_WITHIN_MS = 30;
 
-  /** Is told of each start how long after the job's submission it came. */
+  /** Index of the request after a change that may be a cancellation. */
+  private static final int CANCEL_INDEX = 4;
+
+  /** Batch jobs for each one that is cancelled amid the requests after a change. */
+  private static final int JOBS_PER_CANCEL = 8;
+
+  /** Maximum time from the end of a job's last task to the cancellation. */
+  private static final int CANCEL_ON_COMPLETION_WITHIN_MS = 20;
+
+  /** Time within which running jobs are cancelled together. */
+  private static final int CANCEL_RUNNING_WITHIN_MS = 200;
+
+  /** Maximum number of machines that hang when running jobs are cancelled. */
+  private static final int MAX_HUNG_WORKERS = 8;
+
+  private static final long INVALID_REQUEST_INTERVAL_MS = 150;
+  private static final long DEPENDENCY_CHECK_INTERVAL_MS = 100;
+  private static final long REQUEST_TIMEOUT_MS = 3_000;
+  private static final long RETRY_DELAY_MS = 1_000;
+
+  /** Run time of each task of a job that was accepted before the simulation. */
+  private static final long EXISTING_JOB_RUN_MS = 10_000;
+
+  /** Observes the starts of tasks. */
   interface StartListener {
+    /**
+     * Handles the start of a task.
+     *
+     * @param delayMs time since the submission of the job
+     */
     void onStart(JobSpec spec, long delayMs);
   }
 
   StartListener startListener = (spec, delayMs) -> {};
 
-  /** Is told how long an answered submission took from when it was due. */
+  /** Takes the time from the submission of a job to its acceptance, in milliseconds. */
   java.util.function.LongConsumer acceptedListener = delayMs -> {};
 
   private final SimulatedCluster cluster;
+
+  /** End of the period in which reads after writes are sent. */
   private long readAfterWriteUntil;
+
+  /** End of the period in which invalid requests are sent. */
   private long invalidRequestsUntil;
+
+  /** Number in the id of the last job that could never run. */
   private int lastInvalidJobNumber = 900_000;
+
   private double cancelOnCompletionProbability;
   private boolean hasConfirmedCancel;
   private final Map<String, SubmittedJob> jobs = new LinkedHashMap<>();
+
+  /** Tasks, as {@code job/index}, that have run to their end. */
   private final Set<String> completedTasks = new HashSet<>();
 
   SimulatedClients(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
+  /** Returns the specification of a job, or null if no user submitted it. */
   JobSpec spec(String id) {
     SubmittedJob submitted = jobs.get(id);
     return submitted == null ? null : submitted.spec;
   }
 
-  /** Users know of the jobs that another version accepted. */
+  /**
+   * Adds a job that controllers of another version accepted before this simulation, and polls it.
+   *
+   * @param phase the job's phase in the stored record
+   */
   void addAcceptedJob(JobSpec spec, String phase) {
     SubmittedJob submitted = new SubmittedJob();
     submitted.spec = spec;
-    submitted.runMs = 10_000;
+    submitted.runMs = EXISTING_JOB_RUN_MS;
     submitted.accepted = true;
     if (phase.equals("aborted")) {
       submitted.cancelRequested = true;
@@ -89,40 +155,49 @@
     poll(submitted);
   }
 
+  /** Returns a submitted job, or null if no user submitted it. */
   SubmittedJob job(String id) {
     return jobs.get(id);
   }
 
+  /** Returns all submitted jobs in the order of submission. */
   Iterable<SubmittedJob> allJobs() {
     return jobs.values();
   }
 
+  /** Returns the run time of a task in milliseconds. */
   long runMs(String id, int task) {
     SubmittedJob submitted = jobs.get(id);
     return submitted.stragglerRunMs.getOrDefault(task, submitted.runMs);
   }
 
+  /** Returns whether every task of a job fails on every machine. */
   boolean alwaysFails(String id) {
     SubmittedJob submitted = jobs.get(id);
     return submitted != null && submitted.alwaysFails;
   }
 
-  /** A task of the job starts. */
+  /** Records the start of a task of a job and notifies {@link #startListener}. */
   void recordStart(String id) {
     SubmittedJob submitted = jobs.get(id);
     submitted.firstStartAt = submitted.firstStartAt < 0 ? cluster.now : submitted.firstStartAt;
     startListener.onStart(submitted.spec, cluster.now - submitted.submittedAt);
   }
 
+  /** Returns whether any user has received an answer that calls a job cancelled. */
   boolean hasConfirmedCancel() {
     return hasConfirmedCancel;
   }
 
+  /** Returns the time of the first answer that called a job cancelled, or null. */
   Long cancelConfirmedAt(String id) {
     return jobs.get(id).cancelConfirmedAt;
   }
 
-  /** When a user was first told that one of the jobs that this one needs is cancelled, or null. */
+  /**
+   * Returns the time of the first answer that called a direct or indirect dependency of a job
+   * cancelled, or null.
+   */
   Long dependencyCancelConfirmedAt(String id) {
     Long earliestAt = null;
     for (String dependency : allDependencies(id)) {
@@ -135,6 +210,7 @@
     return earliestAt;
   }
 
+  /** Returns the ids of the direct and indirect dependencies of a job. */
   private Set<String> allDependencies(String id) {
     Set<String> dependencies = new LinkedHashSet<>();
     ArrayDeque<String> queue = new ArrayDeque<>(List.of(id));
@@ -150,10 +226,15 @@
     return dependencies;
   }
 
+  /** Returns whether a task, as {@code job/index}, has run to its end. */
   boolean hasResult(String task) {
     return completedTasks.contains(task);
   }
 
+  /**
+   * Records that a task, as {@code job/index}, has run to its end. With the probability set by
+   * {@link #cancelOnCompletion}, the user cancels a job whose last task has ended.
+   */
   void recordResult(String task) {
     completedTasks.add(task);
     SubmittedJob submitted = jobs.get(task.substring(0, task.lastIndexOf('/')));
@@ -161,27 +242,43 @@
         && cancelOnCompletionProbability > 0
         && areAllTasksDone(submitted)
         && cluster.random.nextDouble() < cancelOnCompletionProbability) {
-      cluster.after(cluster.random.nextInt(20), () -> cancel(submitted.spec.id()));
+      cluster.after(
+          cluster.random.nextInt(CANCEL_ON_COMPLETION_WITHIN_MS),
+          () -> cancel(submitted.spec.id()));
     }
   }
 
+  /** Returns whether all tasks of a job have run to their end. */
   boolean areAllTasksDone(SubmittedJob submitted) {
     return IntStream.range(0, submitted.spec.tasks())
         .allMatch(t -> completedTasks.contains(submitted.spec.id() + "/" + t));
   }
 
-  // --- users at their worst ---
+  // --- concurrent and invalid requests ---
 
-  /** Users ask at all nodes within milliseconds after a job was accepted, or is over. */
+  /**
+   * Makes users send several requests to all nodes within milliseconds after a job was accepted or
+   * has ended.
+   *
+   * @param durationMs how long users do so from now on
+   */
   void enableReadsAfterWrite(long durationMs) {
     readAfterWriteUntil = cluster.now + durationMs;
   }
 
-  /** So many of the jobs that end are called off at the moment of the end. */
+  /**
+   * Makes users cancel jobs at the moment when their last task ends.
+   *
+   * @param probability share of the jobs that are cancelled, from 0 to 1
+   */
   void cancelOnCompletion(double probability) {
     cancelOnCompletionProbability = probability;
   }
 
+  /**
+   * Polls and resubmits a job at all nodes while reads after writes are enabled. One in eight batch
+   * jobs that are still live is cancelled in between.
+   */
   private void readAtAllNodes(SubmittedJob submitted) {
     if (cluster.now > readAfterWriteUntil) {
       return;
@@ -190,10 +287,10 @@
     boolean shouldCancel =
         submitted.terminalPhase == null
             && !submitted.spec.service()
-            && cluster.random.nextInt(8) == 0;
+            && cluster.random.nextInt(JOBS_PER_CANCEL) == 0;
     for (int i = 0; i < READS_AFTER_WRITE; i++) {
       Endpoint endpoint = cluster.endpoints.get(i % cluster.endpoints.size());
-      int kind = i == 4 && shouldCancel ? 2 : cluster.random.nextInt(3) / 2;
+      int kind = i == CANCEL_INDEX && shouldCancel ? 2 : cluster.random.nextInt(3) / 2;
       cluster.after(
           cluster.random.nextInt((int) READS_WITHIN_MS),
           () -> {
@@ -207,8 +304,9 @@
   }
 
   /**
-   * Users repeat submissions of jobs that are not over, cancel jobs that are, and submit what can
-   * never run.
+   * Makes users resubmit live jobs, cancel jobs that are done, and submit jobs that can never run.
+   *
+   * @param durationMs how long users do so from now on
    */
   void sendInvalidRequests(long durationMs) {
     invalidRequestsUntil = cluster.now + durationMs;
@@ -234,10 +332,13 @@
       }
       default -> submitImpossibleJob();
     }
-    cluster.after(cluster.jitter(150), this::sendInvalidRequest);
+    cluster.after(cluster.jitter(INVALID_REQUEST_INTERVAL_MS), this::sendInvalidRequest);
   }
 
-  /** No node accepts what fits no machine, or is of no team; it says so, or that it cannot tell. */
+  /**
+   * Submits a job that is larger than any machine or belongs to an unknown team. A node must reject
+   * it with 422 or answer with a server error.
+   */
   private void submitImpossibleJob() {
     String id = "wk-" + ++lastInvalidJobNumber;
     boolean isTooLarge = cluster.random.nextBoolean();
@@ -255,7 +356,12 @@
         () -> {});
   }
 
-  /** Users call off so many jobs that run and have long to go, within a fifth of a second. */
+  /**
+   * Cancels running jobs within 200 ms, services and the longest jobs first.
+   *
+   * @param count maximum number of jobs to cancel
+   * @param hangMs how long up to eight machines of these jobs hang; 0 for no hang
+   */
   void cancelRunningJobs(int count, long hangMs) {
     Map<SubmittedJob, List<SimulatedWorker>> workersByJob = new LinkedHashMap<>();
     for (SimulatedWorker worker : cluster.workers.values()) {
@@ -277,17 +383,25 @@
         .limit(count)
         .forEach(
             submitted -> {
-              cluster.after(cluster.random.nextInt(200), () -> cancel(submitted.spec.id()));
+              cluster.after(
+                  cluster.random.nextInt(CANCEL_RUNNING_WITHIN_MS),
+                  () -> cancel(submitted.spec.id()));
               hangCandidates.addAll(workersByJob.get(submitted));
             });
     if (hangMs > 0) {
       hangCandidates.stream()
           .distinct()
-          .limit(8)
+          .limit(MAX_HUNG_WORKERS)
           .forEach(worker -> ClusterFaults.hang(cluster, worker, hangMs));
     }
   }
 
+  /**
+   * Submits a job now.
+   *
+   * @param runMs run time of each task
+   * @param stragglerRunMs run times of the tasks that differ, by task index
+   */
   void submit(JobSpec spec, long runMs, Map<Integer, Long> stragglerRunMs) {
     SubmittedJob submitted = new SubmittedJob();
     submitted.spec = spec;
@@ -298,7 +412,7 @@
     submitAfterDependencies(submitted);
   }
 
-  /** The jobs of a pipeline are submitted one after another, each when those it names are taken. */
+  /** Submits a job once each job that it depends on has been accepted or rejected. */
   private void submitAfterDependencies(SubmittedJob submitted) {
     for (String id : submitted.spec.dependencies()) {
       SubmittedJob dependency = jobs.get(id);
@@ -306,20 +420,28 @@
           && dependency != submitted
           && !dependency.accepted
           && dependency.refusalStatus == null) {
-        cluster.after(100, () -> submitAfterDependencies(submitted));
+        cluster.after(DEPENDENCY_CHECK_INTERVAL_MS, () -> submitAfterDependencies(submitted));
         return;
       }
     }
     trySubmit(submitted);
   }
 
+  /** Returns a random endpoint, one that is up if there is any. */
   private Endpoint anyEndpoint() {
-    // The load balancer tries another node where one refuses the connection.
+    // A load balancer skips nodes that refuse connections.
     List<Endpoint> available = cluster.endpoints.stream().filter(n -> n.up).toList();
     List<Endpoint> candidates = available.isEmpty() ? cluster.endpoints : available;
     return candidates.get(cluster.random.nextInt(candidates.size()));
   }
 
+  /**
+   * Sends a request to an endpoint.
+   *
+   * @param input makes the request from the number of its exchange
+   * @param answer takes the answer if it arrives in time
+   * @param onTimeout runs if no answer arrives in time
+   */
   private void sendRequest(
       Endpoint endpoint,
       java.util.function.LongFunction<Input> input,
@@ -336,7 +458,7 @@
           }
         });
     cluster.after(
-        3000,
+        REQUEST_TIMEOUT_MS,
         () -> {
           if (!isFinished[0]) {
             isFinished[0] = true;
@@ -345,10 +467,17 @@
         });
   }
 
+  /** Submits a job at any endpoint and repeats the request until it is accepted or rejected. */
   private void trySubmit(SubmittedJob submitted) {
-    trySubmit(anyEndpoint(), submitted, () -> cluster.after(1000, () -> trySubmit(submitted)));
+    trySubmit(
+        anyEndpoint(), submitted, () -> cluster.after(RETRY_DELAY_MS, () -> trySubmit(submitted)));
   }
 
+  /**
+   * Submits a job and records the answer.
+   *
+   * @param retry runs on a timeout and on every answer other than acceptance or rejection
+   */
   private void trySubmit(Endpoint endpoint, SubmittedJob submitted, Runnable retry) {
     long requestedAt = cluster.now;
     sendRequest(
@@ -379,17 +508,19 @@
         retry);
   }
 
+  /** Returns the specification to submit; a seeded bug drops its dependencies. */
   private JobSpec specToSubmit(JobSpec spec) {
     return cluster.seededBugs.contains("forget_awaits")
         ? SimulatedJobs.withoutDependencies(spec)
         : spec;
   }
 
-  /** Repeats a submission, as a user may at any later time. */
+  /** Repeats the submission of a job, which a user may do at any later time. */
   void resubmit(String id) {
     trySubmit(jobs.get(id));
   }
 
+  /** Polls a job at regular intervals, with jitter, until its end or beyond it. */
   private void poll(SubmittedJob submitted) {
     if (submitted.terminalPhase != null && !cluster.parameters.pollsWhenOver()) {
       return;
@@ -402,10 +533,12 @@
         });
   }
 
+  /** Polls a job once at any node. */
   void pollOnce(String id) {
     poll(anyEndpoint(), id);
   }
 
+  /** Polls a job once at an endpoint and records the answer. */
   private void poll(Endpoint endpoint, String id) {
     long requestedAt = cluster.now;
     sendRequest(
@@ -431,10 +564,11 @@
         () -> {});
   }
 
+  /** Cancels a job and repeats the request until a node answers it with 200. */
   void cancel(String id) {
     SubmittedJob submitted = jobs.get(id);
     submitted.cancelRequested = true;
-    Runnable retry = () -> cluster.after(1000, () -> cancel(id));
+    Runnable retry = () -> cluster.after(RETRY_DELAY_MS, () -> cancel(id));
     long requestedAt = cluster.now;
     sendRequest(
         anyEndpoint(),
@@ -449,6 +583,11 @@
         retry);
   }
 
+  /**
+   * Reports an answer that contradicts an earlier one.
+   *
+   * @param phase the phase in the answer; null if the node did not know the job
+   */
   private void checkAnswer(SubmittedJob submitted, long requestedAt, String phase) {
     String rule = submitted.history.answered(requestedAt, cluster.now, phase);
     if (rule != null) {
@@ -457,6 +596,7 @@
     }
   }
 
+  /** Checks an answer about a job and records the phase that it reports. */
   private void recordAnswer(SubmittedJob submitted, long requestedAt, JsonNode body) {
     String phase = body.path("phase").asText();
     String id = submitted.spec.id();
--- a/src/testbench/java/org/snowturn/simulation/SimulatedCloud.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedCloud.java
@@ -13,37 +13,72 @@
 import org.snowturn.core.Outcome;
 import org.snowturn.wire.Json;
 
-/** The cloud: a catalog of one type, capacity per zone, a list that lags, lost replies. */
+/**
+ * The simulated cloud. Its catalog has one machine type, each zone has limited capacity, the list
+ * of machines lags behind, and replies can be lost.
+ */
 final class SimulatedCloud {
+  /** Default page size of the list of machines. */
   private static final int MAX_LISTED = 500;
 
-  /** What the cloud knows of a machine. */
+  private static final String MACHINE_TYPE = "t8";
+
+  /** Time after which the cloud reports a machine as failed. */
+  private static final long FAILURE_REPORT_DELAY_MS = 30_000;
+
+  /** A machine that was rented, as the cloud records it. */
   static final class RentedMachine {
     String id;
     String zone;
     boolean spot;
     long rentedAt;
+
+    /** Time of its termination; {@code Long.MAX_VALUE} while it exists. */
     long terminatedAt = Long.MAX_VALUE;
+
+    /** Whether the cloud reports the machine as failed. */
     boolean failed;
+
+    /** The worker on the machine; null until it has booted. */
     SimulatedWorker worker;
   }
 
   private final SimulatedCluster cluster;
+
+  /** All machines ever rented, by id. */
   final TreeMap<String, RentedMachine> machines = new TreeMap<>();
+
+  /** Ids of the machines that each rental request received, so that a repetition gets the same. */
   private final Map<String, List<String>> machinesByRequest = new LinkedHashMap<>();
+
+  /** Number of machines still available, by zone and spot flag. */
   private final Map<String, Integer> freeCapacity = new HashMap<>();
+
+  /** Number of calls received, by path. */
   final Map<String, Integer> callsByPath = new HashMap<>();
+
+  /** Number of machines of each kind, spot and ordinary, that a zone offers. */
   int capacityPerZone = 2;
-  long bootMs = 4000;
+
+  /** Minimum time from rental to the first heartbeat; the maximum is twice as long. */
+  long bootMs = 4_000;
+
+  /** Whether all calls are refused with 503. */
   boolean outage;
+
+  /** Whether the next rental is carried out but its reply is lost. */
   boolean loseNextRentalReply;
-  long listLagMs = 3000;
+
+  /** Age of the state that the list of machines shows. */
+  long listLagMs = 3_000;
+
   private int nextMachineNumber = 1;
 
   SimulatedCloud(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
+  /** Executes a call and answers it, unless the reply is lost. */
   void handle(Effect.Call call, SimulatedCluster.ReplyHandler reply) {
     callsByPath.merge(call.path(), 1, Integer::sum);
     if (outage) {
@@ -64,11 +99,12 @@
     }
   }
 
+  /** Returns the catalog, which has a single machine type available in all zones. */
   private JsonNode catalog() {
     ObjectNode object = Json.object();
     ObjectNode machineType = object.putArray("hulls").addObject();
     machineType
-        .put("label", "t8")
+        .put("label", MACHINE_TYPE)
         .put("cores", cluster.parameters.cpus())
         .put("cards", 0)
         .put("ram_gb", cluster.parameters.memoryGb());
@@ -83,6 +119,7 @@
     return object;
   }
 
+  /** Rents as many of the requested machines as the zone has left; 503 if it has none. */
   private void handleRental(JsonNode body, SimulatedCluster.ReplyHandler reply) {
     String requestName = body.path("hire").asText();
     List<String> ids = machinesByRequest.get(requestName);
@@ -110,7 +147,11 @@
     }
   }
 
-  /** Rents a machine; its worker starts to report once it is up. */
+  /**
+   * Rents a machine, whose worker starts to send heartbeats once it has booted.
+   *
+   * @return the machine's id
+   */
   String rent(String zone, boolean spot) {
     RentedMachine machine = new RentedMachine();
     machine.id = String.format("i-%06d", nextMachineNumber++);
@@ -130,7 +171,7 @@
     return machine.id;
   }
 
-  /** The machine and all on it are gone at once. */
+  /** Terminates a machine and its tasks at once, and frees its capacity. */
   void terminate(String id) {
     RentedMachine machine = machines.get(id);
     if (machine == null || machine.terminatedAt != Long.MAX_VALUE) {
@@ -143,14 +184,15 @@
     }
   }
 
-  /** The machine stops on its own; the cloud says so about 30 s later. */
+  /** Stops a machine because of a fault; the cloud reports it as failed 30 s later. */
   void fail(RentedMachine machine) {
     if (machine.worker != null) {
       machine.worker.shutDown();
     }
-    cluster.after(30_000, () -> machine.failed = true);
+    cluster.after(FAILURE_REPORT_DELAY_MS, () -> machine.failed = true);
   }
 
+  /** Returns one page of the list of machines, as they were {@link #listLagMs} ago. */
   private JsonNode list(String path) {
     Map<String, String> query = SimulatedStateService.query(path);
     int maxEntries = Integer.parseInt(query.getOrDefault("most", "" + MAX_LISTED));
@@ -170,7 +212,7 @@
       entry
           .put("id", machine.id)
           .put("addr", cluster.parameters.addresses().apply(machine.id))
-          .put("hull", "t8")
+          .put("hull", MACHINE_TYPE)
           .put("field", machine.zone);
       entry.put("loaners", machine.spot).put("held_s", (asOf - machine.rentedAt) / 1000.0);
       entry.put(
--- a/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
@@ -22,20 +22,39 @@
 import org.snowturn.wire.MalformedException;
 
 /**
- * A small world in simulated time: controllers running the real core, and stand-ins for all they
- * deal with. Everything is drawn from one seed, so a run repeats exactly.
+ * A discrete-event simulation of a cluster: controllers that run the real core, and simulated
+ * users, workers, state service, cloud and network. All random choices come from one seed, so a run
+ * can be repeated exactly.
  */
 final class SimulatedCluster {
+  /** Interval of the controllers' ticks. */
   private static final long TICK_MS = 40;
 
+  /** Difference between the time of day and the steady clock of the controllers. */
+  private static final long WALL_CLOCK_OFFSET_MS = 1_000_000;
+
+  /** Minimum delay of a copied heartbeat that is not delivered at once. */
+  private static final long MIN_COPY_DELAY_MS = 500;
+
+  /** Range of the delay of a held heartbeat, in addition to the minimum. */
+  private static final int HELD_COPY_DELAY_RANGE_MS = 4_000;
+
+  /**
+   * A scheduled action.
+   *
+   * @param at when it runs
+   * @param sequence orders events with the same time
+   */
   private record Event(long at, long sequence, Runnable action) {}
 
-  /** Stands for all machines, those that come up later included, at one end of a cut. */
+  /** End of a cut that stands for all workers, including those that boot later. */
   static final String ALL_WORKERS = "workers";
 
-  /** How a cut treats messages. */
+  /** Treatment of messages on a cut link. */
   enum Cut {
+    /** Messages are lost. */
     DROP,
+    /** Messages arrive when the link is healed. */
     HOLD
   }
 
@@ -47,69 +66,96 @@
   final SimulatedClients clients = new SimulatedClients(this);
   final List<Node> nodes = new ArrayList<>();
 
-  /** The controllers that users and workers turn to: the nodes, or processes of their own. */
+  /** Controllers as users and workers reach them: simulated nodes or separate processes. */
   final List<Endpoint> endpoints = new ArrayList<>();
 
+  /** All workers that have booted, by address. */
   final Map<String, SimulatedWorker> workers = new LinkedHashMap<>();
+
   final Tunables tunables;
+
+  /** Names of faults planted in the simulation to test that the checks detect them. */
   final Set<String> seededBugs = new HashSet<>();
+
   final ClusterLog log = new ClusterLog();
+
+  /** Simulated time in milliseconds. */
   long now;
+
   private long nextSequence;
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::sequence));
+
+  /** Cut links, by {@link #linkKey}. */
   private final Map<String, Cut> cuts = new LinkedHashMap<>();
+
+  /** Deliveries held on cut links, by {@link #linkKey}. */
   private final Map<String, List<Runnable>> heldMessages = new LinkedHashMap<>();
+
+  /** Addresses of workers to which all messages are lost. */
   private final Set<String> inboundDropped = new HashSet<>();
+
   private final Set<String> cutZones = new HashSet<>();
   private long commandDelayMs;
   private long commandReplyDelayMs;
+
+  /** Maximum delay of duplicated heartbeats; 0 for no duplicates. */
   private long maxDuplicateDelayMs;
+
   private boolean holdingHeartbeats;
   private final List<Runnable> heldHeartbeats = new ArrayList<>();
 
-  /** Every message takes so much longer, and up to twice that. */
+  /** Minimum additional delay of each message; the maximum is twice as long. */
   long messageDelayMs;
 
-  /** Check-ins wait so long on their way, as in a node that is behind; direct answers do not. */
+  /**
+   * Delay of heartbeats on their way to a node, as in an overloaded one; commands are not delayed.
+   */
   long heartbeatDelayMs;
 
   private LinkDelays linkDelays = (from, to) -> 0;
 
-  /** Is told of every message that the stand-ins of a world in real time take or give. */
+  /** Log of the messages between controller processes and the simulated services. */
   MessageLog messageLog = MessageLog.NONE;
 
-  /** Is told of everything that the controllers send. */
+  /** Observes every effect of the simulated controllers. */
   EffectObserver observer = EffectObserver.NONE;
 
-  /** When the answer to a check-in that a worker is just taking in left its node. */
+  /** Time at which the heartbeat answer that a worker is handling now left its node. */
   long answerSentAt;
 
-  /** Direct messages to workers so far, and those of them without any command. */
+  /** Number of messages sent directly to workers, status requests excluded. */
   int directMessages;
 
+  /** Number of direct messages that contain no command. */
   int probes;
 
-  /** Tasks started on machines that reached no controller, and so could renew no lease. */
+  /** Number of tasks started on workers that could not reach a controller to renew their lease. */
   int startsWithoutLease;
 
-  /** Starts sent to machines that received nothing. */
+  /** Number of start commands sent to workers to which all messages were lost. */
   int lostStarts;
 
-  /** From then on nothing is in trouble any more. */
+  /** Time after which no fault is active. */
   long faultsEndMs = Long.MAX_VALUE;
 
-  /** Check-ins that workers have sent, and direct messages that they have received. */
+  /** Number of heartbeats sent by workers. */
   long heartbeatsSent;
 
+  /** Number of direct command messages received by workers. */
   long commandsReceived;
 
-  /** Calls to the state service that went through a peer and were answered. */
+  /** Number of replies from the state service that a node relayed to a peer. */
   int relayedCalls;
 
-  /** Figures of the machines and of the users' habits. */
+  /** Sizes of the machines, polling behavior of the users, and worker addresses. */
   SimulationParameters parameters = SimulationParameters.SMALL;
 
+  /**
+   * Creates a cluster with one simulated node for each settings object.
+   *
+   * @param seed seed of all random choices
+   */
   SimulatedCluster(long seed, Settings[] settings, Tunables tunables) {
     this.random = new Random(seed);
     this.settings = settings;
@@ -122,31 +168,47 @@
   }
 
   /**
-   * A world in real time, whose controllers are processes of their own: see {@link RealTimeDriver}.
+   * Creates a cluster without nodes, for controllers that run as separate processes in real time;
+   * see {@link RealTimeDriver}.
    */
-  static SimulatedCluster ofProcesses(long seed, Settings[] settings, SimulationParameters sizes) {
+  static SimulatedCluster ofProcesses(
+      long seed, Settings[] settings, SimulationParameters parameters) {
     SimulatedCluster cluster = new SimulatedCluster(seed, settings, Tunables.defaults());
     cluster.nodes.clear();
     cluster.endpoints.clear();
-    cluster.parameters = sizes;
+    cluster.parameters = parameters;
     return cluster;
   }
 
-  void after(long ms, Runnable action) {
-    events.add(new Event(now + Math.max(0, ms), nextSequence++, action));
+  /**
+   * Schedules an action.
+   *
+   * @param delayMs delay in milliseconds; a negative one counts as 0
+   */
+  void after(long delayMs, Runnable action) {
+    events.add(new Event(now + Math.max(0, delayMs), nextSequence++, action));
   }
 
-  void runUntil(long end) {
-    while (!events.isEmpty() && events.peek().at <= end) {
+  /**
+   * Runs all events up to a time, and checks the invariants after each.
+   *
+   * @param endMs simulated time in milliseconds, inclusive
+   */
+  void runUntil(long endMs) {
+    while (!events.isEmpty() && events.peek().at <= endMs) {
       Event event = events.poll();
       now = event.at;
       event.action.run();
       invariants.check();
     }
-    now = end;
+    now = endMs;
   }
 
-  /** Runs what is due by now in real time; the rules are looked at by whoever drives it. */
+  /**
+   * Runs all events that are due. The caller checks the invariants.
+   *
+   * @param realTimeMs time of the real clock, in milliseconds since the start
+   */
   void runDueEvents(long realTimeMs) {
     now = Math.max(now, realTimeMs);
     while (!events.isEmpty() && events.peek().at <= now) {
@@ -154,25 +216,33 @@
     }
   }
 
-  /** Milliseconds until the next event, at most so many. */
+  /**
+   * Returns the time until the next event in milliseconds.
+   *
+   * @param maxMs upper limit of the result
+   */
   long msUntilNextEvent(long maxMs) {
     return events.isEmpty() ? maxMs : Math.max(0, Math.min(maxMs, events.peek().at - now));
   }
 
+  /** Returns a random time of at least {@code ms} and less than twice as long. */
   long jitter(long ms) {
     return ms + random.nextInt((int) Math.max(1, ms));
   }
 
   // --- the network ---
 
+  /** Returns the key of the link between two ends, in either order. */
   private static String linkKey(String first, String second) {
     return first.compareTo(second) < 0 ? first + "|" + second : second + "|" + first;
   }
 
+  /** Cuts the link between two ends in both directions. */
   void cut(String first, String second, Cut mode) {
     cuts.put(linkKey(first, second), mode);
   }
 
+  /** Restores a cut link and delivers the messages that were held on it. */
   void heal(String first, String second) {
     cuts.remove(linkKey(first, second));
     List<Runnable> held = heldMessages.remove(linkKey(first, second));
@@ -181,6 +251,7 @@
     }
   }
 
+  /** Restores all cut links. */
   void healAll() {
     for (String key : List.copyOf(cuts.keySet())) {
       String[] ends = key.split("\\|", -1);
@@ -188,26 +259,32 @@
     }
   }
 
-  /** How late direct commands arrive now. */
+  /** Returns the current delay of direct commands in milliseconds. */
   long commandDelayMs() {
     return commandDelayMs;
   }
 
-  void delayCommands(long ms) {
-    commandDelayMs = ms;
+  /** Delays direct commands to workers by {@code delayMs} from now on. */
+  void delayCommands(long delayMs) {
+    commandDelayMs = delayMs;
   }
 
-  /** Direct commands arrive at once, but what the machine says to them only so much later. */
-  void delayCommandReplies(long ms) {
-    commandReplyDelayMs = ms;
+  /** Delays the workers' replies to direct commands, but not the commands, by {@code delayMs}. */
+  void delayCommandReplies(long delayMs) {
+    commandReplyDelayMs = delayMs;
   }
 
-  /** Cuts a zone off from everything outside of it, machines that come up later included. */
-  void cutZone(String zone, long ms) {
+  /**
+   * Cuts a zone off from everything outside it, including workers that boot later.
+   *
+   * @param durationMs how long from now on
+   */
+  void cutZone(String zone, long durationMs) {
     cutZones.add(zone);
-    after(ms, () -> cutZones.remove(zone));
+    after(durationMs, () -> cutZones.remove(zone));
   }
 
+  /** Returns whether two ends are in different zones of which one is cut off. */
   private boolean isZoneCutBetween(String first, String second) {
     String firstZone = zoneOf(first);
     String secondZone = zoneOf(second);
@@ -215,40 +292,65 @@
         && (cutZones.contains(firstZone) || cutZones.contains(secondZone));
   }
 
+  /** Returns the zone of a worker or node; empty for other ends. */
   private String zoneOf(String end) {
     SimulatedWorker worker = workers.get(end);
     Node node = node(end);
     return worker != null ? worker.machine.zone : node != null ? node.settings.zone() : "";
   }
 
+  /**
+   * Returns whether the link between two ends has no cut of its own. Cuts of a zone or of all
+   * workers are not considered.
+   */
   boolean isConnected(String first, String second) {
     return !cuts.containsKey(linkKey(first, second));
   }
 
-  /** For a while a worker's reports get out, but nothing that is sent to it now arrives. */
-  void dropInbound(SimulatedWorker worker, long ms) {
+  /**
+   * Drops all messages to a worker; its own messages still arrive.
+   *
+   * @param durationMs how long from now on
+   */
+  void dropInbound(SimulatedWorker worker, long durationMs) {
     inboundDropped.add(worker.addr);
-    after(ms, () -> inboundDropped.remove(worker.addr));
+    after(durationMs, () -> inboundDropped.remove(worker.addr));
   }
 
-  /** From now on a copy of each report comes once more, to any node, up to so much later. */
+  /**
+   * Delivers a copy of each heartbeat to a random node from now on.
+   *
+   * @param maxDelayMs maximum delay of the copy after the first 500 ms; 0 to stop
+   */
   void duplicateHeartbeats(long maxDelayMs) {
     maxDuplicateDelayMs = maxDelayMs;
   }
 
-  /** From now on a copy of each report is kept until somebody else leads, then all nodes get it. */
+  /**
+   * Sets whether a copy of each heartbeat is kept and delivered to all nodes when the leader
+   * changes.
+   */
   void holdHeartbeats(boolean hold) {
     holdingHeartbeats = hold;
   }
 
-  /** Somebody else leads than before: what was kept arrives at once, or once it has acted. */
+  /**
+   * Delivers the kept copies of heartbeats after a change of leader, each at once or 0.5 to 4.5 s
+   * later, when the new leader has already acted.
+   */
   void deliverHeldHeartbeats() {
     List<Runnable> all = List.copyOf(heldHeartbeats);
     heldHeartbeats.clear();
-    all.forEach(r -> after(random.nextBoolean() ? 0 : 500 + random.nextInt(4_000), r));
+    all.forEach(
+        r ->
+            after(
+                random.nextBoolean()
+                    ? 0
+                    : MIN_COPY_DELAY_MS + random.nextInt(HELD_COPY_DELAY_RANGE_MS),
+                r));
   }
 
-  /** The copy's answer reaches nobody. */
+  /** Keeps or sends copies of a heartbeat; the answers to copies are dropped. */
   void deliverCopies(String addr, JsonNode report) {
     if (holdingHeartbeats) {
       heldHeartbeats.add(
@@ -257,24 +359,29 @@
     if (maxDuplicateDelayMs > 0) {
       Endpoint any = endpoints.get(random.nextInt(endpoints.size()));
       after(
-          500 + random.nextInt((int) maxDuplicateDelayMs),
+          MIN_COPY_DELAY_MS + random.nextInt((int) maxDuplicateDelayMs),
           () -> any.heartbeat(addr, report, (status, body) -> {}));
     }
   }
 
-  /** Says how much later messages arrive from one end at another, in milliseconds. */
+  /** Delays of messages between two ends. */
   interface LinkDelays {
-    /** What says that a message never arrives. */
+    /** Value for a message that is lost. */
     long LOST = -1;
 
+    /** Returns the delay in milliseconds, {@link #LOST}, or 0 for the usual delays and cuts. */
     long delayMs(String from, String to);
   }
 
+  /** Sets the delays of all messages from now on. */
   void setLinkDelays(LinkDelays delays) {
     linkDelays = delays;
   }
 
-  /** Delivers a message after a delay, unless the way is cut. */
+  /**
+   * Delivers a message after the delay of its link; a cut drops or holds it. A delay set by {@link
+   * #setLinkDelays} takes precedence over cuts.
+   */
   void send(String from, String to, Runnable deliver) {
     long delayMs = linkDelays.delayMs(from, to);
     if (delayMs != 0) {
@@ -298,13 +405,18 @@
     }
   }
 
-  /** One controller: the real core, its calls and its life. */
+  /** A simulated controller process that runs the real core. */
   final class Node extends Endpoint {
     final Settings settings;
     Controller core;
     boolean paused;
+
+    /** Number of starts; callbacks of an earlier incarnation are ignored. */
     private int incarnation;
+
+    /** Inputs received during a pause, ticks excluded. */
     private final List<Input> backlog = new ArrayList<>();
+
     private final Map<Long, Exchange> exchanges = new LinkedHashMap<>();
     private long nextExchange = 1;
 
@@ -313,6 +425,7 @@
       this.settings = settings;
     }
 
+    /** Starts the process if it is down. */
     void start() {
       if (up) {
         return;
@@ -325,17 +438,23 @@
       tick(incarnation);
     }
 
+    /** Stops the process, which loses its memory, and restarts it after a delay. */
     void crash(long restartAfterMs) {
       up = false;
       exchanges.clear();
       after(restartAfterMs, this::start);
     }
 
-    void pause(long ms) {
+    /**
+     * Pauses the process. Afterwards it handles all inputs received meanwhile, except ticks.
+     *
+     * @param durationMs how long from now on
+     */
+    void pause(long durationMs) {
       paused = true;
       int pausedIncarnation = incarnation;
       after(
-          ms,
+          durationMs,
           () -> {
             if (pausedIncarnation == incarnation && paused) {
               paused = false;
@@ -346,19 +465,21 @@
           });
     }
 
-    /** Whether the node, at this very moment, takes itself for the leader. */
+    /** Handles a tick and returns whether the node then acts as the leader. */
     boolean hasAuthorityNow() {
       accept(new Input.Tick());
       return up && !paused && core.hasAuthority();
     }
 
-    private void tick(int tickedIncarnation) {
-      if (up && tickedIncarnation == incarnation) {
+    /** Ticks at regular intervals until the process stops. */
+    private void tick(int expectedIncarnation) {
+      if (up && expectedIncarnation == incarnation) {
         accept(new Input.Tick());
-        after(TICK_MS, () -> tick(tickedIncarnation));
+        after(TICK_MS, () -> tick(expectedIncarnation));
       }
     }
 
+    /** Passes an input to the core and performs the effects; a paused process defers it. */
     private void accept(Input input) {
       if (!up) {
         return;
@@ -369,7 +490,7 @@
         }
         return;
       }
-      for (Effect effect : core.handle(now, now + 1_000_000, input)) {
+      for (Effect effect : core.handle(now, now + WALL_CLOCK_OFFSET_MS, input)) {
         perform(effect);
       }
       if (core.hasAuthority()) {
@@ -377,6 +498,7 @@
       }
     }
 
+    /** Performs an effect of the core. */
     void perform(Effect effect) {
       observer.sent(now, name, effect);
       if (effect instanceof Effect.Answer answer) {
@@ -405,6 +527,7 @@
       }
     }
 
+    /** Logs an event at INFO level; one at ERROR level is a broken invariant. */
     private void logEvent(Effect.Event event) {
       if (event.severity() == Effect.Severity.ERROR) {
         invariants.report("invariant_violated", name + " " + event.text());
@@ -413,17 +536,18 @@
       }
     }
 
+    /** Sends a call of the core; a call without a reply in time ends as unknown. */
     private void call(Effect.Call call) {
       int callingIncarnation = incarnation;
       boolean[] isFinished = {false};
-      ReplyHandler onReply =
+      ReplyHandler replyHandler =
           (outcome, status, body) -> {
             if (!isFinished[0] && incarnation == callingIncarnation) {
               isFinished[0] = true;
               accept(new Input.Reply(call.id(), outcome, status, body));
             }
           };
-      after(call.timeoutMs(), () -> onReply.onReply(Outcome.UNKNOWN, 0, null));
+      after(call.timeoutMs(), () -> replyHandler.onReply(Outcome.UNKNOWN, 0, null));
       String to =
           switch (call.target()) {
             case AUTHORITY, STATE, STATE_WATCH -> "state";
@@ -432,7 +556,8 @@
           };
       long replyDelayMs = call.target() == Effect.Target.WORKER ? commandReplyDelayMs : 0;
       ReplyHandler sendReply =
-          (o, s, b) -> after(replyDelayMs, () -> send(to, name, () -> onReply.onReply(o, s, b)));
+          (o, s, b) ->
+              after(replyDelayMs, () -> send(to, name, () -> replyHandler.onReply(o, s, b)));
       Runnable deliver =
           switch (call.target()) {
             case AUTHORITY, STATE, STATE_WATCH -> () -> state.handle(name, call, sendReply);
@@ -449,6 +574,7 @@
       }
     }
 
+    /** Returns the number of start commands in a message. */
     private int countStarts(JsonNode body) {
       int count = 0;
       for (JsonNode command : body == null ? List.<JsonNode>of() : body.path("orders")) {
@@ -457,6 +583,7 @@
       return count;
     }
 
+    /** Returns the action that delivers a direct message or status request to its worker. */
     private Runnable deliverToWorker(Effect.Call call, ReplyHandler reply) {
       long sentAt = now;
       return () -> {
@@ -493,19 +620,27 @@
         exchanges.put(id, new Exchange(from, answer));
         accept(input.apply(id));
       } else {
-        // The machine is there, the process is not: the connection is refused at once.
+        // The host is up but the process is down, so the connection is refused at once.
         send(name, from, () -> answer.on(0, null));
       }
     }
   }
 
+  /** A request that the node has not answered yet. */
   private record Exchange(String from, Endpoint.Answer answer) {}
 
-  /** Takes the reply to a call. */
+  /** Handles the reply to a call. */
   interface ReplyHandler {
+    /**
+     * Handles a reply.
+     *
+     * @param status HTTP status; 0 if there was no answer
+     * @param body may be null
+     */
     void onReply(Outcome outcome, int status, JsonNode body);
   }
 
+  /** Returns a node that acts as the leader, or null. */
   Node leader() {
     for (Node node : nodes) {
       if (node.up && node.core.hasAuthority()) {
@@ -515,6 +650,7 @@
     return null;
   }
 
+  /** Returns the node with a name, or null. */
   Node node(String name) {
     for (Node node : nodes) {
       if (node.name.equals(name)) {
--- a/src/testbench/java/org/snowturn/simulation/SimulatedJobs.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedJobs.java
@@ -8,35 +8,37 @@
 import org.snowturn.wire.Json;
 import org.snowturn.wire.MalformedException;
 
-/** Makes job ids and specifications for simulated clients. */
+/** Creates job ids and specifications for simulated users. */
 final class SimulatedJobs {
   private static final String ID_PREFIX = "wk-";
 
   private SimulatedJobs() {}
 
-  /** The id with this number. */
+  /** Returns the job id with a number. */
   static String id(long number) {
     return String.format("wk-%06d", number);
   }
 
   /**
-   * The number of an id.
+   * Returns the number of a job id.
    *
-   * @throws IllegalArgumentException if it is none
+   * @throws IllegalArgumentException if the string is not a job id
    */
   static long number(String id) {
     if (!id.startsWith(ID_PREFIX)) {
-      throw new IllegalArgumentException("not a job's id: " + id);
+      throw new IllegalArgumentException(
+          "job id \"" + id + "\": expected " + ID_PREFIX + " followed by a number");
     }
     return Long.parseLong(id.substring(ID_PREFIX.length()));
   }
 
   /**
-   * A specification.
+   * Returns a specification.
    *
    * @param shape {@code batch} or {@code service}
-   * @param options what differs from a job of one small task, by the names that scenarios use
-   * @param dependencies ids of jobs that have to be done first
+   * @param options values that differ from the default, a job of one small task, by the option
+   *     names of scenarios
+   * @param dependencies ids of the jobs that must be done before this one starts
    */
   static JobSpec spec(
       String id, String shape, Map<String, String> options, List<String> dependencies) {
@@ -63,12 +65,12 @@
     return parse(node);
   }
 
-  /** A specification without dependencies. */
+  /** Returns a specification without dependencies. */
   static JobSpec spec(String id, String shape, Map<String, String> options) {
     return spec(id, shape, options, List.of());
   }
 
-  /** The same job without its dependencies. */
+  /** Returns a copy of a specification without its dependencies. */
   static JobSpec withoutDependencies(JobSpec spec) {
     ObjectNode node = spec.toJson();
     node.remove("awaits");
--- a/src/testbench/java/org/snowturn/simulation/SimulatedServer.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedServer.java
@@ -17,13 +17,19 @@
 import org.xnio.XnioWorker;
 
 /**
- * The stand-ins of one world over HTTP: the state service (a port for each controller, so that one
- * can be refused alone), the cloud, and all workers, each at an address of its own behind one port.
+ * HTTP server for the simulated state service, cloud and workers of one cluster. The state service
+ * and the cloud have one port for each controller, which identifies the caller so that faults can
+ * affect a single controller. All workers share one port, each at its own loopback address.
  */
 final class SimulatedServer {
   private static final String ANY_ADDRESS = "0.0.0.0";
+
+  /** Names of the services as ends of simulated links. */
   private static final String STATE = "state";
+
   private static final String CLOUD = "cloud";
+
+  /** Name of a sender that a request does not identify. */
   private static final String UNKNOWN_SENDER = "somebody";
 
   private final SimulatedCluster cluster;
@@ -41,7 +47,10 @@
   }
 
   /**
-   * Listens on ports that are free; the controllers' names get a port of the state service each.
+   * Starts to listen on free ports.
+   *
+   * @param controllers names of the controllers
+   * @return address of the state service for each controller
    */
   Map<String, InetSocketAddress> start(
       List<String> controllers, XnioWorker stateThreads, XnioWorker workerThreads) {
@@ -72,15 +81,17 @@
     return stateAddresses;
   }
 
-  /** Where each controller finds the cloud. */
+  /** Returns the address of the cloud for each controller. */
   Map<String, InetSocketAddress> cloudAddresses() {
     return cloudAddresses;
   }
 
+  /** Returns the port of all workers. */
   int workersPort() {
     return workersPort;
   }
 
+  /** Closes all ports. */
   void stop() {
     if (controllerServer != null) {
       controllerServer.stop();
@@ -98,6 +109,7 @@
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
   }
 
+  /** Handles a call of a controller to the state service or the cloud. */
   private void handleControllerCall(HttpServerExchange exchange) {
     int port = exchange.getDestinationAddress().getPort();
     boolean isStateCall = clientByStatePort.containsKey(port);
@@ -120,7 +132,7 @@
         });
   }
 
-  /** Sends a reply on its way, on which it may be lost. */
+  /** Returns a handler that sends a reply over the simulated network, where it may be lost. */
   private SimulatedCluster.ReplyHandler replyTo(
       HttpServerExchange exchange, String from, String to) {
     return (outcome, status, json) ->
@@ -137,6 +149,7 @@
     cluster.messageLog.message(cluster.now, from, to, summary, body);
   }
 
+  /** Returns the call that a request stands for. */
   private static Effect.Call call(HttpServerExchange exchange, JsonNode body) {
     String query = exchange.getQueryString();
     String path = exchange.getRequestPath() + (query.isEmpty() ? "" : "?" + query);
@@ -144,7 +157,7 @@
     return new Effect.Call(0, Effect.Target.STATE, null, method, path, body, 0);
   }
 
-  /** A machine that is gone says nothing at all. */
+  /** Handles a request to a worker, which is identified by the destination address. */
   private void handleWorkerRequest(HttpServerExchange exchange) {
     InetSocketAddress destination = exchange.getDestinationAddress();
     if (!destination.getAddress().isLoopbackAddress()) {
@@ -155,13 +168,14 @@
     withBody(exchange, body -> driver.post(() -> deliverToWorker(exchange, addr, body)));
   }
 
+  /** Delivers a request to the worker at an address; an unknown worker never answers. */
   private void deliverToWorker(HttpServerExchange exchange, String addr, JsonNode body) {
     SimulatedWorker worker = cluster.workers.get(addr);
     if (worker == null) {
       return;
     }
     boolean isStatusRequest = exchange.getRequestPath().equals("/status");
-    // Who asks for the status does not say who it is; commands carry their sender's token.
+    // Status requests do not identify their sender; commands carry the token of the sender's term.
     String sender = isStatusRequest ? null : cluster.state.leaderUnder(body.path("baton").asLong());
     String from = sender == null ? UNKNOWN_SENDER : sender;
     SimulatedCluster.ReplyHandler reply = replyTo(exchange, addr, from);
@@ -173,15 +187,17 @@
     if (isStatusRequest || cluster.commandDelayMs() == 0) {
       cluster.send(from, addr, deliver);
     } else {
-      // Held up on its way: its sender has given up by the time it is carried out.
+      // The sender's request has timed out by the time the delayed command is executed.
       cluster.after(cluster.jitter(cluster.commandDelayMs()), deliver);
     }
   }
 
+  /** Handles the parsed body of a request. */
   private interface BodyHandler {
     void handle(JsonNode body);
   }
 
+  /** Reads and parses the body of a request; answers 400 if it is not JSON. */
   private static void withBody(HttpServerExchange exchange, BodyHandler handler) {
     exchange
         .getRequestReceiver()
@@ -198,8 +214,9 @@
                     }));
   }
 
+  /** Sends an answer, unless the exchange has been answered or its connection is closed. */
   private static void sendAnswer(HttpServerExchange exchange, int status, JsonNode json) {
-    // Written on the world's thread: what it holds may change before another gets to it.
+    // Serialized on the simulation thread, because the JSON may change before the I/O thread runs.
     byte[] body = json == null ? new byte[0] : Json.bytes(json);
     exchange
         .getIoThread()
--- a/src/testbench/java/org/snowturn/simulation/SimulatedStateService.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedStateService.java
@@ -20,55 +20,103 @@
 import org.snowturn.wire.Json;
 import org.snowturn.wire.MalformedException;
 
-/** The state service: versions, leases, watches, outages, lost replies, late execution. */
+/**
+ * The simulated state service: a key-value store with revisions, transactions, leases, watches and
+ * rate limits. It can be out of service, lose replies and execute transactions late.
+ */
 final class SimulatedStateService {
+  /**
+   * A value of the store.
+   *
+   * @param revision revision of the store at which it was written
+   * @param leaseId lease that it is bound to; 0 for none
+   */
   private record StoredValue(JsonNode json, long revision, long leaseId) {}
 
+  /**
+   * A change of one key.
+   *
+   * @param json new value; null for a deletion
+   */
   private record Change(long revision, String key, JsonNode json) {}
 
+  /** A lease; when it expires, all values bound to it are deleted. */
   private static final class Lease {
     long ttlMs;
     long expiresAt;
   }
 
+  /** Key of the current leader's record. */
   private static final String LEADER_KEY = "l/leader";
 
-  /** A watch from before so many changes has to begin anew. */
-  private static final int MAX_HISTORY = 10_000;
+  /** Minimum number of changes kept for watches; a watch from before them is answered with 410. */
+  private static final int MIN_KEPT_CHANGES = 10_000;
+
+  /** Maximum size of a transaction's body. */
+  private static final int MAX_TXN_BYTES = 64 * 1024;
+
+  /** Maximum number of conditions of a transaction for each change that it may have. */
+  private static final int MAX_CONDITIONS_PER_CHANGE = 4;
+
+  private static final long MIN_LATE_TXN_DELAY_MS = 4_000;
+  private static final int LATE_TXN_DELAY_RANGE_MS = 15_000;
 
   private final SimulatedCluster cluster;
+
+  /** Last revision whose changes were removed from the history. */
   private long compactedRevision;
+
   private final TreeMap<String, StoredValue> kv = new TreeMap<>();
   private final Map<Long, Lease> leases = new HashMap<>();
   private final List<Change> history = new ArrayList<>();
+
+  /** Actions that check each open watch again. */
   private final List<Runnable> watches = new ArrayList<>();
+
+  /** Names of the nodes whose calls are refused. */
   final Set<String> refusedNodes = new HashSet<>();
+
+  /** Whether all calls are refused and leases do not expire. */
   boolean outage;
+
+  /** Delay of the answers to watches. */
   long watchDelayMs;
 
-  /** How many times slower than usual replies are. */
+  /** Factor by which replies are delayed; 1 for no delay. */
   int slowdown = 1;
 
+  /** Probability that a transaction is executed but its reply is lost. */
   double replyLossProbability;
+
+  /** Probability that a transaction is executed several seconds later, without a reply. */
   double lateTransactionProbability;
+
+  /** Limits of the request rates and sizes. */
   Settings.StateLimits limits;
 
-  /** How many requests were refused, by status. */
+  /** Number of requests refused by the limits, by status. */
   final Map<String, Integer> refusals = new HashMap<>();
 
-  /** Requests so far, and changes that they asked for. */
+  /** Number of requests received. */
   long requests;
 
+  /** Number of changes requested by transactions. */
   long writes;
 
+  /** Tasks loaded from a file, as fields of their lines, by machine id. */
   private final Map<String, List<String[]>> runningByMachine = new HashMap<>();
+
+  /** Number of changes that the rate limit allows now. */
   private double writesLeft;
+
+  /** Number of requests that the rate limit allows now. */
   private double requestsLeft;
+
   private long refilledAt;
   private long revision;
   private long nextLeaseId = 1;
 
-  /** Who has led under which token. */
+  /** Name of the leader for each token, which is the revision of its leader record. */
   private final TreeMap<Long, String> leaderByToken = new TreeMap<>();
 
   SimulatedStateService(SimulatedCluster cluster) {
@@ -78,7 +126,12 @@
     this.requestsLeft = limits.rps();
   }
 
-  /** Loads records, running tasks and results as another version left them. */
+  /**
+   * Loads records, tasks on machines and results that another version of the software left.
+   *
+   * <p>A line is {@code KEY VALUE}, {@code #on MACHINE TASK ATTEMPT PHASE [CAUSE]} or {@code
+   * #result TASK}; other lines that begin with {@code #} are comments.
+   */
   void load(Path file) throws IOException, MalformedException {
     for (String line : Files.readAllLines(file)) {
       String[] fields = line.split(" ", 3);
@@ -100,16 +153,22 @@
     }
   }
 
+  /**
+   * Returns the tasks loaded for a machine.
+   *
+   * @return for each task its name, attempt and phase, and the cause if it has ended
+   */
   List<String[]> runningOn(String machine) {
     return runningByMachine.getOrDefault(machine, List.of());
   }
 
-  /** A job that ran long ago, as its short record tells. */
+  /** Writes the short record of a job that was done long ago. */
   void recordDone(String id) {
     revision++;
     applyChange("d/" + id, Json.object().put("v", 1).put("p", "done").put("n", 1), 0);
   }
 
+  /** Raises both allowances for the time since the last call, to at most one second's worth. */
   private void refill() {
     double elapsedS = (cluster.now - refilledAt) / 1000.0;
     refilledAt = cluster.now;
@@ -117,7 +176,11 @@
     requestsLeft = Math.min(limits.rps(), requestsLeft + elapsedS * limits.rps());
   }
 
-  /** Refuses what is beyond the rates, and for good what is beyond the sizes; 0: nothing is. */
+  /**
+   * Applies the limits to a call and deducts it from the allowances.
+   *
+   * @return 429 if the call exceeds a rate limit, 400 if it exceeds a size limit, otherwise 0
+   */
   private int refusalFor(Effect.Call call) {
     refill();
     if (requestsLeft < 1) {
@@ -130,8 +193,8 @@
     int operations = call.body().path("apply").size();
     boolean isInvalid =
         operations > limits.txnOps()
-            || call.body().path("when").size() > 4 * limits.txnOps()
-            || Json.bytes(call.body()).length > 64 * 1024;
+            || call.body().path("when").size() > MAX_CONDITIONS_PER_CHANGE * limits.txnOps()
+            || Json.bytes(call.body()).length > MAX_TXN_BYTES;
     for (JsonNode node : call.body().path("apply")) {
       isInvalid |= node.has("write") && Json.bytes(node.path("value")).length > limits.valueBytes();
     }
@@ -145,6 +208,7 @@
     return 0;
   }
 
+  /** Takes the service down for a time, at the end of which all leases are renewed. */
   void startOutage(long durationMs) {
     outage = true;
     cluster.after(
@@ -156,7 +220,7 @@
         });
   }
 
-  /** Refuses one node alone; its open watches wait as in an outage. */
+  /** Refuses the calls of one node for a time; its open watches wait as in an outage. */
   void refuse(String node, long durationMs) {
     refusedNodes.add(node);
     cluster.after(
@@ -167,13 +231,14 @@
         });
   }
 
-  /** All is served again. */
+  /** Ends an outage and the refusal of single nodes. */
   void heal() {
     outage = false;
     refusedNodes.clear();
     notifyWatches();
   }
 
+  /** Revokes all leases that have expired. */
   private void expireLeases() {
     if (outage) {
       return;
@@ -185,6 +250,7 @@
     }
   }
 
+  /** Removes a lease and deletes all values bound to it. */
   private void revokeLease(long id) {
     leases.remove(id);
     List<String> removedKeys = new ArrayList<>();
@@ -201,16 +267,22 @@
     }
   }
 
-  /** Who leads by the leader key; null if the key is not there. */
+  /** Returns the name of the leader according to the leader key; null if the key is absent. */
   String leader() {
     return kv.containsKey(LEADER_KEY) ? leaderByToken.get(kv.get(LEADER_KEY).revision) : null;
   }
 
-  /** Who had the token, or null. */
+  /** Returns the name of the leader that held a token, or null. */
   String leaderUnder(long token) {
     return leaderByToken.get(token);
   }
 
+  /**
+   * Writes or deletes a value at the current revision and appends the change to the history.
+   *
+   * @param json new value; null to delete
+   * @param leaseId lease to bind the value to; 0 for none
+   */
   private void applyChange(String key, JsonNode json, long leaseId) {
     if (key.equals(LEADER_KEY) && json != null) {
       leaderByToken.put(revision, json.path("node").asText());
@@ -221,13 +293,13 @@
       kv.put(key, new StoredValue(json, revision, leaseId));
     }
     history.add(new Change(revision, key, json));
-    if (history.size() > 2 * MAX_HISTORY) {
-      compactedRevision = history.get(MAX_HISTORY - 1).revision;
-      history.subList(0, MAX_HISTORY).clear();
+    if (history.size() > 2 * MIN_KEPT_CHANGES) {
+      compactedRevision = history.get(MIN_KEPT_CHANGES - 1).revision;
+      history.subList(0, MIN_KEPT_CHANGES).clear();
     }
   }
 
-  /** The index of the first kept change after a revision; changes are kept in their order. */
+  /** Returns the index of the first change in the history after a revision, by binary search. */
   private int firstChangeAfter(long since) {
     int low = 0;
     int high = history.size();
@@ -242,12 +314,14 @@
     return low;
   }
 
+  /** Checks all open watches again. */
   private void notifyWatches() {
     List<Runnable> all = List.copyOf(watches);
     watches.clear();
     all.forEach(Runnable::run);
   }
 
+  /** Handles a call from a node, with the current faults and limits. */
   void handle(String node, Effect.Call call, SimulatedCluster.ReplyHandler reply) {
     if (slowdown > 1) {
       SimulatedCluster.ReplyHandler undelayed = reply;
@@ -270,9 +344,10 @@
     }
     boolean isTransaction = call.path().equals("/txn");
     if (isTransaction && cluster.random.nextDouble() < lateTransactionProbability) {
-      // No reply now, executed a good while later.
+      // Gets no reply now and is executed later.
       cluster.after(
-          4000 + cluster.random.nextInt(15_000), () -> execute(node, call, (o, s, b) -> {}));
+          MIN_LATE_TXN_DELAY_MS + cluster.random.nextInt(LATE_TXN_DELAY_RANGE_MS),
+          () -> execute(node, call, (o, s, b) -> {}));
       return;
     }
     if (watchDelayMs > 0 && call.path().startsWith("/watch")) {
@@ -285,6 +360,7 @@
     execute(node, call, shouldLoseReply ? (o, s, b) -> {} : reply);
   }
 
+  /** Executes a call and replies, unless there is an outage. */
   private void execute(String node, Effect.Call call, SimulatedCluster.ReplyHandler reply) {
     expireLeases();
     if (outage) {
@@ -327,6 +403,7 @@
     }
   }
 
+  /** Returns a key and its value in wire form. */
   private static ObjectNode entry(String key, StoredValue value) {
     ObjectNode object =
         Json.object().put("path", key).put("stamp", value.revision).put("hold", value.leaseId);
@@ -334,10 +411,12 @@
     return object;
   }
 
+  /** Replies with status 200. */
   private void replyOk(SimulatedCluster.ReplyHandler reply, JsonNode body) {
     reply.onReply(Outcome.ANSWERED, 200, body);
   }
 
+  /** Returns the query parameters of a path. */
   static Map<String, String> query(String path) {
     Map<String, String> parameters = new HashMap<>();
     if (path.indexOf('?') < 0) {
@@ -350,6 +429,7 @@
     return parameters;
   }
 
+  /** Answers a read of one page of the keys with a prefix. */
   private void handleRange(Map<String, String> query, SimulatedCluster.ReplyHandler reply) {
     int maxEntries = Integer.parseInt(query.getOrDefault("most", "1000"));
     ObjectNode object = Json.object().put("epoch", revision);
@@ -371,11 +451,15 @@
     replyOk(reply, object.put("truncated", truncated));
   }
 
+  /**
+   * Answers a watch once a key with its prefix has changed, or at its expiry.
+   *
+   * @param expiresAt when the watch is answered without changes
+   */
   private void handleWatch(
       String node, Map<String, String> query, long expiresAt, SimulatedCluster.ReplyHandler reply) {
     if (outage || refusedNodes.contains(node)) {
-      watches.add(
-          () -> handleWatch(node, query, expiresAt, reply)); // stays open until that is over
+      watches.add(() -> handleWatch(node, query, expiresAt, reply)); // open until the fault ends
       return;
     }
     ObjectNode object = Json.object().put("epoch", revision);
@@ -412,17 +496,22 @@
   }
 
   /**
-   * The leader's records may only be written under the leader's key, tasks' also under the job's.
+   * Reports a transaction that lacks required conditions. Records of the leader may only be changed
+   * on condition of the leader key; task records may only be written on condition of their own and
+   * the job's key.
    */
   private void checkGuards(JsonNode body) {
     List<String> guards = new ArrayList<>();
-    body.path("when").forEach(c -> guards.add(c.path("path").asText()));
-    for (JsonNode c : body.path("apply")) {
-      String key = c.has("drop") ? c.path("drop").asText() : c.path("write").asText();
+    body.path("when").forEach(condition -> guards.add(condition.path("path").asText()));
+    for (JsonNode operation : body.path("apply")) {
+      String key =
+          operation.has("drop")
+              ? operation.path("drop").asText()
+              : operation.path("write").asText();
       boolean isTaskRecord = key.startsWith("t/") || key.startsWith("p/");
       boolean isLeaderRecord = isTaskRecord || key.startsWith("r/") || key.startsWith("s/");
-      boolean isTaskWrite = isTaskRecord && c.has("write");
-      if (isLeaderRecord && !guards.contains("l/leader")) {
+      boolean isTaskWrite = isTaskRecord && operation.has("write");
+      if (isLeaderRecord && !guards.contains(LEADER_KEY)) {
         cluster.invariants.report("unguarded_write", key);
       }
       if (isTaskWrite && !(guards.contains(key) && guards.contains("j/" + key.split("/", -1)[1]))) {
@@ -431,13 +520,14 @@
     }
   }
 
+  /** Executes a transaction: all of its changes if all of its conditions hold, else none. */
   private void handleTransaction(JsonNode body, SimulatedCluster.ReplyHandler reply) {
     checkGuards(body);
     List<String> failedKeys = new ArrayList<>();
-    for (JsonNode c : body.path("when")) {
-      StoredValue value = kv.get(c.path("path").asText());
-      if ((value == null ? 0 : value.revision) != c.path("stamp").asLong()) {
-        failedKeys.add(c.path("path").asText());
+    for (JsonNode condition : body.path("when")) {
+      StoredValue value = kv.get(condition.path("path").asText());
+      if ((value == null ? 0 : value.revision) != condition.path("stamp").asLong()) {
+        failedKeys.add(condition.path("path").asText());
       }
     }
     if (!failedKeys.isEmpty() && !cluster.seededBugs.contains("ignore_conditions")) {
@@ -446,41 +536,49 @@
       reply.onReply(Outcome.ANSWERED, 409, object);
       return;
     }
-    for (JsonNode c : body.path("apply")) {
-      if (c.has("hold") && !leases.containsKey(c.path("hold").asLong())) {
+    for (JsonNode operation : body.path("apply")) {
+      if (operation.has("hold") && !leases.containsKey(operation.path("hold").asLong())) {
         reply.onReply(Outcome.ANSWERED, 400, Json.object().put("error", "no such lease"));
         return;
       }
     }
     revision++;
-    for (JsonNode c : body.path("apply")) {
-      if (c.has("drop")) {
-        if (kv.containsKey(c.path("drop").asText())) {
-          applyChange(c.path("drop").asText(), null, 0);
+    for (JsonNode operation : body.path("apply")) {
+      if (operation.has("drop")) {
+        if (kv.containsKey(operation.path("drop").asText())) {
+          applyChange(operation.path("drop").asText(), null, 0);
         }
       } else {
-        applyChange(c.path("write").asText(), c.path("value").deepCopy(), c.path("hold").asLong(0));
+        applyChange(
+            operation.path("write").asText(),
+            operation.path("value").deepCopy(),
+            operation.path("hold").asLong(0));
       }
     }
     replyOk(reply, Json.object().put("epoch", revision));
     notifyWatches();
   }
 
-  /** Spoils the first value below a prefix, as a fault of the store or of another program would. */
+  /**
+   * Replaces the first value whose key has a prefix by an unreadable one, as a fault of the store
+   * or of another program would.
+   */
   void corrupt(String prefix) {
     String key = kv.ceilingKey(prefix);
     if (key == null || !key.startsWith(prefix)) {
-      throw new IllegalStateException("at " + cluster.now + ": nothing below " + prefix);
+      throw new IllegalStateException(
+          "cannot corrupt at " + cluster.now + " ms: no key starts with \"" + prefix + "\"");
     }
     StoredValue value = kv.get(key);
     kv.put(key, new StoredValue(Json.array().add("spoilt"), value.revision, value.leaseId));
   }
 
-  /** A stored value, for tests to look at; null if there is none. */
+  /** Returns the value of a key, or null if there is none. */
   JsonNode storedValue(String key) {
     return kv.containsKey(key) ? kv.get(key).json : null;
   }
 
+  /** Returns the number of keys with a prefix. */
   int countKeys(String prefix) {
     int count = 0;
     for (String key : kv.keySet()) {
--- a/src/testbench/java/org/snowturn/simulation/SimulatedWorker.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedWorker.java
@@ -12,9 +12,15 @@
 import org.snowturn.wire.JobSpec;
 import org.snowturn.wire.Json;
 
-/** A worker as PROTOCOL describes it. */
+/** The simulated worker, as PROTOCOL describes it. */
 final class SimulatedWorker {
-  /** A task on the machine. */
+  private static final long BLOCKED_REPORT_RETRY_MS = 200;
+  private static final long HUNG_RETRY_MS = 300;
+  private static final long EARLY_REPORT_DELAY_MS = 500;
+  private static final long NEXT_ENDPOINT_DELAY_MS = 1_000;
+  private static final long ANSWER_TIMEOUT_MS = 4_000;
+
+  /** An attempt of a task on a machine; phases and causes are those of PROTOCOL. */
   static final class Task {
     String job;
     int index;
@@ -23,7 +29,7 @@
     String cause;
     boolean running;
 
-    /** When the message with the start that was carried out left its node. */
+    /** Time at which the message with the start command left its node. */
     long startSentAt;
 
     String name() {
@@ -42,18 +48,27 @@
   private final Set<String> images = new HashSet<>();
   boolean dead;
   boolean hung;
+
+  /** Whether every task that starts fails. */
   boolean failing;
+
+  /** Whether no heartbeat leaves the machine. */
   boolean outboundDropped;
+
+  /** Factor by which tasks run longer than usual. */
   double runtimeFactor = 1;
+
+  /** Announced time until the cloud reclaims the machine; NaN if none is announced. */
   double reclaimNoticeS = Double.NaN;
+
   private long session = 1;
   private long reportSequence;
   private long token;
   private long leaseRenewedAt;
   private int endpointIndex;
-  private long latestReport;
-  private long latestTimer;
-  private long tokenChangedAt = Long.MIN_VALUE / 2;
+  private long latestReport; // changes when a report is sent, answered or timed out
+  private long latestTimer; // only the report of the latest timer is sent
+  private long earlyReportAt = Long.MIN_VALUE / 2;
   private boolean shouldReportSoon;
   private boolean isAwaitingAnswer;
 
@@ -67,6 +82,7 @@
     return cluster.settings[0].workers();
   }
 
+  /** Starts the lease and the heartbeats. */
   void boot() {
     leaseRenewedAt = cluster.now;
     endpointIndex = cluster.random.nextInt(cluster.endpoints.size());
@@ -75,7 +91,7 @@
     report();
   }
 
-  /** A task that another version's leader started before this world began. */
+  /** Restores a task that a leader of another version started before this simulation. */
   private void restore(String[] fields) {
     Task task = task(fields[0], Long.parseLong(fields[1]));
     tasks.put(fields[0] + "#" + task.attempt, task);
@@ -95,17 +111,17 @@
     return task;
   }
 
-  /** The highest token seen. */
+  /** Returns the highest leader token received. */
   long token() {
     return token;
   }
 
-  /** Whether the task is still on this machine, whatever its state. */
+  /** Returns whether the machine still has a task, in any phase. */
   boolean hasTask(Task task) {
     return tasks.get(task.job + "/" + task.index + "#" + task.attempt) == task;
   }
 
-  /** The machine is back at once under its name and address, and knows nothing. */
+  /** Restarts the machine at once with its name and address but without its memory. */
   void reboot() {
     tasks.clear();
     images.clear();
@@ -114,12 +130,13 @@
     leaseRenewedAt = cluster.now;
   }
 
+  /** Stops the machine and all its tasks for good. */
   void shutDown() {
     dead = true;
     tasks.clear();
   }
 
-  /** Ends the session if its lease has run out. */
+  /** Ends the session, with all its tasks, if its lease has expired. */
   private void endExpiredSession() {
     long leaseMs = (long) (workerSettings().leaseS() * 1000);
     if (cluster.now - leaseRenewedAt > leaseMs
@@ -160,12 +177,13 @@
     return object;
   }
 
+  /** Sends a heartbeat, or waits while none can leave. */
   private void report() {
     if (dead) {
       return;
     }
     if (hung || outboundDropped) {
-      reportAfter(200);
+      reportAfter(BLOCKED_REPORT_RETRY_MS);
       return;
     }
     isAwaitingAnswer = true;
@@ -191,12 +209,12 @@
     cluster.after(cluster.heartbeatDelayMs, () -> cluster.send(addr, endpoint.name, deliver));
     cluster.deliverCopies(addr, report);
     cluster.after(
-        4000,
+        ANSWER_TIMEOUT_MS,
         () -> {
           if (thisReport == latestReport) {
             latestReport++;
             isAwaitingAnswer = false;
-            reportToNextEndpoint(1000);
+            reportToNextEndpoint(NEXT_ENDPOINT_DELAY_MS);
           }
         });
   }
@@ -218,7 +236,7 @@
       }
     }
     if (status != 200) {
-      reportToNextEndpoint(1000);
+      reportToNextEndpoint(NEXT_ENDPOINT_DELAY_MS);
       return;
     }
     long answeredToken = reply.path("baton").asLong();
@@ -229,7 +247,7 @@
     }
     long intervalMs = (long) (workerSettings().reportS() * 1000);
     long usualDelayMs = intervalMs * 3 / 4 + cluster.random.nextInt((int) (intervalMs / 2));
-    reportAfter(shouldReportSoon ? 500 : usualDelayMs);
+    reportAfter(shouldReportSoon ? EARLY_REPORT_DELAY_MS : usualDelayMs);
   }
 
   private void reportAfter(long delayMs) {
@@ -243,33 +261,33 @@
         });
   }
 
-  /** A higher token counts as a change, which is reported soon, but not too often. */
+  /** Records a token; a higher one is reported early, at most once in half a lease. */
   private void updateToken(long receivedToken) {
-    if (receivedToken > token && cluster.now - tokenChangedAt >= workerSettings().leaseS() * 500) {
-      tokenChangedAt = cluster.now;
+    if (receivedToken > token && cluster.now - earlyReportAt >= workerSettings().leaseS() * 500) {
+      earlyReportAt = cluster.now;
       shouldReportSoon = true;
       if (!isAwaitingAnswer) {
-        reportAfter(500);
+        reportAfter(EARLY_REPORT_DELAY_MS);
       }
     }
     token = Math.max(token, receivedToken);
   }
 
-  /** Says how it is, to anybody. */
+  /** Answers a status request of any sender. */
   void handleStatus(SimulatedCluster.ReplyHandler reply) {
     if (!dead && !hung) {
       reply.onReply(Outcome.ANSWERED, 200, statusBody());
     }
   }
 
-  /** A direct command; a hung machine executes it when it resumes. */
+  /** Handles a direct message; a hung machine does so when it resumes. */
   void handleCommand(JsonNode body, long sentAt, SimulatedCluster.ReplyHandler reply) {
     if (dead) {
       return;
     }
     cluster.commandsReceived++;
     if (hung) {
-      cluster.after(300, () -> handleCommand(body, sentAt, reply));
+      cluster.after(HUNG_RETRY_MS, () -> handleCommand(body, sentAt, reply));
       return;
     }
     boolean isStale =
@@ -305,7 +323,7 @@
             tasks.remove(key);
           }
         }
-        default -> throw new IllegalStateException("verb " + command);
+        default -> throw new IllegalStateException("unknown verb in command: " + command);
       }
     }
   }
@@ -315,28 +333,26 @@
     task.startSentAt = sentAt;
     cluster.startsWithoutLease += outboundDropped ? 1 : 0;
     JobSpec spec = cluster.clients.spec(task.job);
-    boolean isAlreadyRunning = false;
+    boolean hasLiveAttempt = false;
     double cpus = 0;
     for (Task other : tasks.values()) {
       if (other.isAlive()) {
-        isAlreadyRunning |= other.name().equals(name);
+        hasLiveAttempt |= other.name().equals(name);
         cpus += cluster.clients.spec(other.job).cpus();
       }
     }
     tasks.put(key, task);
     if (spec == null) {
       endTask(task, "no_such");
-    } else if (isAlreadyRunning) {
+    } else if (hasLiveAttempt) {
       endTask(task, "busy");
     } else if (cpus + spec.cpus() > cluster.parameters.cpus()) {
       endTask(task, "full");
     } else {
       long startSession = session;
       if (images.contains(spec.image())) {
-        run(
-            task,
-            spec,
-            startSession); // at once: a stop that follows in the same message comes after
+        // Runs at once, so that a halt later in the same message finds the task running.
+        run(task, spec, startSession);
         return;
       }
       cluster.after(
@@ -365,10 +381,10 @@
     }
   }
 
-  /** While the machine hangs its tasks are not executed. */
+  /** Ends a task as done; a hung machine does so when it resumes. */
   private void complete(Task task, long startSession) {
     if (hung) {
-      cluster.after(300, () -> complete(task, startSession));
+      cluster.after(HUNG_RETRY_MS, () -> complete(task, startSession));
     } else if (!dead && startSession == session && task.isAlive()) {
       cluster.clients.recordResult(task.name());
       endTask(task, "done");
