--- a/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
@@ -68,10 +68,10 @@
   /** Time within which the requests after a change are sent. */
   private static final long READS_WITHIN_MS = 30;
 
-  /** Index of the request after a change that may be a cancellation. */
+  /** Index of the request that cancels the job, if one of the requests after a change does. */
   private static final int CANCEL_INDEX = 4;
 
-  /** Batch jobs for each one that is cancelled amid the requests after a change. */
+  /** Average number of live batch jobs for each one that is cancelled after a change. */
   private static final int JOBS_PER_CANCEL = 8;
 
   /** Maximum time from the end of a job's last task to the cancellation. */
--- a/src/testbench/java/org/snowturn/simulation/SimulatedCloud.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedCloud.java
@@ -69,7 +69,7 @@
   /** Whether the next rental is carried out but its reply is lost. */
   boolean loseNextRentalReply;
 
-  /** Age of the state that the list of machines shows. */
+  /** Time until a rental or termination shows in the list of machines. */
   long listLagMs = 3_000;
 
   private int nextMachineNumber = 1;
@@ -192,7 +192,9 @@
     cluster.after(FAILURE_REPORT_DELAY_MS, () -> machine.failed = true);
   }
 
-  /** Returns one page of the list of machines, as they were {@link #listLagMs} ago. */
+  /**
+   * Returns one page of the machines that existed {@link #listLagMs} ago, in their present phase.
+   */
   private JsonNode list(String path) {
     Map<String, String> query = SimulatedStateService.query(path);
     int maxEntries = Integer.parseInt(query.getOrDefault("most", "" + MAX_LISTED));
--- a/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
@@ -380,7 +380,8 @@
 
   /**
    * Delivers a message after the delay of its link; a cut drops or holds it. A delay set by {@link
-   * #setLinkDelays} takes precedence over cuts.
+   * #setLinkDelays} takes precedence over cuts, and a cut of the link itself over one of {@link
+   * #ALL_WORKERS}.
    */
   void send(String from, String to, Runnable deliver) {
     long delayMs = linkDelays.delayMs(from, to);
--- a/src/testbench/java/org/snowturn/simulation/SimulatedWorker.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedWorker.java
@@ -16,6 +16,7 @@
 final class SimulatedWorker {
   private static final long BLOCKED_REPORT_RETRY_MS = 200;
   private static final long HUNG_RETRY_MS = 300;
+  private static final int MAX_REDIRECT_DELAY_MS = 500;
   private static final long EARLY_REPORT_DELAY_MS = 500;
   private static final long NEXT_ENDPOINT_DELAY_MS = 1_000;
   private static final long ANSWER_TIMEOUT_MS = 4_000;
@@ -230,7 +231,7 @@
       for (int i = 0; i < cluster.endpoints.size(); i++) {
         if (cluster.endpoints.get(i).name.equals(name) && i != endpointIndex) {
           endpointIndex = i;
-          reportAfter(cluster.random.nextInt(500));
+          reportAfter(cluster.random.nextInt(MAX_REDIRECT_DELAY_MS));
           return;
         }
       }
