--- a/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
@@ -15,185 +15,288 @@
 import org.snowturn.core.Input;
 import org.snowturn.wire.JobSpec;
 
-/** Users who submit, poll, cancel and repeat, and remember all that they were told. */
+/**
+ * Simulated users, who submit, poll, cancel and resubmit jobs. Every answer is checked against the
+ * answers received before.
+ */
 final class SimulatedClients {
-  /** One user's job. */
+  /** A job that a user has submitted, and the answers received about it. */
   static final class SubmittedJob {
     JobSpec spec;
+
+    /** Run time of each task that is not listed in {@link #stragglerRunMs}. */
     long runMs;
+
+    /** Run times of the tasks that differ from {@link #runMs}, by task index. */
     Map<Integer, Long> stragglerRunMs = new HashMap<>();
+
+    /** Whether a node has accepted the submission. */
     boolean accepted;
+
     long acceptedAt;
     boolean cancelRequested;
-    Long cancelConfirmed;
 
-    /** Fails wherever it runs. */
-    boolean broken;
+    /** Time of the first answer that called the job cancelled; null before that. */
+    Long cancelConfirmedAt;
+
+    /** Whether every task of the job fails on every machine. */
+    boolean alwaysFails;
 
     long submittedAt;
+
+    /** Time of the last poll that ended with a status below 500, a refused connection included. */
     long answeredAt;
+
+    /** Time of the first start of a task; -1 before that. */
     long firstStartAt = -1;
+
     final JobHistory history = new JobHistory();
-    String terminal;
-    long doneAt = -1;
-    String refused;
+
+    /** {@code done} or {@code aborted} once an answer said so; null before that. */
+    String terminalPhase;
+
+    /** Time of the answer that set {@link #terminalPhase}; -1 before that. */
+    long finishedAt = -1;
+
+    /** HTTP status with which the submission was rejected; null if it was not. */
+    String refusalStatus;
   }
 
-  /** Questions that a user asks about one change, within milliseconds and at all nodes. */
+  /** Number of requests that follow one change of a job, spread over all nodes. */
   private static final int READS_AFTER_WRITE = 9;
 
+  /** Time within which the requests after a change are sent. */
   private static final long READS_WITHIN_MS = 30;
 
-  /** Is told of each start how long after the job's submission it came. */
+  /** Index of the request that cancels the job, if one of the requests after a change does. */
+  private static final int CANCEL_INDEX = 4;
+
+  /** Average number of live batch jobs for each one that is cancelled after a change. */
+  private static final int JOBS_PER_CANCEL = 8;
+
+  /** Maximum time from the end of a job's last task to the cancellation. */
+  private static final int CANCEL_ON_COMPLETION_WITHIN_MS = 20;
+
+  /** Time within which running jobs are cancelled together. */
+  private static final int CANCEL_RUNNING_WITHIN_MS = 200;
+
+  /** Maximum number of machines that hang when running jobs are cancelled. */
+  private static final int MAX_HUNG_WORKERS = 8;
+
+  private static final long INVALID_REQUEST_INTERVAL_MS = 150;
+  private static final long DEPENDENCY_CHECK_INTERVAL_MS = 100;
+  private static final long REQUEST_TIMEOUT_MS = 3_000;
+  private static final long RETRY_DELAY_MS = 1_000;
+
+  /** Run time of each task of a job that was accepted before the simulation. */
+  private static final long EXISTING_JOB_RUN_MS = 10_000;
+
+  /** Observes the starts of tasks. */
   interface StartListener {
-    void on(JobSpec spec, long delayMs);
+    /**
+     * Handles the start of a task.
+     *
+     * @param delayMs time since the submission of the job
+     */
+    void onStart(JobSpec spec, long delayMs);
   }
 
   StartListener startListener = (spec, delayMs) -> {};
 
-  /** Is told how long an answered submission took from when it was due. */
+  /** Takes the time from the submission of a job to its acceptance, in milliseconds. */
   java.util.function.LongConsumer acceptedListener = delayMs -> {};
 
   private final SimulatedCluster cluster;
+
+  /** End of the period in which reads after writes are sent. */
   private long readAfterWriteUntil;
+
+  /** End of the period in which invalid requests are sent. */
   private long invalidRequestsUntil;
-  private int nextInvalidJob = 900_000;
-  private double cancelAtEnd;
-  private boolean anyCancelConfirmed;
+
+  /** Number in the id of the last job that could never run. */
+  private int lastInvalidJobNumber = 900_000;
+
+  private double cancelOnCompletionProbability;
+  private boolean hasConfirmedCancel;
   private final Map<String, SubmittedJob> jobs = new LinkedHashMap<>();
-  private final Set<String> results = new HashSet<>();
+
+  /** Tasks, as {@code job/index}, that have run to their end. */
+  private final Set<String> completedTasks = new HashSet<>();
 
   SimulatedClients(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
+  /** Returns the specification of a job, or null if no user submitted it. */
   JobSpec spec(String id) {
     SubmittedJob submitted = jobs.get(id);
     return submitted == null ? null : submitted.spec;
   }
 
-  /** Users know of the jobs that another version accepted. */
-  void adopt(JobSpec spec, String phase) {
+  /**
+   * Adds a job that controllers of another version accepted before this simulation, and polls it.
+   *
+   * @param phase the job's phase in the stored record
+   */
+  void addAcceptedJob(JobSpec spec, String phase) {
     SubmittedJob submitted = new SubmittedJob();
     submitted.spec = spec;
-    submitted.runMs = 10_000;
+    submitted.runMs = EXISTING_JOB_RUN_MS;
     submitted.accepted = true;
     if (phase.equals("aborted")) {
       submitted.cancelRequested = true;
-      submitted.cancelConfirmed = cluster.now;
-      submitted.terminal = phase;
-      submitted.doneAt = cluster.now;
-      anyCancelConfirmed = true;
+      submitted.cancelConfirmedAt = cluster.now;
+      submitted.terminalPhase = phase;
+      submitted.finishedAt = cluster.now;
+      hasConfirmedCancel = true;
     }
     jobs.put(spec.id(), submitted);
     poll(submitted);
   }
 
+  /** Returns a submitted job, or null if no user submitted it. */
   SubmittedJob job(String id) {
     return jobs.get(id);
   }
 
-  Iterable<SubmittedJob> all() {
+  /** Returns all submitted jobs in the order of submission. */
+  Iterable<SubmittedJob> allJobs() {
     return jobs.values();
   }
 
+  /** Returns the run time of a task in milliseconds. */
   long runMs(String id, int task) {
     SubmittedJob submitted = jobs.get(id);
     return submitted.stragglerRunMs.getOrDefault(task, submitted.runMs);
   }
 
-  boolean broken(String id) {
+  /** Returns whether every task of a job fails on every machine. */
+  boolean alwaysFails(String id) {
     SubmittedJob submitted = jobs.get(id);
-    return submitted != null && submitted.broken;
+    return submitted != null && submitted.alwaysFails;
   }
 
-  /** A task of the job starts. */
-  void started(String id) {
+  /** Records the start of a task of a job and notifies {@link #startListener}. */
+  void recordStart(String id) {
     SubmittedJob submitted = jobs.get(id);
     submitted.firstStartAt = submitted.firstStartAt < 0 ? cluster.now : submitted.firstStartAt;
-    startListener.on(submitted.spec, cluster.now - submitted.submittedAt);
+    startListener.onStart(submitted.spec, cluster.now - submitted.submittedAt);
   }
 
-  boolean anyCancelConfirmed() {
-    return anyCancelConfirmed;
+  /** Returns whether any user has received an answer that calls a job cancelled. */
+  boolean hasConfirmedCancel() {
+    return hasConfirmedCancel;
   }
 
-  Long cancelConfirmed(String id) {
-    return jobs.get(id).cancelConfirmed;
+  /** Returns the time of the first answer that called a job cancelled, or null. */
+  Long cancelConfirmedAt(String id) {
+    return jobs.get(id).cancelConfirmedAt;
   }
 
-  /** When a user was first told that one of the jobs that this one needs is cancelled, or null. */
-  Long dependencyCancelConfirmed(String id) {
-    Long first = null;
-    for (String needed : allDependencies(id)) {
-      Long told = jobs.get(needed).cancelConfirmed;
-      first = first == null || (told != null && told < first) ? told : first;
+  /**
+   * Returns the time of the first answer that called a direct or indirect dependency of a job
+   * cancelled, or null.
+   */
+  Long dependencyCancelConfirmedAt(String id) {
+    Long earliestAt = null;
+    for (String dependency : allDependencies(id)) {
+      Long confirmedAt = jobs.get(dependency).cancelConfirmedAt;
+      earliestAt =
+          earliestAt == null || (confirmedAt != null && confirmedAt < earliestAt)
+              ? confirmedAt
+              : earliestAt;
     }
-    return first;
+    return earliestAt;
   }
 
+  /** Returns the ids of the direct and indirect dependencies of a job. */
   private Set<String> allDependencies(String id) {
-    Set<String> out = new LinkedHashSet<>();
-    ArrayDeque<String> next = new ArrayDeque<>(List.of(id));
-    while (!next.isEmpty()) {
-      SubmittedJob submitted = jobs.get(next.poll());
-      for (String needed : submitted == null ? List.<String>of() : submitted.spec.dependencies()) {
-        if (jobs.containsKey(needed) && out.add(needed)) {
-          next.add(needed);
+    Set<String> dependencies = new LinkedHashSet<>();
+    ArrayDeque<String> queue = new ArrayDeque<>(List.of(id));
+    while (!queue.isEmpty()) {
+      SubmittedJob submitted = jobs.get(queue.poll());
+      for (String dependency :
+          submitted == null ? List.<String>of() : submitted.spec.dependencies()) {
+        if (jobs.containsKey(dependency) && dependencies.add(dependency)) {
+          queue.add(dependency);
         }
       }
     }
-    return out;
+    return dependencies;
   }
 
-  boolean result(String task) {
-    return results.contains(task);
+  /** Returns whether a task, as {@code job/index}, has run to its end. */
+  boolean hasResult(String task) {
+    return completedTasks.contains(task);
   }
 
-  void completed(String task) {
-    results.add(task);
+  /**
+   * Records that a task, as {@code job/index}, has run to its end. With the probability set by
+   * {@link #cancelOnCompletion}, the user cancels a job whose last task has ended.
+   */
+  void recordResult(String task) {
+    completedTasks.add(task);
     SubmittedJob submitted = jobs.get(task.substring(0, task.lastIndexOf('/')));
     if (submitted != null
-        && cancelAtEnd > 0
-        && allDone(submitted)
-        && cluster.random.nextDouble() < cancelAtEnd) {
-      cluster.after(cluster.random.nextInt(20), () -> cancel(submitted.spec.id()));
+        && cancelOnCompletionProbability > 0
+        && areAllTasksDone(submitted)
+        && cluster.random.nextDouble() < cancelOnCompletionProbability) {
+      cluster.after(
+          cluster.random.nextInt(CANCEL_ON_COMPLETION_WITHIN_MS),
+          () -> cancel(submitted.spec.id()));
     }
   }
 
-  boolean allDone(SubmittedJob submitted) {
+  /** Returns whether all tasks of a job have run to their end. */
+  boolean areAllTasksDone(SubmittedJob submitted) {
     return IntStream.range(0, submitted.spec.tasks())
-        .allMatch(t -> results.contains(submitted.spec.id() + "/" + t));
+        .allMatch(t -> completedTasks.contains(submitted.spec.id() + "/" + t));
   }
 
-  // --- users at their worst ---
+  // --- concurrent and invalid requests ---
 
-  /** Users ask at all nodes within milliseconds after a job was accepted, or is over. */
-  void readAfterWrite(long ms) {
-    readAfterWriteUntil = cluster.now + ms;
+  /**
+   * Makes users send several requests to all nodes within milliseconds after a job was accepted or
+   * has ended.
+   *
+   * @param durationMs how long users do so from now on
+   */
+  void enableReadsAfterWrite(long durationMs) {
+    readAfterWriteUntil = cluster.now + durationMs;
   }
 
-  /** So many of the jobs that end are called off at the moment of the end. */
-  void cancelAtEnd(double share) {
-    cancelAtEnd = share;
+  /**
+   * Makes users cancel jobs at the moment when their last task ends.
+   *
+   * @param probability share of the jobs that are cancelled, from 0 to 1
+   */
+  void cancelOnCompletion(double probability) {
+    cancelOnCompletionProbability = probability;
   }
 
+  /**
+   * Polls and resubmits a job at all nodes while reads after writes are enabled. One in eight batch
+   * jobs that are still live is cancelled in between.
+   */
   private void readAtAllNodes(SubmittedJob submitted) {
     if (cluster.now > readAfterWriteUntil) {
       return;
     }
     String id = submitted.spec.id();
-    boolean calledOff =
-        submitted.terminal == null && !submitted.spec.isService() && cluster.random.nextInt(8) == 0;
+    boolean shouldCancel =
+        submitted.terminalPhase == null
+            && !submitted.spec.isService()
+            && cluster.random.nextInt(JOBS_PER_CANCEL) == 0;
     for (int i = 0; i < READS_AFTER_WRITE; i++) {
-      Endpoint n = cluster.endpoints.get(i % cluster.endpoints.size());
-      int kind = i == 4 && calledOff ? 2 : cluster.random.nextInt(3) / 2;
+      Endpoint endpoint = cluster.endpoints.get(i % cluster.endpoints.size());
+      int kind = i == CANCEL_INDEX && shouldCancel ? 2 : cluster.random.nextInt(3) / 2;
       cluster.after(
           cluster.random.nextInt((int) READS_WITHIN_MS),
           () -> {
             switch (kind) {
-              case 0 -> poll(n, id);
-              case 1 -> trySubmit(n, submitted, () -> {});
+              case 0 -> poll(endpoint, id);
+              case 1 -> trySubmit(endpoint, submitted, () -> {});
               default -> cancel(id);
             }
           });
@@ -201,11 +304,12 @@
   }
 
   /**
-   * Users repeat submissions of jobs that are not over, cancel jobs that are, and submit what can
-   * never run.
+   * Makes users resubmit live jobs, cancel jobs that are done, and submit jobs that can never run.
+   *
+   * @param durationMs how long users do so from now on
    */
-  void sendInvalidRequests(long ms) {
-    invalidRequestsUntil = cluster.now + ms;
+  void sendInvalidRequests(long durationMs) {
+    invalidRequestsUntil = cluster.now + durationMs;
     sendInvalidRequest();
   }
 
@@ -217,28 +321,32 @@
     SubmittedJob submitted = all.isEmpty() ? null : all.get(cluster.random.nextInt(all.size()));
     switch (cluster.random.nextInt(4)) {
       case 0 -> {
-        if (submitted != null && submitted.accepted && submitted.terminal == null) {
+        if (submitted != null && submitted.accepted && submitted.terminalPhase == null) {
           trySubmit(submitted);
         }
       }
       case 1 -> {
-        if (submitted != null && "done".equals(submitted.terminal)) {
+        if (submitted != null && "done".equals(submitted.terminalPhase)) {
           cancel(submitted.spec.id());
         }
       }
       default -> submitImpossibleJob();
     }
-    cluster.after(cluster.jitter(150), this::sendInvalidRequest);
+    cluster.after(cluster.jitter(INVALID_REQUEST_INTERVAL_MS), this::sendInvalidRequest);
   }
 
-  /** No node accepts what fits no machine, or is of no team; it says so, or that it cannot tell. */
+  /**
+   * Submits a job that is larger than any machine or belongs to an unknown team. A node must reject
+   * it with 422 or answer with a server error.
+   */
   private void submitImpossibleJob() {
-    String id = "wk-" + ++nextInvalidJob;
-    boolean large = cluster.random.nextBoolean();
+    String id = "wk-" + ++lastInvalidJobNumber;
+    boolean isTooLarge = cluster.random.nextBoolean();
     JobSpec spec =
-        SimulatedJobs.spec(id, "batch", large ? Map.of("cpus", "99") : Map.of("team", "nobody"));
-    ask(
-        anyNode(),
+        SimulatedJobs.spec(
+            id, "batch", isTooLarge ? Map.of("cpus", "99") : Map.of("team", "nobody"));
+    sendRequest(
+        anyEndpoint(),
         x -> new Input.Submit(x, spec),
         (status, body) -> {
           if (status < 500 && status != 422 && status != 0) {
@@ -248,140 +356,173 @@
         () -> {});
   }
 
-  /** Users call off so many jobs that run and have long to go, within a fifth of a second. */
-  void cancelNow(int count, long hangMs) {
-    Map<SubmittedJob, List<SimulatedWorker>> running = new LinkedHashMap<>();
+  /**
+   * Cancels running jobs within 200 ms, services and the longest jobs first.
+   *
+   * @param count maximum number of jobs to cancel
+   * @param hangMs how long up to eight machines of these jobs hang; 0 for no hang
+   */
+  void cancelRunningJobs(int count, long hangMs) {
+    Map<SubmittedJob, List<SimulatedWorker>> workersByJob = new LinkedHashMap<>();
     for (SimulatedWorker worker : cluster.workers.values()) {
       for (SimulatedWorker.Task task : worker.tasks.values()) {
         SubmittedJob submitted = jobs.get(task.job);
-        if (task.present
+        if (task.running
             && submitted.accepted
             && !submitted.cancelRequested
-            && submitted.terminal == null) {
-          running.computeIfAbsent(submitted, k -> new ArrayList<>()).add(worker);
+            && submitted.terminalPhase == null) {
+          workersByJob.computeIfAbsent(submitted, k -> new ArrayList<>()).add(worker);
         }
       }
     }
-    List<SimulatedWorker> hung = new ArrayList<>();
-    running.keySet().stream()
+    List<SimulatedWorker> hangCandidates = new ArrayList<>();
+    workersByJob.keySet().stream()
         .sorted(
             Comparator.comparingLong(
                 submitted -> submitted.spec.isService() ? Long.MIN_VALUE : -submitted.runMs))
         .limit(count)
         .forEach(
             submitted -> {
-              cluster.after(cluster.random.nextInt(200), () -> cancel(submitted.spec.id()));
-              hung.addAll(running.get(submitted));
+              cluster.after(
+                  cluster.random.nextInt(CANCEL_RUNNING_WITHIN_MS),
+                  () -> cancel(submitted.spec.id()));
+              hangCandidates.addAll(workersByJob.get(submitted));
             });
     if (hangMs > 0) {
-      hung.stream()
+      hangCandidates.stream()
           .distinct()
-          .limit(8)
+          .limit(MAX_HUNG_WORKERS)
           .forEach(worker -> ClusterFaults.hang(cluster, worker, hangMs));
     }
   }
 
-  void submit(JobSpec spec, long runMs, Map<Integer, Long> odd) {
+  /**
+   * Submits a job now.
+   *
+   * @param runMs run time of each task
+   * @param stragglerRunMs run times of the tasks that differ, by task index
+   */
+  void submit(JobSpec spec, long runMs, Map<Integer, Long> stragglerRunMs) {
     SubmittedJob submitted = new SubmittedJob();
     submitted.spec = spec;
     submitted.submittedAt = cluster.now;
     submitted.runMs = runMs;
-    submitted.stragglerRunMs.putAll(odd);
+    submitted.stragglerRunMs.putAll(stragglerRunMs);
     jobs.put(spec.id(), submitted);
-    submitInTurn(submitted);
+    submitAfterDependencies(submitted);
   }
 
-  /** The jobs of a pipeline are submitted one after another, each when those it names are taken. */
-  private void submitInTurn(SubmittedJob submitted) {
+  /** Submits a job once each job that it depends on has been accepted or rejected. */
+  private void submitAfterDependencies(SubmittedJob submitted) {
     for (String id : submitted.spec.dependencies()) {
-      SubmittedJob needed = jobs.get(id);
-      if (needed != null && needed != submitted && !needed.accepted && needed.refused == null) {
-        cluster.after(100, () -> submitInTurn(submitted));
+      SubmittedJob dependency = jobs.get(id);
+      if (dependency != null
+          && dependency != submitted
+          && !dependency.accepted
+          && dependency.refusalStatus == null) {
+        cluster.after(DEPENDENCY_CHECK_INTERVAL_MS, () -> submitAfterDependencies(submitted));
         return;
       }
     }
     trySubmit(submitted);
   }
 
-  private Endpoint anyNode() {
-    // The load balancer tries another node where one refuses the connection.
-    List<Endpoint> up = cluster.endpoints.stream().filter(n -> n.up).toList();
-    List<Endpoint> among = up.isEmpty() ? cluster.endpoints : up;
-    return among.get(cluster.random.nextInt(among.size()));
+  /** Returns a random endpoint, one that is up if there is any. */
+  private Endpoint anyEndpoint() {
+    // A load balancer skips nodes that refuse connections.
+    List<Endpoint> available = cluster.endpoints.stream().filter(n -> n.up).toList();
+    List<Endpoint> candidates = available.isEmpty() ? cluster.endpoints : available;
+    return candidates.get(cluster.random.nextInt(candidates.size()));
   }
 
-  private void ask(
-      Endpoint node,
+  /**
+   * Sends a request to an endpoint.
+   *
+   * @param input makes the request from the number of its exchange
+   * @param answer takes the answer if it arrives in time
+   * @param onTimeout runs if no answer arrives in time
+   */
+  private void sendRequest(
+      Endpoint endpoint,
       java.util.function.LongFunction<Input> input,
       Endpoint.Answer answer,
-      Runnable again) {
-    boolean[] over = {false};
-    node.request(
+      Runnable onTimeout) {
+    boolean[] isFinished = {false};
+    endpoint.request(
         "user",
         input,
         (status, body) -> {
-          if (!over[0]) {
-            over[0] = true;
+          if (!isFinished[0]) {
+            isFinished[0] = true;
             answer.on(status, body);
           }
         });
     cluster.after(
-        3000,
+        REQUEST_TIMEOUT_MS,
         () -> {
-          if (!over[0]) {
-            over[0] = true;
-            again.run();
+          if (!isFinished[0]) {
+            isFinished[0] = true;
+            onTimeout.run();
           }
         });
   }
 
+  /** Submits a job at any endpoint and repeats the request until it is accepted or rejected. */
   private void trySubmit(SubmittedJob submitted) {
-    trySubmit(anyNode(), submitted, () -> cluster.after(1000, () -> trySubmit(submitted)));
+    trySubmit(
+        anyEndpoint(), submitted, () -> cluster.after(RETRY_DELAY_MS, () -> trySubmit(submitted)));
   }
 
-  private void trySubmit(Endpoint node, SubmittedJob submitted, Runnable again) {
-    long askedAt = cluster.now;
-    ask(
-        node,
-        x -> new Input.Submit(x, asAccepted(submitted.spec)),
+  /**
+   * Submits a job and records the answer.
+   *
+   * @param retry runs on a timeout and on every answer other than acceptance or rejection
+   */
+  private void trySubmit(Endpoint endpoint, SubmittedJob submitted, Runnable retry) {
+    long requestedAt = cluster.now;
+    sendRequest(
+        endpoint,
+        x -> new Input.Submit(x, specToSubmit(submitted.spec)),
         (status, body) -> {
           if (status == 200 || status == 201) {
-            boolean first = !submitted.accepted;
+            boolean isFirstAcceptance = !submitted.accepted;
             submitted.accepted = true;
-            submitted.acceptedAt = first ? cluster.now : submitted.acceptedAt;
-            if (first) {
+            submitted.acceptedAt = isFirstAcceptance ? cluster.now : submitted.acceptedAt;
+            if (isFirstAcceptance) {
               acceptedListener.accept(cluster.now - submitted.submittedAt);
             }
-            recordAnswer(submitted, askedAt, body);
-            if (first) {
+            recordAnswer(submitted, requestedAt, body);
+            if (isFirstAcceptance) {
               poll(submitted);
               readAtAllNodes(submitted);
             }
           } else if (status == 422 || status == 400) {
-            submitted.refused = "" + status;
+            submitted.refusalStatus = "" + status;
             if (submitted.accepted) {
               cluster.invariants.report("forgotten", submitted.spec.id() + " got " + status);
             }
           } else {
-            again.run();
+            retry.run();
           }
         },
-        again);
+        retry);
   }
 
-  private JobSpec asAccepted(JobSpec spec) {
+  /** Returns the specification to submit; a seeded bug drops its dependencies. */
+  private JobSpec specToSubmit(JobSpec spec) {
     return cluster.seededBugs.contains("forget_awaits")
         ? SimulatedJobs.withoutDependencies(spec)
         : spec;
   }
 
-  /** Repeats a submission, as a user may at any later time. */
+  /** Repeats the submission of a job, which a user may do at any later time. */
   void resubmit(String id) {
     trySubmit(jobs.get(id));
   }
 
+  /** Polls a job at regular intervals, with jitter, until its end or beyond it. */
   private void poll(SubmittedJob submitted) {
-    if (submitted.terminal != null && !cluster.parameters.pollsWhenOver()) {
+    if (submitted.terminalPhase != null && !cluster.parameters.pollsWhenOver()) {
       return;
     }
     cluster.after(
@@ -392,14 +533,16 @@
         });
   }
 
+  /** Polls a job once at any node. */
   void pollOnce(String id) {
-    poll(anyNode(), id);
+    poll(anyEndpoint(), id);
   }
 
-  private void poll(Endpoint node, String id) {
-    long askedAt = cluster.now;
-    ask(
-        node,
+  /** Polls a job once at an endpoint and records the answer. */
+  private void poll(Endpoint endpoint, String id) {
+    long requestedAt = cluster.now;
+    sendRequest(
+        endpoint,
         x -> new Input.Poll(x, id),
         (status, body) -> {
           SubmittedJob submitted = jobs.get(id);
@@ -413,48 +556,55 @@
               cluster.invariants.report("invented", id);
             }
           } else if (status == 404) {
-            checkAnswer(submitted, askedAt, null);
+            checkAnswer(submitted, requestedAt, null);
           } else if (status == 200) {
-            recordAnswer(submitted, askedAt, body);
+            recordAnswer(submitted, requestedAt, body);
           }
         },
         () -> {});
   }
 
+  /** Cancels a job and repeats the request until a node answers it with 200. */
   void cancel(String id) {
     SubmittedJob submitted = jobs.get(id);
     submitted.cancelRequested = true;
-    Runnable again = () -> cluster.after(1000, () -> cancel(id));
-    long askedAt = cluster.now;
-    ask(
-        anyNode(),
+    Runnable retry = () -> cluster.after(RETRY_DELAY_MS, () -> cancel(id));
+    long requestedAt = cluster.now;
+    sendRequest(
+        anyEndpoint(),
         x -> new Input.Cancel(x, id),
         (status, body) -> {
           if (status == 200) {
-            recordAnswer(submitted, askedAt, body);
+            recordAnswer(submitted, requestedAt, body);
           } else {
-            again.run();
+            retry.run();
           }
         },
-        again);
+        retry);
   }
 
-  private void checkAnswer(SubmittedJob submitted, long askedAt, String phase) {
-    String rule = submitted.history.answered(askedAt, cluster.now, phase);
+  /**
+   * Reports an answer that contradicts an earlier one.
+   *
+   * @param phase the phase in the answer; null if the node did not know the job
+   */
+  private void checkAnswer(SubmittedJob submitted, long requestedAt, String phase) {
+    String rule = submitted.history.answered(requestedAt, cluster.now, phase);
     if (rule != null) {
       cluster.invariants.report(
-          rule, submitted.spec.id() + ": " + submitted.terminal + " then " + phase);
+          rule, submitted.spec.id() + ": " + submitted.terminalPhase + " then " + phase);
     }
   }
 
-  private void recordAnswer(SubmittedJob submitted, long askedAt, JsonNode body) {
+  /** Checks an answer about a job and records the phase that it reports. */
+  private void recordAnswer(SubmittedJob submitted, long requestedAt, JsonNode body) {
     String phase = body.path("phase").asText();
     String id = submitted.spec.id();
-    if (submitted.terminal != null && cluster.seededBugs.contains("stale_answers")) {
+    if (submitted.terminalPhase != null && cluster.seededBugs.contains("stale_answers")) {
       phase = "queued";
     }
-    checkAnswer(submitted, askedAt, phase);
-    if (submitted.terminal != null && !phase.equals(submitted.terminal)) {
+    checkAnswer(submitted, requestedAt, phase);
+    if (submitted.terminalPhase != null && !phase.equals(submitted.terminalPhase)) {
       return;
     }
     if (phase.equals("aborted")) {
@@ -462,9 +612,9 @@
           && allDependencies(id).stream().noneMatch(n -> jobs.get(n).cancelRequested)) {
         cluster.invariants.report("went_back", id + " cancelled by nobody");
       }
-      if (submitted.cancelConfirmed == null) {
-        submitted.cancelConfirmed = cluster.now;
-        anyCancelConfirmed = true;
+      if (submitted.cancelConfirmedAt == null) {
+        submitted.cancelConfirmedAt = cluster.now;
+        hasConfirmedCancel = true;
       }
     }
     if (phase.equals("queued") || phase.equals("running")) {
@@ -472,14 +622,14 @@
     }
     if (phase.equals("done")) {
       for (int t = 0; t < submitted.spec.tasks(); t++) {
-        if (!results.contains(id + "/" + t)) {
+        if (!completedTasks.contains(id + "/" + t)) {
           cluster.invariants.report("not_done", id + "/" + t);
         }
       }
     }
-    if (submitted.terminal == null && (phase.equals("done") || phase.equals("aborted"))) {
-      submitted.terminal = phase;
-      submitted.doneAt = cluster.now;
+    if (submitted.terminalPhase == null && (phase.equals("done") || phase.equals("aborted"))) {
+      submitted.terminalPhase = phase;
+      submitted.finishedAt = cluster.now;
       readAtAllNodes(submitted);
     }
   }
--- a/src/testbench/java/org/snowturn/simulation/SimulatedServer.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedServer.java
@@ -17,75 +17,87 @@
 import org.xnio.XnioWorker;
 
 /**
- * The stand-ins of one world over HTTP: the state service (a port for each controller, so that one
- * can be refused alone), the cloud, and all workers, each at an address of its own behind one port.
+ * HTTP server for the simulated state service, cloud and workers of one cluster. The state service
+ * and the cloud have one port for each controller, which identifies the caller so that faults can
+ * affect a single controller. All workers share one port, each at its own loopback address.
  */
 final class SimulatedServer {
-  private static final String ANY = "0.0.0.0";
+  private static final String ANY_ADDRESS = "0.0.0.0";
+
+  /** Names of the services as ends of simulated links. */
   private static final String STATE = "state";
+
   private static final String CLOUD = "cloud";
-  private static final String SOMEBODY = "somebody";
+
+  /** Name of a sender that a request does not identify. */
+  private static final String UNKNOWN_SENDER = "somebody";
 
   private final SimulatedCluster cluster;
-  private final RealTimeDriver loop;
-  private final Map<Integer, String> stateClients = new ConcurrentHashMap<>();
-  private final Map<Integer, String> cloudClients = new ConcurrentHashMap<>();
-  private Undertow state;
-  private Undertow workers;
-  private final Map<String, InetSocketAddress> cloud = new ConcurrentHashMap<>();
+  private final RealTimeDriver driver;
+  private final Map<Integer, String> clientByStatePort = new ConcurrentHashMap<>();
+  private final Map<Integer, String> clientByCloudPort = new ConcurrentHashMap<>();
+  private Undertow controllerServer;
+  private Undertow workerServer;
+  private final Map<String, InetSocketAddress> cloudAddresses = new ConcurrentHashMap<>();
   private int workersPort;
 
-  SimulatedServer(SimulatedCluster cluster, RealTimeDriver loop) {
+  SimulatedServer(SimulatedCluster cluster, RealTimeDriver driver) {
     this.cluster = cluster;
-    this.loop = loop;
+    this.driver = driver;
   }
 
   /**
-   * Listens on ports that are free; the controllers' names get a port of the state service each.
+   * Starts to listen on free ports.
+   *
+   * @param controllers names of the controllers
+   * @return address of the state service for each controller
    */
   Map<String, InetSocketAddress> start(
       List<String> controllers, XnioWorker stateThreads, XnioWorker workerThreads) {
-    Undertow.Builder builder = Undertow.builder().setWorker(stateThreads).setHandler(this::outside);
+    Undertow.Builder builder =
+        Undertow.builder().setWorker(stateThreads).setHandler(this::handleControllerCall);
     for (int i = 0; i < 2 * controllers.size(); i++) {
       builder.addHttpListener(0, InetAddress.getLoopbackAddress().getHostAddress());
     }
-    state = builder.build();
-    state.start();
-    workers =
+    controllerServer = builder.build();
+    controllerServer.start();
+    workerServer =
         Undertow.builder()
             .setWorker(workerThreads)
-            .setHandler(this::worker)
-            .addHttpListener(0, ANY)
+            .setHandler(this::handleWorkerRequest)
+            .addHttpListener(0, ANY_ADDRESS)
             .build();
-    workers.start();
-    workersPort = port(workers, 0);
-    Map<String, InetSocketAddress> out = new ConcurrentHashMap<>();
+    workerServer.start();
+    workersPort = port(workerServer, 0);
+    Map<String, InetSocketAddress> stateAddresses = new ConcurrentHashMap<>();
     for (int i = 0; i < controllers.size(); i++) {
       String name = controllers.get(i);
-      stateClients.put(port(state, i), name);
-      out.put(name, loopback(port(state, i)));
-      int cloudPort = port(state, controllers.size() + i);
-      cloudClients.put(cloudPort, name);
-      cloud.put(name, loopback(cloudPort));
+      clientByStatePort.put(port(controllerServer, i), name);
+      stateAddresses.put(name, loopback(port(controllerServer, i)));
+      int cloudPort = port(controllerServer, controllers.size() + i);
+      clientByCloudPort.put(cloudPort, name);
+      cloudAddresses.put(name, loopback(cloudPort));
     }
-    return out;
+    return stateAddresses;
   }
 
-  /** Where each controller finds the cloud. */
-  Map<String, InetSocketAddress> cloud() {
-    return cloud;
+  /** Returns the address of the cloud for each controller. */
+  Map<String, InetSocketAddress> cloudAddresses() {
+    return cloudAddresses;
   }
 
+  /** Returns the port of all workers. */
   int workersPort() {
     return workersPort;
   }
 
+  /** Closes all ports. */
   void stop() {
-    if (state != null) {
-      state.stop();
+    if (controllerServer != null) {
+      controllerServer.stop();
     }
-    if (workers != null) {
-      workers.stop();
+    if (workerServer != null) {
+      workerServer.stop();
     }
   }
 
@@ -97,44 +109,47 @@
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
   }
 
-  private void outside(HttpServerExchange exchange) {
+  /** Handles a call of a controller to the state service or the cloud. */
+  private void handleControllerCall(HttpServerExchange exchange) {
     int port = exchange.getDestinationAddress().getPort();
-    boolean toState = stateClients.containsKey(port);
-    String client = toState ? stateClients.get(port) : cloudClients.get(port);
-    String service = toState ? STATE : CLOUD;
+    boolean isStateCall = clientByStatePort.containsKey(port);
+    String client = isStateCall ? clientByStatePort.get(port) : clientByCloudPort.get(port);
+    String service = isStateCall ? STATE : CLOUD;
     withBody(
         exchange,
         body -> {
           Effect.Call call = call(exchange, body);
-          SimulatedCluster.Reply back = back(exchange, service, client);
-          loop.post(
+          SimulatedCluster.ReplyHandler reply = replyTo(exchange, service, client);
+          driver.post(
               () -> {
                 log(client, service, call.method() + " " + call.path(), body);
-                Runnable take =
-                    toState
-                        ? () -> cluster.state.accept(client, call, back)
-                        : () -> cluster.cloud.accept(call, back);
-                cluster.send(client, service, take);
+                Runnable deliver =
+                    isStateCall
+                        ? () -> cluster.state.handle(client, call, reply)
+                        : () -> cluster.cloud.handle(call, reply);
+                cluster.send(client, service, deliver);
               });
         });
   }
 
-  /** Sends a reply on its way, on which it may be lost. */
-  private SimulatedCluster.Reply back(HttpServerExchange exchange, String from, String to) {
+  /** Returns a handler that sends a reply over the simulated network, where it may be lost. */
+  private SimulatedCluster.ReplyHandler replyTo(
+      HttpServerExchange exchange, String from, String to) {
     return (outcome, status, json) ->
         cluster.send(
             from,
             to,
             () -> {
               log(from, to, "" + status, json);
-              answer(exchange, status, json);
+              sendAnswer(exchange, status, json);
             });
   }
 
-  private void log(String from, String to, String what, JsonNode body) {
-    cluster.messages.message(cluster.now, from, to, what, body);
+  private void log(String from, String to, String summary, JsonNode body) {
+    cluster.messageLog.message(cluster.now, from, to, summary, body);
   }
 
+  /** Returns the call that a request stands for. */
   private static Effect.Call call(HttpServerExchange exchange, JsonNode body) {
     String query = exchange.getQueryString();
     String path = exchange.getRequestPath() + (query.isEmpty() ? "" : "?" + query);
@@ -142,43 +157,48 @@
     return new Effect.Call(0, Effect.Target.STATE, null, method, path, body, 0);
   }
 
-  /** A machine that is gone says nothing at all. */
-  private void worker(HttpServerExchange exchange) {
-    InetSocketAddress to = exchange.getDestinationAddress();
-    if (!to.getAddress().isLoopbackAddress()) {
+  /** Handles a request to a worker, which is identified by the destination address. */
+  private void handleWorkerRequest(HttpServerExchange exchange) {
+    InetSocketAddress destination = exchange.getDestinationAddress();
+    if (!destination.getAddress().isLoopbackAddress()) {
       exchange.setStatusCode(404).endExchange();
       return;
     }
-    String addr = to.getAddress().getHostAddress() + ":" + to.getPort();
-    withBody(exchange, body -> loop.post(() -> toWorker(exchange, addr, body)));
+    String addr = destination.getAddress().getHostAddress() + ":" + destination.getPort();
+    withBody(exchange, body -> driver.post(() -> deliverToWorker(exchange, addr, body)));
   }
 
-  private void toWorker(HttpServerExchange exchange, String addr, JsonNode body) {
+  /** Delivers a request to the worker at an address; an unknown worker never answers. */
+  private void deliverToWorker(HttpServerExchange exchange, String addr, JsonNode body) {
     SimulatedWorker worker = cluster.workers.get(addr);
     if (worker == null) {
       return;
     }
-    boolean question = exchange.getRequestPath().equals("/status");
-    // Who asks for the status does not say who it is; commands carry their sender's token.
-    String sender = question ? null : cluster.state.leaderUnder(body.path("baton").asLong());
-    String from = sender == null ? SOMEBODY : sender;
-    SimulatedCluster.Reply back = back(exchange, addr, from);
+    boolean isStatusRequest = exchange.getRequestPath().equals("/status");
+    // Status requests do not identify their sender; commands carry the token of the sender's term.
+    String sender = isStatusRequest ? null : cluster.state.leaderUnder(body.path("baton").asLong());
+    String from = sender == null ? UNKNOWN_SENDER : sender;
+    SimulatedCluster.ReplyHandler reply = replyTo(exchange, addr, from);
     log(from, addr, exchange.getRequestPath(), body);
     Runnable deliver =
-        question ? () -> worker.status(back) : () -> worker.command(body, Long.MIN_VALUE, back);
-    if (question || cluster.lateCommandsMs() == 0) {
+        isStatusRequest
+            ? () -> worker.handleStatus(reply)
+            : () -> worker.handleCommand(body, Long.MIN_VALUE, reply);
+    if (isStatusRequest || cluster.commandDelayMs() == 0) {
       cluster.send(from, addr, deliver);
     } else {
-      // Held up on its way: its sender has given up by the time it is carried out.
-      cluster.after(cluster.jitter(cluster.lateCommandsMs()), deliver);
+      // The sender's request has timed out by the time the delayed command is executed.
+      cluster.after(cluster.jitter(cluster.commandDelayMs()), deliver);
     }
   }
 
-  private interface WithBody {
-    void on(JsonNode body);
+  /** Handles the parsed body of a request. */
+  private interface BodyHandler {
+    void handle(JsonNode body);
   }
 
-  private static void withBody(HttpServerExchange exchange, WithBody then) {
+  /** Reads and parses the body of a request; answers 400 if it is not JSON. */
+  private static void withBody(HttpServerExchange exchange, BodyHandler handler) {
     exchange
         .getRequestReceiver()
         .receiveFullBytes(
@@ -187,15 +207,16 @@
                     SameThreadExecutor.INSTANCE,
                     () -> {
                       try {
-                        then.on(bytes.length == 0 ? Json.object() : Json.parse(bytes));
+                        handler.handle(bytes.length == 0 ? Json.object() : Json.parse(bytes));
                       } catch (IOException e) {
                         ex.setStatusCode(400).endExchange();
                       }
                     }));
   }
 
-  private static void answer(HttpServerExchange exchange, int status, JsonNode json) {
-    // Written on the world's thread: what it holds may change before another gets to it.
+  /** Sends an answer, unless the exchange has been answered or its connection is closed. */
+  private static void sendAnswer(HttpServerExchange exchange, int status, JsonNode json) {
+    // Serialized on the simulation thread, because the JSON may change before the I/O thread runs.
     byte[] body = json == null ? new byte[0] : Json.bytes(json);
     exchange
         .getIoThread()
