--- a/src/test/java/org/snowturn/simulation/BehaviorDigestTest.java
+++ b/src/test/java/org/snowturn/simulation/BehaviorDigestTest.java
@@ -24,7 +24,7 @@
   private static String digestOf(Effect... effects) {
     BehaviorDigest digest = new BehaviorDigest();
     for (Effect effect : effects) {
-      digest.sent(1_000, "n0", effect);
+      digest.onEffect(1_000, "n0", effect);
     }
     return digest.value();
   }
--- a/src/test/java/org/snowturn/simulation/InvariantCheckerTest.java
+++ b/src/test/java/org/snowturn/simulation/InvariantCheckerTest.java
@@ -31,7 +31,7 @@
     Scenario scenario =
         Scenario.of(List.of("machines 3", "down n0 n1 n2", "teams t:3 u:0", "until 10"));
     scenario.run(1);
-    cluster = scenario.last;
+    cluster = scenario.lastCluster;
     workers = new ArrayList<>(cluster.workers.values());
     assertEquals(Set.of(), cluster.invariants.violated);
   }
--- a/src/test/java/org/snowturn/simulation/OverlappingFaultsTest.java
+++ b/src/test/java/org/snowturn/simulation/OverlappingFaultsTest.java
@@ -18,6 +18,7 @@
 
   @TestFactory
   Stream<DynamicTest> noRuleIsBroken() {
-    return DrawnSeeds.play("overlapping", SEEDS, seed -> new OverlappingFaults(seed).scenario());
+    return RandomScenarios.runSeeds(
+        "overlapping", SEEDS, seed -> new OverlappingFaults(seed).generate());
   }
 }
--- a/src/test/java/org/snowturn/simulation/ScenarioFormatTest.java
+++ b/src/test/java/org/snowturn/simulation/ScenarioFormatTest.java
@@ -37,7 +37,7 @@
   void aRangeStandsForAllJobsInIt() {
     assertEquals(
         List.of("wk-000009", "wk-000010", "wk-000003"),
-        line("at 1 submit wk-000009..wk-000010,wk-000003").jobs(3));
+        line("at 1 submit wk-000009..wk-000010,wk-000003").jobIds(3));
   }
 
   @Test
--- a/src/test/java/org/snowturn/simulation/TargetedFaultsTest.java
+++ b/src/test/java/org/snowturn/simulation/TargetedFaultsTest.java
@@ -16,6 +16,6 @@
 
   @TestFactory
   Stream<DynamicTest> noRuleIsBroken() {
-    return DrawnSeeds.play("targeted", SEEDS, seed -> new TargetedFaults(seed).scenario());
+    return RandomScenarios.runSeeds("targeted", SEEDS, seed -> new TargetedFaults(seed).generate());
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/BehaviorDigest.java
+++ b/src/testbench/java/org/snowturn/simulation/BehaviorDigest.java
@@ -45,7 +45,7 @@
   }
 
   @Override
-  public void sent(long atMs, String node, Effect effect) {
+  public void onEffect(long atMs, String node, Effect effect) {
     if (effect instanceof Effect.Call call) {
       calls++;
       add(atMs, node, "call", call.target().name(), call.addr(), call.method(), call.path());
--- a/src/testbench/java/org/snowturn/simulation/EffectObserver.java
+++ b/src/testbench/java/org/snowturn/simulation/EffectObserver.java
@@ -13,5 +13,5 @@
    * @param atMs simulated time in milliseconds
    * @param node the controller that the effect comes from
    */
-  void sent(long atMs, String node, Effect effect);
+  void onEffect(long atMs, String node, Effect effect);
 }
--- a/src/testbench/java/org/snowturn/simulation/LoopbackCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackCluster.java
@@ -256,7 +256,7 @@
   /** Random jobs come for so long from now on, one within each so many milliseconds. */
   public void randomJobs(long forMs, int everyMs) {
     List<String> names = teams().stream().map(Team::name).toList();
-    loop.post(() -> new RandomJobs(cluster, names, 1, everyMs).until(cluster.now + forMs));
+    loop.post(() -> new RandomJobs(cluster, names, 1, everyMs).submitUntil(cluster.now + forMs));
   }
 
   /** Users ask at all nodes within milliseconds, repeat and submit what never runs, for so long. */
--- a/src/testbench/java/org/snowturn/simulation/LoopbackFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackFaults.java
@@ -34,43 +34,43 @@
   }
 
   /** The state service refuses one controller alone. */
-  public void refuse(String controller, long ms) {
+  public void refuseStateRequests(String controller, long ms) {
     loop.post(() -> cluster.state.refuse(controller, ms));
   }
 
   /** The state service is out for everybody. */
-  public void outage(long ms) {
+  public void startStateOutage(long ms) {
     loop.post(() -> cluster.state.outage(ms));
   }
 
   /** The state service answers so many times slower. */
-  public void slowState(int times, long ms) {
+  public void slowStateService(int times, long ms) {
     forAWhile(ms, () -> cluster.state.slowdown = times, () -> cluster.state.slowdown = 1);
   }
 
   /** That share of the transactions is carried out, and only the answer is lost. */
-  public void loseAnswers(double share, long ms) {
+  public void loseStateReplies(double share, long ms) {
     forAWhile(ms, () -> cluster.state.loseReplies = share, () -> cluster.state.loseReplies = 0);
   }
 
   /** That share of the transactions gets no answer and is carried out seconds later. */
-  public void lateTransactions(double share, long ms) {
+  public void delayTransactions(double share, long ms) {
     forAWhile(
         ms, () -> cluster.state.lateTransactions = share, () -> cluster.state.lateTransactions = 0);
   }
 
   /** Direct commands are held up for so long, or up to twice that. */
-  public void lateCommands(long lateMs, long ms) {
+  public void delayCommands(long lateMs, long ms) {
     forAWhile(ms, () -> cluster.delayCommands(lateMs), () -> cluster.delayCommands(0));
   }
 
   /** A copy of each report comes once more, up to so much later. */
-  public void copyReports(long mostMs, long ms) {
+  public void duplicateHeartbeats(long mostMs, long ms) {
     forAWhile(ms, () -> cluster.duplicateHeartbeats(mostMs), () -> cluster.duplicateHeartbeats(0));
   }
 
   /** Check-ins wait so long on their way; direct answers do not. */
-  public void slowReports(long lateMs, long ms) {
+  public void delayHeartbeats(long lateMs, long ms) {
     forAWhile(ms, () -> cluster.heartbeatDelayMs = lateMs, () -> cluster.heartbeatDelayMs = 0);
   }
 
@@ -95,12 +95,12 @@
   }
 
   /** The cloud takes some machines away. */
-  public void takeWorkers(int count) {
+  public void reclaimWorkers(int count) {
     onWorkers(count, worker -> cluster.cloud.end(worker.rented.id));
   }
 
   /** Some machines fail whatever starts there. */
-  public void sickWorkers(int count, long ms) {
+  public void failTasksOnWorkers(int count, long ms) {
     onWorkers(
         count,
         worker -> {
--- a/src/testbench/java/org/snowturn/simulation/OverlappingFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/OverlappingFaults.java
@@ -19,7 +19,7 @@
     random = new SplittableRandom(seed);
   }
 
-  List<String> scenario() {
+  List<String> generate() {
     text.add(random.nextBoolean() ? "workers 2 10 30" : "workers 5 26.5 46.5");
     // Near its limit, or not.
     text.add(random.nextBoolean() ? "teams t:0 u:60" : "teams t:0 u:21");
--- a/src/testbench/java/org/snowturn/simulation/RandomFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/RandomFaults.java
@@ -22,7 +22,8 @@
     cluster.after(
         2000,
         () ->
-            new RandomJobs(cluster, List.of("u", "t"), LEAST_PAUSE_MS, MORE_PAUSE_MS).until(endMs));
+            new RandomJobs(cluster, List.of("u", "t"), LEAST_PAUSE_MS, MORE_PAUSE_MS)
+                .submitUntil(endMs));
     cluster.after(8000, this::fault);
     cluster.after(endMs, this::heal);
   }
--- a/src/testbench/java/org/snowturn/simulation/RandomJobs.java
+++ b/src/testbench/java/org/snowturn/simulation/RandomJobs.java
@@ -41,7 +41,7 @@
   }
 
   /** Submits until then. */
-  void until(long endMs) {
+  void submitUntil(long endMs) {
     end = endMs;
     next();
   }
--- a/src/testbench/java/org/snowturn/simulation/Scenario.java
+++ b/src/testbench/java/org/snowturn/simulation/Scenario.java
@@ -21,7 +21,7 @@
   private final List<ScenarioLine> expectations = new ArrayList<>();
 
   /** The cluster of the last run, for whoever wants to look closer. */
-  SimulatedCluster last;
+  SimulatedCluster lastCluster;
 
   /** Is told of everything that the controllers of a run send. */
   EffectObserver observer = EffectObserver.NONE;
@@ -66,7 +66,7 @@
   /** Runs it once; returns what went wrong, empty if nothing did. */
   List<String> run(long seed) throws IOException, MalformedException {
     SimulatedCluster cluster = prepare(seed);
-    cluster.runUntil(settings.count("until", 120) * 1000L);
+    cluster.runUntil(settings.integer("until", 120) * 1000L);
     if (settings.has("serve")) {
       ScenarioLine serve = settings.line("serve");
       cluster.invariants.checkServed(serve.number(1), serve.millis(2));
@@ -76,15 +76,15 @@
 
   private SimulatedCluster prepare(long seed) throws IOException, MalformedException {
     SimulatedCluster cluster = new SimulatedCluster(seed, settings(), settings.tunables());
-    last = cluster;
+    lastCluster = cluster;
     cluster.observer = observer;
     if (settings.has("boot")) {
       cluster.cloud.bootMs = settings.line("boot").millis(1);
     }
-    cluster.cloud.perZone = settings.count("capacity", 2);
+    cluster.cloud.perZone = settings.integer("capacity", 2);
     cluster.seededBugs.addAll(settings.words("seeded-bugs", ""));
     List<String> zones = cluster.settings[0].zones();
-    int machines = settings.count("machines", 3);
+    int machines = settings.integer("machines", 3);
     for (int i = 0; i < machines; i++) {
       cluster.cloud.rent(zones.get(i % zones.size()), false);
     }
@@ -97,7 +97,7 @@
         .forEach(node -> cluster.after(cluster.random.nextInt(MAX_START_DELAY_MS), node::start));
     events.forEach(line -> ScenarioEvents.schedule(cluster, line));
     if (settings.has("random-faults")) {
-      new RandomFaults(cluster).start(settings.line("random-faults").count(1) * 1000L);
+      new RandomFaults(cluster).start(settings.line("random-faults").integer(1) * 1000L);
     }
     cluster.faultsEndMs = faultsEndMs();
     return cluster;
--- a/src/testbench/java/org/snowturn/simulation/ScenarioEvents.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioEvents.java
@@ -53,9 +53,10 @@
 
   private static void clients() {
     ACTIONS.put(
-        "submit", (cluster, line) -> line.jobs(FIRST).forEach(job -> submit(cluster, job, line)));
-    ACTIONS.put("cancel", (cluster, line) -> line.jobs(FIRST).forEach(cluster.clients::cancel));
-    ACTIONS.put("resubmit", (cluster, line) -> line.jobs(FIRST).forEach(cluster.clients::resubmit));
+        "submit", (cluster, line) -> line.jobIds(FIRST).forEach(job -> submit(cluster, job, line)));
+    ACTIONS.put("cancel", (cluster, line) -> line.jobIds(FIRST).forEach(cluster.clients::cancel));
+    ACTIONS.put(
+        "resubmit", (cluster, line) -> line.jobIds(FIRST).forEach(cluster.clients::resubmit));
     ACTIONS.put("poll", (cluster, line) -> cluster.clients.pollOnce(line.word(FIRST)));
     ACTIONS.put(
         "read-after-write", (cluster, line) -> cluster.clients.readAfterWrite(line.millis(FIRST)));
@@ -66,7 +67,7 @@
         "cancel-now",
         (cluster, line) ->
             cluster.clients.cancelNow(
-                line.count(FIRST), line.has(SECOND) ? line.millis(SECOND) : 0));
+                line.integer(FIRST), line.hasWord(SECOND) ? line.millis(SECOND) : 0));
     ACTIONS.put(
         "cancel-at-end",
         (cluster, line) -> {
@@ -88,7 +89,7 @@
                 node(cluster, line),
                 line.word(SECOND),
                 line.millis(THIRD),
-                line.has(THIRD + 1) && line.word(THIRD + 1).equals("hold")
+                line.hasWord(THIRD + 1) && line.word(THIRD + 1).equals("hold")
                     ? SimulatedCluster.Cut.HOLD
                     : SimulatedCluster.Cut.DROP));
     ACTIONS.put(
@@ -103,7 +104,7 @@
 
   private static void stateService() {
     ACTIONS.put(
-        "record-done", (cluster, line) -> line.jobs(FIRST).forEach(cluster.state::recordDone));
+        "record-done", (cluster, line) -> line.jobIds(FIRST).forEach(cluster.state::recordDone));
     ACTIONS.put(
         "lower-limits",
         (cluster, line) -> cluster.state.limits = cluster.settings[0].nextStateLimits());
@@ -120,7 +121,7 @@
     ACTIONS.put(
         "slow-state",
         (cluster, line) -> {
-          cluster.state.slowdown = line.count(FIRST);
+          cluster.state.slowdown = line.integer(FIRST);
           cluster.after(line.millis(SECOND), () -> cluster.state.slowdown = 1);
         });
     ACTIONS.put("corrupt", (cluster, line) -> cluster.state.corrupt(line.word(FIRST)));
@@ -252,7 +253,7 @@
   }
 
   private static void submit(SimulatedCluster cluster, String job, ScenarioLine line) {
-    Map<String, String> options = line.named(THIRD);
+    Map<String, String> options = line.options(THIRD);
     Map<Integer, Long> stragglers = new HashMap<>();
     if (options.containsKey("straggler")) {
       String[] parts = options.get("straggler").split(":", -1);
@@ -260,10 +261,10 @@
     }
     List<String> dependencies = new ArrayList<>();
     if (options.containsKey("dependencies")) {
-      dependencies = line.jobs(options.get("dependencies"));
+      dependencies = line.jobIds(options.get("dependencies"));
     }
     long number = line.jobNumber(job);
-    if (options.containsKey("chain") && number > line.jobNumber(line.jobs(FIRST).get(0))) {
+    if (options.containsKey("chain") && number > line.jobNumber(line.jobIds(FIRST).get(0))) {
       dependencies = List.of(SimulatedJobs.id(number - 1));
     }
     cluster.clients.submit(
@@ -326,7 +327,7 @@
   /** The machine with the index that the first argument names. */
   private static SimulatedWorker worker(SimulatedCluster cluster, ScenarioLine line) {
     return cluster.workers.values().stream()
-        .skip(line.count(FIRST))
+        .skip(line.integer(FIRST))
         .findFirst()
         .orElseThrow(() -> new ScenarioFormatException(line, "no such machine"));
   }
@@ -334,7 +335,7 @@
   /** As many machines as the first argument says, from all over the cluster. */
   private static List<SimulatedWorker> manyWorkers(SimulatedCluster cluster, ScenarioLine line) {
     List<SimulatedWorker> all = List.copyOf(cluster.workers.values());
-    int count = line.count(FIRST);
+    int count = line.integer(FIRST);
     List<SimulatedWorker> some = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       some.add(all.get(i * all.size() / count));
--- a/src/testbench/java/org/snowturn/simulation/ScenarioExpectations.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioExpectations.java
@@ -31,19 +31,19 @@
     }
 
     void expectCount(ScenarioLine line, int index, long actual) {
-      if (actual != line.count(index)) {
+      if (actual != line.integer(index)) {
         add(line, actual);
       }
     }
 
     void expectAtMost(ScenarioLine line, int index, long actual) {
-      if (actual > line.count(index)) {
+      if (actual > line.integer(index)) {
         add(line, actual);
       }
     }
 
     void expectAtLeast(ScenarioLine line, int index, long actual) {
-      if (actual < line.count(index)) {
+      if (actual < line.integer(index)) {
         add(line, actual);
       }
     }
@@ -122,9 +122,9 @@
   }
 
   private static void terminal(SimulatedCluster cluster, ScenarioLine line, Failures failures) {
-    for (String id : line.jobs(FIRST)) {
+    for (String id : line.jobIds(FIRST)) {
       SimulatedClients.SubmittedJob job = cluster.clients.job(id);
-      boolean late = line.has(THIRD) && job.doneAt > line.millis(THIRD);
+      boolean late = line.hasWord(THIRD) && job.doneAt > line.millis(THIRD);
       if (!line.word(1).equals(job.terminal) || late) {
         failures.add(line, id + " " + job.terminal + " at " + job.doneAt);
       }
@@ -135,9 +135,9 @@
     CHECKS.put(
         "running",
         (cluster, line, failures) -> {
-          for (String id : line.jobs(FIRST)) {
+          for (String id : line.jobIds(FIRST)) {
             long running = running(cluster, id, worker -> true);
-            if (running != line.count(SECOND)) {
+            if (running != line.integer(SECOND)) {
               failures.add(line, running + " of " + id);
             }
           }
--- a/src/testbench/java/org/snowturn/simulation/ScenarioLine.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioLine.java
@@ -38,12 +38,12 @@
     return words.length;
   }
 
-  boolean has(int index) {
+  boolean hasWord(int index) {
     return index < words.length;
   }
 
   String word(int index) {
-    if (!has(index)) {
+    if (!hasWord(index)) {
       throw new ScenarioFormatException(this, "word " + (index + 1) + " is missing");
     }
     return words[index];
@@ -63,7 +63,7 @@
     }
   }
 
-  int count(int index) {
+  int integer(int index) {
     try {
       return Integer.parseInt(word(index));
     } catch (NumberFormatException e) {
@@ -80,11 +80,11 @@
    * Job ids with commas between; {@code wk-000001..wk-000009} stands for all from the first to the
    * last.
    */
-  List<String> jobs(int index) {
-    return jobs(word(index));
+  List<String> jobIds(int index) {
+    return jobIds(word(index));
   }
 
-  List<String> jobs(String list) {
+  List<String> jobIds(String list) {
     List<String> ids = new ArrayList<>();
     for (String part : list.split(",", -1)) {
       int range = part.indexOf(RANGE);
@@ -109,7 +109,7 @@
   }
 
   /** The words from this one on that have the form {@code name=value}. */
-  Map<String, String> named(int from) {
+  Map<String, String> options(int from) {
     Map<String, String> named = new LinkedHashMap<>();
     for (int i = from; i < words.length; i++) {
       int equals = words[i].indexOf('=');
--- a/src/testbench/java/org/snowturn/simulation/ScenarioSettings.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioSettings.java
@@ -32,7 +32,7 @@
   /** The words of a setting, or those of the default. */
   List<String> words(String name, String absent) {
     ScenarioLine line = lines.get(name);
-    if (line == null || !line.has(1)) {
+    if (line == null || !line.hasWord(1)) {
       return List.of(absent.split("\\s+", -1));
     }
     List<String> words = new ArrayList<>();
@@ -46,8 +46,8 @@
     return has(name) ? line(name).number(1) : absent;
   }
 
-  int count(String name, int absent) {
-    return has(name) ? line(name).count(1) : absent;
+  int integer(String name, int absent) {
+    return has(name) ? line(name).integer(1) : absent;
   }
 
   long[] seeds() {
@@ -141,6 +141,7 @@
       return absent;
     }
     ScenarioLine line = line(name);
-    return new Settings.StateLimits(line.number(1), line.number(2), line.number(3), line.count(4));
+    return new Settings.StateLimits(
+        line.number(1), line.number(2), line.number(3), line.integer(4));
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
@@ -381,11 +381,11 @@
   }
 
   private void poll(SubmittedJob submitted) {
-    if (submitted.terminal != null && !cluster.parameters.pollsWhenOver()) {
+    if (submitted.terminal != null && !cluster.parameters.shouldPollFinishedJobs()) {
       return;
     }
     cluster.after(
-        cluster.jitter(cluster.parameters.pollMs()),
+        cluster.jitter(cluster.parameters.minPollIntervalMs()),
         () -> {
           pollOnce(submitted.spec.id());
           poll(submitted);
--- a/src/testbench/java/org/snowturn/simulation/SimulatedCloud.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedCloud.java
@@ -162,7 +162,7 @@
       }
       ObjectNode n = array.addObject();
       n.put("id", r.id)
-          .put("addr", cluster.parameters.addresses().apply(r.id))
+          .put("addr", cluster.parameters.addressByMachine().apply(r.id))
           .put("hull", "t8")
           .put("field", r.zone);
       n.put("loaners", r.spot).put("held_s", (asOf - r.at) / 1000.0);
--- a/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
@@ -377,7 +377,7 @@
     }
 
     void perform(Effect effect) {
-      observer.sent(now, name, effect);
+      observer.onEffect(now, name, effect);
       if (effect instanceof Effect.Answer answer) {
         Exchange x = exchanges.remove(answer.exchange());
         if (x != null) {
--- a/src/testbench/java/org/snowturn/simulation/SimulatedWorker.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedWorker.java
@@ -60,7 +60,7 @@
   SimulatedWorker(SimulatedCluster cluster, SimulatedCloud.Rented rented) {
     this.cluster = cluster;
     this.rented = rented;
-    this.addr = cluster.parameters.addresses().apply(rented.id);
+    this.addr = cluster.parameters.addressByMachine().apply(rented.id);
   }
 
   private Settings.Workers figures() {
@@ -134,7 +134,7 @@
       return;
     }
     endLapsed();
-    cluster.after(cluster.parameters.leaseCheckMs(), this::watchLease);
+    cluster.after(cluster.parameters.leaseCheckIntervalMs(), this::watchLease);
   }
 
   private ObjectNode body() {
--- a/src/testbench/java/org/snowturn/simulation/Simulation.java
+++ b/src/testbench/java/org/snowturn/simulation/Simulation.java
@@ -32,7 +32,7 @@
   public static List<Simulation> ofOverlappingFaults(int firstSeed, int lastSeed) {
     List<Simulation> out = new ArrayList<>();
     for (int seed = firstSeed; seed <= lastSeed; seed++) {
-      List<String> text = new OverlappingFaults(seed).scenario();
+      List<String> text = new OverlappingFaults(seed).generate();
       out.add(new Simulation("overlapping faults seed " + seed, text, seed));
     }
     return out;
@@ -42,7 +42,7 @@
   public static List<Simulation> ofTargetedFaults(int firstSeed, int lastSeed) {
     List<Simulation> out = new ArrayList<>();
     for (int seed = firstSeed; seed <= lastSeed; seed++) {
-      List<String> text = new TargetedFaults(seed).scenario();
+      List<String> text = new TargetedFaults(seed).generate();
       out.add(new Simulation("targeted faults seed " + seed, text, seed));
     }
     return out;
--- a/src/testbench/java/org/snowturn/simulation/SimulationParameters.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulationParameters.java
@@ -15,10 +15,10 @@
 record SimulationParameters(
     double cpus,
     double memoryGb,
-    long pollMs,
-    boolean pollsWhenOver,
-    long leaseCheckMs,
-    UnaryOperator<String> addresses) {
+    long minPollIntervalMs,
+    boolean shouldPollFinishedJobs,
+    long leaseCheckIntervalMs,
+    UnaryOperator<String> addressByMachine) {
 
   /** What the scenarios use. */
   static final SimulationParameters SMALL =
--- a/src/testbench/java/org/snowturn/simulation/TargetedFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/TargetedFaults.java
@@ -22,7 +22,7 @@
     kind = seed % 7;
   }
 
-  List<String> scenario() {
+  List<String> generate() {
     text.add("workers 2 10 30");
     switch (kind) {
       case 0 -> teamsAtTheirLimits();
--- a/src/testbench/java/org/snowturn/testbench/FaultInjector.java
+++ b/src/testbench/java/org/snowturn/testbench/FaultInjector.java
@@ -91,18 +91,19 @@
       case CUT_TO_PEERS -> cutPeers(fault, true);
       case CUT_FROM_PEERS -> cutPeers(fault, false);
       case REFUSE ->
-          targets(fault).forEach(controller -> faults.refuse(controller.name, fault.forMs()));
-      case OUTAGE -> faults.outage(fault.forMs());
-      case SLOW_STATE -> faults.slowState((int) fault.amount(), fault.forMs());
-      case LOSE_ANSWERS -> faults.loseAnswers(fault.amount(), fault.forMs());
-      case LATE_TRANSACTIONS -> faults.lateTransactions(fault.amount(), fault.forMs());
-      case LATE_COMMANDS -> faults.lateCommands(amountMs(fault), fault.forMs());
-      case COPY_REPORTS -> faults.copyReports(amountMs(fault), fault.forMs());
-      case SLOW_REPORTS -> faults.slowReports(amountMs(fault), fault.forMs());
+          targets(fault)
+              .forEach(controller -> faults.refuseStateRequests(controller.name, fault.forMs()));
+      case OUTAGE -> faults.startStateOutage(fault.forMs());
+      case SLOW_STATE -> faults.slowStateService((int) fault.amount(), fault.forMs());
+      case LOSE_ANSWERS -> faults.loseStateReplies(fault.amount(), fault.forMs());
+      case LATE_TRANSACTIONS -> faults.delayTransactions(fault.amount(), fault.forMs());
+      case LATE_COMMANDS -> faults.delayCommands(amountMs(fault), fault.forMs());
+      case COPY_REPORTS -> faults.duplicateHeartbeats(amountMs(fault), fault.forMs());
+      case SLOW_REPORTS -> faults.delayHeartbeats(amountMs(fault), fault.forMs());
       case HANG_WORKERS -> faults.hangWorkers((int) fault.amount(), fault.forMs());
       case KILL_WORKERS -> faults.killWorkers((int) fault.amount());
-      case TAKE_WORKERS -> faults.takeWorkers((int) fault.amount());
-      case SICK_WORKERS -> faults.sickWorkers((int) fault.amount(), fault.forMs());
+      case TAKE_WORKERS -> faults.reclaimWorkers((int) fault.amount());
+      case SICK_WORKERS -> faults.failTasksOnWorkers((int) fault.amount(), fault.forMs());
       case CANCEL_JOBS -> faults.cancelJobs((int) fault.amount());
       default -> throw new IllegalStateException(fault.toString());
     }
