--- a/src/test/java/org/snowturn/simulation/BehaviorDigestTest.java
+++ b/src/test/java/org/snowturn/simulation/BehaviorDigestTest.java
@@ -10,6 +10,10 @@
 import org.snowturn.core.PeerMessage;
 import org.snowturn.wire.Command;
 
+/**
+ * Guards against a digest that misses a change of behavior, or that differs between equal runs or
+ * with log lines.
+ */
 class BehaviorDigestTest {
   private static final Simulation SMALL =
       new Simulation(
@@ -39,23 +43,23 @@
   }
 
   @Test
-  void theSameRunHasTheSameDigest() throws Exception {
+  void equalRunsHaveEqualDigests() throws Exception {
     assertEquals(BehaviorDigest.of(SMALL), BehaviorDigest.of(SMALL));
   }
 
   @Test
-  void anotherSeedHasAnotherDigest() throws Exception {
+  void differentSeedsHaveDifferentDigests() throws Exception {
     Simulation other = new Simulation("small", SMALL.text(), SMALL.seed() + 1);
     assertNotEquals(BehaviorDigest.of(SMALL), BehaviorDigest.of(other));
   }
 
   @Test
-  void oneChangedCommandChangesIt() {
+  void changedCommandChangesDigest() {
     assertNotEquals(digestOf(start(1)), digestOf(start(2)));
   }
 
   @Test
-  void aChangedAnswerOrPeerMessageChangesIt() {
+  void changedAnswerOrPeerMessageChangesDigest() {
     assertNotEquals(
         digestOf(new Effect.Answer(1, 200, null, 0)), digestOf(new Effect.Answer(1, 503, null, 0)));
     assertNotEquals(
@@ -64,7 +68,7 @@
   }
 
   @Test
-  void logLinesAreLeftOut() {
+  void logLinesDoNotChangeDigest() {
     Effect line = new Effect.Event(Effect.Severity.INFO, "event=any");
     assertEquals(digestOf(call(null)), digestOf(call(null), line));
   }
--- a/src/test/java/org/snowturn/simulation/ElectionExplorerTest.java
+++ b/src/test/java/org/snowturn/simulation/ElectionExplorerTest.java
@@ -15,35 +15,36 @@
 import org.snowturn.config.Tunables;
 
 /**
- * Elections of three nodes, the real classes, all of them to a stated depth: after each kind of
- * beginning, at each of ten moments around the next claim, any one or two of the twelve directions
- * between nodes and to or from the state service are dead for a while, and none or any one of the
- * nodes ends a moment later and is back at once; or what is sent that way in that time comes late.
- * At no moment two nodes have authority, and in the end somebody leads.
+ * Explores elections of three nodes exhaustively and guards against two leaders at a time, or none
+ * at the end. After each initial fault, at ten moments around the next claim, one or two of the
+ * twelve directed links lose or delay messages, and at most one node restarts when they lose them.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class ElectionExplorerTest {
   private static final long FROM_MS = 6_000;
   private static final int MOMENTS = 10;
   private static final long STEP_MS = 130;
-  private static final long DEAD_MS = 1_300;
+  private static final long FAULT_MS = 1_300;
 
-  /** A little less than a call waits. */
+  /** Delay of messages, slightly shorter than the timeout of a call. */
   private static final long SLOW_MS = 1_400;
 
-  private static final long CALM_MS = 9_000;
+  private static final long RECOVERY_MS = 9_000;
 
-  /** From one to another. */
+  /** Index that stands for no crashed node. */
+  private static final int NO_NODE = -1;
+
+  /** Directed link from one node or the state service to another. */
   private record Direction(String from, String to) {}
 
   /**
-   * How it begins.
+   * Initial fault that leads to an election.
    *
-   * @param aroundMs so much later the first of the moments comes
+   * @param firstMomentMs time from the fault to the first of the moments
    */
-  private record Beginning(String name, long aroundMs, Start start) {
+  private record InitialFault(String name, long firstMomentMs, Start start) {
     interface Start {
-      void in(SimulatedCluster cluster);
+      void apply(SimulatedCluster cluster);
     }
   }
 
@@ -51,19 +52,20 @@
     return cluster.leader() == null ? cluster.nodes.get(0) : cluster.leader();
   }
 
-  private static final List<Beginning> BEGINNINGS =
+  private static final List<InitialFault> INITIAL_FAULTS =
       List.of(
-          new Beginning(
-              "the leader ends for good", 2_000, cluster -> leader(cluster).crash(60_000)),
-          new Beginning("the leader ends and is back", 100, cluster -> leader(cluster).crash(300)),
-          new Beginning(
-              "the leader is refused alone",
+          new InitialFault(
+              "the leader crashes for good", 2_000, cluster -> leader(cluster).crash(60_000)),
+          new InitialFault(
+              "the leader crashes and restarts", 100, cluster -> leader(cluster).crash(300)),
+          new InitialFault(
+              "the state service refuses only the leader",
               1_000,
               cluster -> cluster.state.refuse(leader(cluster).name, 6_000)),
-          new Beginning("the leader stands still", 2_400, cluster -> leader(cluster).pause(3_500)),
-          new Beginning("an outage ends", 2_400, cluster -> cluster.state.outage(3_000)),
-          new Beginning(
-              "all end",
+          new InitialFault("the leader is paused", 2_400, cluster -> leader(cluster).pause(3_500)),
+          new InitialFault("an outage ends", 2_400, cluster -> cluster.state.outage(3_000)),
+          new InitialFault(
+              "all nodes crash",
               100,
               cluster ->
                   cluster.nodes.forEach(
@@ -71,61 +73,71 @@
 
   private static List<Direction> directions() {
     List<String> all = List.of("n0", "n1", "n2", "state");
-    List<Direction> out = new ArrayList<>();
+    List<Direction> directions = new ArrayList<>();
     for (String from : all) {
       for (String to : all) {
         if (!from.equals(to)) {
-          out.add(new Direction(from, to));
+          directions.add(new Direction(from, to));
         }
       }
     }
-    return out;
+    return directions;
   }
 
   @TestFactory
   Stream<DynamicTest> elections() {
-    return BEGINNINGS.stream()
+    return INITIAL_FAULTS.stream()
         .flatMap(
-            beginning ->
+            initialFault ->
                 IntStream.range(0, MOMENTS)
                     .mapToObj(
                         i ->
                             DynamicTest.dynamicTest(
-                                beginning.name + ", moment " + i,
+                                initialFault.name + ", moment " + i,
                                 () ->
                                     explore(
-                                        beginning, FROM_MS + beginning.aroundMs + i * STEP_MS))));
+                                        initialFault,
+                                        FROM_MS + initialFault.firstMomentMs + i * STEP_MS))));
   }
 
-  private static void explore(Beginning beginning, long at) throws Exception {
+  private static void explore(InitialFault initialFault, long atMs) throws Exception {
     List<Direction> directions = directions();
     for (int i = 0; i < directions.size(); i++) {
       for (int j = i; j < directions.size(); j++) {
-        Set<Direction> some =
+        Set<Direction> faulty =
             Set.copyOf(List.of(directions.get(i), directions.get(j)).subList(0, i == j ? 1 : 2));
-        for (int ends = -1; ends < 3; ends++) {
-          play(beginning, at, some, SimulatedCluster.Links.LOST, ends);
+        for (int crashedNode = NO_NODE; crashedNode < 3; crashedNode++) {
+          run(initialFault, atMs, faulty, SimulatedCluster.Links.LOST, crashedNode);
         }
-        play(beginning, at, some, SLOW_MS, -1);
+        run(initialFault, atMs, faulty, SLOW_MS, NO_NODE);
       }
     }
   }
 
-  private static void play(Beginning beginning, long at, Set<Direction> some, long late, int ends)
+  private static void run(
+      InitialFault initialFault, long atMs, Set<Direction> faulty, long delayMs, int crashedNode)
       throws Exception {
     SimulatedCluster cluster =
         new SimulatedCluster(1, new Scenario().settings(), Tunables.defaults());
     cluster.nodes.forEach(SimulatedCluster.Node::start);
-    cluster.after(FROM_MS, () -> beginning.start.in(cluster));
+    cluster.after(FROM_MS, () -> initialFault.start.apply(cluster));
     cluster.after(
-        at, () -> cluster.links((from, to) -> some.contains(new Direction(from, to)) ? late : 0));
-    if (ends >= 0) {
-      cluster.after(at + STEP_MS / 2, () -> cluster.nodes.get(ends).crash(50));
+        atMs,
+        () -> cluster.links((from, to) -> faulty.contains(new Direction(from, to)) ? delayMs : 0));
+    if (crashedNode > NO_NODE) {
+      cluster.after(atMs + STEP_MS / 2, () -> cluster.nodes.get(crashedNode).crash(50));
     }
-    cluster.after(at + DEAD_MS, () -> cluster.links((from, to) -> 0));
-    cluster.runUntil(at + DEAD_MS + CALM_MS);
-    String what = at + " ms: " + some + " late by " + late + ", node " + ends + " ends";
+    cluster.after(atMs + FAULT_MS, () -> cluster.links((from, to) -> 0));
+    cluster.runUntil(atMs + FAULT_MS + RECOVERY_MS);
+    String what =
+        atMs
+            + " ms: links "
+            + faulty
+            + " delayed by "
+            + delayMs
+            + " ms, crashed node: "
+            + crashedNode;
     assertEquals(List.of(), cluster.invariants.details, what);
-    assertNotNull(cluster.leader(), () -> "nobody leads, " + what + ": " + cluster.log);
+    assertNotNull(cluster.leader(), () -> "no node leads, " + what + ": " + cluster.log);
   }
 }
--- a/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
+++ b/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
@@ -18,25 +18,24 @@
 import org.snowturn.config.Tunables;
 
 /**
- * Faults of nodes and their links within seconds of each other, so that they fall into every step
- * of an election: crashes with a restart after 50, 200 or 700 ms, freezes, cuts, refusals, outages,
- * late transactions. At no moment two nodes have authority, tokens only grow, and once all is over
- * somebody leads.
+ * Guards against two leaders at a time, tokens that do not increase, and no leader after the faults
+ * end. Random faults within seconds of each other hit every step of an election: restarts after 50,
+ * 200 or 700 ms, pauses, cuts, refusals, outages and late transactions.
  */
 class ElectionFaultsTest {
   private static final long FROM_MS = 9_000;
-  private static final long CALM_MS = 12_000;
+  private static final long RECOVERY_MS = 12_000;
 
   private static final int MAX_FAULTS = 14;
 
-  /** From this index on, whoever leads just then. */
+  /** Smallest node index that stands for the current leader. */
   private static final int LEADER = 3;
 
   private static final String ACQUIRED = "event=leadership_acquired ";
   private static final String TOKEN_FIELD = " token=";
 
-  private record Fault(int gapMs, int node, int kind, int lastsMs) {
-    static Fault drawn(RandomGenerator random) {
+  private record Fault(int gapMs, int node, int kind, int durationMs) {
+    static Fault random(RandomGenerator random) {
       return new Fault(
           random.nextInt(5, 900),
           random.nextInt(2 * LEADER),
@@ -46,65 +45,65 @@
   }
 
   @Property(seed = "34", tries = 250, edgeCases = EdgeCasesMode.NONE)
-  void tokensAreOneNodesAndGrowAndSomebodyLeadsInTheEnd(@ForAll long seed) {
-    play(seed);
+  void tokensIncreaseAndLeaderIsElectedAfterFaults(@ForAll long seed) {
+    run(seed);
   }
 
-  /** These draws find two leaders once authority counts from the answer instead of the sending. */
+  /** These seeds find two leaders if authority counts from the reply instead of the request. */
   @Property(seed = "35", tries = 250, edgeCases = EdgeCasesMode.NONE)
-  void authorityCountsFromTheSending(@ForAll long seed) {
-    play(seed);
+  void authorityCountsFromRequestTime(@ForAll long seed) {
+    run(seed);
   }
 
-  /** And these once a restarted node claims during its predecessor's promises. */
+  /** These seeds find two leaders if a restarted node claims while its earlier promises hold. */
   @Property(seed = "37", tries = 250, edgeCases = EdgeCasesMode.NONE)
-  void aRestartedNodeKeepsThePromisesOfItsPredecessor(@ForAll long seed) {
-    play(seed);
+  void restartedNodeKeepsEarlierPromises(@ForAll long seed) {
+    run(seed);
   }
 
-  private static void play(long seed) {
+  private static void run(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     List<Fault> faults =
-        Stream.generate(() -> Fault.drawn(random)).limit(random.nextInt(3, MAX_FAULTS)).toList();
+        Stream.generate(() -> Fault.random(random)).limit(random.nextInt(3, MAX_FAULTS)).toList();
     SimulatedCluster cluster =
         new SimulatedCluster(seed, new Scenario().settings(), Tunables.defaults());
     for (int i = 0; i < 6; i++) {
       cluster.cloud.rent("abc".substring(i % 3, i % 3 + 1), false);
     }
     cluster.nodes.forEach(SimulatedCluster.Node::start);
-    Map<String, String> replicas = Map.of("tasks", "5", "cpus", "1", "rank", "production");
+    Map<String, String> serviceOptions = Map.of("tasks", "5", "cpus", "1", "rank", "production");
     cluster.after(
         500,
         () ->
             cluster.clients.submit(
-                SimulatedJobs.spec("wk-000001", "service", replicas), 0, Map.of()));
-    Map<String, String> array = Map.of("tasks", "12", "cpus", "1");
+                SimulatedJobs.spec("wk-000001", "service", serviceOptions), 0, Map.of()));
+    Map<String, String> arrayOptions = Map.of("tasks", "12", "cpus", "1");
     cluster.after(
         FROM_MS - 500,
         () ->
             cluster.clients.submit(
-                SimulatedJobs.spec("wk-000002", "batch", array), 4_000, Map.of()));
-    long at = FROM_MS;
-    long calm = FROM_MS;
+                SimulatedJobs.spec("wk-000002", "batch", arrayOptions), 4_000, Map.of()));
+    long atMs = FROM_MS;
+    long faultsEndMs = FROM_MS;
     for (Fault fault : faults) {
-      at += fault.gapMs;
-      cluster.after(at, () -> apply(cluster, fault));
-      calm = Math.max(calm, at + fault.lastsMs);
+      atMs += fault.gapMs;
+      cluster.after(atMs, () -> apply(cluster, fault));
+      faultsEndMs = Math.max(faultsEndMs, atMs + fault.durationMs);
     }
-    cluster.runUntil(calm + CALM_MS);
+    cluster.runUntil(faultsEndMs + RECOVERY_MS);
     assertEquals(List.of(), cluster.invariants.details);
-    assertNotNull(cluster.leader(), "nobody leads: " + cluster.log);
+    assertNotNull(cluster.leader(), "no node leads after the faults: " + cluster.log);
     Set<Long> tokens = new HashSet<>();
-    long last = 0;
+    long lastToken = 0;
     for (String line : cluster.log.lines()) {
       if (line.contains(ACQUIRED)) {
         String rest = line.substring(line.indexOf(TOKEN_FIELD) + TOKEN_FIELD.length());
         long token = Long.parseLong(rest.substring(0, rest.indexOf(' ')));
-        assertTrue(tokens.add(token) && token > last, line + " after " + last);
-        last = token;
+        assertTrue(tokens.add(token) && token > lastToken, line + " after token " + lastToken);
+        lastToken = token;
       }
     }
-    assertFalse(tokens.isEmpty(), "no term in the log: " + cluster.log);
+    assertFalse(tokens.isEmpty(), "the log has no " + ACQUIRED + "line: " + cluster.log);
   }
 
   private static void apply(SimulatedCluster cluster, Fault fault) {
@@ -115,19 +114,19 @@
       case 0 -> node.crash(50);
       case 1 -> node.crash(200);
       case 2 -> node.crash(700);
-      case 3 -> node.pause(fault.lastsMs);
-      case 4 -> cut(cluster, node, "state", fault.lastsMs);
+      case 3 -> node.pause(fault.durationMs);
+      case 4 -> cut(cluster, node, "state", fault.durationMs);
       case 5 ->
           cluster.nodes.stream()
-              .filter(p -> p != node)
-              .forEach(p -> cut(cluster, node, p.name, fault.lastsMs));
-      case 6 -> cluster.state.refuse(node.name, fault.lastsMs);
-      case 7 -> cluster.state.outage(fault.lastsMs);
+              .filter(peer -> peer != node)
+              .forEach(peer -> cut(cluster, node, peer.name, fault.durationMs));
+      case 6 -> cluster.state.refuse(node.name, fault.durationMs);
+      case 7 -> cluster.state.outage(fault.durationMs);
       default -> {
         cluster.state.lateTransactions = 0.5;
         cluster.state.loseReplies = 0.3;
         cluster.after(
-            fault.lastsMs,
+            fault.durationMs,
             () -> {
               cluster.state.lateTransactions = 0;
               cluster.state.loseReplies = 0;
--- a/src/test/java/org/snowturn/simulation/InvariantCheckerTest.java
+++ b/src/test/java/org/snowturn/simulation/InvariantCheckerTest.java
@@ -17,17 +17,19 @@
 import org.snowturn.wire.JobSpec;
 import org.snowturn.wire.Json;
 
-/** Each rule of the protocol is broken on purpose, and the checker sees just that. */
+/**
+ * Guards against a checker that misses, or wrongly reports, a violation: each test violates one.
+ */
 class InvariantCheckerTest {
   private static final String JOB = "wk-000001";
-  private static final long PAST_CANCEL_MS = 31_000;
+  private static final long AFTER_CANCEL_LIMIT_MS = 31_000;
 
   private SimulatedCluster cluster;
   private List<SimulatedWorker> workers;
 
-  /** Machines are up and nobody leads: what happens is what a test does. */
+  /** Starts machines without a running controller, so that only the test causes events. */
   @BeforeEach
-  void machinesAreUp() throws Exception {
+  void startMachines() throws Exception {
     Scenario scenario =
         Scenario.of(List.of("machines 3", "down n0 n1 n2", "teams t:3 u:0", "until 10"));
     scenario.run(1);
@@ -55,11 +57,11 @@
     return task;
   }
 
-  /** Every node answers everything so. */
-  private void answering(int status, JsonNode body) {
+  /** Makes every node answer all requests with this status and body. */
+  private void answerAllRequests(int status, JsonNode body) {
     cluster.endpoints.replaceAll(
-        e ->
-            new Endpoint("liar") {
+        endpoint ->
+            new Endpoint("fake") {
               @Override
               void request(String from, LongFunction<Input> input, Answer answer) {
                 answer.on(status, body);
@@ -75,17 +77,17 @@
     return Json.object().put("id", JOB).put("phase", phase);
   }
 
-  private void broken(String... rules) {
-    assertEquals(new TreeSet<>(List.of(rules)), cluster.invariants.violated);
+  private void assertViolated(String... invariants) {
+    assertEquals(new TreeSet<>(List.of(invariants)), cluster.invariants.violated);
   }
 
   @Test
-  void ranTwiceNamesTaskAttemptsMachinesAndTimes() {
+  void ranTwiceReportsTaskAttemptsMachinesAndTimes() {
     JobSpec spec = accepted(Map.of("cpus", "1", "team", "u"));
     start(workers.get(0), spec, 0, 7);
     cluster.now += 500;
     start(workers.get(1), spec, 0, 8);
-    broken("ran_twice");
+    assertViolated("ran_twice");
     String detail = cluster.invariants.details.get(0);
     for (String part :
         List.of(
@@ -97,20 +99,20 @@
   }
 
   @Test
-  void aTaskThatHasEndedElsewhereHasNotRunTwice() {
+  void taskThatEndedElsewhereHasNotRunTwice() {
     JobSpec spec = accepted(Map.of("cpus", "1", "team", "u"));
     start(workers.get(0), spec, 0, 7).present = false;
     start(workers.get(1), spec, 0, 8);
-    broken();
+    assertViolated();
   }
 
   @Test
   void quota() {
     JobSpec spec = accepted(Map.of("cpus", "2", "team", "t", "tasks", "2"));
     start(workers.get(0), spec, 0, 7);
-    broken();
+    assertViolated();
     start(workers.get(1), spec, 1, 8);
-    broken("quota");
+    assertViolated("quota");
   }
 
   @Test
@@ -118,98 +120,98 @@
     String other = workers.get(0).rented.zone.equals("a") ? "b" : "a";
     JobSpec spec = accepted(Map.of("cpus", "1", "team", "u", "zone", other));
     start(workers.get(0), spec, 0, 7);
-    broken("wrong_place");
+    assertViolated("wrong_place");
   }
 
   @Test
   void ranCancelled() {
     JobSpec spec = accepted(Map.of("cpus", "1", "team", "u"));
     start(workers.get(0), spec, 0, 7);
-    answering(200, phase("aborted"));
+    answerAllRequests(200, phase("aborted"));
     cluster.clients.cancel(JOB);
     cluster.invariants.check();
-    broken();
-    cluster.now += PAST_CANCEL_MS;
+    assertViolated();
+    cluster.now += AFTER_CANCEL_LIMIT_MS;
     cluster.invariants.check();
-    broken("ran_cancelled");
+    assertViolated("ran_cancelled");
   }
 
   @Test
-  void forgottenByA404() {
+  void notFoundReplyIsForgotten() {
     accepted(Map.of("team", "u"));
-    answering(200, phase("queued"));
+    answerAllRequests(200, phase("queued"));
     cluster.clients.pollOnce(JOB);
     cluster.now += 10;
-    answering(404, null);
+    answerAllRequests(404, null);
     cluster.clients.pollOnce(JOB);
-    broken("forgotten");
+    assertViolated("forgotten");
   }
 
   @Test
-  void forgottenByARefusedRepetition() {
+  void refusedResubmissionIsForgotten() {
     accepted(Map.of("team", "u"));
-    answering(422, null);
+    answerAllRequests(422, null);
     cluster.clients.resubmit(JOB);
-    broken("forgotten");
+    assertViolated("forgotten");
   }
 
   @Test
   void invented() {
-    answering(200, Json.object().put("id", "wk-000777").put("phase", "queued"));
+    answerAllRequests(200, Json.object().put("id", "wk-000777").put("phase", "queued"));
     cluster.clients.pollOnce("wk-000777");
-    broken("invented");
+    assertViolated("invented");
   }
 
   @Test
   void notDone() {
     accepted(Map.of("team", "u"));
-    answering(200, phase("done"));
+    answerAllRequests(200, phase("done"));
     cluster.clients.pollOnce(JOB);
-    broken("not_done");
+    assertViolated("not_done");
   }
 
   @Test
   void wentBack() {
     accepted(Map.of("team", "u", "tasks", "1"));
     cluster.clients.completed(JOB + "/0");
-    answering(200, phase("done"));
+    answerAllRequests(200, phase("done"));
     cluster.clients.pollOnce(JOB);
     cluster.now += 10;
-    answering(200, phase("running"));
+    answerAllRequests(200, phase("running"));
     cluster.clients.pollOnce(JOB);
-    broken("went_back");
+    assertViolated("went_back");
   }
 
   @Test
-  void cancelledByNobody() {
+  void abortedWithoutCancellation() {
     accepted(Map.of("team", "u"));
-    answering(200, phase("aborted"));
+    answerAllRequests(200, phase("aborted"));
     cluster.clients.pollOnce(JOB);
-    broken("went_back");
+    assertViolated("went_back");
   }
 
   @Test
-  void acceptedThoughItCanNeverRun() {
-    answering(201, phase("queued"));
+  void acceptedInvalidRequest() {
+    answerAllRequests(201, phase("queued"));
     cluster.clients.sendInvalidRequests(2_000);
     cluster.runUntil(cluster.now + 2_000);
-    broken("accepted_bad");
+    assertViolated("accepted_bad");
   }
 
   @Test
-  void anInvariantOfTheProgramsOwn() {
+  void invariantReportedByController() {
     cluster
         .nodes
         .get(0)
         .perform(new Effect.Event(Effect.Severity.ERROR, "event=invariant_violated"));
-    broken("invariant_violated");
+    assertViolated("invariant_violated");
   }
 
   @Test
-  void whatIsOpenAtTheEndIsNamed() {
+  void unsettledJobsAreReported() {
     JobSpec spec = accepted(Map.of("cpus", "1", "team", "u"));
     assertTrue(cluster.invariants.unsettled(cluster.now).get(0).contains("last answered about"));
-    answering(200, phase("queued"));
+    answerAllRequests(200, phase("queued"));
     cluster.clients.pollOnce(JOB);
     assertEquals(List.of(JOB + " runs nowhere"), cluster.invariants.unsettled(cluster.now));
     start(workers.get(0), spec, 0, 7);
--- a/src/test/java/org/snowturn/simulation/JobHistoryTest.java
+++ b/src/test/java/org/snowturn/simulation/JobHistoryTest.java
@@ -10,24 +10,31 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The checker of what users are told finds every history that no order of steps explains. */
+/**
+ * Guards against a history checker that misses an inconsistent history of answers, or rejects one
+ * that some order of steps explains.
+ */
 class JobHistoryTest {
   private static final String[] PHASES = {null, "queued", "done"};
 
-  private record Answer(long askedAt, long at, int phase) {}
+  private record Answer(long askedAtMs, long atMs, int phase) {}
 
-  /** Some order of the answers, in which each that ended before another began comes first. */
-  @SuppressWarnings("ReferenceEquality") // two equal answers are two
-  private static boolean explained(List<Answer> left, int reached) {
-    if (left.isEmpty()) {
+  /**
+   * Returns whether some order of the answers has phases that never go back, with each answer
+   * before those whose request began after it.
+   */
+  @SuppressWarnings("ReferenceEquality") // equal answers are distinct elements
+  private static boolean isConsistent(List<Answer> remaining, int reachedPhase) {
+    if (remaining.isEmpty()) {
       return true;
     }
-    for (Answer next : left) {
-      boolean first = left.stream().noneMatch(a -> a != next && a.at <= next.askedAt);
-      if (first && next.phase >= reached) {
-        List<Answer> rest = new ArrayList<>(left);
+    for (Answer next : remaining) {
+      boolean canBeNext =
+          remaining.stream().noneMatch(other -> other != next && other.atMs <= next.askedAtMs);
+      if (canBeNext && next.phase >= reachedPhase) {
+        List<Answer> rest = new ArrayList<>(remaining);
         rest.remove(next);
-        if (explained(rest, next.phase)) {
+        if (isConsistent(rest, next.phase)) {
           return true;
         }
       }
@@ -36,42 +43,45 @@
   }
 
   @Test
-  void itAgreesWithTryingAllOrders() {
+  void agreesWithSearchOfAllOrders() {
     SplittableRandom random = new SplittableRandom(1);
-    int bad = 0;
+    int inconsistent = 0;
     for (int i = 0; i < 20_000; i++) {
       List<Answer> all = new ArrayList<>();
       for (int n = random.nextInt(1, 6); n > 0; n--) {
-        long asked = 10L * all.size() + random.nextInt(30);
-        all.add(new Answer(asked, asked + 1 + random.nextInt(40), random.nextInt(3)));
+        long askedMs = 10L * all.size() + random.nextInt(30);
+        all.add(new Answer(askedMs, askedMs + 1 + random.nextInt(40), random.nextInt(3)));
       }
-      all.sort(Comparator.comparingLong(Answer::at));
-      JobHistory h = new JobHistory();
-      boolean broken = false;
-      for (Answer a : all) {
-        broken |= h.answered(a.askedAt, a.at, PHASES[a.phase]) != null;
+      all.sort(Comparator.comparingLong(Answer::atMs));
+      JobHistory history = new JobHistory();
+      boolean isViolated = false;
+      for (Answer answer : all) {
+        isViolated |= history.answered(answer.askedAtMs, answer.atMs, PHASES[answer.phase]) != null;
       }
-      assertEquals(!explained(all, 0), broken, all.toString());
-      bad += broken ? 1 : 0;
+      assertEquals(!isConsistent(all, 0), isViolated, all.toString());
+      inconsistent += isViolated ? 1 : 0;
     }
-    assertTrue(bad > 1_000 && bad < 19_000, "too one-sided to mean anything: " + bad);
+    assertTrue(
+        inconsistent > 1_000 && inconsistent < 19_000,
+        "too few consistent or inconsistent histories; inconsistent: " + inconsistent);
   }
 
   @Test
-  void aJobIsNeverCalledBothDoneAndCancelled() {
-    JobHistory h = new JobHistory();
-    assertNull(h.answered(0, 10, "done"));
-    assertEquals("went_back", h.answered(0, 11, "aborted"));
+  void doneJobIsNeverReportedAborted() {
+    JobHistory history = new JobHistory();
+    assertNull(history.answered(0, 10, "done"));
+    assertEquals("went_back", history.answered(0, 11, "aborted"));
   }
 
-  /** A cache that is stale, a live record read before the short one, an answer kept too long. */
+  /** Covers a stale cache, a live record read before the final one, and a delayed answer. */
   @Test
-  void staleAnswersAreSeen() {
-    JobHistory h = new JobHistory();
-    assertNull(h.answered(0, 10, "queued"));
-    assertNull(h.answered(20, 30, "aborted"));
-    assertNull(h.answered(29, 40, "running"), "asked before the other answer came");
-    assertEquals("went_back", h.answered(30, 41, "running"));
-    assertEquals("forgotten", h.answered(10, 42, null));
+  void staleAnswersAreReported() {
+    JobHistory history = new JobHistory();
+    assertNull(history.answered(0, 10, "queued"));
+    assertNull(history.answered(20, 30, "aborted"));
+    assertNull(
+        history.answered(29, 40, "running"), "the request began before the other answer arrived");
+    assertEquals("went_back", history.answered(30, 41, "running"));
+    assertEquals("forgotten", history.answered(10, 42, null));
   }
 }
--- a/src/test/java/org/snowturn/simulation/OverlappingFaultsTest.java
+++ b/src/test/java/org/snowturn/simulation/OverlappingFaultsTest.java
@@ -7,17 +7,17 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 /**
- * Under overlapping faults no rule is broken, and in the end all that was not cancelled is done.
+ * Guards against invariants violated, or jobs not finished, when random faults overlap.
  *
- * <p>A seed that fails prints its scenario, to be shrunk to one of its own. {@code
- * -Doverlapping=FROM-TO} plays other seeds than the build does.
+ * <p>A failing seed prints its scenario, which can then be reduced to a scenario file. {@code
+ * -Doverlapping=FROM-TO} runs other seeds than the build does.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class OverlappingFaultsTest {
   private static final String SEEDS = "1-80";
 
   @TestFactory
-  Stream<DynamicTest> noRuleIsBroken() {
+  Stream<DynamicTest> invariantsHold() {
     return RandomScenarios.runSeeds(
         "overlapping", SEEDS, seed -> new OverlappingFaults(seed).generate());
   }
--- a/src/test/java/org/snowturn/simulation/RandomScenarios.java
+++ b/src/test/java/org/snowturn/simulation/RandomScenarios.java
@@ -8,26 +8,29 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.DynamicTest;
 
-/** Plays scenarios that are drawn from seeds; one that fails prints itself. */
+/** Runner of scenarios generated from seeds; a failure message contains the scenario. */
 final class RandomScenarios {
   private RandomScenarios() {}
 
   /**
-   * One test a seed.
+   * Returns one test per seed.
    *
-   * @param property names the system property that gives other seeds than the build's, FROM-TO
+   * @param property name of the system property that overrides the seeds
+   * @param seeds default range of seeds, in the form FROM-TO
+   * @param generator function from a seed to the lines of a scenario
    */
   static Stream<DynamicTest> runSeeds(
-      String property, String seeds, IntFunction<List<String>> draw) {
-    String[] ends = System.getProperty(property, seeds).split("-", -1);
-    return IntStream.rangeClosed(Integer.parseInt(ends[0]), Integer.parseInt(ends[1]))
+      String property, String seeds, IntFunction<List<String>> generator) {
+    String[] range = System.getProperty(property, seeds).split("-", -1);
+    return IntStream.rangeClosed(Integer.parseInt(range[0]), Integer.parseInt(range[1]))
         .mapToObj(
             seed ->
-                DynamicTest.dynamicTest("seed " + seed, () -> runSeeds(seed, draw.apply(seed))));
+                DynamicTest.dynamicTest(
+                    "seed " + seed, () -> runSeed(seed, generator.apply(seed))));
   }
 
-  private static void runSeeds(int seed, List<String> text) throws Exception {
-    List<String> wrong = Scenario.of(text).run(seed);
-    assertEquals("", String.join("\n", wrong), () -> String.join("\n", text) + "\n");
+  private static void runSeed(int seed, List<String> text) throws Exception {
+    List<String> failures = Scenario.of(text).run(seed);
+    assertEquals("", String.join("\n", failures), () -> String.join("\n", text) + "\n");
   }
 }
--- a/src/test/java/org/snowturn/simulation/ScenarioFormatTest.java
+++ b/src/test/java/org/snowturn/simulation/ScenarioFormatTest.java
@@ -9,6 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Guards against scenario lines that are misread, or rejected without naming file and line. */
 class ScenarioFormatTest {
   private static ScenarioLine line(String text) {
     return new ScenarioLine("some.txt", 7, text);
@@ -25,7 +26,7 @@
         "expect keys p/ many",
         "until never"
       })
-  void anErrorNamesTheLine(String text) {
+  void errorNamesFileAndLine(String text) {
     Scenario scenario = Scenario.of(List.of("until 2", "machines 0", text));
     String message =
         assertThrows(ScenarioFormatException.class, () -> scenario.run(1)).getMessage();
@@ -34,19 +35,19 @@
   }
 
   @Test
-  void aRangeStandsForAllJobsInIt() {
+  void rangeStandsForAllJobsInIt() {
     assertEquals(
         List.of("wk-000009", "wk-000010", "wk-000003"),
         line("at 1 submit wk-000009..wk-000010,wk-000003").jobIds(3));
   }
 
   @Test
-  void theRestOfALineKeepsItsBlanks() {
+  void restOfLineKeepsBlanks() {
     assertEquals("event=x  task=y", line("expect event event=x  task=y").rest(2));
   }
 
   @Test
-  void aFaultLastsAsLongAsTheLargestNumberThatItNames() {
+  void largestNumberIsDurationOfFault() {
     assertEquals(45.0, ScenarioEvents.faultEndsS(line("at 5 late-commands 3 40")));
     assertEquals(
         0.0, ScenarioEvents.faultEndsS(line("at 5 submit wk-000001 batch tasks=3 run 40")));
--- a/src/test/java/org/snowturn/simulation/ScenarioTest.java
+++ b/src/test/java/org/snowturn/simulation/ScenarioTest.java
@@ -12,24 +12,24 @@
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
-/** The one runner of all scenario files; {@code -Dscenario=gap} runs those whose name begins so. */
+/** Runs all scenario files; {@code -Dscenario=PREFIX} selects files by the start of their names. */
 @Execution(ExecutionMode.CONCURRENT)
 class ScenarioTest {
   @TestFactory
   Stream<DynamicTest> scenarios() throws Exception {
     List<DynamicTest> tests = new ArrayList<>();
-    String begins = System.getProperty("scenario", "");
+    String prefix = System.getProperty("scenario", "");
     try (Stream<Path> files = Files.list(Path.of("src/test/resources/scenarios"))) {
-      for (Path f : files.filter(p -> p.toString().endsWith(".txt")).sorted().toList()) {
-        if (!f.getFileName().toString().startsWith(begins)) {
+      for (Path file : files.filter(path -> path.toString().endsWith(".txt")).sorted().toList()) {
+        if (!file.getFileName().toString().startsWith(prefix)) {
           continue;
         }
-        for (long seed : Scenario.read(f).seeds()) {
-          Scenario s = Scenario.read(f); // one for each, since they are played side by side
-          String name = f.getFileName() + " seed " + seed;
+        for (long seed : Scenario.read(file).seeds()) {
+          Scenario scenario = Scenario.read(file); // not shared, since runs are concurrent
+          String name = file.getFileName() + " seed " + seed;
           tests.add(
               DynamicTest.dynamicTest(
-                  name, () -> assertEquals("", String.join("\n", s.run(seed)), name)));
+                  name, () -> assertEquals("", String.join("\n", scenario.run(seed)), name)));
         }
       }
     }
--- a/src/test/java/org/snowturn/simulation/TargetedFaultsTest.java
+++ b/src/test/java/org/snowturn/simulation/TargetedFaultsTest.java
@@ -7,15 +7,16 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 /**
- * Like {@link OverlappingFaultsTest}, with faults that are aimed at one guard each. {@code
- * -Dtargeted=FROM-TO} plays other seeds than the build does.
+ * Guards, like {@link OverlappingFaultsTest}, against violated invariants, with faults that each
+ * target one check in the controller. {@code -Dtargeted=FROM-TO} runs other seeds than the build
+ * does.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class TargetedFaultsTest {
   private static final String SEEDS = "1-112";
 
   @TestFactory
-  Stream<DynamicTest> noRuleIsBroken() {
+  Stream<DynamicTest> invariantsHold() {
     return RandomScenarios.runSeeds("targeted", SEEDS, seed -> new TargetedFaults(seed).generate());
   }
 }
--- a/src/test/java/org/snowturn/simulation/WorkBoundTest.java
+++ b/src/test/java/org/snowturn/simulation/WorkBoundTest.java
@@ -7,11 +7,14 @@
 import org.junit.jupiter.api.Test;
 import org.snowturn.config.Tunables;
 
-/** Work is counted, not timed: ten times the machines must not cost ten times as much a task. */
+/**
+ * Guards against work per task that grows with the number of machines. Operations are counted, not
+ * timed, so the result does not depend on the load of the test machine.
+ */
 class WorkBoundTest {
   private static final int TASKS_PER_MACHINE = 16;
 
-  private static Map<String, Double> figures(int machines) {
+  private static Map<String, Double> runAndReadGauges(int machines) {
     SimulatedCluster cluster =
         new SimulatedCluster(1, new Scenario().settings(), Tunables.defaults());
     cluster.cloud.perZone = 0;
@@ -22,12 +25,12 @@
     int jobs = 8;
     for (int j = 0; j < jobs; j++) {
       String id = String.format("wk-%06d", j);
-      Map<String, String> o = new HashMap<>();
-      o.put("cpus", "1");
-      o.put("tasks", "" + machines * TASKS_PER_MACHINE / jobs);
+      Map<String, String> options = new HashMap<>();
+      options.put("cpus", "1");
+      options.put("tasks", "" + machines * TASKS_PER_MACHINE / jobs);
       cluster.after(
           10_000 + j * 100,
-          () -> cluster.clients.submit(SimulatedJobs.spec(id, "batch", o), 10_000, Map.of()));
+          () -> cluster.clients.submit(SimulatedJobs.spec(id, "batch", options), 10_000, Map.of()));
     }
     cluster.runUntil(60_000);
     assertTrue(cluster.invariants.violated.isEmpty());
@@ -35,21 +38,26 @@
   }
 
   @Test
-  void aPlacementLooksAtAFewMachinesHoweverManyThereAre() {
-    Map<String, Double> small = figures(12);
-    Map<String, Double> large = figures(120);
-    for (Map<String, Double> f : java.util.List.of(small, large)) {
-      assertTrue(f.get("snowturn.placements") > 0);
+  void evaluationsPerPlacementDoNotGrowWithMachines() {
+    Map<String, Double> small = runAndReadGauges(12);
+    Map<String, Double> large = runAndReadGauges(120);
+    for (Map<String, Double> gauges : java.util.List.of(small, large)) {
+      assertTrue(gauges.get("snowturn.placements") > 0);
     }
-    double few = small.get("snowturn.placements.evaluations") / small.get("snowturn.placements");
-    double many = large.get("snowturn.placements.evaluations") / large.get("snowturn.placements");
-    assertTrue(many < 2 * few, few + " looks a placement, with ten times the machines " + many);
+    double smallRate =
+        small.get("snowturn.placements.evaluations") / small.get("snowturn.placements");
+    double largeRate =
+        large.get("snowturn.placements.evaluations") / large.get("snowturn.placements");
+    assertTrue(
+        largeRate < 2 * smallRate,
+        smallRate + " evaluations per placement, with ten times the machines " + largeRate);
   }
 
   @Test
-  void outboxesAreLookedAtWhenTheyHaveSomethingToSend() {
-    Map<String, Double> f = figures(120);
-    double each = f.get("snowturn.command.queues.flushed") / f.get("snowturn.placements");
-    assertTrue(each < 2, each + " looks a placement");
+  void onlyNonEmptyCommandQueuesAreFlushed() {
+    Map<String, Double> gauges = runAndReadGauges(120);
+    double flushesPerPlacement =
+        gauges.get("snowturn.command.queues.flushed") / gauges.get("snowturn.placements");
+    assertTrue(flushesPerPlacement < 2, flushesPerPlacement + " queue flushes per placement");
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/BehaviorDigest.java
+++ b/src/testbench/java/org/snowturn/simulation/BehaviorDigest.java
@@ -11,9 +11,9 @@
 import org.snowturn.wire.MalformedException;
 
 /**
- * A hash over everything that the controllers of one simulation send, in wire form: calls, answers
- * and messages between controllers, each with its time and sender. Log lines are left out. Two
- * versions of the program whose digests are equal behave the same in that simulation.
+ * Hash over everything that the controllers of one simulation send, in wire form: calls, answers
+ * and messages between controllers, each with its time and sender. Log lines are not included. Two
+ * versions of the program with equal digests behave the same in that simulation.
  */
 public final class BehaviorDigest implements EffectObserver {
   private static final int HASH_BYTES = 12;
@@ -31,7 +31,9 @@
     }
   }
 
-  /** Plays the simulation and returns its digest: the hash, and how many effects of each kind. */
+  /**
+   * Runs the simulation and returns its digest: the hash and the number of effects of each kind.
+   */
   public static String of(Simulation simulation) throws IOException {
     BehaviorDigest digest = new BehaviorDigest();
     Scenario scenario = Scenario.of(simulation.text());
@@ -54,10 +56,10 @@
       answers++;
       add(atMs, node, "answer", "" + answer.exchange(), "" + answer.status());
       add(answer.retryAfterS(), answer.body());
-    } else if (effect instanceof Effect.Broadcast toPeers) {
+    } else if (effect instanceof Effect.Broadcast broadcast) {
       peerMessages++;
       add(atMs, node, "peers");
-      hash.update(PeerCodec.encode(toPeers.message()));
+      hash.update(PeerCodec.encode(broadcast.message()));
     }
   }
 
@@ -74,7 +76,7 @@
     hash.update((byte) '\n');
   }
 
-  /** The digest of what has been observed so far. */
+  /** Returns the digest of the effects observed until now. */
   String value() {
     byte[] bytes = hash.digest();
     return HexFormat.of().formatHex(bytes, 0, HASH_BYTES)
--- a/src/testbench/java/org/snowturn/simulation/ClusterFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/ClusterFaults.java
@@ -3,32 +3,34 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Faults of machines and links that scenarios, clients and loopback runs cause. */
+/** Temporary faults of machines and links, shared by scenarios, clients and loopback runs. */
 final class ClusterFaults {
   private ClusterFaults() {}
 
-  /** The machine's tasks and its agent stand still for a while. */
+  /** Freezes the machine's agent and its tasks for a time. */
   static void hang(SimulatedCluster cluster, SimulatedWorker worker, long ms) {
     worker.hung = true;
     cluster.after(ms, () -> worker.hung = false);
   }
 
-  /** For a while the machine reaches no controller, while direct commands reach it. */
+  /** Drops what the machine sends to controllers for a time; direct commands still reach it. */
   static void dropOutbound(SimulatedCluster cluster, SimulatedWorker worker, long ms) {
     worker.outboundDropped = true;
     cluster.after(ms, () -> worker.outboundDropped = false);
   }
 
-  /** For a while all messages between the machine and the controllers are held back. */
+  /** Holds back all messages between the machine and the controllers for a time. */
   static void isolate(SimulatedCluster cluster, SimulatedWorker worker, long ms) {
     cluster.nodes.forEach(node -> cluster.cut(worker.addr, node.name, SimulatedCluster.Cut.HOLD));
     cluster.after(ms, () -> cluster.nodes.forEach(node -> cluster.heal(worker.addr, node.name)));
   }
 
   /**
-   * For a while a controller is cut off.
+   * Cuts a controller off from other parts of the cluster for a time.
    *
    * @param from {@code state}, {@code cloud}, {@code workers}, {@code peers} or {@code all}
+   * @param ms duration in milliseconds
+   * @param how whether messages are dropped, or held and delivered when the cut ends
    */
   static void cut(
       SimulatedCluster cluster, String node, String from, long ms, SimulatedCluster.Cut how) {
--- a/src/testbench/java/org/snowturn/simulation/EffectObserver.java
+++ b/src/testbench/java/org/snowturn/simulation/EffectObserver.java
@@ -2,16 +2,16 @@
 
 import org.snowturn.core.Effect;
 
-/** Observes every effect of the controllers in a simulation. */
+/** Observer of every effect that the controllers of a simulation produce. */
 interface EffectObserver {
-  /** Observes nothing. */
+  /** Observer that ignores all effects. */
   EffectObserver NONE = (atMs, node, effect) -> {};
 
   /**
-   * Called before an effect is performed.
+   * Handles an effect that is about to be performed.
    *
    * @param atMs simulated time in milliseconds
-   * @param node the controller that the effect comes from
+   * @param node name of the controller that produced the effect
    */
   void onEffect(long atMs, String node, Effect effect);
 }
--- a/src/testbench/java/org/snowturn/simulation/LoopbackFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackFaults.java
@@ -5,103 +5,109 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** What can go wrong with a region's network, outside and machines. From any thread. */
+/**
+ * Faults of a loopback cluster's network, state service and machines. The methods may be called
+ * from any thread; durations are in milliseconds.
+ */
 public final class LoopbackFaults {
-  /** Stands for all machines at an end of a cut. */
+  /** Name that stands for all machines as one end of a cut. */
   public static final String WORKERS = SimulatedCluster.ALL_WORKERS;
 
   private final SimulatedCluster cluster;
-  private final RealTimeDriver loop;
+  private final RealTimeDriver driver;
   private final DirectedLinks links;
 
-  LoopbackFaults(SimulatedCluster cluster, RealTimeDriver loop, DirectedLinks links) {
+  LoopbackFaults(SimulatedCluster cluster, RealTimeDriver driver, DirectedLinks links) {
     this.cluster = cluster;
-    this.loop = loop;
+    this.driver = driver;
     this.links = links;
   }
 
-  private void forAWhile(long ms, Runnable begin, Runnable end) {
-    loop.post(
+  private void applyTemporarily(long ms, Runnable begin, Runnable end) {
+    driver.post(
         () -> {
           begin.run();
           cluster.after(ms, end);
         });
   }
 
-  /** Nothing gets from one end to the other; {@code workers} stands for all machines. */
+  /** Drops all messages from one end to the other; {@link #WORKERS} stands for all machines. */
   public void cut(String from, String to, long ms) {
-    forAWhile(ms, () -> links.cut(from, to), () -> links.heal(from, to));
+    applyTemporarily(ms, () -> links.cut(from, to), () -> links.heal(from, to));
   }
 
-  /** The state service refuses one controller alone. */
+  /** Makes the state service refuse the requests of one controller. */
   public void refuseStateRequests(String controller, long ms) {
-    loop.post(() -> cluster.state.refuse(controller, ms));
+    driver.post(() -> cluster.state.refuse(controller, ms));
   }
 
-  /** The state service is out for everybody. */
+  /** Makes the state service unavailable to all controllers. */
   public void startStateOutage(long ms) {
-    loop.post(() -> cluster.state.outage(ms));
+    driver.post(() -> cluster.state.outage(ms));
   }
 
-  /** The state service answers so many times slower. */
-  public void slowStateService(int times, long ms) {
-    forAWhile(ms, () -> cluster.state.slowdown = times, () -> cluster.state.slowdown = 1);
+  /** Multiplies the response times of the state service by a factor. */
+  public void slowStateService(int factor, long ms) {
+    applyTemporarily(ms, () -> cluster.state.slowdown = factor, () -> cluster.state.slowdown = 1);
   }
 
-  /** That share of the transactions is carried out, and only the answer is lost. */
+  /** Executes a share of the transactions but loses their replies. */
   public void loseStateReplies(double share, long ms) {
-    forAWhile(ms, () -> cluster.state.loseReplies = share, () -> cluster.state.loseReplies = 0);
+    applyTemporarily(
+        ms, () -> cluster.state.loseReplies = share, () -> cluster.state.loseReplies = 0);
   }
 
-  /** That share of the transactions gets no answer and is carried out seconds later. */
+  /** Executes a share of the transactions seconds late and without a reply. */
   public void delayTransactions(double share, long ms) {
-    forAWhile(
+    applyTemporarily(
         ms, () -> cluster.state.lateTransactions = share, () -> cluster.state.lateTransactions = 0);
   }
 
-  /** Direct commands are held up for so long, or up to twice that. */
-  public void delayCommands(long lateMs, long ms) {
-    forAWhile(ms, () -> cluster.delayCommands(lateMs), () -> cluster.delayCommands(0));
+  /** Delays direct commands by {@code delayMs} to twice {@code delayMs}. */
+  public void delayCommands(long delayMs, long ms) {
+    applyTemporarily(ms, () -> cluster.delayCommands(delayMs), () -> cluster.delayCommands(0));
   }
 
-  /** A copy of each report comes once more, up to so much later. */
-  public void duplicateHeartbeats(long mostMs, long ms) {
-    forAWhile(ms, () -> cluster.duplicateHeartbeats(mostMs), () -> cluster.duplicateHeartbeats(0));
+  /** Delivers a copy of each heartbeat once more, up to {@code maxDelayMs} later. */
+  public void duplicateHeartbeats(long maxDelayMs, long ms) {
+    applyTemporarily(
+        ms, () -> cluster.duplicateHeartbeats(maxDelayMs), () -> cluster.duplicateHeartbeats(0));
   }
 
-  /** Check-ins wait so long on their way; direct answers do not. */
-  public void delayHeartbeats(long lateMs, long ms) {
-    forAWhile(ms, () -> cluster.heartbeatDelayMs = lateMs, () -> cluster.heartbeatDelayMs = 0);
+  /** Delays heartbeats by {@code delayMs}; replies to direct commands are not delayed. */
+  public void delayHeartbeats(long delayMs, long ms) {
+    applyTemporarily(
+        ms, () -> cluster.heartbeatDelayMs = delayMs, () -> cluster.heartbeatDelayMs = 0);
   }
 
-  private void onWorkers(int count, Consumer<SimulatedWorker> then) {
-    loop.post(
+  private void applyToRandomWorkers(int count, Consumer<SimulatedWorker> action) {
+    driver.post(
         () -> {
-          List<SimulatedWorker> up = new ArrayList<>(cluster.workers.values());
-          up.removeIf(worker -> worker.dead || worker.hung);
-          Collections.shuffle(up, cluster.random);
-          up.stream().limit(count).forEach(then);
+          List<SimulatedWorker> available = new ArrayList<>(cluster.workers.values());
+          available.removeIf(worker -> worker.dead || worker.hung);
+          Collections.shuffle(available, cluster.random);
+          available.stream().limit(count).forEach(action);
         });
   }
 
-  /** Some machines stand still, with all that runs there. */
+  /** Freezes randomly chosen machines together with their tasks. */
   public void hangWorkers(int count, long ms) {
-    onWorkers(count, worker -> ClusterFaults.hang(cluster, worker, ms));
+    applyToRandomWorkers(count, worker -> ClusterFaults.hang(cluster, worker, ms));
   }
 
-  /** Some machines stop on their own. */
+  /** Makes randomly chosen machines fail. */
   public void killWorkers(int count) {
-    onWorkers(count, worker -> cluster.cloud.fail(worker.rented));
+    applyToRandomWorkers(count, worker -> cluster.cloud.fail(worker.rented));
   }
 
-  /** The cloud takes some machines away. */
+  /** Makes the cloud reclaim randomly chosen machines. */
   public void reclaimWorkers(int count) {
-    onWorkers(count, worker -> cluster.cloud.end(worker.rented.id));
+    applyToRandomWorkers(count, worker -> cluster.cloud.end(worker.rented.id));
   }
 
-  /** Some machines fail whatever starts there. */
+  /** Makes every task fail that starts on some randomly chosen machines. */
   public void failTasksOnWorkers(int count, long ms) {
-    onWorkers(
+    applyToRandomWorkers(
         count,
         worker -> {
           worker.failing = true;
@@ -109,8 +115,8 @@
         });
   }
 
-  /** Users call off so many jobs that run, within a fifth of a second. */
+  /** Cancels {@code count} running jobs within 200 ms. */
   public void cancelJobs(int count) {
-    loop.post(() -> cluster.clients.cancelNow(count, 0));
+    driver.post(() -> cluster.clients.cancelNow(count, 0));
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/RandomFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/RandomFaults.java
@@ -3,70 +3,77 @@
 import java.util.List;
 import java.util.Random;
 
-/** Random jobs and random faults, drawn from the world's seed, until a time; then all is healed. */
+/**
+ * Source of random jobs and random faults, drawn from the cluster's seed. At the end time all
+ * faults are healed.
+ */
 final class RandomFaults {
-  private static final int LEAST_PAUSE_MS = 500;
-  private static final int MORE_PAUSE_MS = 5_000;
+  private static final int MIN_PAUSE_MS = 500;
+  private static final int PAUSE_SPREAD_MS = 5_000;
 
   private final SimulatedCluster cluster;
   private final Random random;
-  private long end;
+  private long endMs;
 
   RandomFaults(SimulatedCluster cluster) {
     this.cluster = cluster;
     this.random = cluster.random;
   }
 
+  /** Schedules jobs and faults until {@code endMs} of simulated time. */
   void start(long endMs) {
-    end = endMs;
+    this.endMs = endMs;
     cluster.after(
         2000,
         () ->
-            new RandomJobs(cluster, List.of("u", "t"), LEAST_PAUSE_MS, MORE_PAUSE_MS)
+            new RandomJobs(cluster, List.of("u", "t"), MIN_PAUSE_MS, PAUSE_SPREAD_MS)
                 .submitUntil(endMs));
-    cluster.after(8000, this::fault);
+    cluster.after(8000, this::injectFault);
     cluster.after(endMs, this::heal);
   }
 
-  private SimulatedCluster.Node node() {
+  private SimulatedCluster.Node randomNode() {
     return cluster.nodes.get(random.nextInt(cluster.nodes.size()));
   }
 
-  private SimulatedWorker worker() {
-    List<SimulatedWorker> up =
+  private SimulatedWorker randomWorker() {
+    List<SimulatedWorker> available =
         cluster.workers.values().stream().filter(worker -> !worker.dead && !worker.hung).toList();
-    return up.isEmpty() ? null : up.get(random.nextInt(up.size()));
+    return available.isEmpty() ? null : available.get(random.nextInt(available.size()));
   }
 
-  private void fault() {
-    if (cluster.now > end) {
+  private void injectFault() {
+    if (cluster.now > endMs) {
       return;
     }
-    int ms = 1000 + random.nextInt(18_000);
+    int durationMs = 1000 + random.nextInt(18_000);
     SimulatedCluster.Cut how =
         random.nextBoolean() ? SimulatedCluster.Cut.HOLD : SimulatedCluster.Cut.DROP;
-    SimulatedWorker w = worker();
-    SimulatedCluster.Node n =
-        random.nextBoolean() && cluster.leader() != null ? cluster.leader() : node();
+    SimulatedWorker worker = randomWorker();
+    SimulatedCluster.Node node =
+        random.nextBoolean() && cluster.leader() != null ? cluster.leader() : randomNode();
     switch (random.nextInt(13)) {
-      case 0 -> n.crash(ms / 4);
-      case 1 -> cluster.nodes.forEach(x -> x.crash(ms / 4));
-      case 2 -> n.pause(ms);
-      case 3 -> cluster.state.outage(ms);
-      case 4 -> cut(n.name, List.of("state"), how, ms);
-      case 5 -> cut(n.name, List.copyOf(cluster.workers.keySet()), how, ms);
+      case 0 -> node.crash(durationMs / 4);
+      case 1 -> cluster.nodes.forEach(other -> other.crash(durationMs / 4));
+      case 2 -> node.pause(durationMs);
+      case 3 -> cluster.state.outage(durationMs);
+      case 4 -> cut(node.name, List.of("state"), how, durationMs);
+      case 5 -> cut(node.name, List.copyOf(cluster.workers.keySet()), how, durationMs);
       case 6 ->
           cut(
-              n.name,
-              cluster.nodes.stream().map(x -> x.name).filter(x -> !x.equals(n.name)).toList(),
+              node.name,
+              cluster.nodes.stream()
+                  .map(other -> other.name)
+                  .filter(name -> !name.equals(node.name))
+                  .toList(),
               how,
-              ms);
-      case 7 -> cluster.state.refuse(n.name, ms);
+              durationMs);
+      case 7 -> cluster.state.refuse(node.name, durationMs);
       case 8 -> {
         cluster.state.loseReplies = 0.3;
         cluster.state.lateTransactions = 0.2;
         cluster.after(
-            ms,
+            durationMs,
             () -> {
               cluster.state.loseReplies = 0;
               cluster.state.lateTransactions = 0;
@@ -74,31 +81,35 @@
       }
       case 9 -> {
         cluster.delayCommands(3000 + random.nextInt(40_000));
-        cluster.after(ms, () -> cluster.delayCommands(0));
+        cluster.after(durationMs, () -> cluster.delayCommands(0));
       }
       case 10 -> {
-        if (w != null) {
-          w.hung = true;
-          cluster.after(ms, () -> w.hung = false);
+        if (worker != null) {
+          worker.hung = true;
+          cluster.after(durationMs, () -> worker.hung = false);
         }
       }
       case 11 -> {
-        if (w != null) {
-          cluster.cloud.fail(w.rented);
+        if (worker != null) {
+          cluster.cloud.fail(worker.rented);
         }
       }
       default -> {
-        if (w != null) {
-          cut(w.addr, cluster.nodes.stream().map(x -> x.name).toList(), how, ms);
+        if (worker != null) {
+          cut(
+              worker.addr,
+              cluster.nodes.stream().map(controller -> controller.name).toList(),
+              how,
+              durationMs);
         }
       }
     }
-    cluster.after(2000 + random.nextInt(9000), this::fault);
+    cluster.after(2000 + random.nextInt(9000), this::injectFault);
   }
 
-  private void cut(String a, List<String> others, SimulatedCluster.Cut how, long ms) {
-    others.forEach(b -> cluster.cut(a, b, how));
-    cluster.after(ms, () -> others.forEach(b -> cluster.heal(a, b)));
+  private void cut(String end, List<String> others, SimulatedCluster.Cut how, long durationMs) {
+    others.forEach(other -> cluster.cut(end, other, how));
+    cluster.after(durationMs, () -> others.forEach(other -> cluster.heal(end, other)));
   }
 
   private void heal() {
--- a/src/testbench/java/org/snowturn/simulation/RandomJobs.java
+++ b/src/testbench/java/org/snowturn/simulation/RandomJobs.java
@@ -6,71 +6,71 @@
 import java.util.Random;
 import org.snowturn.wire.JobSpec;
 
-/** Submits random arrays and services, cancels some and repeats the submission of others. */
+/** Client that submits random arrays and services, cancels some and resubmits others. */
 final class RandomJobs {
-  private static final int MOST_SERVICE_TASKS = 3;
-  private static final int MOST_ARRAY_TASKS = 9;
-  private static final int MOST_CPUS = 3;
+  private static final int MAX_SERVICE_TASKS = 3;
+  private static final int MAX_ARRAY_TASKS = 9;
+  private static final int MAX_CPUS = 3;
   private static final int IMAGES = 3;
-  private static final int SHORTEST_RUN_MS = 2_000;
+  private static final int MIN_RUN_MS = 2_000;
   private static final int RUN_SPREAD_MS = 12_000;
-  private static final int LATEST_CANCEL_MS = 40_000;
-  private static final int LATEST_REPEAT_MS = 60_000;
+  private static final int MAX_CANCEL_DELAY_MS = 40_000;
+  private static final int MAX_RESUBMIT_DELAY_MS = 60_000;
 
   private final SimulatedCluster cluster;
   private final Random random;
   private final List<String> teams;
-  private final int leastPauseMs;
-  private final int morePauseMs;
-  private long end;
-  private int jobs;
+  private final int minPauseMs;
+  private final int pauseSpreadMs;
+  private long endMs;
+  private int submittedJobs;
 
   /**
-   * Has submitted nothing yet.
+   * Creates a client that submits nothing before {@link #submitUntil} is called.
    *
-   * @param teams who submit
-   * @param leastPauseMs the least time between two jobs
-   * @param morePauseMs what a pause may be longer than that
+   * @param teams names of the teams to submit for
+   * @param minPauseMs minimum time between two submissions
+   * @param pauseSpreadMs upper bound (exclusive) of the random time added to {@code minPauseMs}
    */
-  RandomJobs(SimulatedCluster cluster, List<String> teams, int leastPauseMs, int morePauseMs) {
+  RandomJobs(SimulatedCluster cluster, List<String> teams, int minPauseMs, int pauseSpreadMs) {
     this.cluster = cluster;
     this.random = cluster.random;
     this.teams = List.copyOf(teams);
-    this.leastPauseMs = leastPauseMs;
-    this.morePauseMs = morePauseMs;
+    this.minPauseMs = minPauseMs;
+    this.pauseSpreadMs = pauseSpreadMs;
   }
 
-  /** Submits until then. */
+  /** Submits jobs until {@code endMs} of simulated time. */
   void submitUntil(long endMs) {
-    end = endMs;
-    next();
+    this.endMs = endMs;
+    submitNext();
   }
 
-  private void next() {
-    if (cluster.now > end) {
+  private void submitNext() {
+    if (cluster.now > endMs) {
       return;
     }
-    submit(String.format("wk-%06d", ++jobs));
-    cluster.after(leastPauseMs + random.nextInt(morePauseMs), this::next);
+    submit(String.format("wk-%06d", ++submittedJobs));
+    cluster.after(minPauseMs + random.nextInt(pauseSpreadMs), this::submitNext);
   }
 
   private void submit(String id) {
     boolean service = random.nextInt(5) == 0;
     JobSpec spec = SimulatedJobs.spec(id, service ? "service" : "batch", options(service));
-    cluster.clients.submit(spec, SHORTEST_RUN_MS + random.nextInt(RUN_SPREAD_MS), Map.of());
+    cluster.clients.submit(spec, MIN_RUN_MS + random.nextInt(RUN_SPREAD_MS), Map.of());
     if (service || random.nextInt(5) == 0) {
-      cluster.after(500 + random.nextInt(LATEST_CANCEL_MS), () -> cancel(id));
+      cluster.after(500 + random.nextInt(MAX_CANCEL_DELAY_MS), () -> cancel(id));
     }
     if (random.nextInt(4) == 0) {
-      cluster.after(random.nextInt(LATEST_REPEAT_MS), () -> cluster.clients.resubmit(id));
+      cluster.after(random.nextInt(MAX_RESUBMIT_DELAY_MS), () -> cluster.clients.resubmit(id));
     }
   }
 
   private Map<String, String> options(boolean service) {
     Map<String, String> options = new HashMap<>();
-    int tasks = 1 + random.nextInt(service ? MOST_SERVICE_TASKS : MOST_ARRAY_TASKS);
+    int tasks = 1 + random.nextInt(service ? MAX_SERVICE_TASKS : MAX_ARRAY_TASKS);
     options.put("tasks", "" + tasks);
-    options.put("cpus", "" + (1 + random.nextInt(MOST_CPUS)));
+    options.put("cpus", "" + (1 + random.nextInt(MAX_CPUS)));
     options.put("image", "img-" + random.nextInt(IMAGES));
     options.put("rank", service ? "production" : random.nextBoolean() ? "high" : "normal");
     options.put("team", teams.get(random.nextInt(teams.size())));
--- a/src/testbench/java/org/snowturn/simulation/Scenario.java
+++ b/src/testbench/java/org/snowturn/simulation/Scenario.java
@@ -9,8 +9,8 @@
 import org.snowturn.wire.MalformedException;
 
 /**
- * A scenario: settings, events at their times and what must hold in the end. See the README of the
- * scenario files.
+ * Scenario of settings, timed events and expectations that must hold at the end. The README beside
+ * the scenario files describes the format.
  */
 final class Scenario {
   private static final Path FIXTURES = Path.of("src", "test", "resources", "fixtures");
@@ -20,17 +20,18 @@
   private final List<ScenarioLine> events = new ArrayList<>();
   private final List<ScenarioLine> expectations = new ArrayList<>();
 
-  /** The cluster of the last run, for whoever wants to look closer. */
+  /** Cluster of the last run, for inspection after the run. */
   SimulatedCluster lastCluster;
 
-  /** Is told of everything that the controllers of a run send. */
+  /** Observer of the effects that the controllers produce in a run. */
   EffectObserver observer = EffectObserver.NONE;
 
+  /** Reads a scenario from a file. */
   static Scenario read(Path file) throws IOException {
     return of(file.getFileName().toString(), Files.readAllLines(file));
   }
 
-  /** A scenario that stands in no file. */
+  /** Creates a scenario from lines of text that are in no file. */
   static Scenario of(List<String> text) {
     return of("scenario", text);
   }
@@ -54,16 +55,17 @@
     }
   }
 
+  /** Returns the seeds to run the scenario with. */
   long[] seeds() {
     return settings.seeds();
   }
 
-  /** The settings of the controllers. */
+  /** Returns the settings of each controller. */
   Settings[] settings() {
     return settings.controllers();
   }
 
-  /** Runs it once; returns what went wrong, empty if nothing did. */
+  /** Runs the scenario once and returns the failures, empty if all expectations are met. */
   List<String> run(long seed) throws IOException, MalformedException {
     SimulatedCluster cluster = prepare(seed);
     cluster.runUntil(settings.integer("until", 120) * 1000L);
@@ -104,8 +106,8 @@
   }
 
   /**
-   * When the last fault is over: the last event that is no client's, and the longest of the times
-   * that such an event names.
+   * Returns the time in milliseconds at which the last fault ends. The largest number in the line
+   * of a fault is taken as its duration.
    */
   private long faultsEndMs() {
     double endS = settings.number("random-faults", 0);
--- a/src/testbench/java/org/snowturn/simulation/ScenarioEvents.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioEvents.java
@@ -7,19 +7,19 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** What the events of a scenario do, by their names: {@code at SECONDS EVENT ARGUMENTS}. */
+/** Actions of scenario events by event name: {@code at SECONDS EVENT ARGUMENTS}. */
 final class ScenarioEvents {
-  /** The first argument of an event in its line. */
+  /** Word index of an event's first argument in its line. */
   private static final int FIRST = 3;
 
   private static final int SECOND = FIRST + 1;
   private static final int THIRD = FIRST + 2;
 
-  /** Events that are no faults. */
-  private static final Set<String> OF_CLIENTS =
+  /** Events that are requests of clients or checks, not faults. */
+  private static final Set<String> NON_FAULT_EVENTS =
       Set.of("submit", "cancel", "resubmit", "poll", "ready");
 
-  /** Carries out an event. */
+  /** Action of an event. */
   private interface Action {
     void run(SimulatedCluster cluster, ScenarioLine line);
   }
@@ -27,17 +27,17 @@
   private static final Map<String, Action> ACTIONS = new HashMap<>();
 
   static {
-    clients();
-    controllers();
-    stateService();
-    network();
-    cloud();
-    machines();
+    registerClientsEvents();
+    registerControllersEvents();
+    registerStateServiceEvents();
+    registerNetworkEvents();
+    registerCloudEvents();
+    registerMachinesEvents();
   }
 
   private ScenarioEvents() {}
 
-  /** Makes the event of a line happen at its time. */
+  /** Schedules the event of a line at its time. */
   static void schedule(SimulatedCluster cluster, ScenarioLine line) {
     Action action = ACTIONS.get(line.word(2));
     if (action == null) {
@@ -46,12 +46,12 @@
     cluster.after(line.millis(1), () -> action.run(cluster, line));
   }
 
-  /** When the fault of a line is over, in seconds; 0 for an event that is no fault. */
+  /** Returns the time in seconds at which the fault of a line ends, or 0 if it is not a fault. */
   static double faultEndsS(ScenarioLine line) {
-    return OF_CLIENTS.contains(line.word(2)) ? 0 : line.number(1) + line.largestNumber(FIRST);
+    return NON_FAULT_EVENTS.contains(line.word(2)) ? 0 : line.number(1) + line.largestNumber(FIRST);
   }
 
-  private static void clients() {
+  private static void registerClientsEvents() {
     ACTIONS.put(
         "submit", (cluster, line) -> line.jobIds(FIRST).forEach(job -> submit(cluster, job, line)));
     ACTIONS.put("cancel", (cluster, line) -> line.jobIds(FIRST).forEach(cluster.clients::cancel));
@@ -76,7 +76,7 @@
         });
   }
 
-  private static void controllers() {
+  private static void registerControllersEvents() {
     ACTIONS.put("start", (cluster, line) -> cluster.node(line.word(FIRST)).start());
     ACTIONS.put("crash", ScenarioEvents::crash);
     ACTIONS.put(
@@ -102,7 +102,7 @@
         });
   }
 
-  private static void stateService() {
+  private static void registerStateServiceEvents() {
     ACTIONS.put(
         "record-done", (cluster, line) -> line.jobIds(FIRST).forEach(cluster.state::recordDone));
     ACTIONS.put(
@@ -134,7 +134,7 @@
         });
   }
 
-  private static void network() {
+  private static void registerNetworkEvents() {
     ACTIONS.put(
         "cut-zone", (cluster, line) -> cluster.cutZone(line.word(FIRST), line.millis(SECOND)));
     ACTIONS.put(
@@ -175,7 +175,7 @@
         });
   }
 
-  private static void cloud() {
+  private static void registerCloudEvents() {
     ACTIONS.put(
         "cloud-outage",
         (cluster, line) -> {
@@ -200,9 +200,9 @@
         });
   }
 
-  private static void machines() {
-    lasting("hang", ClusterFaults::hang);
-    lasting("isolate", ClusterFaults::isolate);
+  private static void registerMachinesEvents() {
+    registerLasting("hang", ClusterFaults::hang);
+    registerLasting("isolate", ClusterFaults::isolate);
     ACTIONS.put("reboot", (cluster, line) -> workerOfTask(cluster, line).reboot());
     ACTIONS.put("failing", (cluster, line) -> workerOfTask(cluster, line).failing = true);
     ACTIONS.put("failing-machine", (cluster, line) -> worker(cluster, line).failing = true);
@@ -212,44 +212,46 @@
     ACTIONS.put("slow", (cluster, line) -> workerOfTask(cluster, line).slow = line.number(SECOND));
     ACTIONS.put(
         "slow-machine", (cluster, line) -> worker(cluster, line).slow = line.number(SECOND));
-    dropping("drop-inbound", SimulatedCluster::dropInbound);
-    dropping("drop-outbound", ClusterFaults::dropOutbound);
+    registerDropping("drop-inbound", SimulatedCluster::dropInbound);
+    registerDropping("drop-outbound", ClusterFaults::dropOutbound);
   }
 
-  /** Does something to a machine for a while. */
+  /** Fault of one machine that ends after a time. */
   private interface LastingFault {
-    void on(SimulatedCluster cluster, SimulatedWorker worker, long ms);
+    void apply(SimulatedCluster cluster, SimulatedWorker worker, long ms);
   }
 
-  /** A fault of the machine that has a task, and of many. */
-  private static void lasting(String name, LastingFault fault) {
+  /** Registers a fault for the machine that runs a task, and for many machines. */
+  private static void registerLasting(String name, LastingFault fault) {
     ACTIONS.put(
         name,
-        (cluster, line) -> fault.on(cluster, workerOfTask(cluster, line), line.millis(SECOND)));
-    many(name, fault);
+        (cluster, line) -> fault.apply(cluster, workerOfTask(cluster, line), line.millis(SECOND)));
+    registerMany(name, fault);
   }
 
-  /** A fault of the machine with an index, of many, and of a zone's. */
-  private static void dropping(String name, LastingFault fault) {
+  /** Registers a fault for the machine with an index, for many machines and for a zone. */
+  private static void registerDropping(String name, LastingFault fault) {
     ACTIONS.put(
-        name, (cluster, line) -> fault.on(cluster, worker(cluster, line), line.millis(SECOND)));
-    many(name, fault);
+        name, (cluster, line) -> fault.apply(cluster, worker(cluster, line), line.millis(SECOND)));
+    registerMany(name, fault);
     ACTIONS.put(
         name + "-zone",
         (cluster, line) -> {
-          Consumer<SimulatedWorker> drop = worker -> fault.on(cluster, worker, line.millis(SECOND));
+          Consumer<SimulatedWorker> drop =
+              worker -> fault.apply(cluster, worker, line.millis(SECOND));
           cluster.workers.values().stream()
               .filter(worker -> worker.rented.zone.equals(line.word(FIRST)))
               .forEach(drop);
         });
   }
 
-  private static void many(String name, LastingFault fault) {
+  /** Registers a fault for many machines. */
+  private static void registerMany(String name, LastingFault fault) {
     ACTIONS.put(
         name + "-many",
         (cluster, line) ->
             manyWorkers(cluster, line)
-                .forEach(worker -> fault.on(cluster, worker, line.millis(SECOND))));
+                .forEach(worker -> fault.apply(cluster, worker, line.millis(SECOND))));
   }
 
   private static void submit(SimulatedCluster cluster, String job, ScenarioLine line) {
@@ -290,7 +292,7 @@
     }
   }
 
-  /** The node that the first argument names, by its name or by its role. */
+  /** Returns the name of the node that the first argument names by its name or role. */
   private static String node(SimulatedCluster cluster, ScenarioLine line) {
     SimulatedCluster.Node leader = cluster.leader();
     switch (line.word(FIRST)) {
@@ -302,7 +304,7 @@
       }
       case "leader" -> {
         if (leader == null) {
-          throw new ScenarioFormatException(line, "at " + cluster.now + " nobody leads");
+          throw new ScenarioFormatException(line, "no node is leader at " + cluster.now + " ms");
         }
         return leader.name;
       }
@@ -312,7 +314,7 @@
     }
   }
 
-  /** The machine that runs the task that the first argument names. */
+  /** Returns the machine that runs the task named by the first argument. */
   private static SimulatedWorker workerOfTask(SimulatedCluster cluster, ScenarioLine line) {
     for (SimulatedWorker worker : cluster.workers.values()) {
       for (SimulatedWorker.Task task : worker.tasks.values()) {
@@ -321,25 +323,27 @@
         }
       }
     }
-    throw new ScenarioFormatException(line, "at " + cluster.now + " no machine has the task");
+    throw new ScenarioFormatException(
+        line, "no machine runs task " + line.word(FIRST) + " at " + cluster.now + " ms");
   }
 
-  /** The machine with the index that the first argument names. */
+  /** Returns the machine whose index is the first argument. */
   private static SimulatedWorker worker(SimulatedCluster cluster, ScenarioLine line) {
     return cluster.workers.values().stream()
         .skip(line.integer(FIRST))
         .findFirst()
-        .orElseThrow(() -> new ScenarioFormatException(line, "no such machine"));
+        .orElseThrow(
+            () -> new ScenarioFormatException(line, "no machine has index " + line.word(FIRST)));
   }
 
-  /** As many machines as the first argument says, from all over the cluster. */
+  /** Returns evenly distributed machines; the first argument is their number. */
   private static List<SimulatedWorker> manyWorkers(SimulatedCluster cluster, ScenarioLine line) {
     List<SimulatedWorker> all = List.copyOf(cluster.workers.values());
     int count = line.integer(FIRST);
-    List<SimulatedWorker> some = new ArrayList<>();
+    List<SimulatedWorker> selected = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      some.add(all.get(i * all.size() / count));
+      selected.add(all.get(i * all.size() / count));
     }
-    return some;
+    return selected;
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/ScenarioExpectations.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioExpectations.java
@@ -6,28 +6,28 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** What must hold at the end of a scenario: {@code expect WHAT ARGUMENTS}. */
+/** Checks made at the end of a scenario, by name: {@code expect WHAT ARGUMENTS}. */
 final class ScenarioExpectations {
-  /** The first argument of an expectation in its line. */
+  /** Word index of an expectation's first argument in its line. */
   private static final int FIRST = 2;
 
   private static final int SECOND = FIRST + 1;
   private static final int THIRD = FIRST + 2;
 
-  /** The expectation that the checker finds an invariant violated. */
+  /** Name of the expectation that the invariant checker reports a violation. */
   private static final String VIOLATED = "violated";
 
-  /** Checks an expectation and reports what is wrong. */
+  /** Check of one kind of expectation. */
   private interface Check {
     void run(SimulatedCluster cluster, ScenarioLine line, Failures failures);
   }
 
-  /** Collects the expectations that are not met. */
+  /** Collector of the expectations that are not met. */
   private static final class Failures {
-    private final List<String> found = new ArrayList<>();
+    private final List<String> messages = new ArrayList<>();
 
     void add(ScenarioLine line, Object actual) {
-      found.add(line.text() + ", but " + actual);
+      messages.add(line.text() + ", but " + actual);
     }
 
     void expectCount(ScenarioLine line, int index, long actual) {
@@ -52,21 +52,21 @@
   private static final Map<String, Check> CHECKS = new HashMap<>();
 
   static {
-    jobs();
-    placement();
-    log();
-    counts();
+    registerJobsChecks();
+    registerPlacementChecks();
+    registerLogChecks();
+    registerCountsChecks();
   }
 
   private ScenarioExpectations() {}
 
-  /** Checks all expectations of a scenario; returns what is wrong, empty if nothing is. */
+  /** Checks all expectations of a scenario and returns the failures, empty if all are met. */
   static List<String> check(SimulatedCluster cluster, List<ScenarioLine> expectations) {
     Failures failures = new Failures();
-    List<String> violationsExpected = new ArrayList<>();
+    List<String> expectedViolations = new ArrayList<>();
     for (ScenarioLine line : expectations) {
       if (line.word(1).equals(VIOLATED)) {
-        violationsExpected.add(line.word(FIRST));
+        expectedViolations.add(line.word(FIRST));
         continue;
       }
       Check check = CHECKS.get(line.word(1));
@@ -75,30 +75,30 @@
       }
       check.run(cluster, line, failures);
     }
-    List<String> wrong = failures.found;
-    if (violationsExpected.isEmpty()) {
-      wrong.addAll(cluster.invariants.details);
+    List<String> messages = failures.messages;
+    if (expectedViolations.isEmpty()) {
+      messages.addAll(cluster.invariants.details);
     }
-    for (String invariant : violationsExpected) {
+    for (String invariant : expectedViolations) {
       if (!cluster.invariants.violated.contains(invariant)) {
-        wrong.add("the checker did not see " + invariant + " violated");
+        messages.add("the invariant checker did not report a violation of " + invariant);
       }
     }
-    if (!wrong.isEmpty()) {
-      wrong.add("last log lines:\n" + cluster.log.tail());
+    if (!messages.isEmpty()) {
+      messages.add("last log lines:\n" + cluster.log.tail());
     }
-    return wrong;
+    return messages;
   }
 
-  private static void jobs() {
-    CHECKS.put("done", ScenarioExpectations::terminal);
-    CHECKS.put("aborted", ScenarioExpectations::terminal);
+  private static void registerJobsChecks() {
+    CHECKS.put("done", ScenarioExpectations::checkTerminal);
+    CHECKS.put("aborted", ScenarioExpectations::checkTerminal);
     CHECKS.put(
         "all-over",
         (cluster, line, failures) -> {
           for (SimulatedClients.SubmittedJob job : cluster.clients.all()) {
             if (job.terminal == null && !job.spec.service()) {
-              failures.found.add(job.spec.id() + " is not over");
+              failures.messages.add(job.spec.id() + " has not ended");
             }
           }
         });
@@ -121,22 +121,23 @@
         });
   }
 
-  private static void terminal(SimulatedCluster cluster, ScenarioLine line, Failures failures) {
+  private static void checkTerminal(
+      SimulatedCluster cluster, ScenarioLine line, Failures failures) {
     for (String id : line.jobIds(FIRST)) {
       SimulatedClients.SubmittedJob job = cluster.clients.job(id);
-      boolean late = line.hasWord(THIRD) && job.doneAt > line.millis(THIRD);
-      if (!line.word(1).equals(job.terminal) || late) {
+      boolean isLate = line.hasWord(THIRD) && job.doneAt > line.millis(THIRD);
+      if (!line.word(1).equals(job.terminal) || isLate) {
         failures.add(line, id + " " + job.terminal + " at " + job.doneAt);
       }
     }
   }
 
-  private static void placement() {
+  private static void registerPlacementChecks() {
     CHECKS.put(
         "running",
         (cluster, line, failures) -> {
           for (String id : line.jobIds(FIRST)) {
-            long running = running(cluster, id, worker -> true);
+            long running = runningTasks(cluster, id, worker -> true);
             if (running != line.integer(SECOND)) {
               failures.add(line, running + " of " + id);
             }
@@ -146,14 +147,16 @@
         "on-ordinary",
         (cluster, line, failures) ->
             failures.expectCount(
-                line, SECOND, running(cluster, line.word(FIRST), worker -> !worker.rented.spot)));
+                line,
+                SECOND,
+                runningTasks(cluster, line.word(FIRST), worker -> !worker.rented.spot)));
     CHECKS.put(
         "running-outside",
         (cluster, line, failures) ->
             failures.expectCount(
                 line,
                 THIRD,
-                running(
+                runningTasks(
                     cluster,
                     line.word(SECOND),
                     worker -> !worker.rented.zone.equals(line.word(FIRST)))));
@@ -168,7 +171,7 @@
         });
   }
 
-  private static long running(
+  private static long runningTasks(
       SimulatedCluster cluster, String job, Predicate<SimulatedWorker> where) {
     return cluster.workers.values().stream()
         .filter(where)
@@ -177,12 +180,12 @@
         .count();
   }
 
-  /** The machine to which the job's first task was started last, as the log says. */
+  /** Returns the machine of the last start of the job's first task, according to the log. */
   private static String lastMachine(SimulatedCluster cluster, String job) {
     return cluster.log.lastValue("event=start_sent ", "task=" + job + "/0 ", "machine");
   }
 
-  private static void log() {
+  private static void registerLogChecks() {
     CHECKS.put(
         "event",
         (cluster, line, failures) -> {
@@ -221,7 +224,7 @@
         });
   }
 
-  private static void counts() {
+  private static void registerCountsChecks() {
     CHECKS.put(
         "min-relayed",
         (cluster, line, failures) -> failures.expectAtLeast(line, FIRST, cluster.relayed));
--- a/src/testbench/java/org/snowturn/simulation/ScenarioFormatException.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioFormatException.java
@@ -1,6 +1,8 @@
 package org.snowturn.simulation;
 
-/** A scenario that cannot be read; the message names the file, the line and what is wrong. */
+/**
+ * Signals a malformed scenario; the message has the file, the line number, the error and the line.
+ */
 final class ScenarioFormatException extends IllegalArgumentException {
   private static final long serialVersionUID = 1L;
 
--- a/src/testbench/java/org/snowturn/simulation/ScenarioLine.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioLine.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * One line of a scenario: words with blanks between. Its accessors throw {@link
- * ScenarioFormatException} for a word that is missing or has the wrong form.
+ * One line of a scenario: words separated by blanks. The accessors throw {@link
+ * ScenarioFormatException} if a word is missing or malformed. Word indexes start at 0.
  */
 final class ScenarioLine {
   private static final String BLANKS = "\\s+";
@@ -25,7 +25,7 @@
     this.words = text.split(BLANKS, -1);
   }
 
-  /** File and number of the line. */
+  /** Returns the file name and line number, separated by a colon. */
   String location() {
     return file + ":" + number;
   }
@@ -49,7 +49,7 @@
     return words[index];
   }
 
-  /** Everything from this word to the end of the line. */
+  /** Returns the text from a word to the end of the line. */
   String rest(int index) {
     word(index);
     return text.split(BLANKS, index + 1)[index];
@@ -67,18 +67,18 @@
     try {
       return Integer.parseInt(word(index));
     } catch (NumberFormatException e) {
-      throw new ScenarioFormatException(this, "not a whole number: " + word(index), e);
+      throw new ScenarioFormatException(this, "not an integer: " + word(index), e);
     }
   }
 
-  /** A time or duration in seconds, as milliseconds. */
+  /** Returns a time or duration, given in seconds, in milliseconds. */
   long millis(int index) {
     return (long) (number(index) * 1000);
   }
 
   /**
-   * Job ids with commas between; {@code wk-000001..wk-000009} stands for all from the first to the
-   * last.
+   * Returns the job ids of a comma-separated list; {@code wk-000001..wk-000009} stands for all ids
+   * from the first to the last.
    */
   List<String> jobIds(int index) {
     return jobIds(word(index));
@@ -104,23 +104,23 @@
     try {
       return SimulatedJobs.number(id);
     } catch (IllegalArgumentException e) {
-      throw new ScenarioFormatException(this, "not a job's id: " + id, e);
+      throw new ScenarioFormatException(this, "not a job id: " + id, e);
     }
   }
 
-  /** The words from this one on that have the form {@code name=value}. */
+  /** Returns the {@code name=value} words from a word to the end of the line. */
   Map<String, String> options(int from) {
-    Map<String, String> named = new LinkedHashMap<>();
+    Map<String, String> options = new LinkedHashMap<>();
     for (int i = from; i < words.length; i++) {
       int equals = words[i].indexOf('=');
       if (equals > 0) {
-        named.put(words[i].substring(0, equals), words[i].substring(equals + 1));
+        options.put(words[i].substring(0, equals), words[i].substring(equals + 1));
       }
     }
-    return named;
+    return options;
   }
 
-  /** The largest of the words from this one on that are numbers; 0 if there is none. */
+  /** Returns the largest number among the words from a word to the end; 0 if there is none. */
   double largestNumber(int from) {
     double largest = 0;
     for (int i = from; i < words.length; i++) {
--- a/src/testbench/java/org/snowturn/simulation/ScenarioSettings.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioSettings.java
@@ -9,7 +9,7 @@
 import org.snowturn.config.Settings;
 import org.snowturn.config.Tunables;
 
-/** The settings of a scenario, by their names in its file; what is not named has a default. */
+/** Settings of a scenario by their names in its file; missing settings have defaults. */
 final class ScenarioSettings {
   private static final int CONTROLLERS = 3;
   private static final Settings.StateLimits STATE_LIMITS = new Settings.StateLimits(150, 40, 4, 12);
@@ -24,16 +24,16 @@
     return lines.containsKey(name);
   }
 
-  /** The line of a setting that is there. */
+  /** Returns the line of a setting, or null if the scenario lacks it. */
   ScenarioLine line(String name) {
     return lines.get(name);
   }
 
-  /** The words of a setting, or those of the default. */
-  List<String> words(String name, String absent) {
+  /** Returns the words of a setting, or those of {@code defaultWords} if it has unusedAddress. */
+  List<String> words(String name, String defaultWords) {
     ScenarioLine line = lines.get(name);
     if (line == null || !line.hasWord(1)) {
-      return List.of(absent.split("\\s+", -1));
+      return List.of(defaultWords.split("\\s+", -1));
     }
     List<String> words = new ArrayList<>();
     for (int i = 1; i < line.size(); i++) {
@@ -42,12 +42,12 @@
     return words;
   }
 
-  double number(String name, double absent) {
-    return has(name) ? line(name).number(1) : absent;
+  double number(String name, double defaultValue) {
+    return has(name) ? line(name).number(1) : defaultValue;
   }
 
-  int integer(String name, int absent) {
-    return has(name) ? line(name).integer(1) : absent;
+  int integer(String name, int defaultValue) {
+    return has(name) ? line(name).integer(1) : defaultValue;
   }
 
   long[] seeds() {
@@ -71,7 +71,7 @@
         number("begin-within", defaults.beginWithinS()));
   }
 
-  /** The settings of each controller. */
+  /** Returns the settings of each controller. */
   Settings[] controllers() {
     Settings[] settings = new Settings[CONTROLLERS];
     for (int i = 0; i < settings.length; i++) {
@@ -89,16 +89,16 @@
                 "n" + peer, new InetSocketAddress(InetAddress.getLoopbackAddress(), 1 + peer)));
       }
     }
-    InetSocketAddress none = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+    InetSocketAddress unusedAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     Settings.StateLimits limits = limits("state", STATE_LIMITS);
     return new Settings(
         "n" + index,
         "abc".substring(index, index + 1),
-        none,
-        none,
+        unusedAddress,
+        unusedAddress,
         peers,
-        none,
-        none,
+        unusedAddress,
+        unusedAddress,
         List.of("a", "b", "c"),
         teams(),
         objectives(),
@@ -136,9 +136,9 @@
     return objectives;
   }
 
-  private Settings.StateLimits limits(String name, Settings.StateLimits absent) {
+  private Settings.StateLimits limits(String name, Settings.StateLimits defaultValue) {
     if (!has(name)) {
-      return absent;
+      return defaultValue;
     }
     ScenarioLine line = line(name);
     return new Settings.StateLimits(
--- a/src/testbench/java/org/snowturn/simulation/SimulationParameters.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulationParameters.java
@@ -3,14 +3,14 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Figures of a world that are not in its settings.
+ * Parameters of a simulated cluster that are not part of the controllers' settings.
  *
- * @param cpus what a machine has
- * @param memoryGb what a machine has
- * @param pollMs users ask after so long, and up to twice that
- * @param pollsWhenOver whether users go on asking about jobs that are over
- * @param leaseCheckMs how often a worker looks whether its lease has run out
- * @param addresses a machine's address by its name
+ * @param cpus number of CPUs of a machine
+ * @param memoryGb memory of a machine in gigabytes
+ * @param minPollIntervalMs minimum time between two polls of a client; the maximum is twice that
+ * @param shouldPollFinishedJobs whether clients continue to poll jobs that have ended
+ * @param leaseCheckIntervalMs interval at which a worker checks whether its lease has expired
+ * @param addressByMachine function from a machine's name to its address
  */
 record SimulationParameters(
     double cpus,
@@ -20,7 +20,7 @@
     long leaseCheckIntervalMs,
     UnaryOperator<String> addressByMachine) {
 
-  /** What the scenarios use. */
+  /** Parameters of the scenario runs. */
   static final SimulationParameters SMALL =
       new SimulationParameters(8, 32, 1_500, true, 50, id -> id + ":1");
 }
--- a/src/testbench/java/org/snowturn/simulation/TargetedFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/TargetedFaults.java
@@ -7,10 +7,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Draws a scenario from a seed: overlapping faults like those of {@link OverlappingFaults}, but
- * each scenario begins where one guard is all that holds a rule (a cluster without a spare place, a
- * team at its limit, tasks with long to go, writes or commands held up), and draws when the faults,
- * cancellations and changes of leader fall into it.
+ * Generator of a scenario from a seed, with overlapping faults like those of {@link
+ * OverlappingFaults}. Each scenario starts in a state in which a single check in the controller
+ * protects an invariant: a full cluster, a team at its limit, long-running tasks, or delayed writes
+ * or commands. The times of faults, cancellations and leader changes are random.
  */
 final class TargetedFaults {
   private final RandomGenerator random;
@@ -22,31 +22,32 @@
     kind = seed % 7;
   }
 
+  /** Returns the lines of the scenario. */
   List<String> generate() {
     text.add("workers 2 10 30");
     switch (kind) {
-      case 0 -> teamsAtTheirLimits();
-      case 1 -> startsBesideLateWrites();
-      case 2 -> commandsHeldUpWhileRoomIsMade();
-      case 3 -> machinesThatAreUpAtOnce();
-      case 4 -> cancellationsThatALeaderDoesNotHear();
-      case 5 -> reportsOfEarlierSessions();
-      default -> startsOfWhatIsCancelled();
+      case 0 -> teamsAtLimits();
+      case 1 -> startsDuringLateWrites();
+      case 2 -> delayedCommandsDuringPreemption();
+      case 3 -> fastBootingMachines();
+      case 4 -> cancellationsUnknownToLeader();
+      case 5 -> heartbeatsOfEarlierSessions();
+      default -> delayedStartsOfCancelledJobs();
     }
     text.add("until 260");
     text.add("expect all-over");
     return text;
   }
 
-  private void at(double s, String event, Object... args) {
-    text.add(String.format(Locale.ROOT, "at %.2f ", s) + String.format(Locale.ROOT, event, args));
+  private void at(double atS, String event, Object... args) {
+    text.add(String.format(Locale.ROOT, "at %.2f ", atS) + String.format(Locale.ROOT, event, args));
   }
 
-  private double between(double least, double most) {
-    return least + random.nextDouble(most - least);
+  private double between(double min, double max) {
+    return min + random.nextDouble(max - min);
   }
 
-  private void teamsAtTheirLimits() {
+  private void teamsAtLimits() {
     text.add("teams t:12 u:10");
     text.add("capacity 0");
     text.add("machines 6");
@@ -54,20 +55,20 @@
     at(9, "submit wk-000011..wk-000015 batch tasks=2 cpus=1 run=300 ordinary=1 team=u");
     at(12, "submit wk-000021..wk-000026 batch tasks=4 cpus=1 run=15 ordinary=1 team=t");
     at(12, "submit wk-000031..wk-000036 batch tasks=4 cpus=1 run=15 ordinary=1 team=u");
-    double from = between(16, 24);
+    double fromS = between(16, 24);
     for (int id : new int[] {1, 2, 3, 4, 5, 6, 11, 12, 13, 14, 15}) {
-      at(from + between(0, 12), "cancel wk-%06d", id);
+      at(fromS + between(0, 12), "cancel wk-%06d", id);
     }
     for (int i = 0; i < 3; i++) {
-      String kind =
+      String fault =
           List.of("isolate-many", "hang-many", "drop-inbound-many", "drop-outbound-many")
               .get(random.nextInt(4));
-      at(from + between(-3, 8), "%s %d %.2f", kind, 1 + random.nextInt(4), between(3, 25));
+      at(fromS + between(-3, 8), "%s %d %.2f", fault, 1 + random.nextInt(4), between(3, 25));
     }
-    at(from + between(0, 10), "crash leader? %.2f", between(0.1, 4));
+    at(fromS + between(0, 10), "crash leader? %.2f", between(0.1, 4));
   }
 
-  private void startsBesideLateWrites() {
+  private void startsDuringLateWrites() {
     text.add("capacity 6");
     text.add("machines 12");
     at(7, "late-transactions %.2f 14", between(0.2, 0.5));
@@ -81,82 +82,84 @@
     at(between(10, 20), "lose-replies %.2f 6", between(0.2, 0.7));
   }
 
-  private void commandsHeldUpWhileRoomIsMade() {
+  private void delayedCommandsDuringPreemption() {
     text.add("capacity 0");
     text.add("machines 6");
     text.add("workers 1 10 30");
-    double from = between(9, 12);
-    at(from, "late-commands %.2f %.2f", between(3, 12), between(8, 30));
-    at(from + 0.1, "submit wk-000001..wk-000006 batch tasks=6 cpus=1 run=30 rank=low ordinary=1");
-    double room = from + between(1, 6);
-    at(room, "submit wk-000011..wk-000014 service tasks=9 cpus=1 rank=production ordinary=1");
-    at(room + between(0.5, 9), "cancel wk-000011..wk-000014");
-    at(room + between(0, 9), "cancel wk-000001");
+    double fromS = between(9, 12);
+    at(fromS, "late-commands %.2f %.2f", between(3, 12), between(8, 30));
+    at(fromS + 0.1, "submit wk-000001..wk-000006 batch tasks=6 cpus=1 run=30 rank=low ordinary=1");
+    double preemptionS = fromS + between(1, 6);
+    at(
+        preemptionS,
+        "submit wk-000011..wk-000014 service tasks=9 cpus=1 rank=production ordinary=1");
+    at(preemptionS + between(0.5, 9), "cancel wk-000011..wk-000014");
+    at(preemptionS + between(0, 9), "cancel wk-000001");
   }
 
-  private void machinesThatAreUpAtOnce() {
+  private void fastBootingMachines() {
     text.add("boot 0.3");
     text.add("capacity 9");
     text.add("machines 0");
-    double from = between(3, 5);
-    at(from, "submit wk-000001..wk-000006 batch tasks=4 cpus=2 run=20");
-    at(from, "late-transactions %.2f %.2f", between(0.3, 0.6), between(4, 12));
+    double fromS = between(3, 5);
+    at(fromS, "submit wk-000001..wk-000006 batch tasks=4 cpus=2 run=20");
+    at(fromS, "late-transactions %.2f %.2f", between(0.3, 0.6), between(4, 12));
     for (int i = 0; i < 4; i++) {
-      at(from + 1 + 2.5 * i + between(0, 2.5), "crash leader? %.2f", between(0.05, 0.3));
-      at(from + 2 * i, "submit wk-%06d batch tasks=8 cpus=2 run=12", 11 + i);
+      at(fromS + 1 + 2.5 * i + between(0, 2.5), "crash leader? %.2f", between(0.05, 0.3));
+      at(fromS + 2 * i, "submit wk-%06d batch tasks=8 cpus=2 run=12", 11 + i);
     }
     at(between(20, 30), "fail-many %d", 2 + random.nextInt(4));
   }
 
-  private void cancellationsThatALeaderDoesNotHear() {
+  private void cancellationsUnknownToLeader() {
     text.add("capacity 6");
     text.add("machines 9");
     at(3, "submit wk-000011..wk-000018 batch tasks=3 cpus=1 run=300 ordinary=1");
-    for (double from : new double[] {20, 110}) {
-      // Its peers can tell it, or those that know end before they do.
-      boolean untold = random.nextBoolean();
-      double refused = from + between(-0.3, 0.3);
-      at(refused, "refuse leader? %.2f", between(10, 16));
-      if (untold) {
-        at(refused + between(-0.1, 0.1), "cut leader? peers %.2f", between(0.8, 1.6));
+    for (double fromS : new double[] {20, 110}) {
+      // Either peers report the cancellations to the leader, or they end before they can do so.
+      boolean isLeaderUninformed = random.nextBoolean();
+      double refusedS = fromS + between(-0.3, 0.3);
+      at(refusedS, "refuse leader? %.2f", between(10, 16));
+      if (isLeaderUninformed) {
+        at(refusedS + between(-0.1, 0.1), "cut leader? peers %.2f", between(0.8, 1.6));
       }
       for (int i = 0; i < 4; i++) {
-        at(from + between(0, 1.4), "cancel wk-%06d", (from < 100 ? 11 : 15) + i);
+        at(fromS + between(0, 1.4), "cancel wk-%06d", (fromS < 100 ? 11 : 15) + i);
       }
-      double out = from + between(0.8, 1.6);
-      at(out, "outage %.2f", between(40, 65));
-      if (untold) {
-        at(out + between(0, 0.3), "crash standbys %.2f", random.nextBoolean() ? 0.2 : 20);
+      double outageS = fromS + between(0.8, 1.6);
+      at(outageS, "outage %.2f", between(40, 65));
+      if (isLeaderUninformed) {
+        at(outageS + between(0, 0.3), "crash standbys %.2f", random.nextBoolean() ? 0.2 : 20);
       }
     }
   }
 
-  private void reportsOfEarlierSessions() {
+  private void heartbeatsOfEarlierSessions() {
     text.add("capacity 0");
     text.add("machines 6");
     at(3, "submit wk-000001..wk-000006 batch tasks=7 cpus=1 run=%.2f ordinary=1", between(6, 20));
-    double from = between(14, 20);
-    at(from - 5, random.nextBoolean() ? "duplicate-heartbeats 25 70" : "hold-heartbeats 70");
-    at(from, "isolate-many %d %.2f", 2 + random.nextInt(4), between(10.2, 15));
-    at(from + between(2, 20), "hang-many %d %.2f", 1 + random.nextInt(3), between(8, 14));
+    double fromS = between(14, 20);
+    at(fromS - 5, random.nextBoolean() ? "duplicate-heartbeats 25 70" : "hold-heartbeats 70");
+    at(fromS, "isolate-many %d %.2f", 2 + random.nextInt(4), between(10.2, 15));
+    at(fromS + between(2, 20), "hang-many %d %.2f", 1 + random.nextInt(3), between(8, 14));
     for (int i = 0; i < 3; i++) {
-      at(from + between(0, 45), "crash leader? %.2f", between(0.1, 3));
+      at(fromS + between(0, 45), "crash leader? %.2f", between(0.1, 3));
     }
-    at(from + between(0, 20), "submit wk-000011..wk-000016 batch tasks=7 cpus=1 run=8 ordinary=1");
+    at(fromS + between(0, 20), "submit wk-000011..wk-000016 batch tasks=7 cpus=1 run=8 ordinary=1");
   }
 
-  private void startsOfWhatIsCancelled() {
+  private void delayedStartsOfCancelledJobs() {
     text.add("capacity 0");
     text.add("machines 4");
     at(3, "submit wk-000001..wk-000004 batch tasks=2 cpus=1 run=6 ordinary=1");
-    double from = between(17, 20);
-    double held = between(6, 38);
-    at(from, "late-commands %.2f %.2f", held, between(1, 3));
-    at(from + 0.1, "submit wk-000011..wk-000016 batch tasks=3 cpus=1 run=200 ordinary=1");
-    at(from + between(0.3, 2), "cancel wk-000011..wk-000016");
-    at(from + held + between(-0.5, 1.5), "isolate-many 4 %.2f", between(5, 45));
+    double fromS = between(17, 20);
+    double delayS = between(6, 38);
+    at(fromS, "late-commands %.2f %.2f", delayS, between(1, 3));
+    at(fromS + 0.1, "submit wk-000011..wk-000016 batch tasks=3 cpus=1 run=200 ordinary=1");
+    at(fromS + between(0.3, 2), "cancel wk-000011..wk-000016");
+    at(fromS + delayS + between(-0.5, 1.5), "isolate-many 4 %.2f", between(5, 45));
     if (random.nextBoolean()) {
-      at(from + between(0, held), "crash leader? %.2f", between(0.1, 3));
+      at(fromS + between(0, delayS), "crash leader? %.2f", between(0.1, 3));
     }
   }
 }
