--- a/src/test/java/org/snowturn/simulation/ElectionExplorerTest.java
+++ b/src/test/java/org/snowturn/simulation/ElectionExplorerTest.java
@@ -15,13 +15,14 @@
 import org.snowturn.config.Tunables;
 
 /**
- * Explores elections of three nodes exhaustively and guards against two leaders at a time, or none
- * at the end. After each initial fault, at ten moments around the next claim, one or two of the
- * twelve directed links lose or delay messages, and at most one node restarts when they lose them.
+ * Explores elections of three real controllers to a fixed depth and guards against two leaders at a
+ * time, or none at the end. After each initial fault, at ten moments around the next claim, one or
+ * two of the twelve directed links lose or delay messages, and at most one node restarts when they
+ * lose them.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class ElectionExplorerTest {
-  private static final long FROM_MS = 6_000;
+  private static final long INITIAL_FAULT_MS = 6_000;
   private static final int MOMENTS = 10;
   private static final long STEP_MS = 130;
   private static final long FAULT_MS = 1_300;
@@ -42,8 +43,8 @@
    *
    * @param firstMomentMs time from the fault to the first of the moments
    */
-  private record InitialFault(String name, long firstMomentMs, Start start) {
-    interface Start {
+  private record InitialFault(String name, long firstMomentMs, Action action) {
+    interface Action {
       void apply(SimulatedCluster cluster);
     }
   }
@@ -97,7 +98,9 @@
                                 () ->
                                     explore(
                                         initialFault,
-                                        FROM_MS + initialFault.firstMomentMs + i * STEP_MS))));
+                                        INITIAL_FAULT_MS
+                                            + initialFault.firstMomentMs
+                                            + i * STEP_MS))));
   }
 
   private static void explore(InitialFault initialFault, long atMs) throws Exception {
@@ -120,7 +123,7 @@
     SimulatedCluster cluster =
         new SimulatedCluster(1, new Scenario().settings(), Tunables.defaults());
     cluster.nodes.forEach(SimulatedCluster.Node::start);
-    cluster.after(FROM_MS, () -> initialFault.start.apply(cluster));
+    cluster.after(INITIAL_FAULT_MS, () -> initialFault.action.apply(cluster));
     cluster.after(
         atMs,
         () -> cluster.links((from, to) -> faulty.contains(new Direction(from, to)) ? delayMs : 0));
--- a/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
+++ b/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
@@ -23,7 +23,7 @@
  * 200 or 700 ms, pauses, cuts, refusals, outages and late transactions.
  */
 class ElectionFaultsTest {
-  private static final long FROM_MS = 9_000;
+  private static final long FIRST_FAULT_MS = 9_000;
   private static final long RECOVERY_MS = 12_000;
 
   private static final int MAX_FAULTS = 14;
@@ -79,12 +79,12 @@
                 SimulatedJobs.spec("wk-000001", "service", serviceOptions), 0, Map.of()));
     Map<String, String> arrayOptions = Map.of("tasks", "12", "cpus", "1");
     cluster.after(
-        FROM_MS - 500,
+        FIRST_FAULT_MS - 500,
         () ->
             cluster.clients.submit(
                 SimulatedJobs.spec("wk-000002", "batch", arrayOptions), 4_000, Map.of()));
-    long atMs = FROM_MS;
-    long faultsEndMs = FROM_MS;
+    long atMs = FIRST_FAULT_MS;
+    long faultsEndMs = FIRST_FAULT_MS;
     for (Fault fault : faults) {
       atMs += fault.gapMs;
       cluster.after(atMs, () -> apply(cluster, fault));
--- a/src/testbench/java/org/snowturn/simulation/BehaviorDigest.java
+++ b/src/testbench/java/org/snowturn/simulation/BehaviorDigest.java
@@ -23,6 +23,7 @@
   private long answers;
   private long peerMessages;
 
+  /** Creates a digest that has observed no effects. */
   BehaviorDigest() {
     try {
       hash = MessageDigest.getInstance("SHA-256");
--- a/src/testbench/java/org/snowturn/simulation/LoopbackFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackFaults.java
@@ -17,6 +17,7 @@
   private final RealTimeDriver driver;
   private final DirectedLinks links;
 
+  /** Creates the faults of a cluster; they are applied on the thread of the driver. */
   LoopbackFaults(SimulatedCluster cluster, RealTimeDriver driver, DirectedLinks links) {
     this.cluster = cluster;
     this.driver = driver;
--- a/src/testbench/java/org/snowturn/simulation/OverlappingFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/OverlappingFaults.java
@@ -18,6 +18,7 @@
   /** Time of the scenario at which the last fault ends. */
   private double faultsEndS;
 
+  /** Creates a generator for a seed. */
   OverlappingFaults(int seed) {
     random = new SplittableRandom(seed);
   }
--- a/src/testbench/java/org/snowturn/simulation/RandomFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/RandomFaults.java
@@ -15,6 +15,7 @@
   private final Random random;
   private long endMs;
 
+  /** Creates a source of faults that is inactive before {@link #start} is called. */
   RandomFaults(SimulatedCluster cluster) {
     this.cluster = cluster;
     this.random = cluster.random;
--- a/src/testbench/java/org/snowturn/simulation/ScenarioEvents.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioEvents.java
@@ -27,12 +27,12 @@
   private static final Map<String, Action> ACTIONS = new HashMap<>();
 
   static {
-    registerClientsEvents();
-    registerControllersEvents();
+    registerClientEvents();
+    registerControllerEvents();
     registerStateServiceEvents();
     registerNetworkEvents();
     registerCloudEvents();
-    registerMachinesEvents();
+    registerMachineEvents();
   }
 
   private ScenarioEvents() {}
@@ -51,7 +51,7 @@
     return NON_FAULT_EVENTS.contains(line.word(2)) ? 0 : line.number(1) + line.largestNumber(FIRST);
   }
 
-  private static void registerClientsEvents() {
+  private static void registerClientEvents() {
     ACTIONS.put(
         "submit", (cluster, line) -> line.jobIds(FIRST).forEach(job -> submit(cluster, job, line)));
     ACTIONS.put("cancel", (cluster, line) -> line.jobIds(FIRST).forEach(cluster.clients::cancel));
@@ -76,7 +76,7 @@
         });
   }
 
-  private static void registerControllersEvents() {
+  private static void registerControllerEvents() {
     ACTIONS.put("start", (cluster, line) -> cluster.node(line.word(FIRST)).start());
     ACTIONS.put("crash", ScenarioEvents::crash);
     ACTIONS.put(
@@ -200,7 +200,7 @@
         });
   }
 
-  private static void registerMachinesEvents() {
+  private static void registerMachineEvents() {
     registerLasting("hang", ClusterFaults::hang);
     registerLasting("isolate", ClusterFaults::isolate);
     ACTIONS.put("reboot", (cluster, line) -> workerOfTask(cluster, line).reboot());
--- a/src/testbench/java/org/snowturn/simulation/ScenarioExpectations.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioExpectations.java
@@ -27,7 +27,7 @@
     private final List<String> messages = new ArrayList<>();
 
     void add(ScenarioLine line, Object actual) {
-      messages.add(line.text() + ", but " + actual);
+      messages.add(line.location() + ": " + line.text() + ", but actual: " + actual);
     }
 
     void expectCount(ScenarioLine line, int index, long actual) {
@@ -52,10 +52,10 @@
   private static final Map<String, Check> CHECKS = new HashMap<>();
 
   static {
-    registerJobsChecks();
+    registerJobChecks();
     registerPlacementChecks();
     registerLogChecks();
-    registerCountsChecks();
+    registerCountChecks();
   }
 
   private ScenarioExpectations() {}
@@ -90,7 +90,7 @@
     return messages;
   }
 
-  private static void registerJobsChecks() {
+  private static void registerJobChecks() {
     CHECKS.put("done", ScenarioExpectations::checkTerminal);
     CHECKS.put("aborted", ScenarioExpectations::checkTerminal);
     CHECKS.put(
@@ -224,7 +224,7 @@
         });
   }
 
-  private static void registerCountsChecks() {
+  private static void registerCountChecks() {
     CHECKS.put(
         "min-relayed",
         (cluster, line, failures) -> failures.expectAtLeast(line, FIRST, cluster.relayed));
--- a/src/testbench/java/org/snowturn/simulation/ScenarioLine.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioLine.java
@@ -18,6 +18,7 @@
   private final String text;
   private final String[] words;
 
+  /** Creates a line from its file name, its number, starting at 1, and its text. */
   ScenarioLine(String file, int number, String text) {
     this.file = file;
     this.number = number;
@@ -30,18 +31,22 @@
     return file + ":" + number;
   }
 
+  /** Returns the text of the line without its comment. */
   String text() {
     return text;
   }
 
+  /** Returns the number of words. */
   int size() {
     return words.length;
   }
 
+  /** Returns whether the line has a word at this index. */
   boolean hasWord(int index) {
     return index < words.length;
   }
 
+  /** Returns the word at an index. */
   String word(int index) {
     if (!hasWord(index)) {
       throw new ScenarioFormatException(this, "word " + (index + 1) + " is missing");
@@ -55,6 +60,7 @@
     return text.split(BLANKS, index + 1)[index];
   }
 
+  /** Returns the word at an index as a number. */
   double number(int index) {
     try {
       return Double.parseDouble(word(index));
@@ -63,6 +69,7 @@
     }
   }
 
+  /** Returns the word at an index as an integer. */
   int integer(int index) {
     try {
       return Integer.parseInt(word(index));
@@ -84,6 +91,7 @@
     return jobIds(word(index));
   }
 
+  /** Returns the job ids of a list, which may contain ranges. */
   List<String> jobIds(String list) {
     List<String> ids = new ArrayList<>();
     for (String part : list.split(",", -1)) {
@@ -100,6 +108,7 @@
     return ids;
   }
 
+  /** Returns the number in a job id. */
   long jobNumber(String id) {
     try {
       return SimulatedJobs.number(id);
--- a/src/testbench/java/org/snowturn/simulation/ScenarioSettings.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioSettings.java
@@ -16,10 +16,12 @@
 
   private final Map<String, ScenarioLine> lines = new HashMap<>();
 
+  /** Adds the line of a setting; it replaces an earlier line of the same setting. */
   void add(ScenarioLine line) {
     lines.put(line.word(0), line);
   }
 
+  /** Returns whether the scenario has this setting. */
   boolean has(String name) {
     return lines.containsKey(name);
   }
@@ -42,18 +44,22 @@
     return words;
   }
 
+  /** Returns the number of a setting, or the default if the scenario lacks it. */
   double number(String name, double defaultValue) {
     return has(name) ? line(name).number(1) : defaultValue;
   }
 
+  /** Returns the integer of a setting, or the default if the scenario lacks it. */
   int integer(String name, int defaultValue) {
     return has(name) ? line(name).integer(1) : defaultValue;
   }
 
+  /** Returns the seeds of the scenario; the default is the single seed 1. */
   long[] seeds() {
     return words("seeds", "1").stream().mapToLong(Long::parseLong).toArray();
   }
 
+  /** Returns the operators' tunables, with defaults for those that the scenario lacks. */
   Tunables tunables() {
     Tunables defaults = Tunables.defaults();
     return new Tunables(
--- a/src/testbench/java/org/snowturn/simulation/TargetedFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/TargetedFaults.java
@@ -14,18 +14,19 @@
  */
 final class TargetedFaults {
   private final RandomGenerator random;
-  private final int kind;
+  private final int scenarioKind;
   private final List<String> text = new ArrayList<>();
 
+  /** Creates a generator for a seed; the seed modulo 7 selects the kind of scenario. */
   TargetedFaults(int seed) {
     random = new SplittableRandom(seed);
-    kind = seed % 7;
+    scenarioKind = seed % 7;
   }
 
   /** Returns the lines of the scenario. */
   List<String> generate() {
     text.add("workers 2 10 30");
-    switch (kind) {
+    switch (scenarioKind) {
       case 0 -> teamsAtLimits();
       case 1 -> startsDuringLateWrites();
       case 2 -> delayedCommandsDuringPreemption();
