--- a/src/testbench/java/org/snowturn/simulation/Scenario.java
+++ b/src/testbench/java/org/snowturn/simulation/Scenario.java
@@ -9,8 +9,8 @@
 import org.snowturn.wire.MalformedException;
 
 /**
- * A scenario: settings, events at their times and what must hold in the end. See the README of the
- * scenario files.
+ * Scenario of settings, timed events and expectations that must hold at the end. The README beside
+ * the scenario files describes the format.
  */
 final class Scenario {
   private static final Path FIXTURES = Path.of("src", "test", "resources", "fixtures");
@@ -20,17 +20,18 @@
   private final List<ScenarioLine> events = new ArrayList<>();
   private final List<ScenarioLine> expectations = new ArrayList<>();
 
-  /** The cluster of the last run, for whoever wants to look closer. */
-  SimulatedCluster last;
+  /** Cluster of the last run, for inspection after the run. */
+  SimulatedCluster lastCluster;
 
-  /** Is told of everything that the controllers of a run send. */
+  /** Observer of the effects that the controllers produce in a run. */
   EffectObserver observer = EffectObserver.NONE;
 
+  /** Reads a scenario from a file. */
   static Scenario read(Path file) throws IOException {
     return of(file.getFileName().toString(), Files.readAllLines(file));
   }
 
-  /** A scenario that stands in no file. */
+  /** Creates a scenario from lines of text that are in no file. */
   static Scenario of(List<String> text) {
     return of("scenario", text);
   }
@@ -54,19 +55,20 @@
     }
   }
 
+  /** Returns the seeds to run the scenario with. */
   long[] seeds() {
     return settings.seeds();
   }
 
-  /** The settings of the controllers. */
+  /** Returns the settings of each controller. */
   Settings[] settings() {
     return settings.controllers();
   }
 
-  /** Runs it once; returns what went wrong, empty if nothing did. */
+  /** Runs the scenario once and returns the failures, empty if all expectations are met. */
   List<String> run(long seed) throws IOException, MalformedException {
     SimulatedCluster cluster = prepare(seed);
-    cluster.runUntil(settings.count("until", 120) * 1000L);
+    cluster.runUntil(settings.integer("until", 120) * 1000L);
     if (settings.has("serve")) {
       ScenarioLine serve = settings.line("serve");
       cluster.invariants.checkServed(serve.number(1), serve.millis(2));
@@ -76,15 +78,15 @@
 
   private SimulatedCluster prepare(long seed) throws IOException, MalformedException {
     SimulatedCluster cluster = new SimulatedCluster(seed, settings(), settings.tunables());
-    last = cluster;
+    lastCluster = cluster;
     cluster.observer = observer;
     if (settings.has("boot")) {
       cluster.cloud.bootMs = settings.line("boot").millis(1);
     }
-    cluster.cloud.capacityPerZone = settings.count("capacity", 2);
+    cluster.cloud.capacityPerZone = settings.integer("capacity", 2);
     cluster.seededBugs.addAll(settings.words("seeded-bugs", ""));
     List<String> zones = cluster.settings[0].zones();
-    int machines = settings.count("machines", 3);
+    int machines = settings.integer("machines", 3);
     for (int i = 0; i < machines; i++) {
       cluster.cloud.rent(zones.get(i % zones.size()), false);
     }
@@ -97,15 +99,15 @@
         .forEach(node -> cluster.after(cluster.random.nextInt(MAX_START_DELAY_MS), node::start));
     events.forEach(line -> ScenarioEvents.schedule(cluster, line));
     if (settings.has("random-faults")) {
-      new RandomFaults(cluster).start(settings.line("random-faults").count(1) * 1000L);
+      new RandomFaults(cluster).start(settings.line("random-faults").integer(1) * 1000L);
     }
     cluster.faultsEndMs = faultsEndMs();
     return cluster;
   }
 
   /**
-   * When the last fault is over: the last event that is no client's, and the longest of the times
-   * that such an event names.
+   * Returns the time in milliseconds at which the last fault ends. The largest number in the line
+   * of a fault is taken as its duration.
    */
   private long faultsEndMs() {
     double endS = settings.number("random-faults", 0);
--- a/src/testbench/java/org/snowturn/simulation/ScenarioEvents.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioEvents.java
@@ -7,19 +7,19 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** What the events of a scenario do, by their names: {@code at SECONDS EVENT ARGUMENTS}. */
+/** Actions of scenario events by event name: {@code at SECONDS EVENT ARGUMENTS}. */
 final class ScenarioEvents {
-  /** The first argument of an event in its line. */
+  /** Word index of an event's first argument in its line. */
   private static final int FIRST = 3;
 
   private static final int SECOND = FIRST + 1;
   private static final int THIRD = FIRST + 2;
 
-  /** Events that are no faults. */
-  private static final Set<String> OF_CLIENTS =
+  /** Events that are requests of clients or checks, not faults. */
+  private static final Set<String> NON_FAULT_EVENTS =
       Set.of("submit", "cancel", "resubmit", "poll", "ready");
 
-  /** Carries out an event. */
+  /** Action of an event. */
   private interface Action {
     void run(SimulatedCluster cluster, ScenarioLine line);
   }
@@ -27,17 +27,17 @@
   private static final Map<String, Action> ACTIONS = new HashMap<>();
 
   static {
-    clients();
-    controllers();
-    stateService();
-    network();
-    cloud();
-    machines();
+    registerClientEvents();
+    registerControllerEvents();
+    registerStateServiceEvents();
+    registerNetworkEvents();
+    registerCloudEvents();
+    registerMachineEvents();
   }
 
   private ScenarioEvents() {}
 
-  /** Makes the event of a line happen at its time. */
+  /** Schedules the event of a line at its time. */
   static void schedule(SimulatedCluster cluster, ScenarioLine line) {
     Action action = ACTIONS.get(line.word(2));
     if (action == null) {
@@ -46,16 +46,17 @@
     cluster.after(line.millis(1), () -> action.run(cluster, line));
   }
 
-  /** When the fault of a line is over, in seconds; 0 for an event that is no fault. */
+  /** Returns the time in seconds at which the fault of a line ends, or 0 if it is not a fault. */
   static double faultEndsS(ScenarioLine line) {
-    return OF_CLIENTS.contains(line.word(2)) ? 0 : line.number(1) + line.largestNumber(FIRST);
+    return NON_FAULT_EVENTS.contains(line.word(2)) ? 0 : line.number(1) + line.largestNumber(FIRST);
   }
 
-  private static void clients() {
+  private static void registerClientEvents() {
     ACTIONS.put(
-        "submit", (cluster, line) -> line.jobs(FIRST).forEach(job -> submit(cluster, job, line)));
-    ACTIONS.put("cancel", (cluster, line) -> line.jobs(FIRST).forEach(cluster.clients::cancel));
-    ACTIONS.put("resubmit", (cluster, line) -> line.jobs(FIRST).forEach(cluster.clients::resubmit));
+        "submit", (cluster, line) -> line.jobIds(FIRST).forEach(job -> submit(cluster, job, line)));
+    ACTIONS.put("cancel", (cluster, line) -> line.jobIds(FIRST).forEach(cluster.clients::cancel));
+    ACTIONS.put(
+        "resubmit", (cluster, line) -> line.jobIds(FIRST).forEach(cluster.clients::resubmit));
     ACTIONS.put("poll", (cluster, line) -> cluster.clients.pollOnce(line.word(FIRST)));
     ACTIONS.put(
         "read-after-write", (cluster, line) -> cluster.clients.enableReadsAfterWrite(line.millis(FIRST)));
@@ -66,7 +67,7 @@
         "cancel-now",
         (cluster, line) ->
             cluster.clients.cancelRunningJobs(
-                line.count(FIRST), line.has(SECOND) ? line.millis(SECOND) : 0));
+                line.integer(FIRST), line.hasWord(SECOND) ? line.millis(SECOND) : 0));
     ACTIONS.put(
         "cancel-at-end",
         (cluster, line) -> {
@@ -75,7 +76,7 @@
         });
   }
 
-  private static void controllers() {
+  private static void registerControllerEvents() {
     ACTIONS.put("start", (cluster, line) -> cluster.node(line.word(FIRST)).start());
     ACTIONS.put("crash", ScenarioEvents::crash);
     ACTIONS.put(
@@ -88,7 +89,7 @@
                 node(cluster, line),
                 line.word(SECOND),
                 line.millis(THIRD),
-                line.has(THIRD + 1) && line.word(THIRD + 1).equals("hold")
+                line.hasWord(THIRD + 1) && line.word(THIRD + 1).equals("hold")
                     ? SimulatedCluster.Cut.HOLD
                     : SimulatedCluster.Cut.DROP));
     ACTIONS.put(
@@ -101,9 +102,9 @@
         });
   }
 
-  private static void stateService() {
+  private static void registerStateServiceEvents() {
     ACTIONS.put(
-        "record-done", (cluster, line) -> line.jobs(FIRST).forEach(cluster.state::recordDone));
+        "record-done", (cluster, line) -> line.jobIds(FIRST).forEach(cluster.state::recordDone));
     ACTIONS.put(
         "lower-limits",
         (cluster, line) -> cluster.state.limits = cluster.settings[0].nextStateLimits());
@@ -120,7 +121,7 @@
     ACTIONS.put(
         "slow-state",
         (cluster, line) -> {
-          cluster.state.slowdown = line.count(FIRST);
+          cluster.state.slowdown = line.integer(FIRST);
           cluster.after(line.millis(SECOND), () -> cluster.state.slowdown = 1);
         });
     ACTIONS.put("corrupt", (cluster, line) -> cluster.state.corrupt(line.word(FIRST)));
@@ -133,7 +134,7 @@
         });
   }
 
-  private static void network() {
+  private static void registerNetworkEvents() {
     ACTIONS.put(
         "cut-zone", (cluster, line) -> cluster.cutZone(line.word(FIRST), line.millis(SECOND)));
     ACTIONS.put(
@@ -174,7 +175,7 @@
         });
   }
 
-  private static void cloud() {
+  private static void registerCloudEvents() {
     ACTIONS.put(
         "cloud-outage",
         (cluster, line) -> {
@@ -199,9 +200,9 @@
         });
   }
 
-  private static void machines() {
-    lasting("hang", ClusterFaults::hang);
-    lasting("isolate", ClusterFaults::isolate);
+  private static void registerMachineEvents() {
+    registerLasting("hang", ClusterFaults::hang);
+    registerLasting("isolate", ClusterFaults::isolate);
     ACTIONS.put("reboot", (cluster, line) -> workerOfTask(cluster, line).reboot());
     ACTIONS.put("failing", (cluster, line) -> workerOfTask(cluster, line).failing = true);
     ACTIONS.put("failing-machine", (cluster, line) -> worker(cluster, line).failing = true);
@@ -211,48 +212,50 @@
     ACTIONS.put("slow", (cluster, line) -> workerOfTask(cluster, line).runtimeFactor = line.number(SECOND));
     ACTIONS.put(
         "slow-machine", (cluster, line) -> worker(cluster, line).runtimeFactor = line.number(SECOND));
-    dropping("drop-inbound", SimulatedCluster::dropInbound);
-    dropping("drop-outbound", ClusterFaults::dropOutbound);
+    registerDropping("drop-inbound", SimulatedCluster::dropInbound);
+    registerDropping("drop-outbound", ClusterFaults::dropOutbound);
   }
 
-  /** Does something to a machine for a while. */
+  /** Fault of one machine that ends after a time. */
   private interface LastingFault {
-    void on(SimulatedCluster cluster, SimulatedWorker worker, long ms);
+    void apply(SimulatedCluster cluster, SimulatedWorker worker, long ms);
   }
 
-  /** A fault of the machine that has a task, and of many. */
-  private static void lasting(String name, LastingFault fault) {
+  /** Registers a fault for the machine that runs a task, and for many machines. */
+  private static void registerLasting(String name, LastingFault fault) {
     ACTIONS.put(
         name,
-        (cluster, line) -> fault.on(cluster, workerOfTask(cluster, line), line.millis(SECOND)));
-    many(name, fault);
+        (cluster, line) -> fault.apply(cluster, workerOfTask(cluster, line), line.millis(SECOND)));
+    registerMany(name, fault);
   }
 
-  /** A fault of the machine with an index, of many, and of a zone's. */
-  private static void dropping(String name, LastingFault fault) {
+  /** Registers a fault for the machine with an index, for many machines and for a zone. */
+  private static void registerDropping(String name, LastingFault fault) {
     ACTIONS.put(
-        name, (cluster, line) -> fault.on(cluster, worker(cluster, line), line.millis(SECOND)));
-    many(name, fault);
+        name, (cluster, line) -> fault.apply(cluster, worker(cluster, line), line.millis(SECOND)));
+    registerMany(name, fault);
     ACTIONS.put(
         name + "-zone",
         (cluster, line) -> {
-          Consumer<SimulatedWorker> drop = worker -> fault.on(cluster, worker, line.millis(SECOND));
+          Consumer<SimulatedWorker> drop =
+              worker -> fault.apply(cluster, worker, line.millis(SECOND));
           cluster.workers.values().stream()
               .filter(worker -> worker.machine.zone.equals(line.word(FIRST)))
               .forEach(drop);
         });
   }
 
-  private static void many(String name, LastingFault fault) {
+  /** Registers a fault for many machines. */
+  private static void registerMany(String name, LastingFault fault) {
     ACTIONS.put(
         name + "-many",
         (cluster, line) ->
             manyWorkers(cluster, line)
-                .forEach(worker -> fault.on(cluster, worker, line.millis(SECOND))));
+                .forEach(worker -> fault.apply(cluster, worker, line.millis(SECOND))));
   }
 
   private static void submit(SimulatedCluster cluster, String job, ScenarioLine line) {
-    Map<String, String> options = line.named(THIRD);
+    Map<String, String> options = line.options(THIRD);
     Map<Integer, Long> stragglers = new HashMap<>();
     if (options.containsKey("straggler")) {
       String[] parts = options.get("straggler").split(":", -1);
@@ -260,10 +263,10 @@
     }
     List<String> dependencies = new ArrayList<>();
     if (options.containsKey("dependencies")) {
-      dependencies = line.jobs(options.get("dependencies"));
+      dependencies = line.jobIds(options.get("dependencies"));
     }
     long number = line.jobNumber(job);
-    if (options.containsKey("chain") && number > line.jobNumber(line.jobs(FIRST).get(0))) {
+    if (options.containsKey("chain") && number > line.jobNumber(line.jobIds(FIRST).get(0))) {
       dependencies = List.of(SimulatedJobs.id(number - 1));
     }
     cluster.clients.submit(
@@ -289,7 +292,7 @@
     }
   }
 
-  /** The node that the first argument names, by its name or by its role. */
+  /** Returns the name of the node that the first argument names by its name or role. */
   private static String node(SimulatedCluster cluster, ScenarioLine line) {
     SimulatedCluster.Node leader = cluster.leader();
     switch (line.word(FIRST)) {
@@ -301,7 +304,7 @@
       }
       case "leader" -> {
         if (leader == null) {
-          throw new ScenarioFormatException(line, "at " + cluster.now + " nobody leads");
+          throw new ScenarioFormatException(line, "no node is leader at " + cluster.now + " ms");
         }
         return leader.name;
       }
@@ -311,7 +314,7 @@
     }
   }
 
-  /** The machine that runs the task that the first argument names. */
+  /** Returns the machine that runs the task named by the first argument. */
   private static SimulatedWorker workerOfTask(SimulatedCluster cluster, ScenarioLine line) {
     for (SimulatedWorker worker : cluster.workers.values()) {
       for (SimulatedWorker.Task task : worker.tasks.values()) {
@@ -320,25 +323,27 @@
         }
       }
     }
-    throw new ScenarioFormatException(line, "at " + cluster.now + " no machine has the task");
+    throw new ScenarioFormatException(
+        line, "no machine runs task " + line.word(FIRST) + " at " + cluster.now + " ms");
   }
 
-  /** The machine with the index that the first argument names. */
+  /** Returns the machine whose index is the first argument. */
   private static SimulatedWorker worker(SimulatedCluster cluster, ScenarioLine line) {
     return cluster.workers.values().stream()
-        .skip(line.count(FIRST))
+        .skip(line.integer(FIRST))
         .findFirst()
-        .orElseThrow(() -> new ScenarioFormatException(line, "no such machine"));
+        .orElseThrow(
+            () -> new ScenarioFormatException(line, "no machine has index " + line.word(FIRST)));
   }
 
-  /** As many machines as the first argument says, from all over the cluster. */
+  /** Returns evenly distributed machines; the first argument is their number. */
   private static List<SimulatedWorker> manyWorkers(SimulatedCluster cluster, ScenarioLine line) {
     List<SimulatedWorker> all = List.copyOf(cluster.workers.values());
-    int count = line.count(FIRST);
-    List<SimulatedWorker> some = new ArrayList<>();
+    int count = line.integer(FIRST);
+    List<SimulatedWorker> selected = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      some.add(all.get(i * all.size() / count));
+      selected.add(all.get(i * all.size() / count));
     }
-    return some;
+    return selected;
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/ScenarioLine.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioLine.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * One line of a scenario: words with blanks between. Its accessors throw {@link
- * ScenarioFormatException} for a word that is missing or has the wrong form.
+ * One line of a scenario: words separated by blanks. The accessors throw {@link
+ * ScenarioFormatException} if a word is missing or malformed. Word indexes start at 0.
  */
 final class ScenarioLine {
   private static final String BLANKS = "\\s+";
@@ -18,6 +18,7 @@
   private final String text;
   private final String[] words;
 
+  /** Creates a line from its file name, its number, starting at 1, and its text. */
   ScenarioLine(String file, int number, String text) {
     this.file = file;
     this.number = number;
@@ -25,36 +26,41 @@
     this.words = text.split(BLANKS, -1);
   }
 
-  /** File and number of the line. */
+  /** Returns the file name and line number, separated by a colon. */
   String location() {
     return file + ":" + number;
   }
 
+  /** Returns the text of the line without its comment. */
   String text() {
     return text;
   }
 
+  /** Returns the number of words. */
   int size() {
     return words.length;
   }
 
-  boolean has(int index) {
+  /** Returns whether the line has a word at this index. */
+  boolean hasWord(int index) {
     return index < words.length;
   }
 
+  /** Returns the word at an index. */
   String word(int index) {
-    if (!has(index)) {
+    if (!hasWord(index)) {
       throw new ScenarioFormatException(this, "word " + (index + 1) + " is missing");
     }
     return words[index];
   }
 
-  /** Everything from this word to the end of the line. */
+  /** Returns the text from a word to the end of the line. */
   String rest(int index) {
     word(index);
     return text.split(BLANKS, index + 1)[index];
   }
 
+  /** Returns the word at an index as a number. */
   double number(int index) {
     try {
       return Double.parseDouble(word(index));
@@ -63,28 +69,30 @@
     }
   }
 
-  int count(int index) {
+  /** Returns the word at an index as an integer. */
+  int integer(int index) {
     try {
       return Integer.parseInt(word(index));
     } catch (NumberFormatException e) {
-      throw new ScenarioFormatException(this, "not a whole number: " + word(index), e);
+      throw new ScenarioFormatException(this, "not an integer: " + word(index), e);
     }
   }
 
-  /** A time or duration in seconds, as milliseconds. */
+  /** Returns a time or duration, given in seconds, in milliseconds. */
   long millis(int index) {
     return (long) (number(index) * 1000);
   }
 
   /**
-   * Job ids with commas between; {@code wk-000001..wk-000009} stands for all from the first to the
-   * last.
+   * Returns the job ids of a comma-separated list; {@code wk-000001..wk-000009} stands for all ids
+   * from the first to the last.
    */
-  List<String> jobs(int index) {
-    return jobs(word(index));
+  List<String> jobIds(int index) {
+    return jobIds(word(index));
   }
 
-  List<String> jobs(String list) {
+  /** Returns the job ids of a list, which may contain ranges. */
+  List<String> jobIds(String list) {
     List<String> ids = new ArrayList<>();
     for (String part : list.split(",", -1)) {
       int range = part.indexOf(RANGE);
@@ -100,27 +108,28 @@
     return ids;
   }
 
+  /** Returns the number in a job id. */
   long jobNumber(String id) {
     try {
       return SimulatedJobs.number(id);
     } catch (IllegalArgumentException e) {
-      throw new ScenarioFormatException(this, "not a job's id: " + id, e);
+      throw new ScenarioFormatException(this, "not a job id: " + id, e);
     }
   }
 
-  /** The words from this one on that have the form {@code name=value}. */
-  Map<String, String> named(int from) {
-    Map<String, String> named = new LinkedHashMap<>();
+  /** Returns the {@code name=value} words from a word to the end of the line. */
+  Map<String, String> options(int from) {
+    Map<String, String> options = new LinkedHashMap<>();
     for (int i = from; i < words.length; i++) {
       int equals = words[i].indexOf('=');
       if (equals > 0) {
-        named.put(words[i].substring(0, equals), words[i].substring(equals + 1));
+        options.put(words[i].substring(0, equals), words[i].substring(equals + 1));
       }
     }
-    return named;
+    return options;
   }
 
-  /** The largest of the words from this one on that are numbers; 0 if there is none. */
+  /** Returns the largest number among the words from a word to the end; 0 if there is none. */
   double largestNumber(int from) {
     double largest = 0;
     for (int i = from; i < words.length; i++) {
--- a/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
@@ -522,11 +522,11 @@
 
   /** Polls a job at regular intervals, with jitter, until its end or beyond it. */
   private void poll(SubmittedJob submitted) {
-    if (submitted.terminalPhase != null && !cluster.parameters.pollsWhenOver()) {
+    if (submitted.terminalPhase != null && !cluster.parameters.shouldPollFinishedJobs()) {
       return;
     }
     cluster.after(
-        cluster.jitter(cluster.parameters.pollMs()),
+        cluster.jitter(cluster.parameters.minPollIntervalMs()),
         () -> {
           pollOnce(submitted.spec.id());
           poll(submitted);
--- a/src/testbench/java/org/snowturn/simulation/SimulatedCloud.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedCloud.java
@@ -213,7 +213,7 @@
       ObjectNode entry = array.addObject();
       entry
           .put("id", machine.id)
-          .put("addr", cluster.parameters.addresses().apply(machine.id))
+          .put("addr", cluster.parameters.addressByMachine().apply(machine.id))
           .put("hull", MACHINE_TYPE)
           .put("field", machine.zone);
       entry.put("loaners", machine.spot).put("held_s", (asOf - machine.rentedAt) / 1000.0);
--- a/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
@@ -501,7 +501,7 @@
 
     /** Performs an effect of the core. */
     void perform(Effect effect) {
-      observer.sent(now, name, effect);
+      observer.onEffect(now, name, effect);
       if (effect instanceof Effect.Answer answer) {
         Exchange exchange = exchanges.remove(answer.exchange());
         if (exchange != null) {
--- a/src/testbench/java/org/snowturn/simulation/SimulatedWorker.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedWorker.java
@@ -76,7 +76,7 @@
   SimulatedWorker(SimulatedCluster cluster, SimulatedCloud.RentedMachine machine) {
     this.cluster = cluster;
     this.machine = machine;
-    this.addr = cluster.parameters.addresses().apply(machine.id);
+    this.addr = cluster.parameters.addressByMachine().apply(machine.id);
   }
 
   private Settings.Workers workerSettings() {
@@ -153,7 +153,7 @@
       return;
     }
     endExpiredSession();
-    cluster.after(cluster.parameters.leaseCheckMs(), this::checkLeaseRegularly);
+    cluster.after(cluster.parameters.leaseCheckIntervalMs(), this::checkLeaseRegularly);
   }
 
   private ObjectNode statusBody() {
