--- a/src/test/java/org/snowturn/simulation/ElectionExplorerTest.java
+++ b/src/test/java/org/snowturn/simulation/ElectionExplorerTest.java
@@ -125,7 +125,7 @@
     cluster.after(at + DEAD_MS, () -> cluster.links((from, to) -> 0));
     cluster.runUntil(at + DEAD_MS + CALM_MS);
     String what = at + " ms: " + some + " late by " + late + ", node " + ends + " ends";
-    assertEquals(List.of(), cluster.invariants.details, what);
+    assertEquals(List.of(), cluster.invariants.violationDetails, what);
     assertNotNull(cluster.leader(), () -> "nobody leads, " + what + ": " + cluster.log);
   }
 }
--- a/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
+++ b/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
@@ -92,7 +92,7 @@
       calm = Math.max(calm, at + fault.lastsMs);
     }
     cluster.runUntil(calm + CALM_MS);
-    assertEquals(List.of(), cluster.invariants.details);
+    assertEquals(List.of(), cluster.invariants.violationDetails);
     assertNotNull(cluster.leader(), "nobody leads: " + cluster.log);
     Set<Long> tokens = new HashSet<>();
     long last = 0;
--- a/src/test/java/org/snowturn/simulation/InvariantCheckerTest.java
+++ b/src/test/java/org/snowturn/simulation/InvariantCheckerTest.java
@@ -33,7 +33,7 @@
     scenario.run(1);
     cluster = scenario.last;
     workers = new ArrayList<>(cluster.workers.values());
-    assertEquals(Set.of(), cluster.invariants.violated);
+    assertEquals(Set.of(), cluster.invariants.violatedRules);
   }
 
   private JobSpec accepted(Map<String, String> options) {
@@ -50,7 +50,7 @@
     task.phase = "running";
     task.present = true;
     on.tasks.put(task.name() + "#" + attempt, task);
-    cluster.invariants.started(on, task, spec);
+    cluster.invariants.onTaskStarted(on, task, spec);
     cluster.invariants.check();
     return task;
   }
@@ -61,14 +61,14 @@
         e ->
             new Endpoint("liar") {
               @Override
-              void request(String from, LongFunction<Input> input, Answer answer) {
-                answer.on(status, body);
+              void request(String from, LongFunction<Input> input, ResponseHandler answer) {
+                answer.onResponse(status, body);
               }
 
               @Override
-              void heartbeat(String from, JsonNode report, Answer answer) {}
+              void heartbeat(String from, JsonNode report, ResponseHandler answer) {}
             });
-    cluster.endpoints.get(0).up = true;
+    cluster.endpoints.get(0).isUp = true;
   }
 
   private static JsonNode phase(String phase) {
@@ -76,7 +76,7 @@
   }
 
   private void broken(String... rules) {
-    assertEquals(new TreeSet<>(List.of(rules)), cluster.invariants.violated);
+    assertEquals(new TreeSet<>(List.of(rules)), cluster.invariants.violatedRules);
   }
 
   @Test
@@ -86,7 +86,7 @@
     cluster.now += 500;
     start(workers.get(1), spec, 0, 8);
     broken("ran_twice");
-    String detail = cluster.invariants.details.get(0);
+    String detail = cluster.invariants.violationDetails.get(0);
     for (String part :
         List.of(
             JOB + "/0",
@@ -208,11 +208,12 @@
   @Test
   void whatIsOpenAtTheEndIsNamed() {
     JobSpec spec = accepted(Map.of("cpus", "1", "team", "u"));
-    assertTrue(cluster.invariants.unsettled(cluster.now).get(0).contains("last answered about"));
+    assertTrue(
+        cluster.invariants.unsettledJobs(cluster.now).get(0).contains("last answered about"));
     answering(200, phase("queued"));
     cluster.clients.pollOnce(JOB);
-    assertEquals(List.of(JOB + " runs nowhere"), cluster.invariants.unsettled(cluster.now));
+    assertEquals(List.of(JOB + " runs nowhere"), cluster.invariants.unsettledJobs(cluster.now));
     start(workers.get(0), spec, 0, 7);
-    assertEquals(List.of(), cluster.invariants.unsettled(cluster.now));
+    assertEquals(List.of(), cluster.invariants.unsettledJobs(cluster.now));
   }
 }
--- a/src/test/java/org/snowturn/simulation/JobHistoryTest.java
+++ b/src/test/java/org/snowturn/simulation/JobHistoryTest.java
@@ -49,7 +49,7 @@
       JobHistory h = new JobHistory();
       boolean broken = false;
       for (Answer a : all) {
-        broken |= h.answered(a.askedAt, a.at, PHASES[a.phase]) != null;
+        broken |= h.recordAnswer(a.askedAt, a.at, PHASES[a.phase]) != null;
       }
       assertEquals(!explained(all, 0), broken, all.toString());
       bad += broken ? 1 : 0;
@@ -60,18 +60,18 @@
   @Test
   void aJobIsNeverCalledBothDoneAndCancelled() {
     JobHistory h = new JobHistory();
-    assertNull(h.answered(0, 10, "done"));
-    assertEquals("went_back", h.answered(0, 11, "aborted"));
+    assertNull(h.recordAnswer(0, 10, "done"));
+    assertEquals("went_back", h.recordAnswer(0, 11, "aborted"));
   }
 
   /** A cache that is stale, a live record read before the short one, an answer kept too long. */
   @Test
   void staleAnswersAreSeen() {
     JobHistory h = new JobHistory();
-    assertNull(h.answered(0, 10, "queued"));
-    assertNull(h.answered(20, 30, "aborted"));
-    assertNull(h.answered(29, 40, "running"), "asked before the other answer came");
-    assertEquals("went_back", h.answered(30, 41, "running"));
-    assertEquals("forgotten", h.answered(10, 42, null));
+    assertNull(h.recordAnswer(0, 10, "queued"));
+    assertNull(h.recordAnswer(20, 30, "aborted"));
+    assertNull(h.recordAnswer(29, 40, "running"), "asked before the other answer came");
+    assertEquals("went_back", h.recordAnswer(30, 41, "running"));
+    assertEquals("forgotten", h.recordAnswer(10, 42, null));
   }
 }
--- a/src/test/java/org/snowturn/simulation/WorkBoundTest.java
+++ b/src/test/java/org/snowturn/simulation/WorkBoundTest.java
@@ -30,7 +30,7 @@
           () -> cluster.clients.submit(SimulatedJobs.spec(id, "batch", o), 10_000, Map.of()));
     }
     cluster.runUntil(60_000);
-    assertTrue(cluster.invariants.violated.isEmpty());
+    assertTrue(cluster.invariants.violatedRules.isEmpty());
     return cluster.leader().core.gauges();
   }
 
--- a/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
+++ b/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
@@ -39,7 +39,7 @@
   private final Map<String, List<Started>> started = new HashMap<>();
 
   /** Tasks that have begun to run, in all. */
-  long starts;
+  long startedTasks;
 
   private final SimulatedCluster cluster;
   private long nextLookAt;
@@ -47,26 +47,26 @@
   private long ledAt;
   private boolean asking;
   private final Map<String, Long> waitsSince = new HashMap<>();
-  final TreeSet<String> violated = new TreeSet<>();
-  final List<String> details = new ArrayList<>();
+  final TreeSet<String> violatedRules = new TreeSet<>();
+  final List<String> violationDetails = new ArrayList<>();
 
   InvariantChecker(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
-  void report(String rule, String detail) {
-    violated.add(rule);
-    if (details.size() < 5) {
-      details.add(cluster.now + " " + rule + ": " + detail);
+  void reportViolation(String rule, String detail) {
+    violatedRules.add(rule);
+    if (violationDetails.size() < 5) {
+      violationDetails.add(cluster.now + " " + rule + ": " + detail);
     }
   }
 
   /** A task has its image and starts. */
-  void started(SimulatedWorker worker, SimulatedWorker.Task task, JobSpec spec) {
+  void onTaskStarted(SimulatedWorker worker, SimulatedWorker.Task task, JobSpec spec) {
     checkAwaited(task, spec);
     checkWanted(task);
     cluster.clients.started(task.job);
-    starts++;
+    startedTasks++;
     int[] sameZone = {0};
     int[] otherZone = {0};
     List<Started> ofJob = started.computeIfAbsent(task.job, k -> new ArrayList<>());
@@ -74,7 +74,7 @@
     Started now = new Started(worker, task, cluster.now);
     for (Started s : ofJob) {
       if (s.task.index == task.index) {
-        report("ran_twice", task.name() + ": " + s + ", and " + now);
+        reportViolation("ran_twice", task.name() + ": " + s + ", and " + now);
       }
       (s.on.rented.zone.equals(worker.rented.zone) ? sameZone : otherZone)[0]++;
     }
@@ -83,7 +83,7 @@
         || (spec.zone() != null && !spec.zone().equals(worker.rented.zone))
         || (spec.spreadAcrossZones() && sameZone[0] + 1 > spec.perZoneLimit())
         || (spec.singleZone() && otherZone[0] > 0)) {
-      report("wrong_place", task.name() + " on " + worker.rented.id);
+      reportViolation("wrong_place", task.name() + " on " + worker.rented.id);
     }
   }
 
@@ -94,7 +94,7 @@
   private void checkWanted(SimulatedWorker.Task task) {
     Long told = cluster.clients.cancelConfirmed(task.job);
     if (told != null && task.startLeftAt > told + HEARD_OF_MS) {
-      report(
+      reportViolation(
           "started_cancelled", task.name() + ", told at " + told + ", sent at " + task.startLeftAt);
     }
   }
@@ -104,7 +104,7 @@
     for (String id : spec.dependencies()) {
       JsonNode over = cluster.state.peek("d/" + id);
       if (over == null || !over.path("p").asText().equals("done")) {
-        report("too_early", task.name() + " before " + id);
+        reportViolation("too_early", task.name() + " before " + id);
       }
     }
   }
@@ -113,7 +113,7 @@
    * A node has taken an input as the leader. If another did so just now, both are asked at this
    * very moment: at none may two have authority, whatever the state service has given whom.
    */
-  void leads(SimulatedCluster.Node node) {
+  void onLeaderInput(SimulatedCluster.Node node) {
     SimulatedCluster.Node other = leader;
     boolean both = other != null && other != node && cluster.now - ledAt < JUST_NOW_MS;
     if (other != node) {
@@ -124,7 +124,7 @@
     if (both && !asking) {
       asking = true;
       if (other.leadsNow() && node.leadsNow()) {
-        report("two_leaders", other.name + " and " + node.name);
+        reportViolation("two_leaders", other.name + " and " + node.name);
       }
       asking = false;
     }
@@ -145,7 +145,7 @@
       if (submitted.accepted
           && cluster.faultsEndMs < cluster.now
           && cluster.now - from > UNANSWERED_MS) {
-        report(
+        reportViolation(
             "forgotten",
             submitted.spec.id() + " has not been answered about since " + submitted.answeredAt);
       }
@@ -192,7 +192,7 @@
         waitsSince.remove(submitted.spec.id());
       } else if (cluster.now - waitsSince.computeIfAbsent(submitted.spec.id(), k -> cluster.now)
           > WAIT_MS) {
-        report(
+        reportViolation(
             "left_waiting", submitted.spec.id() + " since " + waitsSince.get(submitted.spec.id()));
       }
     }
@@ -240,7 +240,7 @@
    * What is left open once all troubles are over: jobs that were accepted, are not over, and have
    * no task on any machine, or about which nobody has answered since then.
    */
-  List<String> unsettled(long answeredSince) {
+  List<String> unsettledJobs(long answeredSince) {
     Set<String> placed = new HashSet<>();
     for (SimulatedWorker worker : cluster.workers.values()) {
       worker.tasks.values().stream()
@@ -302,7 +302,7 @@
                         : "done".equals(submitted.terminal))
             .count();
     if (n < least * jobs.size()) {
-      report("unserved", name + ": " + n + " of " + jobs.size());
+      reportViolation("unserved", name + ": " + n + " of " + jobs.size());
     }
   }
 
@@ -310,16 +310,16 @@
     long waited =
         (submitted.firstStartAt < 0 ? cluster.now : submitted.firstStartAt) - submitted.submittedAt;
     if (waited > beginMs) {
-      report("late_start", submitted.spec.id() + " began after " + waited + " ms");
+      reportViolation("late_start", submitted.spec.id() + " began after " + waited + " ms");
     }
   }
 
   /** A job is called queued or running, though one that it needs was cancelled long ago. */
-  void calledLive(SimulatedClients.SubmittedJob submitted) {
+  void checkOrphaned(SimulatedClients.SubmittedJob submitted) {
     Long told = cluster.clients.dependencyCancelConfirmed(submitted.spec.id());
     double cancelMs = cluster.settings[0].workers().cancelS() * 1000;
     if (told != null && cluster.now > Math.max(told, submitted.acceptedAt) + cancelMs) {
-      report("orphaned", submitted.spec.id());
+      reportViolation("orphaned", submitted.spec.id());
     }
   }
 
@@ -341,13 +341,13 @@
         Long told = cluster.clients.cancelConfirmed(task.job);
         double cancelMs = cluster.settings[0].workers().cancelS() * 1000;
         if (told != null && cluster.now > told + cancelMs) {
-          report("ran_cancelled", task.name());
+          reportViolation("ran_cancelled", task.name());
         }
       }
     }
     for (Settings.Team team : cluster.settings[0].teams()) {
       if (team.cpusMax() > 0 && use.getOrDefault(team.name(), 0.0) > team.cpusMax() + 1e-6) {
-        report("quota", team.name() + " uses " + use.get(team.name()));
+        reportViolation("quota", team.name() + " uses " + use.get(team.name()));
       }
     }
   }
--- a/src/testbench/java/org/snowturn/simulation/JobHistory.java
+++ b/src/testbench/java/org/snowturn/simulation/JobHistory.java
@@ -17,7 +17,7 @@
    * @param phase what it called the job, null if nobody submitted it
    * @return the rule that it breaks, or null
    */
-  String answered(long askedAt, long now, String phase) {
+  String recordAnswer(long askedAt, long now, String phase) {
     if (phase == null) {
       return askedAt >= acceptedAt ? "forgotten" : null;
     }
--- a/src/testbench/java/org/snowturn/simulation/LoadGenerator.java
+++ b/src/testbench/java/org/snowturn/simulation/LoadGenerator.java
@@ -11,7 +11,7 @@
  */
 final class LoadGenerator {
   /** No job has more tasks. */
-  static final int LARGEST_JOB = 400;
+  static final int MAX_TASKS_PER_JOB = 400;
 
   private static final int SHORT_JOB = 100;
   private static final int URGENT_JOB = 4;
@@ -41,7 +41,7 @@
         delayMs -> accepted.recordValue(Math.min(delayMs, LONGEST_DELAY_MS));
   }
 
-  static String team(int number) {
+  static String teamName(int number) {
     return "team-" + number;
   }
 
@@ -53,7 +53,7 @@
     return accepted;
   }
 
-  long over() {
+  long finishedJobs() {
     long n = 0;
     for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
       n += submitted.terminal != null ? 1 : 0;
@@ -62,23 +62,23 @@
   }
 
   /** What stands, less what the short arrays take once they come. */
-  int standing() {
-    return (int) Math.max(0, plan.tasks() - plan.startsPerSecond() * SHORT_RUN_MS / 1000);
+  int standingTasks() {
+    return (int) Math.max(0, plan.concurrentTasks() - plan.startsPerSecond() * SHORT_RUN_MS / 1000);
   }
 
-  void fill() {
-    fill(standing());
+  void submitStandingJobs() {
+    submitStandingJobs(standingTasks());
   }
 
-  private void fill(int left) {
+  private void submitStandingJobs(int left) {
     if (left > 0) {
-      int tasks = Math.min(left, LARGEST_JOB);
+      int tasks = Math.min(left, MAX_TASKS_PER_JOB);
       submit("standing", "high", tasks, STANDING_RUN_MS);
-      cluster.after(FILL_EVERY_MS, () -> fill(left - tasks));
+      cluster.after(FILL_EVERY_MS, () -> submitStandingJobs(left - tasks));
     }
   }
 
-  void arrive() {
+  void startArrivals() {
     accepted.reset();
     double urgentStarts = Math.min(plan.startsPerSecond(), URGENT_PER_SECOND * URGENT_JOB);
     every(urgentStarts / URGENT_JOB, () -> submit(URGENT, "production", URGENT_JOB, SHORT_RUN_MS));
@@ -103,12 +103,13 @@
     Map<String, String> o = new HashMap<>();
     o.put("class", jobClass);
     o.put("rank", rank);
-    o.put("team", team(nextJob % plan.teams()));
+    o.put("team", teamName(nextJob % plan.teams()));
     o.put("tasks", "" + tasks);
     o.put("cpus", "1");
     o.put("estimate", "" + Math.min(runMs, 600_000) / 1000);
     JobSpec spec =
-        SimulatedJobs.spec(String.format("wk-%d%07d", 1 + plan.number(), nextJob++), "batch", o);
+        SimulatedJobs.spec(
+            String.format("wk-%d%07d", 1 + plan.regionNumber(), nextJob++), "batch", o);
     cluster.clients.submit(spec, runMs, Map.of());
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/LoopbackCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackCluster.java
@@ -61,23 +61,23 @@
   private boolean watchingPauses;
 
   /** Where a controller finds the outside, and what it is told of itself. */
-  public record Outside(
+  public record ServiceAddresses(
       Map<String, InetSocketAddress> state, Map<String, InetSocketAddress> cloud) {}
 
   /** Builds the region; nothing runs yet. */
   public LoopbackCluster(LoopbackPlan plan) {
     this.plan = plan;
-    double cpus = Math.max(LEAST_CPUS, Math.ceil(plan.tasks() * ROOM / plan.workers()));
+    double cpus = Math.max(LEAST_CPUS, Math.ceil(plan.concurrentTasks() * ROOM / plan.workers()));
     SimulationParameters sizes =
         new SimulationParameters(
             cpus, cpus * MEMORY_PER_CPU_GB, POLL_MS, false, LEASE_CHECK_MS, id -> address(id));
     this.cluster = SimulatedCluster.ofProcesses(plan.seed(), new Settings[] {settings()}, sizes);
     this.links = new DirectedLinks(cluster);
     cluster.links(links);
-    cluster.cloud.perZone = plan.hireablePerZone();
+    cluster.cloud.perZone = plan.rentablePerZone();
     cluster.cloud.bootMs = BOOT_MS;
-    cluster.cloud.listLagMs = (long) (plan.cloud().listLagS() * 1000);
-    this.loop = new RealTimeDriver(cluster, "world-" + plan.number());
+    cluster.cloud.listLagMs = (long) (plan.cloudLimits().listLagS() * 1000);
+    this.loop = new RealTimeDriver(cluster, "world-" + plan.regionNumber());
     this.server = new SimulatedServer(cluster, loop);
     this.load = new LoadGenerator(cluster, plan);
   }
@@ -86,7 +86,7 @@
     InetSocketAddress none = new InetSocketAddress(0);
     List<Settings.Team> teams = new ArrayList<>();
     for (Team t : teams()) {
-      teams.add(new Settings.Team(t.name(), 0, t.mostCpus(), 0, 0));
+      teams.add(new Settings.Team(t.name(), 0, t.maxCpus(), 0, 0));
     }
     return new Settings(
         plan.controllers().get(0),
@@ -99,25 +99,26 @@
         plan.zones(),
         teams,
         List.of(),
-        plan.figures(),
-        plan.state(),
-        plan.state(),
-        plan.cloud(),
+        plan.workerSettings(),
+        plan.stateLimits(),
+        plan.stateLimits(),
+        plan.cloudLimits(),
         plan.maxConnections());
   }
 
   /** A team and the most that its tasks may use. */
-  public record Team(String name, double mostCpus) {}
+  public record Team(String name, double maxCpus) {}
 
   /** The teams: each may use twice its even part of the region. */
   public List<Team> teams() {
     List<Team> out = new ArrayList<>();
     double most =
-        plan.teamCpus() > 0
-            ? plan.teamCpus()
-            : Math.ceil(2.0 * plan.tasks() / plan.teams()) + LoadGenerator.LARGEST_JOB;
+        plan.maxTeamCpus() > 0
+            ? plan.maxTeamCpus()
+            : Math.ceil(2.0 * plan.concurrentTasks() / plan.teams())
+                + LoadGenerator.MAX_TASKS_PER_JOB;
     for (int i = 0; i < plan.teams(); i++) {
-      out.add(new Team(LoadGenerator.team(i), most));
+      out.add(new Team(LoadGenerator.teamName(i), most));
     }
     return out;
   }
@@ -126,7 +127,7 @@
     int n = Integer.parseInt(machine.substring(machine.indexOf('-') + 1));
     int third = n / PER_OCTET % PER_OCTET;
     return "127."
-        + (FIRST_OCTET + plan.number())
+        + (FIRST_OCTET + plan.regionNumber())
         + "."
         + third
         + "."
@@ -136,12 +137,12 @@
   }
 
   /** Opens the stand-ins' ports. */
-  public Outside open() throws IOException {
+  public ServiceAddresses open() throws IOException {
     XnioWorker state = threads("state", 1);
     XnioWorker workers = threads("hollow", 2);
     Map<String, InetSocketAddress> ports = server.start(plan.controllers(), state, workers);
     workersPort = server.workersPort();
-    return new Outside(ports, server.cloud());
+    return new ServiceAddresses(ports, server.cloud());
   }
 
   private XnioWorker threads(String role, int count) throws IOException {
@@ -149,7 +150,7 @@
         Xnio.getInstance()
             .createWorker(
                 OptionMap.builder()
-                    .set(Options.WORKER_NAME, role + "-" + plan.number())
+                    .set(Options.WORKER_NAME, role + "-" + plan.regionNumber())
                     .set(Options.WORKER_IO_THREADS, count)
                     .set(Options.WORKER_TASK_CORE_THREADS, 1)
                     .set(Options.WORKER_TASK_MAX_THREADS, 1)
@@ -164,8 +165,8 @@
     ByteBufferPool buffers = new DefaultByteBufferPool(false, 16 * 1024, 256, 8);
     XnioWorker workers = threads("report", 2);
     XnioWorker users = threads("users", 1);
-    WorkerLinks links =
-        new WorkerLinks(List.of(workers.getIoThread(0), workers.getIoThread(1)), buffers);
+    WorkerConnections links =
+        new WorkerConnections(List.of(workers.getIoThread(0), workers.getIoThread(1)), buffers);
     XnioIoThread usersThread = users.getIoThread(0);
     for (String name : plan.controllers()) {
       InetSocketAddress at = serving.get(name);
@@ -190,8 +191,8 @@
   }
 
   private void sample() {
-    if (cluster.invariants.starts != lastStarts) {
-      lastStarts = cluster.invariants.starts;
+    if (cluster.invariants.startedTasks != lastStarts) {
+      lastStarts = cluster.invariants.startedTasks;
       lastStartAt = cluster.now;
     } else if (watchingPauses) {
       longestPause = Math.max(longestPause, cluster.now - lastStartAt);
@@ -201,22 +202,22 @@
   }
 
   /** How many tasks of standing arrays there will be. */
-  public int standing() {
-    return load.standing();
+  public int standingTasks() {
+    return load.standingTasks();
   }
 
   /** Submits the standing arrays, which run until the end. */
-  public void fill() {
-    loop.post(load::fill);
+  public void submitStandingJobs() {
+    loop.post(load::submitStandingJobs);
   }
 
   /** From now on short arrays and urgent jobs come at their rates, and pauses are counted. */
-  public void arrive() {
+  public void startArrivals() {
     loop.post(
         () -> {
           lastStartAt = cluster.now;
           watchingPauses = true;
-          load.arrive();
+          load.startArrivals();
         });
   }
 
@@ -244,7 +245,7 @@
   }
 
   /** The state service does not answer for so long. */
-  public void stateOutage(long ms) {
+  public void startStateOutage(long ms) {
     loop.post(() -> cluster.state.outage(ms));
   }
 
@@ -254,13 +255,13 @@
   }
 
   /** Random jobs come for so long from now on, one within each so many milliseconds. */
-  public void randomJobs(long forMs, int everyMs) {
+  public void startRandomJobs(long forMs, int everyMs) {
     List<String> names = teams().stream().map(Team::name).toList();
     loop.post(() -> new RandomJobs(cluster, names, 1, everyMs).until(cluster.now + forMs));
   }
 
   /** Users ask at all nodes within milliseconds, repeat and submit what never runs, for so long. */
-  public void insistentUsers(long forMs) {
+  public void startStressClients(long forMs) {
     loop.post(
         () -> {
           cluster.clients.readAfterWrite(forMs);
@@ -269,13 +270,13 @@
   }
 
   /** Every message from now on is written there, a line each. */
-  public void keepMessages(Writer out) {
+  public void recordMessages(Writer out) {
     loop.post(() -> cluster.messages = new MessageWriter(out));
   }
 
   /** Jobs that are open though nothing is in trouble any more; see {@code Rules.unsettled}. */
-  public List<String> unsettled(long answeredSince) throws TimeoutException {
-    return ask(() -> cluster.invariants.unsettled(answeredSince));
+  public List<String> unsettledJobs(long answeredSince) throws TimeoutException {
+    return ask(() -> cluster.invariants.unsettledJobs(answeredSince));
   }
 
   /** Which controller leads by the leader key, or null. */
@@ -284,8 +285,8 @@
   }
 
   /** Which controllers are ready for users. */
-  public List<String> ready() throws TimeoutException {
-    return ask(() -> endpoints.stream().filter(e -> e.up).map(e -> e.name).toList());
+  public List<String> readyControllers() throws TimeoutException {
+    return ask(() -> endpoints.stream().filter(e -> e.isUp).map(e -> e.name).toList());
   }
 
   /** What has happened so far. */
@@ -302,14 +303,14 @@
         running += task.present ? 1 : 0;
       }
     }
-    List<String> broken = new ArrayList<>(cluster.invariants.violated);
-    broken.addAll(cluster.invariants.details);
+    List<String> broken = new ArrayList<>(cluster.invariants.violatedRules);
+    broken.addAll(cluster.invariants.violationDetails);
     return new LoopbackStatus(
         cluster.now,
-        cluster.invariants.starts,
+        cluster.invariants.startedTasks,
         running,
         up,
-        load.over(),
+        load.finishedJobs(),
         leader(),
         tokens.size(),
         longestPause,
@@ -324,9 +325,9 @@
   private String leader() {
     RemoteEndpoint last = null;
     for (RemoteEndpoint e : endpoints) {
-      last = last == null || e.answeredWorkersAt > last.answeredWorkersAt ? e : last;
+      last = last == null || e.lastHeartbeatAnswerAt > last.lastHeartbeatAnswerAt ? e : last;
     }
-    return last == null || last.answeredWorkersAt == Long.MIN_VALUE ? null : last.name;
+    return last == null || last.lastHeartbeatAnswerAt == Long.MIN_VALUE ? null : last.name;
   }
 
   /** How long tasks of urgent jobs waited for their start, from when the job was due, in ms. */
--- a/src/testbench/java/org/snowturn/simulation/LoopbackPlan.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackPlan.java
@@ -22,17 +22,17 @@
  * @param teamCpus the most CPUs that a team's tasks may use; 0: twice its even part
  */
 public record LoopbackPlan(
-    int number,
+    int regionNumber,
     List<String> zones,
     List<String> controllers,
     int workers,
-    int tasks,
+    int concurrentTasks,
     double startsPerSecond,
     int teams,
     long seed,
-    Settings.Workers figures,
-    Settings.StateLimits state,
-    Settings.CloudLimits cloud,
+    Settings.Workers workerSettings,
+    Settings.StateLimits stateLimits,
+    Settings.CloudLimits cloudLimits,
     int maxConnections,
-    int hireablePerZone,
-    double teamCpus) {}
+    int rentablePerZone,
+    double maxTeamCpus) {}
--- a/src/testbench/java/org/snowturn/simulation/LoopbackStatus.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackStatus.java
@@ -22,16 +22,16 @@
  */
 public record LoopbackStatus(
     long nowMs,
-    long starts,
-    long running,
+    long startedTasks,
+    long runningTasks,
     int workersUp,
-    long jobsDone,
+    long finishedJobs,
     String leader,
-    int tokens,
+    int tokensSeen,
     long longestPauseMs,
     long stateWrites,
     long stateRequests,
-    long stateRefused,
-    long reports,
+    long stateRefusals,
+    long heartbeats,
     long commands,
-    List<String> broken) {}
+    List<String> violations) {}
--- a/src/testbench/java/org/snowturn/simulation/MessageWriter.java
+++ b/src/testbench/java/org/snowturn/simulation/MessageWriter.java
@@ -14,7 +14,7 @@
   }
 
   @Override
-  public void message(long atMs, String from, String to, String what, JsonNode body) {
+  public void logMessage(long atMs, String from, String to, String what, JsonNode body) {
     try {
       out.write(atMs + " " + from + " -> " + to + " " + what);
       if (body != null) {
--- a/src/testbench/java/org/snowturn/simulation/RealTimeDriver.java
+++ b/src/testbench/java/org/snowturn/simulation/RealTimeDriver.java
@@ -87,6 +87,6 @@
   /** A fault of the world itself: it counts as a broken rule, so that no run passes over it. */
   private void failed(RuntimeException e) {
     LOG.error("the world failed", e);
-    cluster.invariants.report("world_failed", e.toString());
+    cluster.invariants.reportViolation("world_failed", e.toString());
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/RemoteEndpoint.java
+++ b/src/testbench/java/org/snowturn/simulation/RemoteEndpoint.java
@@ -22,12 +22,12 @@
 
   private final RealTimeDriver loop;
   private final InetSocketAddress addr;
-  private final WorkerLinks links;
+  private final WorkerConnections links;
   private final XnioIoThread usersThread;
   private final HttpCaller users;
 
   /** The last check-in that it answered with 200, in the world's time; the leader does. */
-  long answeredWorkersAt = Long.MIN_VALUE;
+  long lastHeartbeatAnswerAt = Long.MIN_VALUE;
 
   private final SimulatedCluster cluster;
 
@@ -36,7 +36,7 @@
       InetSocketAddress addr,
       SimulatedCluster cluster,
       RealTimeDriver loop,
-      WorkerLinks links,
+      WorkerConnections links,
       XnioIoThread usersThread,
       HttpCaller users) {
     super(name);
@@ -49,9 +49,9 @@
   }
 
   @Override
-  void heartbeat(String from, JsonNode report, Answer answer) {
-    cluster.messages.message(cluster.now, from, name, "/checkin", report);
-    links.on(
+  void heartbeat(String from, JsonNode report, ResponseHandler answer) {
+    cluster.messages.logMessage(cluster.now, from, name, "/checkin", report);
+    links.withConnection(
         from,
         addr,
         caller ->
@@ -66,20 +66,21 @@
                 }));
   }
 
-  private void checkedIn(String from, Outcome outcome, int status, JsonNode body, Answer answer) {
+  private void checkedIn(
+      String from, Outcome outcome, int status, JsonNode body, ResponseHandler answer) {
     boolean answered = outcome == Outcome.ANSWERED;
     if (answered && status == 200) {
-      answeredWorkersAt = cluster.now;
+      lastHeartbeatAnswerAt = cluster.now;
     }
     // When the answer left its node cannot be seen from here: no start is judged by it.
     cluster.answerLeftAt = Long.MIN_VALUE;
     int got = answered ? status : 0;
-    cluster.messages.message(cluster.now, name, from, "" + got, body);
-    cluster.send(name, from, () -> answer.on(got, body));
+    cluster.messages.logMessage(cluster.now, name, from, "" + got, body);
+    cluster.send(name, from, () -> answer.onResponse(got, body));
   }
 
   @Override
-  void request(String from, LongFunction<Input> input, Answer answer) {
+  void request(String from, LongFunction<Input> input, ResponseHandler answer) {
     Input i = input.apply(0);
     if (i instanceof Input.Submit s) {
       ask("POST", RUNS, Json.bytes(s.spec().toJson()), SUBMIT_TIMEOUT_MS, answer);
@@ -94,13 +95,13 @@
 
   /** Asks whether the node is ready, as the load balancer does. */
   void probe() {
-    ask("GET", READY, null, PROBE_TIMEOUT_MS, (status, body) -> up = status == 200);
+    ask("GET", READY, null, PROBE_TIMEOUT_MS, (status, body) -> isUp = status == 200);
   }
 
-  private void ask(String method, String path, byte[] body, int timeoutMs, Answer answer) {
+  private void ask(String method, String path, byte[] body, int timeoutMs, ResponseHandler answer) {
     boolean probe = path.equals(READY);
     if (!probe) {
-      cluster.messages.message(cluster.now, USERS, name, method + " " + path, null);
+      cluster.messages.logMessage(cluster.now, USERS, name, method + " " + path, null);
     }
     usersThread.execute(
         () ->
@@ -115,10 +116,10 @@
                   loop.post(
                       () -> {
                         if (!probe) {
-                          cluster.messages.message(
+                          cluster.messages.logMessage(
                               cluster.now, name, USERS, got + " " + path, json);
                         }
-                        answer.on(got, json);
+                        answer.onResponse(got, json);
                       });
                 }));
   }
--- a/src/testbench/java/org/snowturn/simulation/ScenarioEvents.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioEvents.java
@@ -96,7 +96,7 @@
         (cluster, line) -> {
           boolean expected = line.word(SECOND).equals("yes");
           if (cluster.node(line.word(FIRST)).core.ready() != expected) {
-            cluster.invariants.report("ready", line.text());
+            cluster.invariants.reportViolation("ready", line.text());
           }
         });
   }
--- a/src/testbench/java/org/snowturn/simulation/ScenarioExpectations.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioExpectations.java
@@ -77,10 +77,10 @@
     }
     List<String> wrong = failures.found;
     if (violationsExpected.isEmpty()) {
-      wrong.addAll(cluster.invariants.details);
+      wrong.addAll(cluster.invariants.violationDetails);
     }
     for (String invariant : violationsExpected) {
-      if (!cluster.invariants.violated.contains(invariant)) {
+      if (!cluster.invariants.violatedRules.contains(invariant)) {
         wrong.add("the checker did not see " + invariant + " violated");
       }
     }
--- a/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
@@ -242,7 +242,7 @@
         x -> new Input.Submit(x, spec),
         (status, body) -> {
           if (status < 500 && status != 422 && status != 0) {
-            cluster.invariants.report("accepted_bad", id + " got " + status);
+            cluster.invariants.reportViolation("accepted_bad", id + " got " + status);
           }
         },
         () -> {});
@@ -305,7 +305,7 @@
 
   private Endpoint anyNode() {
     // The load balancer tries another node where one refuses the connection.
-    List<Endpoint> up = cluster.endpoints.stream().filter(n -> n.up).toList();
+    List<Endpoint> up = cluster.endpoints.stream().filter(n -> n.isUp).toList();
     List<Endpoint> among = up.isEmpty() ? cluster.endpoints : up;
     return among.get(cluster.random.nextInt(among.size()));
   }
@@ -313,7 +313,7 @@
   private void ask(
       Endpoint node,
       java.util.function.LongFunction<Input> input,
-      Endpoint.Answer answer,
+      Endpoint.ResponseHandler answer,
       Runnable again) {
     boolean[] over = {false};
     node.request(
@@ -322,7 +322,7 @@
         (status, body) -> {
           if (!over[0]) {
             over[0] = true;
-            answer.on(status, body);
+            answer.onResponse(status, body);
           }
         });
     cluster.after(
@@ -360,7 +360,8 @@
           } else if (status == 422 || status == 400) {
             submitted.refused = "" + status;
             if (submitted.accepted) {
-              cluster.invariants.report("forgotten", submitted.spec.id() + " got " + status);
+              cluster.invariants.reportViolation(
+                  "forgotten", submitted.spec.id() + " got " + status);
             }
           } else {
             again.run();
@@ -410,7 +411,7 @@
           }
           if (submitted == null) {
             if (status == 200) {
-              cluster.invariants.report("invented", id);
+              cluster.invariants.reportViolation("invented", id);
             }
           } else if (status == 404) {
             checkAnswer(submitted, askedAt, null);
@@ -440,9 +441,9 @@
   }
 
   private void checkAnswer(SubmittedJob submitted, long askedAt, String phase) {
-    String rule = submitted.history.answered(askedAt, cluster.now, phase);
+    String rule = submitted.history.recordAnswer(askedAt, cluster.now, phase);
     if (rule != null) {
-      cluster.invariants.report(
+      cluster.invariants.reportViolation(
           rule, submitted.spec.id() + ": " + submitted.terminal + " then " + phase);
     }
   }
@@ -460,7 +461,7 @@
     if (phase.equals("aborted")) {
       if (!submitted.cancelRequested
           && allDependencies(id).stream().noneMatch(n -> jobs.get(n).cancelRequested)) {
-        cluster.invariants.report("went_back", id + " cancelled by nobody");
+        cluster.invariants.reportViolation("went_back", id + " cancelled by nobody");
       }
       if (submitted.cancelConfirmed == null) {
         submitted.cancelConfirmed = cluster.now;
@@ -468,12 +469,12 @@
       }
     }
     if (phase.equals("queued") || phase.equals("running")) {
-      cluster.invariants.calledLive(submitted);
+      cluster.invariants.checkOrphaned(submitted);
     }
     if (phase.equals("done")) {
       for (int t = 0; t < submitted.spec.tasks(); t++) {
         if (!results.contains(id + "/" + t)) {
-          cluster.invariants.report("not_done", id + "/" + t);
+          cluster.invariants.reportViolation("not_done", id + "/" + t);
         }
       }
     }
--- a/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
@@ -313,11 +313,11 @@
     }
 
     void start() {
-      if (up) {
+      if (isUp) {
         return;
       }
       incarnation++;
-      up = true;
+      isUp = true;
       paused = false;
       backlog.clear();
       core = new Controller(settings, tunables, name + "-" + incarnation, now);
@@ -325,7 +325,7 @@
     }
 
     void crash(long backMs) {
-      up = false;
+      isUp = false;
       exchanges.clear();
       after(backMs, this::start);
     }
@@ -348,18 +348,18 @@
     /** Whether the node, at this very moment, takes itself for the leader. */
     boolean leadsNow() {
       accept(new Input.Tick());
-      return up && !paused && core.hasAuthority();
+      return isUp && !paused && core.hasAuthority();
     }
 
     private void tick(int mine) {
-      if (up && mine == incarnation) {
+      if (isUp && mine == incarnation) {
         accept(new Input.Tick());
         after(TICK_MS, () -> tick(mine));
       }
     }
 
     private void accept(Input input) {
-      if (!up) {
+      if (!isUp) {
         return;
       }
       if (paused) {
@@ -372,7 +372,7 @@
         perform(effect);
       }
       if (core.hasAuthority()) {
-        invariants.leads(this);
+        invariants.onLeaderInput(this);
       }
     }
 
@@ -387,7 +387,7 @@
               x.from,
               () -> {
                 answerLeftAt = leftAt;
-                x.answer.on(answer.status(), answer.body());
+                x.answer.onResponse(answer.status(), answer.body());
               });
         }
       } else if (effect instanceof Effect.Broadcast broadcast) {
@@ -406,7 +406,7 @@
 
     private void logEvent(Effect.Event event) {
       if (event.severity() == Effect.Severity.ERROR) {
-        invariants.report("invariant_violated", name + " " + event.text());
+        invariants.reportViolation("invariant_violated", name + " " + event.text());
       } else if (event.severity() == Effect.Severity.INFO) {
         log.add(now, name, event.text());
       }
@@ -474,7 +474,7 @@
     }
 
     @Override
-    void heartbeat(String from, JsonNode report, Answer answer) {
+    void heartbeat(String from, JsonNode report, ResponseHandler answer) {
       Heartbeat heartbeat;
       try {
         heartbeat = Heartbeat.parse(report);
@@ -485,19 +485,19 @@
     }
 
     @Override
-    void request(String from, LongFunction<Input> input, Answer answer) {
-      if (up) {
+    void request(String from, LongFunction<Input> input, ResponseHandler answer) {
+      if (isUp) {
         long id = nextExchange++;
         exchanges.put(id, new Exchange(from, answer));
         accept(input.apply(id));
       } else {
         // The machine is there, the process is not: the connection is refused at once.
-        send(name, from, () -> answer.on(0, null));
+        send(name, from, () -> answer.onResponse(0, null));
       }
     }
   }
 
-  private record Exchange(String from, Endpoint.Answer answer) {}
+  private record Exchange(String from, Endpoint.ResponseHandler answer) {}
 
   /** Takes the reply to a call. */
   interface Reply {
@@ -506,7 +506,7 @@
 
   Node leader() {
     for (Node node : nodes) {
-      if (node.up && node.core.hasAuthority()) {
+      if (node.isUp && node.core.hasAuthority()) {
         return node;
       }
     }
--- a/src/testbench/java/org/snowturn/simulation/SimulatedServer.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedServer.java
@@ -132,7 +132,7 @@
   }
 
   private void log(String from, String to, String what, JsonNode body) {
-    cluster.messages.message(cluster.now, from, to, what, body);
+    cluster.messages.logMessage(cluster.now, from, to, what, body);
   }
 
   private static Effect.Call call(HttpServerExchange exchange, JsonNode body) {
--- a/src/testbench/java/org/snowturn/simulation/SimulatedStateService.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedStateService.java
@@ -415,10 +415,10 @@
       boolean leaders = tasks || key.startsWith("r/") || key.startsWith("s/");
       boolean placement = tasks && c.has("write");
       if (leaders && !guards.contains("l/leader")) {
-        cluster.invariants.report("unguarded_write", key);
+        cluster.invariants.reportViolation("unguarded_write", key);
       }
       if (placement && !(guards.contains(key) && guards.contains("j/" + key.split("/", -1)[1]))) {
-        cluster.invariants.report("unguarded_write", key);
+        cluster.invariants.reportViolation("unguarded_write", key);
       }
     }
   }
--- a/src/testbench/java/org/snowturn/simulation/SimulatedWorker.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedWorker.java
@@ -346,7 +346,7 @@
     }
     task.phase = "running";
     task.present = true;
-    cluster.invariants.started(this, task, spec);
+    cluster.invariants.onTaskStarted(this, task, spec);
     if (failing || cluster.clients.broken(task.job)) {
       exit(task, "error");
     } else if (cluster.clients.result(task.name())) {
--- a/src/testbench/java/org/snowturn/simulation/WorkerLinks.java
+++ b/src/testbench/java/org/snowturn/simulation/WorkerConnections.java
@@ -13,7 +13,7 @@
  * The connections over which hollow workers report: one each, to the controller that the worker has
  * chosen last. A worker's connection stays on one I/O thread, so no locks are needed.
  */
-final class WorkerLinks {
+final class WorkerConnections {
   private record Link(InetSocketAddress to, HttpCaller caller) {}
 
   /** The links of one I/O thread, entered by that thread only. */
@@ -32,13 +32,14 @@
   private final List<Lane> lanes;
   private final ByteBufferPool buffers;
 
-  WorkerLinks(List<XnioIoThread> threads, ByteBufferPool buffers) {
+  WorkerConnections(List<XnioIoThread> threads, ByteBufferPool buffers) {
     this.lanes = threads.stream().map(Lane::new).toList();
     this.buffers = buffers;
   }
 
   /** Calls {@code use} with the worker's connection to a controller, on the worker's thread. */
-  void on(String worker, InetSocketAddress to, java.util.function.Consumer<HttpCaller> use) {
+  void withConnection(
+      String worker, InetSocketAddress to, java.util.function.Consumer<HttpCaller> use) {
     Lane lane = lanes.get(Math.floorMod(worker.hashCode(), lanes.size()));
     lane.io.execute(() -> use.accept(link(lane, worker, to)));
   }
--- a/src/testbench/java/org/snowturn/testbench/Deployment.java
+++ b/src/testbench/java/org/snowturn/testbench/Deployment.java
@@ -88,7 +88,7 @@
 
   private void open(Part part, PeerAddresses addresses) throws IOException {
     parts.add(part);
-    LoopbackCluster.Outside outside = part.region.open();
+    LoopbackCluster.ServiceAddresses outside = part.region.open();
     List<String> zones = part.plan.zones();
     for (String name : part.plan.controllers()) {
       String zone = zones.get(part.controllers.size() % zones.size());
--- a/src/testbench/java/org/snowturn/testbench/ScaleResult.java
+++ b/src/testbench/java/org/snowturn/testbench/ScaleResult.java
@@ -68,26 +68,26 @@
         LoopbackStatus to,
         Histogram urgent,
         Histogram accepted) {
-      broken.addAll(to.broken());
+      broken.addAll(to.violations());
       workersUp += to.workersUp();
       Map<String, Double> f = new TreeMap<>();
       f.put("workers", (double) to.workersUp());
-      f.put("running", (double) to.running());
-      f.put("starts_per_s", (to.starts() - from.starts()) / lastedS);
-      f.put("starts_in_all", (double) to.starts());
-      f.put("jobs_over_per_s", (to.jobsDone() - from.jobsDone()) / lastedS);
-      f.put("reports_per_s", (to.reports() - from.reports()) / lastedS);
+      f.put("running", (double) to.runningTasks());
+      f.put("starts_per_s", (to.startedTasks() - from.startedTasks()) / lastedS);
+      f.put("starts_in_all", (double) to.startedTasks());
+      f.put("jobs_over_per_s", (to.finishedJobs() - from.finishedJobs()) / lastedS);
+      f.put("reports_per_s", (to.heartbeats() - from.heartbeats()) / lastedS);
       f.put("commands_per_s", (to.commands() - from.commands()) / lastedS);
       f.put("state_requests_per_s", (to.stateRequests() - from.stateRequests()) / lastedS);
       f.put("state_changes_per_s", (to.stateWrites() - from.stateWrites()) / lastedS);
-      f.put("state_refused", (double) (to.stateRefused() - from.stateRefused()));
-      f.put("leader_changes", (double) (to.tokens() - from.tokens()));
+      f.put("state_refused", (double) (to.stateRefusals() - from.stateRefusals()));
+      f.put("leader_changes", (double) (to.tokensSeen() - from.tokensSeen()));
       f.put("longest_pause_s", to.longestPauseMs() / 1000.0);
-      f.put("rules_broken", (double) to.broken().size());
+      f.put("rules_broken", (double) to.violations().size());
       f.put("fill_s", fillS);
       percentiles(f, "urgent", urgent);
       percentiles(f, "accept", accepted);
-      rows.add(new Row("region " + p.number(), f));
+      rows.add(new Row("region " + p.regionNumber(), f));
     }
 
     private static void percentiles(Map<String, Double> f, String name, Histogram h) {
--- a/src/testbench/java/org/snowturn/testbench/ScaleRun.java
+++ b/src/testbench/java/org/snowturn/testbench/ScaleRun.java
@@ -51,7 +51,7 @@
 
   /** Until the standing tasks run, or for as long as that may take. */
   private void fill() throws InterruptedException, TimeoutException {
-    deployment.parts().forEach(p -> p.region.fill());
+    deployment.parts().forEach(p -> p.region.submitStandingJobs());
     long began = System.nanoTime();
     int seconds = 0;
     while (seconds < LONGEST_FILL_S && !filled()) {
@@ -66,7 +66,7 @@
 
   private boolean filled() throws TimeoutException {
     for (Part p : deployment.parts()) {
-      if (p.region.status().running() < p.region.standing() * FILLED) {
+      if (p.region.status().runningTasks() < p.region.standingTasks() * FILLED) {
         return false;
       }
     }
@@ -82,7 +82,7 @@
   }
 
   private void load() throws IOException, InterruptedException, TimeoutException {
-    deployment.parts().forEach(p -> p.region.arrive());
+    deployment.parts().forEach(p -> p.region.startArrivals());
     int failsAt = plan.durationS() / 3;
     long began = System.nanoTime();
     boolean failed = plan.failure().kind() == Failure.Kind.NONE;
@@ -120,7 +120,7 @@
             .forEach(ControllerProcess::kill);
       }
       case REGION -> {
-        first.region.stateOutage(REGION_OUT_MS);
+        first.region.startStateOutage(REGION_OUT_MS);
         first.controllers.forEach(ControllerProcess::kill);
         Thread.sleep(RESTART_MS);
         for (ControllerProcess controller : first.controllers) {
@@ -141,7 +141,7 @@
       for (ControllerProcess controller : p.controllers) {
         controller.sample();
         result.controller(
-            p.plan.number(),
+            p.plan.regionNumber(),
             controller.name,
             controller.name.equals(now.leader()),
             controller.used());
@@ -165,13 +165,13 @@
           String.format(
               java.util.Locale.ROOT,
               "  region %d: leader %s, workers %d, running %d, starts %d, jobs over %d%s",
-              p.plan.number(),
+              p.plan.regionNumber(),
               s.leader(),
               s.workersUp(),
-              s.running(),
-              s.starts(),
-              s.jobsDone(),
-              s.broken().isEmpty() ? "" : ", BROKEN " + s.broken()));
+              s.runningTasks(),
+              s.startedTasks(),
+              s.finishedJobs(),
+              s.violations().isEmpty() ? "" : ", BROKEN " + s.violations()));
     }
     progress.accept(line.toString());
   }
--- a/src/testbench/java/org/snowturn/testbench/SettingsFile.java
+++ b/src/testbench/java/org/snowturn/testbench/SettingsFile.java
@@ -15,7 +15,7 @@
       List<ControllerProcess> all,
       LoopbackPlan plan,
       LoopbackCluster region,
-      LoopbackCluster.Outside outside,
+      LoopbackCluster.ServiceAddresses outside,
       PeerAddresses addresses)
       throws IOException {
     StringBuilder s = new StringBuilder();
@@ -41,7 +41,7 @@
     for (LoopbackCluster.Team t : region.teams()) {
       s.append("[[deployment.teams]]\n");
       text(s, "name", t.name());
-      number(s, "cpus_max", t.mostCpus());
+      number(s, "cpus_max", t.maxCpus());
     }
     objective(s, "deadline", "short", 0.99, "times = 1.0");
     objective(s, "wait", "urgent", 0.95, "within_s = 1.3");
@@ -51,17 +51,17 @@
 
   private static void limits(StringBuilder text, LoopbackPlan plan) {
     text.append("[deployment.workers]\n");
-    number(text, "report_s", plan.figures().reportS());
-    number(text, "lease_s", plan.figures().leaseS());
-    number(text, "cancel_s", plan.figures().cancelS());
+    number(text, "report_s", plan.workerSettings().reportS());
+    number(text, "lease_s", plan.workerSettings().leaseS());
+    number(text, "cancel_s", plan.workerSettings().cancelS());
     text.append("[deployment.state]\n");
-    number(text, "rps", plan.state().rps());
-    number(text, "write_rps", plan.state().writeRps());
-    number(text, "value_kb", plan.state().valueKb());
-    text.append("txn_ops = ").append(plan.state().txnOps()).append('\n');
+    number(text, "rps", plan.stateLimits().rps());
+    number(text, "write_rps", plan.stateLimits().writeRps());
+    number(text, "value_kb", plan.stateLimits().valueKb());
+    text.append("txn_ops = ").append(plan.stateLimits().txnOps()).append('\n');
     text.append("[deployment.cloud]\n");
-    number(text, "rps", plan.cloud().rps());
-    number(text, "list_lag_s", plan.cloud().listLagS());
+    number(text, "rps", plan.cloudLimits().rps());
+    number(text, "list_lag_s", plan.cloudLimits().listLagS());
     text.append("[deployment.machine_limits]\n");
     text.append("max_connections = ").append(plan.maxConnections()).append('\n');
   }
--- a/src/testbench/java/org/snowturn/testbench/SoakRun.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakRun.java
@@ -70,7 +70,7 @@
     try (BufferedWriter messages = Files.newBufferedWriter(dir.resolve(MESSAGES));
         Deployment deployment = new Deployment(command, root, dir, LOG_ALL)) {
       deployment.openWithRelays(List.of(plan.region()));
-      deployment.parts().get(0).region.keepMessages(messages);
+      deployment.parts().get(0).region.recordMessages(messages);
       verdict = play(deployment);
     }
     if (verdict.result() != Result.PASSED) {
@@ -95,8 +95,9 @@
       deployment.startControllers();
       awaitReady(part);
       long forMs = plan.durationS() * 1000L;
-      part.region.randomJobs(forMs, plan.workers() < LARGE_FLEET ? JOB_EVERY_MS : JOB_EVERY_MS / 3);
-      part.region.insistentUsers(forMs);
+      part.region.startRandomJobs(
+          forMs, plan.workers() < LARGE_FLEET ? JOB_EVERY_MS : JOB_EVERY_MS / 3);
+      part.region.startStressClients(forMs);
       new FaultInjector(deployment, part, progress).play(plan.faults());
       List<String> open = awaitSettled(part);
       return judge(part, open);
@@ -109,7 +110,7 @@
   private void awaitReady(Part part)
       throws InterruptedException, TimeoutException, IOException, InvalidPlanException {
     long until = System.currentTimeMillis() + READY_WITHIN_MS;
-    while (part.region.ready().size() < part.controllers.size()) {
+    while (part.region.readyControllers().size() < part.controllers.size()) {
       for (ControllerProcess controller : part.controllers) {
         if (controller.endedByItself()) {
           throw new InvalidPlanException(
@@ -135,16 +136,16 @@
     List<String> open;
     do {
       Thread.sleep(LOOK_MS);
-      open = part.region.unsettled(calmFrom);
+      open = part.region.unsettledJobs(calmFrom);
     } while (!open.isEmpty() && System.currentTimeMillis() < until);
     return open;
   }
 
   private SoakVerdict judge(Part part, List<String> open) throws TimeoutException, IOException {
     LoopbackStatus status = part.region.status();
-    List<String> broken = new ArrayList<>(status.broken());
+    List<String> broken = new ArrayList<>(status.violations());
     open.forEach(o -> broken.add("unsettled: " + o));
-    if (status.starts() == 0) {
+    if (status.startedTasks() == 0) {
       broken.add("nothing_ran");
     }
     for (ControllerProcess controller : part.controllers) {
@@ -162,8 +163,8 @@
         plan,
         broken.isEmpty() ? Result.PASSED : Result.FAILED,
         broken,
-        status.starts(),
-        status.jobsDone(),
-        Math.max(0, status.tokens() - 1));
+        status.startedTasks(),
+        status.finishedJobs(),
+        Math.max(0, status.tokensSeen() - 1));
   }
 }
