--- a/src/testbench/java/org/snowturn/simulation/ClusterLog.java
+++ b/src/testbench/java/org/snowturn/simulation/ClusterLog.java
@@ -5,7 +5,7 @@
 
 /** What the controllers of a simulated cluster have logged, in the order of time. */
 final class ClusterLog {
-  private static final int TAIL = 40;
+  private static final int MAX_TAIL_LINES = 40;
 
   /** One logged line. */
   private record Line(long atMs, String node, String text) {
@@ -72,7 +72,7 @@
   /** The last lines. */
   String tail() {
     StringBuilder text = new StringBuilder();
-    for (Line line : lines.subList(Math.max(0, lines.size() - TAIL), lines.size())) {
+    for (Line line : lines.subList(Math.max(0, lines.size() - MAX_TAIL_LINES), lines.size())) {
       text.append(line).append('\n');
     }
     return text.toString();
--- a/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
+++ b/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
@@ -15,38 +15,38 @@
 
 /** Watches every step of the world for the rules of PROTOCOL. */
 final class InvariantChecker {
-  private static final long UNANSWERED_MS = 75_000;
-  private static final long WAIT_MS = 90_000;
+  private static final long MAX_UNANSWERED_MS = 75_000;
+  private static final long MAX_WAIT_MS = 90_000;
 
   /** Within this time a leader hears of what its peers, or the state service, know. */
-  private static final long HEARD_OF_MS = 1_000;
+  private static final long PROPAGATION_MS = 1_000;
 
   /** Longer than the time between two ticks of a node. */
-  private static final long JUST_NOW_MS = 100;
+  private static final long LEADER_OVERLAP_MS = 100;
 
   /** A task that was started on a machine, and may have left it since. */
-  private record Started(SimulatedWorker on, SimulatedWorker.Task task, long atMs) {
-    boolean present() {
-      return task.present && on.has(task);
+  private record StartedTask(SimulatedWorker worker, SimulatedWorker.Task task, long atMs) {
+    boolean isPresent() {
+      return task.present && worker.has(task);
     }
 
     @Override
     public String toString() {
-      return "attempt " + task.attempt + " on " + on.rented.id + " since " + atMs;
+      return "attempt " + task.attempt + " on " + worker.rented.id + " since " + atMs;
     }
   }
 
-  private final Map<String, List<Started>> started = new HashMap<>();
+  private final Map<String, List<StartedTask>> tasksOfJob = new HashMap<>();
 
   /** Tasks that have begun to run, in all. */
   long startedTasks;
 
   private final SimulatedCluster cluster;
-  private long nextLookAt;
-  private SimulatedCluster.Node leader;
-  private long ledAt;
-  private boolean asking;
-  private final Map<String, Long> waitsSince = new HashMap<>();
+  private long nextJobCheckAt;
+  private SimulatedCluster.Node lastLeader;
+  private long lastLeaderInputAt;
+  private boolean isCheckingLeaders;
+  private final Map<String, Long> waitingSince = new HashMap<>();
   final TreeSet<String> violatedRules = new TreeSet<>();
   final List<String> violationDetails = new ArrayList<>();
 
@@ -63,20 +63,20 @@
 
   /** A task has its image and starts. */
   void onTaskStarted(SimulatedWorker worker, SimulatedWorker.Task task, JobSpec spec) {
-    checkAwaited(task, spec);
-    checkWanted(task);
+    checkDependenciesDone(task, spec);
+    checkNotCancelled(task);
     cluster.clients.started(task.job);
     startedTasks++;
     int[] sameZone = {0};
     int[] otherZone = {0};
-    List<Started> ofJob = started.computeIfAbsent(task.job, k -> new ArrayList<>());
-    ofJob.removeIf(s -> !s.present());
-    Started now = new Started(worker, task, cluster.now);
-    for (Started s : ofJob) {
+    List<StartedTask> ofJob = tasksOfJob.computeIfAbsent(task.job, k -> new ArrayList<>());
+    ofJob.removeIf(s -> !s.isPresent());
+    StartedTask now = new StartedTask(worker, task, cluster.now);
+    for (StartedTask s : ofJob) {
       if (s.task.index == task.index) {
         reportViolation("ran_twice", task.name() + ": " + s + ", and " + now);
       }
-      (s.on.rented.zone.equals(worker.rented.zone) ? sameZone : otherZone)[0]++;
+      (s.worker.rented.zone.equals(worker.rented.zone) ? sameZone : otherZone)[0]++;
     }
     ofJob.add(now);
     if ((worker.rented.spot && !spec.spot())
@@ -91,19 +91,20 @@
    * From when its user was told that a job is cancelled, by whichever node and answer, no start of
    * it may leave. A leader hears what its peers have told in a moment, not at once.
    */
-  private void checkWanted(SimulatedWorker.Task task) {
-    Long told = cluster.clients.cancelConfirmed(task.job);
-    if (told != null && task.startLeftAt > told + HEARD_OF_MS) {
+  private void checkNotCancelled(SimulatedWorker.Task task) {
+    Long confirmedAt = cluster.clients.cancelConfirmed(task.job);
+    if (confirmedAt != null && task.startLeftAt > confirmedAt + PROPAGATION_MS) {
       reportViolation(
-          "started_cancelled", task.name() + ", told at " + told + ", sent at " + task.startLeftAt);
+          "started_cancelled",
+          task.name() + ", told at " + confirmedAt + ", sent at " + task.startLeftAt);
     }
   }
 
   /** All that a job needs must be durably done before any task of it starts. */
-  private void checkAwaited(SimulatedWorker.Task task, JobSpec spec) {
+  private void checkDependenciesDone(SimulatedWorker.Task task, JobSpec spec) {
     for (String id : spec.dependencies()) {
-      JsonNode over = cluster.state.peek("d/" + id);
-      if (over == null || !over.path("p").asText().equals("done")) {
+      JsonNode outcome = cluster.state.peek("d/" + id);
+      if (outcome == null || !outcome.path("p").asText().equals("done")) {
         reportViolation("too_early", task.name() + " before " + id);
       }
     }
@@ -114,37 +115,38 @@
    * very moment: at none may two have authority, whatever the state service has given whom.
    */
   void onLeaderInput(SimulatedCluster.Node node) {
-    SimulatedCluster.Node other = leader;
-    boolean both = other != null && other != node && cluster.now - ledAt < JUST_NOW_MS;
+    SimulatedCluster.Node other = lastLeader;
+    boolean both =
+        other != null && other != node && cluster.now - lastLeaderInputAt < LEADER_OVERLAP_MS;
     if (other != node) {
       cluster.deliverHeldHeartbeats();
     }
-    leader = node;
-    ledAt = cluster.now;
-    if (both && !asking) {
-      asking = true;
+    lastLeader = node;
+    lastLeaderInputAt = cluster.now;
+    if (both && !isCheckingLeaders) {
+      isCheckingLeaders = true;
       if (other.leadsNow() && node.leadsNow()) {
         reportViolation("two_leaders", other.name + " and " + node.name);
       }
-      asking = false;
+      isCheckingLeaders = false;
     }
   }
 
   /** Once all troubles are over, a job about which no question is answered for so long is lost. */
-  private void checkKnown() {
-    if (cluster.now < nextLookAt) {
+  private void checkAcceptedJobs() {
+    if (cluster.now < nextJobCheckAt) {
       return;
     }
-    nextLookAt = cluster.now + 1_000;
+    nextJobCheckAt = cluster.now + 1_000;
     if (cluster.now > cluster.faultsEndMs) {
-      checkWaiting();
+      checkWaitingJobs();
     }
     for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
-      long from =
+      long answerDueFrom =
           Math.max(submitted.acceptedAt, Math.max(submitted.answeredAt, cluster.faultsEndMs));
       if (submitted.accepted
           && cluster.faultsEndMs < cluster.now
-          && cluster.now - from > UNANSWERED_MS) {
+          && cluster.now - answerDueFrom > MAX_UNANSWERED_MS) {
         reportViolation(
             "forgotten",
             submitted.spec.id() + " has not been answered about since " + submitted.answeredAt);
@@ -156,66 +158,67 @@
    * Once all troubles are over, no job is left waiting while a machine that fits has room and its
    * team is under its limit. Waiting is a job of which no task is on any machine.
    */
-  private void checkWaiting() {
+  private void checkWaitingJobs() {
     if (!cluster.seededBugs.contains("unseen_sick")
-        && cluster.workers.values().stream().anyMatch(InvariantChecker::fails)) {
-      waitsSince.clear(); // machines that fail whatever starts there are a trouble that goes on
+        && cluster.workers.values().stream().anyMatch(InvariantChecker::isFailing)) {
+      waitingSince.clear(); // machines that fail whatever starts there are a trouble that goes on
       return;
     }
-    Map<String, Double> use = new HashMap<>();
-    Set<String> placed = new HashSet<>();
-    Map<SimulatedWorker, Integer> taken = new HashMap<>();
+    Map<String, Double> cpusByTeam = new HashMap<>();
+    Set<String> placedJobs = new HashSet<>();
+    Map<SimulatedWorker, Integer> takenCpus = new HashMap<>();
     for (SimulatedWorker worker : cluster.workers.values()) {
       for (SimulatedWorker.Task task : worker.tasks.values()) {
         if (task.alive()) {
           JobSpec spec = cluster.clients.spec(task.job);
-          placed.add(task.job);
-          use.merge(spec.team(), spec.cpus(), Double::sum);
-          taken.merge(
+          placedJobs.add(task.job);
+          cpusByTeam.merge(spec.team(), spec.cpus(), Double::sum);
+          takenCpus.merge(
               worker, (int) Math.ceil(Math.max(spec.cpus(), spec.memoryGb() / 4)), Integer::sum);
         }
       }
     }
     for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
-      boolean could =
+      boolean isStartable =
           submitted.accepted
               && !submitted.cancelRequested
               && !submitted.broken
               && submitted.terminal == null
-              && !placed.contains(submitted.spec.id())
+              && !placedJobs.contains(submitted.spec.id())
               && !cluster.clients.allDone(submitted)
-              && released(submitted.spec)
-              && underLimit(submitted.spec, use)
+              && areDependenciesDone(submitted.spec)
+              && isWithinTeamLimit(submitted.spec, cpusByTeam)
               && cluster.workers.values().stream()
-                  .anyMatch(worker -> hasRoom(worker, submitted.spec, taken));
-      if (!could) {
-        waitsSince.remove(submitted.spec.id());
-      } else if (cluster.now - waitsSince.computeIfAbsent(submitted.spec.id(), k -> cluster.now)
-          > WAIT_MS) {
+                  .anyMatch(worker -> hasRoom(worker, submitted.spec, takenCpus));
+      if (!isStartable) {
+        waitingSince.remove(submitted.spec.id());
+      } else if (cluster.now - waitingSince.computeIfAbsent(submitted.spec.id(), k -> cluster.now)
+          > MAX_WAIT_MS) {
         reportViolation(
-            "left_waiting", submitted.spec.id() + " since " + waitsSince.get(submitted.spec.id()));
+            "left_waiting",
+            submitted.spec.id() + " since " + waitingSince.get(submitted.spec.id()));
       }
     }
   }
 
-  private static boolean fails(SimulatedWorker worker) {
+  private static boolean isFailing(SimulatedWorker worker) {
     return worker.failing && !worker.dead;
   }
 
-  private boolean released(JobSpec spec) {
+  private boolean areDependenciesDone(JobSpec spec) {
     for (String id : spec.dependencies()) {
-      JsonNode over = cluster.state.peek("d/" + id);
-      if (over == null || !over.path("p").asText().equals("done")) {
+      JsonNode outcome = cluster.state.peek("d/" + id);
+      if (outcome == null || !outcome.path("p").asText().equals("done")) {
         return false;
       }
     }
     return true;
   }
 
-  private boolean underLimit(JobSpec spec, Map<String, Double> use) {
+  private boolean isWithinTeamLimit(JobSpec spec, Map<String, Double> cpusByTeam) {
     for (Settings.Team team : cluster.settings[0].teams()) {
       if (team.name().equals(spec.team()) && team.cpusMax() > 0) {
-        return use.getOrDefault(team.name(), 0.0) + spec.cpus() * spec.minConcurrentTasks()
+        return cpusByTeam.getOrDefault(team.name(), 0.0) + spec.cpus() * spec.minConcurrentTasks()
             <= team.cpusMax();
       }
     }
@@ -223,7 +226,7 @@
   }
 
   private static boolean hasRoom(
-      SimulatedWorker worker, JobSpec spec, Map<SimulatedWorker, Integer> taken) {
+      SimulatedWorker worker, JobSpec spec, Map<SimulatedWorker, Integer> takenCpus) {
     return !worker.dead
         && !worker.hung
         && !worker.outboundDropped
@@ -231,8 +234,8 @@
         && worker.rented.goneAt == Long.MAX_VALUE
         && (spec.spot() || !worker.rented.spot)
         && (spec.zone() == null || spec.zone().equals(worker.rented.zone))
-        && taken.getOrDefault(worker, 0) + spec.cpus() <= worker.cluster.parameters.cpus()
-        && taken.getOrDefault(worker, 0) + spec.memoryGb() / 4
+        && takenCpus.getOrDefault(worker, 0) + spec.cpus() <= worker.cluster.parameters.cpus()
+        && takenCpus.getOrDefault(worker, 0) + spec.memoryGb() / 4
             <= worker.cluster.parameters.memoryGb() / 4;
   }
 
@@ -241,11 +244,11 @@
    * no task on any machine, or about which nobody has answered since then.
    */
   List<String> unsettledJobs(long answeredSince) {
-    Set<String> placed = new HashSet<>();
+    Set<String> placedJobs = new HashSet<>();
     for (SimulatedWorker worker : cluster.workers.values()) {
       worker.tasks.values().stream()
           .filter(SimulatedWorker.Task::alive)
-          .forEach(task -> placed.add(task.job));
+          .forEach(task -> placedJobs.add(task.job));
     }
     List<String> open = new ArrayList<>();
     for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
@@ -255,7 +258,7 @@
       }
       if (submitted.answeredAt < answeredSince) {
         open.add(id + " was last answered about at " + submitted.answeredAt);
-      } else if (submitted.cancelRequested || !placed.contains(id)) {
+      } else if (submitted.cancelRequested || !placedJobs.contains(id)) {
         open.add(id + (submitted.cancelRequested ? " is not called cancelled" : " runs nowhere"));
       }
     }
@@ -267,7 +270,7 @@
    * have been served, and the largest begun in time. Largest is the tenth of a class with the most
    * tasks, at least one; cancelled jobs do not count.
    */
-  void checkServed(double least, long beginMs) {
+  void checkServed(double minServedShare, long maxStartDelayMs) {
     Map<String, List<SimulatedClients.SubmittedJob>> groups = new TreeMap<>();
     for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
       if (submitted.accepted && !submitted.cancelRequested && !submitted.broken) {
@@ -281,19 +284,20 @@
     }
     groups.forEach(
         (name, jobs) -> {
-          served(name, jobs, least);
+          checkServedShare(name, jobs, minServedShare);
           if (name.startsWith("class ")) {
             jobs.sort(Comparator.comparingInt(submitted -> -submitted.spec.tasks()));
             List<SimulatedClients.SubmittedJob> largest =
                 jobs.subList(0, Math.max(1, jobs.size() / 10));
-            served("largest of " + name, largest, least);
-            largest.forEach(submitted -> begun(submitted, beginMs));
+            checkServedShare("largest of " + name, largest, minServedShare);
+            largest.forEach(submitted -> checkStartDelay(submitted, maxStartDelayMs));
           }
         });
   }
 
-  private void served(String name, List<SimulatedClients.SubmittedJob> jobs, double least) {
-    long n =
+  private void checkServedShare(
+      String name, List<SimulatedClients.SubmittedJob> jobs, double minServedShare) {
+    long servedJobs =
         jobs.stream()
             .filter(
                 submitted ->
@@ -301,53 +305,55 @@
                         ? submitted.firstStartAt >= 0
                         : "done".equals(submitted.terminal))
             .count();
-    if (n < least * jobs.size()) {
-      reportViolation("unserved", name + ": " + n + " of " + jobs.size());
+    if (servedJobs < minServedShare * jobs.size()) {
+      reportViolation("unserved", name + ": " + servedJobs + " of " + jobs.size());
     }
   }
 
-  private void begun(SimulatedClients.SubmittedJob submitted, long beginMs) {
-    long waited =
+  private void checkStartDelay(SimulatedClients.SubmittedJob submitted, long maxStartDelayMs) {
+    long waitedMs =
         (submitted.firstStartAt < 0 ? cluster.now : submitted.firstStartAt) - submitted.submittedAt;
-    if (waited > beginMs) {
-      reportViolation("late_start", submitted.spec.id() + " began after " + waited + " ms");
+    if (waitedMs > maxStartDelayMs) {
+      reportViolation("late_start", submitted.spec.id() + " began after " + waitedMs + " ms");
     }
   }
 
   /** A job is called queued or running, though one that it needs was cancelled long ago. */
   void checkOrphaned(SimulatedClients.SubmittedJob submitted) {
-    Long told = cluster.clients.dependencyCancelConfirmed(submitted.spec.id());
+    Long confirmedAt = cluster.clients.dependencyCancelConfirmed(submitted.spec.id());
     double cancelMs = cluster.settings[0].workers().cancelS() * 1000;
-    if (told != null && cluster.now > Math.max(told, submitted.acceptedAt) + cancelMs) {
+    if (confirmedAt != null
+        && cluster.now > Math.max(confirmedAt, submitted.acceptedAt) + cancelMs) {
       reportViolation("orphaned", submitted.spec.id());
     }
   }
 
   /** Looks at the whole world, after every event. */
   void check() {
-    checkKnown();
-    boolean limits = cluster.settings[0].teams().stream().anyMatch(team -> team.cpusMax() > 0);
-    if (!limits && !cluster.clients.anyCancelConfirmed()) {
+    checkAcceptedJobs();
+    boolean hasTeamLimits =
+        cluster.settings[0].teams().stream().anyMatch(team -> team.cpusMax() > 0);
+    if (!hasTeamLimits && !cluster.clients.anyCancelConfirmed()) {
       return; // nothing that time alone can break; a start is checked when it happens
     }
-    Map<String, Double> use = new HashMap<>();
+    Map<String, Double> cpusByTeam = new HashMap<>();
     for (SimulatedWorker worker : cluster.workers.values()) {
       for (SimulatedWorker.Task task : worker.tasks.values()) {
         if (!task.present) {
           continue;
         }
         JobSpec spec = cluster.clients.spec(task.job);
-        use.merge(spec.team(), spec.cpus(), Double::sum);
-        Long told = cluster.clients.cancelConfirmed(task.job);
+        cpusByTeam.merge(spec.team(), spec.cpus(), Double::sum);
+        Long confirmedAt = cluster.clients.cancelConfirmed(task.job);
         double cancelMs = cluster.settings[0].workers().cancelS() * 1000;
-        if (told != null && cluster.now > told + cancelMs) {
+        if (confirmedAt != null && cluster.now > confirmedAt + cancelMs) {
           reportViolation("ran_cancelled", task.name());
         }
       }
     }
     for (Settings.Team team : cluster.settings[0].teams()) {
-      if (team.cpusMax() > 0 && use.getOrDefault(team.name(), 0.0) > team.cpusMax() + 1e-6) {
-        reportViolation("quota", team.name() + " uses " + use.get(team.name()));
+      if (team.cpusMax() > 0 && cpusByTeam.getOrDefault(team.name(), 0.0) > team.cpusMax() + 1e-6) {
+        reportViolation("quota", team.name() + " uses " + cpusByTeam.get(team.name()));
       }
     }
   }
--- a/src/testbench/java/org/snowturn/simulation/JobHistory.java
+++ b/src/testbench/java/org/snowturn/simulation/JobHistory.java
@@ -8,8 +8,8 @@
  */
 final class JobHistory {
   private long acceptedAt = Long.MAX_VALUE;
-  private long overAt = Long.MAX_VALUE;
-  private String over;
+  private long terminalAt = Long.MAX_VALUE;
+  private String terminalPhase;
 
   /**
    * Takes in an answer; answers are told of in the order in which they come.
@@ -23,12 +23,12 @@
     }
     acceptedAt = Math.min(acceptedAt, now);
     if (!phase.equals("done") && !phase.equals("aborted")) {
-      return askedAt >= overAt ? "went_back" : null;
+      return askedAt >= terminalAt ? "went_back" : null;
     }
-    if (over == null) {
-      over = phase;
-      overAt = now;
+    if (terminalPhase == null) {
+      terminalPhase = phase;
+      terminalAt = now;
     }
-    return over.equals(phase) ? null : "went_back";
+    return terminalPhase.equals(phase) ? null : "went_back";
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/LoadGenerator.java
+++ b/src/testbench/java/org/snowturn/simulation/LoadGenerator.java
@@ -13,19 +13,19 @@
   /** No job has more tasks. */
   static final int MAX_TASKS_PER_JOB = 400;
 
-  private static final int SHORT_JOB = 100;
-  private static final int URGENT_JOB = 4;
-  private static final double URGENT_PER_SECOND = 2;
+  private static final int TASKS_PER_SHORT_JOB = 100;
+  private static final int TASKS_PER_URGENT_JOB = 4;
+  private static final double MAX_URGENT_JOBS_PER_S = 2;
   private static final long SHORT_RUN_MS = 10_000;
   private static final long STANDING_RUN_MS = 86_400_000;
-  private static final long FILL_EVERY_MS = 500;
-  private static final long LONGEST_DELAY_MS = 3_600_000;
+  private static final long STANDING_SUBMIT_INTERVAL_MS = 500;
+  private static final long MAX_RECORDED_DELAY_MS = 3_600_000;
   private static final String URGENT = "urgent";
 
   private final SimulatedCluster cluster;
   private final LoopbackPlan plan;
-  private final Histogram urgent = new Histogram(LONGEST_DELAY_MS, 2);
-  private final Histogram accepted = new Histogram(LONGEST_DELAY_MS, 2);
+  private final Histogram urgentDelays = new Histogram(MAX_RECORDED_DELAY_MS, 2);
+  private final Histogram acceptDelays = new Histogram(MAX_RECORDED_DELAY_MS, 2);
   private int nextJob = 1;
 
   LoadGenerator(SimulatedCluster cluster, LoopbackPlan plan) {
@@ -34,11 +34,11 @@
     cluster.clients.startListener =
         (spec, delayMs) -> {
           if (spec.jobClass().equals(URGENT)) {
-            urgent.recordValue(Math.min(delayMs, LONGEST_DELAY_MS));
+            urgentDelays.recordValue(Math.min(delayMs, MAX_RECORDED_DELAY_MS));
           }
         };
     cluster.clients.acceptedListener =
-        delayMs -> accepted.recordValue(Math.min(delayMs, LONGEST_DELAY_MS));
+        delayMs -> acceptDelays.recordValue(Math.min(delayMs, MAX_RECORDED_DELAY_MS));
   }
 
   static String teamName(int number) {
@@ -46,19 +46,19 @@
   }
 
   Histogram urgentDelays() {
-    return urgent;
+    return urgentDelays;
   }
 
   Histogram acceptDelays() {
-    return accepted;
+    return acceptDelays;
   }
 
   long finishedJobs() {
-    long n = 0;
+    long finished = 0;
     for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
-      n += submitted.terminal != null ? 1 : 0;
+      finished += submitted.terminal != null ? 1 : 0;
     }
-    return n;
+    return finished;
   }
 
   /** What stands, less what the short arrays take once they come. */
@@ -70,46 +70,51 @@
     submitStandingJobs(standingTasks());
   }
 
-  private void submitStandingJobs(int left) {
-    if (left > 0) {
-      int tasks = Math.min(left, MAX_TASKS_PER_JOB);
+  private void submitStandingJobs(int remainingTasks) {
+    if (remainingTasks > 0) {
+      int tasks = Math.min(remainingTasks, MAX_TASKS_PER_JOB);
       submit("standing", "high", tasks, STANDING_RUN_MS);
-      cluster.after(FILL_EVERY_MS, () -> submitStandingJobs(left - tasks));
+      cluster.after(STANDING_SUBMIT_INTERVAL_MS, () -> submitStandingJobs(remainingTasks - tasks));
     }
   }
 
   void startArrivals() {
-    accepted.reset();
-    double urgentStarts = Math.min(plan.startsPerSecond(), URGENT_PER_SECOND * URGENT_JOB);
-    every(urgentStarts / URGENT_JOB, () -> submit(URGENT, "production", URGENT_JOB, SHORT_RUN_MS));
+    acceptDelays.reset();
+    double urgentStarts =
+        Math.min(plan.startsPerSecond(), MAX_URGENT_JOBS_PER_S * TASKS_PER_URGENT_JOB);
+    scheduleArrivals(
+        urgentStarts / TASKS_PER_URGENT_JOB,
+        () -> submit(URGENT, "production", TASKS_PER_URGENT_JOB, SHORT_RUN_MS));
     double shortStarts = plan.startsPerSecond() - urgentStarts;
-    every(shortStarts / SHORT_JOB, () -> submit("short", "high", SHORT_JOB, SHORT_RUN_MS));
+    scheduleArrivals(
+        shortStarts / TASKS_PER_SHORT_JOB,
+        () -> submit("short", "high", TASKS_PER_SHORT_JOB, SHORT_RUN_MS));
   }
 
   /** Arrivals are drawn as they come from many users, whatever becomes of those before. */
-  private void every(double perSecond, Runnable what) {
+  private void scheduleArrivals(double perSecond, Runnable submitJob) {
     if (perSecond > 0) {
-      double seconds = -Math.log(1 - cluster.random.nextDouble()) / perSecond;
+      double delayS = -Math.log(1 - cluster.random.nextDouble()) / perSecond;
       cluster.after(
-          Math.round(seconds * 1000),
+          Math.round(delayS * 1000),
           () -> {
-            what.run();
-            every(perSecond, what);
+            submitJob.run();
+            scheduleArrivals(perSecond, submitJob);
           });
     }
   }
 
   private void submit(String jobClass, String rank, int tasks, long runMs) {
-    Map<String, String> o = new HashMap<>();
-    o.put("class", jobClass);
-    o.put("rank", rank);
-    o.put("team", teamName(nextJob % plan.teams()));
-    o.put("tasks", "" + tasks);
-    o.put("cpus", "1");
-    o.put("estimate", "" + Math.min(runMs, 600_000) / 1000);
+    Map<String, String> options = new HashMap<>();
+    options.put("class", jobClass);
+    options.put("rank", rank);
+    options.put("team", teamName(nextJob % plan.teams()));
+    options.put("tasks", "" + tasks);
+    options.put("cpus", "1");
+    options.put("estimate", "" + Math.min(runMs, 600_000) / 1000);
     JobSpec spec =
         SimulatedJobs.spec(
-            String.format("wk-%d%07d", 1 + plan.regionNumber(), nextJob++), "batch", o);
+            String.format("wk-%d%07d", 1 + plan.regionNumber(), nextJob++), "batch", options);
     cluster.clients.submit(spec, runMs, Map.of());
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/MessageLog.java
+++ b/src/testbench/java/org/snowturn/simulation/MessageLog.java
@@ -8,5 +8,5 @@
   MessageLog NONE = (atMs, from, to, what, body) -> {};
 
   /** One message, as it is taken or given. */
-  void logMessage(long atMs, String from, String to, String what, JsonNode body);
+  void logMessage(long atMs, String from, String to, String description, JsonNode body);
 }
--- a/src/testbench/java/org/snowturn/simulation/MessageWriter.java
+++ b/src/testbench/java/org/snowturn/simulation/MessageWriter.java
@@ -14,9 +14,9 @@
   }
 
   @Override
-  public void logMessage(long atMs, String from, String to, String what, JsonNode body) {
+  public void logMessage(long atMs, String from, String to, String description, JsonNode body) {
     try {
-      out.write(atMs + " " + from + " -> " + to + " " + what);
+      out.write(atMs + " " + from + " -> " + to + " " + description);
       if (body != null) {
         out.write(" " + body);
       }
--- a/src/testbench/java/org/snowturn/simulation/RealTimeDriver.java
+++ b/src/testbench/java/org/snowturn/simulation/RealTimeDriver.java
@@ -13,16 +13,16 @@
  */
 final class RealTimeDriver {
   private static final Logger LOG = LoggerFactory.getLogger(RealTimeDriver.class);
-  private static final long LONGEST_SLEEP_MS = 20;
-  private static final int AT_ONCE = 500;
-  private static final long RULES_EVERY_MS = 500;
+  private static final long MAX_IDLE_MS = 20;
+  private static final int MAX_ACTIONS_PER_ROUND = 500;
+  private static final long INVARIANT_CHECK_INTERVAL_MS = 500;
 
   private final SimulatedCluster cluster;
-  private final BlockingQueue<Runnable> inbox = new LinkedBlockingQueue<>();
-  private final long beganNanos = System.nanoTime();
+  private final BlockingQueue<Runnable> actions = new LinkedBlockingQueue<>();
+  private final long startNanos = System.nanoTime();
   private final Thread thread;
-  private volatile boolean stopped;
-  private long rulesAt;
+  private volatile boolean isStopped;
+  private long nextInvariantCheckMs;
 
   RealTimeDriver(SimulatedCluster cluster, String name) {
     this.cluster = cluster;
@@ -36,56 +36,56 @@
 
   /** Ends the thread; what still waits is dropped. */
   void stop() {
-    stopped = true;
+    isStopped = true;
   }
 
   /** Runs something on the world's thread, soon. */
-  void post(Runnable run) {
-    inbox.add(run);
+  void post(Runnable action) {
+    actions.add(action);
   }
 
   private long nowMs() {
-    return (System.nanoTime() - beganNanos) / 1_000_000;
+    return (System.nanoTime() - startNanos) / 1_000_000;
   }
 
   private void run() {
-    while (!stopped) {
+    while (!isStopped) {
       try {
-        Runnable next = inbox.poll(cluster.idleMs(LONGEST_SLEEP_MS), TimeUnit.MILLISECONDS);
+        Runnable next = actions.poll(cluster.idleMs(MAX_IDLE_MS), TimeUnit.MILLISECONDS);
         cluster.runDue(nowMs());
-        for (int n = 0; next != null && n < AT_ONCE; n++) {
-          safely(next);
-          next = inbox.poll();
+        for (int n = 0; next != null && n < MAX_ACTIONS_PER_ROUND; n++) {
+          runAction(next);
+          next = actions.poll();
         }
         if (next != null) {
-          safely(next);
+          runAction(next);
         }
-        checkRules();
+        checkInvariants();
       } catch (InterruptedException e) {
         return;
       } catch (RuntimeException e) {
-        failed(e);
+        reportFailure(e);
       }
     }
   }
 
-  private void checkRules() {
-    if (cluster.now >= rulesAt) {
-      rulesAt = cluster.now + RULES_EVERY_MS;
+  private void checkInvariants() {
+    if (cluster.now >= nextInvariantCheckMs) {
+      nextInvariantCheckMs = cluster.now + INVARIANT_CHECK_INTERVAL_MS;
       cluster.invariants.check();
     }
   }
 
-  private void safely(Runnable run) {
+  private void runAction(Runnable action) {
     try {
-      run.run();
+      action.run();
     } catch (RuntimeException e) {
-      failed(e);
+      reportFailure(e);
     }
   }
 
   /** A fault of the world itself: it counts as a broken rule, so that no run passes over it. */
-  private void failed(RuntimeException e) {
+  private void reportFailure(RuntimeException e) {
     LOG.error("the world failed", e);
     cluster.invariants.reportViolation("world_failed", e.toString());
   }
--- a/src/testbench/java/org/snowturn/simulation/RemoteEndpoint.java
+++ b/src/testbench/java/org/snowturn/simulation/RemoteEndpoint.java
@@ -12,19 +12,19 @@
 
 /** A controller that is a process of its own, reached over loopback. */
 final class RemoteEndpoint extends Endpoint {
-  private static final String RUNS = "/v2/runs";
-  private static final String READY = "/ready";
+  private static final String RUNS_PATH = "/v2/runs";
+  private static final String READY_PATH = "/ready";
   private static final String USERS = "users";
-  private static final int CHECK_IN_TIMEOUT_MS = 4_000;
+  private static final int HEARTBEAT_TIMEOUT_MS = 4_000;
   private static final int SUBMIT_TIMEOUT_MS = 5_000;
   private static final int POLL_TIMEOUT_MS = 2_000;
   private static final int PROBE_TIMEOUT_MS = 1_000;
 
-  private final RealTimeDriver loop;
-  private final InetSocketAddress addr;
-  private final WorkerConnections links;
+  private final RealTimeDriver driver;
+  private final InetSocketAddress address;
+  private final WorkerConnections workerConnections;
   private final XnioIoThread usersThread;
-  private final HttpCaller users;
+  private final HttpCaller usersCaller;
 
   /** The last check-in that it answered with 200, in the world's time; the leader does. */
   long lastHeartbeatAnswerAt = Long.MIN_VALUE;
@@ -40,33 +40,33 @@
       XnioIoThread usersThread,
       HttpCaller users) {
     super(name);
-    this.addr = addr;
+    this.address = addr;
     this.cluster = cluster;
-    this.loop = loop;
-    this.links = links;
+    this.driver = loop;
+    this.workerConnections = links;
     this.usersThread = usersThread;
-    this.users = users;
+    this.usersCaller = users;
   }
 
   @Override
   void heartbeat(String from, JsonNode report, ResponseHandler answer) {
     cluster.messages.logMessage(cluster.now, from, name, "/checkin", report);
-    links.withConnection(
+    workerConnections.withConnection(
         from,
-        addr,
+        address,
         caller ->
             caller.call(
                 "POST",
                 "/checkin",
                 Json.bytes(report),
-                CHECK_IN_TIMEOUT_MS,
+                HEARTBEAT_TIMEOUT_MS,
                 (outcome, status, body, retryAfterS) -> {
-                  JsonNode json = parsed(body);
-                  loop.post(() -> checkedIn(from, outcome, status, json, answer));
+                  JsonNode json = parseOrNull(body);
+                  driver.post(() -> onHeartbeatResponse(from, outcome, status, json, answer));
                 }));
   }
 
-  private void checkedIn(
+  private void onHeartbeatResponse(
       String from, Outcome outcome, int status, JsonNode body, ResponseHandler answer) {
     boolean answered = outcome == Outcome.ANSWERED;
     if (answered && status == 200) {
@@ -83,11 +83,11 @@
   void request(String from, LongFunction<Input> input, ResponseHandler answer) {
     Input i = input.apply(0);
     if (i instanceof Input.Submit s) {
-      ask("POST", RUNS, Json.bytes(s.spec().toJson()), SUBMIT_TIMEOUT_MS, answer);
+      call("POST", RUNS_PATH, Json.bytes(s.spec().toJson()), SUBMIT_TIMEOUT_MS, answer);
     } else if (i instanceof Input.Poll p) {
-      ask("GET", RUNS + "/" + p.job(), null, POLL_TIMEOUT_MS, answer);
+      call("GET", RUNS_PATH + "/" + p.job(), null, POLL_TIMEOUT_MS, answer);
     } else if (i instanceof Input.Cancel c) {
-      ask("POST", RUNS + "/" + c.job() + "/cancel", null, SUBMIT_TIMEOUT_MS, answer);
+      call("POST", RUNS_PATH + "/" + c.job() + "/cancel", null, SUBMIT_TIMEOUT_MS, answer);
     } else {
       throw new IllegalArgumentException("no request of a user: " + i);
     }
@@ -95,25 +95,26 @@
 
   /** Asks whether the node is ready, as the load balancer does. */
   void probe() {
-    ask("GET", READY, null, PROBE_TIMEOUT_MS, (status, body) -> isUp = status == 200);
+    call("GET", READY_PATH, null, PROBE_TIMEOUT_MS, (status, body) -> isUp = status == 200);
   }
 
-  private void ask(String method, String path, byte[] body, int timeoutMs, ResponseHandler answer) {
-    boolean probe = path.equals(READY);
+  private void call(
+      String method, String path, byte[] body, int timeoutMs, ResponseHandler answer) {
+    boolean probe = path.equals(READY_PATH);
     if (!probe) {
       cluster.messages.logMessage(cluster.now, USERS, name, method + " " + path, null);
     }
     usersThread.execute(
         () ->
-            users.call(
+            usersCaller.call(
                 method,
                 path,
                 body,
                 timeoutMs,
                 (outcome, status, bytes, retryAfterS) -> {
-                  JsonNode json = parsed(bytes);
+                  JsonNode json = parseOrNull(bytes);
                   int got = outcome == Outcome.ANSWERED ? status : 0;
-                  loop.post(
+                  driver.post(
                       () -> {
                         if (!probe) {
                           cluster.messages.logMessage(
@@ -124,7 +125,7 @@
                 }));
   }
 
-  private static JsonNode parsed(byte[] body) {
+  private static JsonNode parseOrNull(byte[] body) {
     try {
       return body == null || body.length == 0 ? null : Json.parse(body);
     } catch (IOException e) {
--- a/src/testbench/java/org/snowturn/simulation/WorkerConnections.java
+++ b/src/testbench/java/org/snowturn/simulation/WorkerConnections.java
@@ -14,45 +14,45 @@
  * chosen last. A worker's connection stays on one I/O thread, so no locks are needed.
  */
 final class WorkerConnections {
-  private record Link(InetSocketAddress to, HttpCaller caller) {}
+  private record Connection(InetSocketAddress to, HttpCaller caller) {}
 
   /** The links of one I/O thread, entered by that thread only. */
-  private static final class Lane {
-    final XnioIoThread io;
-    final Map<String, Link> links = new HashMap<>();
+  private static final class ThreadConnections {
+    final XnioIoThread ioThread;
+    final Map<String, Connection> byWorker = new HashMap<>();
 
     /** Callers of nodes that their workers have left, until their last call is over. */
-    final List<HttpCaller> retired = new ArrayList<>();
+    final List<HttpCaller> closing = new ArrayList<>();
 
-    Lane(XnioIoThread io) {
-      this.io = io;
+    ThreadConnections(XnioIoThread io) {
+      this.ioThread = io;
     }
   }
 
-  private final List<Lane> lanes;
+  private final List<ThreadConnections> perThread;
   private final ByteBufferPool buffers;
 
   WorkerConnections(List<XnioIoThread> threads, ByteBufferPool buffers) {
-    this.lanes = threads.stream().map(Lane::new).toList();
+    this.perThread = threads.stream().map(ThreadConnections::new).toList();
     this.buffers = buffers;
   }
 
   /** Calls {@code use} with the worker's connection to a controller, on the worker's thread. */
   void withConnection(
       String worker, InetSocketAddress to, java.util.function.Consumer<HttpCaller> use) {
-    Lane lane = lanes.get(Math.floorMod(worker.hashCode(), lanes.size()));
-    lane.io.execute(() -> use.accept(link(lane, worker, to)));
+    ThreadConnections lane = perThread.get(Math.floorMod(worker.hashCode(), perThread.size()));
+    lane.ioThread.execute(() -> use.accept(connect(lane, worker, to)));
   }
 
-  private HttpCaller link(Lane lane, String worker, InetSocketAddress to) {
-    Link l = lane.links.get(worker);
-    lane.retired.removeIf(HttpCaller::closeIfIdle);
+  private HttpCaller connect(ThreadConnections lane, String worker, InetSocketAddress to) {
+    Connection l = lane.byWorker.get(worker);
+    lane.closing.removeIf(HttpCaller::closeIfIdle);
     if (l == null || !l.to.equals(to)) {
       if (l != null && !l.caller.closeIfIdle()) {
-        lane.retired.add(l.caller);
+        lane.closing.add(l.caller);
       }
-      l = new Link(to, new HttpCaller(to, lane.io, buffers, 1));
-      lane.links.put(worker, l);
+      l = new Connection(to, new HttpCaller(to, lane.ioThread, buffers, 1));
+      lane.byWorker.put(worker, l);
     }
     return l.caller;
   }
