--- a/src/testbench/java/org/snowturn/simulation/ClusterLog.java
+++ b/src/testbench/java/org/snowturn/simulation/ClusterLog.java
@@ -3,11 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the controllers of a simulated cluster have logged, in the order of time. */
+/** Log lines written by the controllers of a simulated cluster, in chronological order. */
 final class ClusterLog {
+  /** Maximum number of lines that {@link #tail} returns. */
   private static final int MAX_TAIL_LINES = 40;
 
-  /** One logged line. */
+  /** A log line with the time and the controller that wrote it. */
   private record Line(long atMs, String node, String text) {
     boolean contains(String part) {
       return toString().contains(part);
@@ -21,21 +22,25 @@
 
   private final List<Line> lines = new ArrayList<>();
 
+  /** Appends a line. */
   void add(long atMs, String node, String text) {
     lines.add(new Line(atMs, node, text));
   }
 
-  /** How many lines have this text. */
+  /** Returns the number of lines that contain a text. */
   long count(String text) {
     return lines.stream().filter(line -> line.contains(text)).count();
   }
 
-  /** How many lines up to a time have this text. */
+  /** Returns the number of lines logged up to {@code untilMs}, inclusive, that contain a text. */
   long countUntil(long untilMs, String text) {
     return lines.stream().filter(line -> line.atMs <= untilMs && line.contains(text)).count();
   }
 
-  /** When a line with this text first came at or after a time; {@link Long#MAX_VALUE}: never. */
+  /**
+   * Returns the time of the first line logged at or after {@code fromMs} that contains a text, in
+   * milliseconds, or {@link Long#MAX_VALUE} if no such line exists.
+   */
   long firstAfter(long fromMs, String text) {
     return lines.stream()
         .filter(line -> line.atMs >= fromMs && line.contains(text))
@@ -44,7 +49,10 @@
         .orElse(Long.MAX_VALUE);
   }
 
-  /** The value of a field in the last line that has both texts, or an empty one. */
+  /**
+   * Returns the value of a field in the last line that contains both texts, or an empty string if
+   * no such line exists or the line lacks the field.
+   */
   String lastValue(String text, String otherText, String field) {
     String value = "";
     for (Line line : lines) {
@@ -64,12 +72,12 @@
     return "";
   }
 
-  /** All lines, each with its time and its controller. */
+  /** Returns all lines, each with its time and its controller. */
   List<String> lines() {
     return lines.stream().map(Line::toString).toList();
   }
 
-  /** The last lines. */
+  /** Returns the last lines, at most {@link #MAX_TAIL_LINES}. */
   String tail() {
     StringBuilder text = new StringBuilder();
     for (Line line : lines.subList(Math.max(0, lines.size() - MAX_TAIL_LINES), lines.size())) {
--- a/src/testbench/java/org/snowturn/simulation/DirectedLinks.java
+++ b/src/testbench/java/org/snowturn/simulation/DirectedLinks.java
@@ -3,27 +3,32 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Ways that are cut in one direction; all machines together count as one end. */
+/**
+ * Links that can be cut in one direction. All machines together count as one end of a link, named
+ * {@link SimulatedCluster#ALL_WORKERS}.
+ */
 final class DirectedLinks implements SimulatedCluster.Links {
+  /** One direction of a link between two ends. */
   private record Direction(String from, String to) {}
 
   private final SimulatedCluster cluster;
 
-  /** How many cuts there are on each way: they may overlap. */
+  /** Number of cuts in effect for each direction; cuts may overlap. */
   private final Map<Direction, Integer> cuts = new HashMap<>();
 
   DirectedLinks(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
-  /** From now on nothing gets from one end to the other. */
+  /** Drops all messages from one end to the other until the cut is healed. */
   void cut(String from, String to) {
     cuts.merge(new Direction(from, to), 1, Integer::sum);
   }
 
-  /** Undoes one cut. */
+  /** Removes one cut; the direction stays cut while other cuts remain. */
   void heal(String from, String to) {
-    cuts.computeIfPresent(new Direction(from, to), (way, n) -> n > 1 ? n - 1 : null);
+    cuts.computeIfPresent(
+        new Direction(from, to), (direction, count) -> count > 1 ? count - 1 : null);
   }
 
   @Override
@@ -34,6 +39,7 @@
     return cuts.containsKey(new Direction(linkEnd(from), linkEnd(to))) ? LOST : 0;
   }
 
+  /** Returns the end of a link that a controller, service or machine belongs to. */
   private String linkEnd(String name) {
     return cluster.workers.containsKey(name) ? SimulatedCluster.ALL_WORKERS : name;
   }
--- a/src/testbench/java/org/snowturn/simulation/Endpoint.java
+++ b/src/testbench/java/org/snowturn/simulation/Endpoint.java
@@ -4,23 +4,46 @@
 import java.util.function.LongFunction;
 import org.snowturn.core.Input;
 
-/** A controller as users and workers see it: a name, and requests that may never be answered. */
+/**
+ * A controller as seen by users and workers: it has a name and takes requests, which may remain
+ * unanswered.
+ */
 abstract class Endpoint {
   final String name;
+
+  /** Whether the controller is available to users. */
   boolean isUp;
 
   Endpoint(String name) {
     this.name = name;
   }
 
-  /** Takes a user's request; the function makes the input from the exchange's number. */
-  abstract void request(String from, LongFunction<Input> input, ResponseHandler answer);
+  /**
+   * Sends a user's request.
+   *
+   * @param from the sender
+   * @param input creates the request from the number of the exchange
+   * @param onResponse handles the response, if one arrives
+   */
+  abstract void request(String from, LongFunction<Input> input, ResponseHandler onResponse);
 
-  /** Takes a worker's report. */
-  abstract void heartbeat(String from, JsonNode report, ResponseHandler answer);
+  /**
+   * Sends a worker's heartbeat.
+   *
+   * @param from the worker's address
+   * @param report the body of the heartbeat
+   * @param onResponse handles the response, if one arrives
+   */
+  abstract void heartbeat(String from, JsonNode report, ResponseHandler onResponse);
 
-  /** Takes the answer to a request; status 0 stands for a connection that was refused. */
+  /** Handles the response to a request. */
   interface ResponseHandler {
+    /**
+     * Handles a response.
+     *
+     * @param status the HTTP status, or 0 if the request failed without a response
+     * @param body the body of the response, or null
+     */
     void onResponse(int status, JsonNode body);
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
+++ b/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
@@ -13,18 +13,34 @@
 import org.snowturn.config.Settings;
 import org.snowturn.wire.JobSpec;
 
-/** Watches every step of the world for the rules of PROTOCOL. */
+/**
+ * Checks a simulated cluster against the rules of PROTOCOL.
+ *
+ * <p>Task starts, leadership and answers to users are checked when they occur, the remaining rules
+ * by {@link #check}. Violations are collected; they do not stop the run.
+ */
 final class InvariantChecker {
+  /** Maximum time, after all faults have ended, without an answer about an accepted job. */
   private static final long MAX_UNANSWERED_MS = 75_000;
+
+  /** Maximum time, after all faults have ended, that a job waits although it could start. */
   private static final long MAX_WAIT_MS = 90_000;
 
-  /** Within this time a leader hears of what its peers, or the state service, know. */
-  private static final long PROPAGATION_MS = 1_000;
+  private static final long JOB_CHECK_INTERVAL_MS = 1_000;
+  private static final int MEMORY_GB_PER_CPU = 4;
+  private static final int MAX_DETAILS = 5;
+  private static final double CPU_ROUNDING_TOLERANCE = 1e-6;
+
+  /** Maximum time until a leader learns what its peers or the state service know. */
+  private static final long MAX_PROPAGATION_MS = 1_000;
 
-  /** Longer than the time between two ticks of a node. */
+  /**
+   * Maximum time between the inputs of two nodes for which both are checked for authority. Longer
+   * than the interval between two ticks of a node.
+   */
   private static final long LEADER_OVERLAP_MS = 100;
 
-  /** A task that was started on a machine, and may have left it since. */
+  /** A task that was started on a machine and may have left it since. */
   private record StartedTask(SimulatedWorker worker, SimulatedWorker.Task task, long atMs) {
     boolean isPresent() {
       return task.present && worker.has(task);
@@ -36,9 +52,10 @@
     }
   }
 
-  private final Map<String, List<StartedTask>> tasksOfJob = new HashMap<>();
+  /** Started tasks by job. */
+  private final Map<String, List<StartedTask>> startedTasksByJob = new HashMap<>();
 
-  /** Tasks that have begun to run, in all. */
+  /** Total number of tasks that have started to run. */
   long startedTasks;
 
   private final SimulatedCluster cluster;
@@ -46,22 +63,28 @@
   private SimulatedCluster.Node lastLeader;
   private long lastLeaderInputAt;
   private boolean isCheckingLeaders;
+
+  /** Time since which each job that could start has been waiting, by job. */
   private final Map<String, Long> waitingSince = new HashMap<>();
+
   final TreeSet<String> violatedRules = new TreeSet<>();
+
+  /** Details of the first violations, at most {@link #MAX_DETAILS}. */
   final List<String> violationDetails = new ArrayList<>();
 
   InvariantChecker(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
+  /** Records the violation of a rule. */
   void reportViolation(String rule, String detail) {
     violatedRules.add(rule);
-    if (violationDetails.size() < 5) {
+    if (violationDetails.size() < MAX_DETAILS) {
       violationDetails.add(cluster.now + " " + rule + ": " + detail);
     }
   }
 
-  /** A task has its image and starts. */
+  /** Checks and records the start of a task, which has its image. */
   void onTaskStarted(SimulatedWorker worker, SimulatedWorker.Task task, JobSpec spec) {
     checkDependenciesDone(task, spec);
     checkNotCancelled(task);
@@ -69,16 +92,16 @@
     startedTasks++;
     int[] sameZone = {0};
     int[] otherZone = {0};
-    List<StartedTask> ofJob = tasksOfJob.computeIfAbsent(task.job, k -> new ArrayList<>());
-    ofJob.removeIf(s -> !s.isPresent());
-    StartedTask now = new StartedTask(worker, task, cluster.now);
-    for (StartedTask s : ofJob) {
-      if (s.task.index == task.index) {
-        reportViolation("ran_twice", task.name() + ": " + s + ", and " + now);
+    List<StartedTask> ofJob = startedTasksByJob.computeIfAbsent(task.job, job -> new ArrayList<>());
+    ofJob.removeIf(other -> !other.isPresent());
+    StartedTask started = new StartedTask(worker, task, cluster.now);
+    for (StartedTask other : ofJob) {
+      if (other.task.index == task.index) {
+        reportViolation("ran_twice", task.name() + ": " + other + ", and " + started);
       }
-      (s.worker.rented.zone.equals(worker.rented.zone) ? sameZone : otherZone)[0]++;
+      (other.worker.rented.zone.equals(worker.rented.zone) ? sameZone : otherZone)[0]++;
     }
-    ofJob.add(now);
+    ofJob.add(started);
     if ((worker.rented.spot && !spec.spot())
         || (spec.zone() != null && !spec.zone().equals(worker.rented.zone))
         || (spec.spreadAcrossZones() && sameZone[0] + 1 > spec.perZoneLimit())
@@ -88,19 +111,23 @@
   }
 
   /**
-   * From when its user was told that a job is cancelled, by whichever node and answer, no start of
-   * it may leave. A leader hears what its peers have told in a moment, not at once.
+   * Reports a start that was sent after a user had received confirmation, from any controller, that
+   * the job is cancelled. {@link #MAX_PROPAGATION_MS} allows for the time until the leader learns
+   * of a confirmation that one of its peers gave.
    */
   private void checkNotCancelled(SimulatedWorker.Task task) {
     Long confirmedAt = cluster.clients.cancelConfirmed(task.job);
-    if (confirmedAt != null && task.startLeftAt > confirmedAt + PROPAGATION_MS) {
+    if (confirmedAt != null && task.startLeftAt > confirmedAt + MAX_PROPAGATION_MS) {
       reportViolation(
           "started_cancelled",
           task.name() + ", told at " + confirmedAt + ", sent at " + task.startLeftAt);
     }
   }
 
-  /** All that a job needs must be durably done before any task of it starts. */
+  /**
+   * Reports a start of a task while a dependency of its job is not recorded as done in the state
+   * service.
+   */
   private void checkDependenciesDone(SimulatedWorker.Task task, JobSpec spec) {
     for (String id : spec.dependencies()) {
       JsonNode outcome = cluster.state.peek("d/" + id);
@@ -111,19 +138,20 @@
   }
 
   /**
-   * A node has taken an input as the leader. If another did so just now, both are asked at this
-   * very moment: at none may two have authority, whatever the state service has given whom.
+   * Records that a node has handled an input as the leader. If another node did so within {@link
+   * #LEADER_OVERLAP_MS}, checks whether both have authority now. Two nodes must never have
+   * authority at the same time, whichever of them the state service lists as the leader.
    */
   void onLeaderInput(SimulatedCluster.Node node) {
     SimulatedCluster.Node other = lastLeader;
-    boolean both =
+    boolean isOverlapping =
         other != null && other != node && cluster.now - lastLeaderInputAt < LEADER_OVERLAP_MS;
     if (other != node) {
       cluster.deliverHeldHeartbeats();
     }
     lastLeader = node;
     lastLeaderInputAt = cluster.now;
-    if (both && !isCheckingLeaders) {
+    if (isOverlapping && !isCheckingLeaders) {
       isCheckingLeaders = true;
       if (other.leadsNow() && node.leadsNow()) {
         reportViolation("two_leaders", other.name + " and " + node.name);
@@ -132,12 +160,15 @@
     }
   }
 
-  /** Once all troubles are over, a job about which no question is answered for so long is lost. */
+  /**
+   * Reports each accepted job about which no request has been answered for {@link
+   * #MAX_UNANSWERED_MS} since all faults ended, and checks the waiting jobs. Runs at intervals.
+   */
   private void checkAcceptedJobs() {
     if (cluster.now < nextJobCheckAt) {
       return;
     }
-    nextJobCheckAt = cluster.now + 1_000;
+    nextJobCheckAt = cluster.now + JOB_CHECK_INTERVAL_MS;
     if (cluster.now > cluster.faultsEndMs) {
       checkWaitingJobs();
     }
@@ -155,13 +186,14 @@
   }
 
   /**
-   * Once all troubles are over, no job is left waiting while a machine that fits has room and its
-   * team is under its limit. Waiting is a job of which no task is on any machine.
+   * Reports each job that has waited longer than {@link #MAX_WAIT_MS} although a suitable machine
+   * has room and its team is under its limit. A job waits while none of its tasks is on a machine.
+   * Called only after all faults have ended.
    */
   private void checkWaitingJobs() {
     if (!cluster.seededBugs.contains("unseen_sick")
         && cluster.workers.values().stream().anyMatch(InvariantChecker::isFailing)) {
-      waitingSince.clear(); // machines that fail whatever starts there are a trouble that goes on
+      waitingSince.clear(); // a machine on which every task fails is a fault that has not ended
       return;
     }
     Map<String, Double> cpusByTeam = new HashMap<>();
@@ -174,7 +206,9 @@
           placedJobs.add(task.job);
           cpusByTeam.merge(spec.team(), spec.cpus(), Double::sum);
           takenCpus.merge(
-              worker, (int) Math.ceil(Math.max(spec.cpus(), spec.memoryGb() / 4)), Integer::sum);
+              worker,
+              (int) Math.ceil(Math.max(spec.cpus(), spec.memoryGb() / MEMORY_GB_PER_CPU)),
+              Integer::sum);
         }
       }
     }
@@ -192,7 +226,7 @@
                   .anyMatch(worker -> hasRoom(worker, submitted.spec, takenCpus));
       if (!isStartable) {
         waitingSince.remove(submitted.spec.id());
-      } else if (cluster.now - waitingSince.computeIfAbsent(submitted.spec.id(), k -> cluster.now)
+      } else if (cluster.now - waitingSince.computeIfAbsent(submitted.spec.id(), job -> cluster.now)
           > MAX_WAIT_MS) {
         reportViolation(
             "left_waiting",
@@ -225,6 +259,12 @@
     return true;
   }
 
+  /**
+   * Returns whether a job may use a machine and one of its tasks fits there.
+   *
+   * @param takenCpus the CPUs taken on each machine; a task takes the larger of its CPUs and its
+   *     memory divided by {@link #MEMORY_GB_PER_CPU}, rounded up
+   */
   private static boolean hasRoom(
       SimulatedWorker worker, JobSpec spec, Map<SimulatedWorker, Integer> takenCpus) {
     return !worker.dead
@@ -235,50 +275,58 @@
         && (spec.spot() || !worker.rented.spot)
         && (spec.zone() == null || spec.zone().equals(worker.rented.zone))
         && takenCpus.getOrDefault(worker, 0) + spec.cpus() <= worker.cluster.parameters.cpus()
-        && takenCpus.getOrDefault(worker, 0) + spec.memoryGb() / 4
-            <= worker.cluster.parameters.memoryGb() / 4;
+        && takenCpus.getOrDefault(worker, 0) + spec.memoryGb() / MEMORY_GB_PER_CPU
+            <= worker.cluster.parameters.memoryGb() / MEMORY_GB_PER_CPU;
   }
 
   /**
-   * What is left open once all troubles are over: jobs that were accepted, are not over, and have
-   * no task on any machine, or about which nobody has answered since then.
+   * Returns descriptions of the accepted jobs that are not settled after all faults have ended. A
+   * job is not settled if no user has seen it in a terminal phase and one of these holds: no
+   * request about it has been answered since {@code answeredSinceMs}, its cancellation was
+   * requested, or none of its tasks is on a machine.
    */
-  List<String> unsettledJobs(long answeredSince) {
+  List<String> unsettledJobs(long answeredSinceMs) {
     Set<String> placedJobs = new HashSet<>();
     for (SimulatedWorker worker : cluster.workers.values()) {
       worker.tasks.values().stream()
           .filter(SimulatedWorker.Task::alive)
           .forEach(task -> placedJobs.add(task.job));
     }
-    List<String> open = new ArrayList<>();
+    List<String> unsettled = new ArrayList<>();
     for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
       String id = submitted.spec.id();
       if (!submitted.accepted || submitted.terminal != null) {
         continue;
       }
-      if (submitted.answeredAt < answeredSince) {
-        open.add(id + " was last answered about at " + submitted.answeredAt);
+      if (submitted.answeredAt < answeredSinceMs) {
+        unsettled.add(id + " was last answered about at " + submitted.answeredAt);
       } else if (submitted.cancelRequested || !placedJobs.contains(id)) {
-        open.add(id + (submitted.cancelRequested ? " is not called cancelled" : " runs nowhere"));
+        unsettled.add(
+            id + (submitted.cancelRequested ? " is not called cancelled" : " runs nowhere"));
       }
     }
-    return open;
+    return unsettled;
   }
 
   /**
-   * At the end of a day: so much of each class, of each team and of each class's largest jobs must
-   * have been served, and the largest begun in time. Largest is the tenth of a class with the most
-   * tasks, at least one; cancelled jobs do not count.
+   * Checks at the end of a run that a minimum share of the jobs of each class, of each team and of
+   * the largest jobs of each class was served, and that the largest jobs started in time. The
+   * largest jobs of a class are the tenth with the most tasks, at least one job. Jobs whose
+   * cancellation was requested do not count.
+   *
+   * @param minServedShare the minimum share of the jobs served, from 0 to 1
+   * @param maxStartDelayMs the maximum delay from submission to the first start of a largest job,
+   *     in milliseconds
    */
   void checkServed(double minServedShare, long maxStartDelayMs) {
     Map<String, List<SimulatedClients.SubmittedJob>> groups = new TreeMap<>();
     for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
       if (submitted.accepted && !submitted.cancelRequested && !submitted.broken) {
         groups
-            .computeIfAbsent("class " + submitted.spec.jobClass(), g -> new ArrayList<>())
+            .computeIfAbsent("class " + submitted.spec.jobClass(), group -> new ArrayList<>())
             .add(submitted);
         groups
-            .computeIfAbsent("team " + submitted.spec.team(), g -> new ArrayList<>())
+            .computeIfAbsent("team " + submitted.spec.team(), group -> new ArrayList<>())
             .add(submitted);
       }
     }
@@ -295,6 +343,7 @@
         });
   }
 
+  /** Checks the share of jobs served in a group: services that started and other jobs done. */
   private void checkServedShare(
       String name, List<SimulatedClients.SubmittedJob> jobs, double minServedShare) {
     long servedJobs =
@@ -318,7 +367,10 @@
     }
   }
 
-  /** A job is called queued or running, though one that it needs was cancelled long ago. */
+  /**
+   * Reports a job that an answer calls queued or running although the cancellation of one of its
+   * dependencies was confirmed longer ago than the cancellation limit.
+   */
   void checkOrphaned(SimulatedClients.SubmittedJob submitted) {
     Long confirmedAt = cluster.clients.dependencyCancelConfirmed(submitted.spec.id());
     double cancelMs = cluster.settings[0].workers().cancelS() * 1000;
@@ -328,13 +380,16 @@
     }
   }
 
-  /** Looks at the whole world, after every event. */
+  /**
+   * Checks the accepted jobs, the team limits, and that cancelled jobs have stopped. In simulated
+   * time this runs after every event, in real time at intervals.
+   */
   void check() {
     checkAcceptedJobs();
     boolean hasTeamLimits =
         cluster.settings[0].teams().stream().anyMatch(team -> team.cpusMax() > 0);
     if (!hasTeamLimits && !cluster.clients.anyCancelConfirmed()) {
-      return; // nothing that time alone can break; a start is checked when it happens
+      return; // the other rules are checked when a task starts or an answer arrives
     }
     Map<String, Double> cpusByTeam = new HashMap<>();
     for (SimulatedWorker worker : cluster.workers.values()) {
@@ -352,7 +407,8 @@
       }
     }
     for (Settings.Team team : cluster.settings[0].teams()) {
-      if (team.cpusMax() > 0 && cpusByTeam.getOrDefault(team.name(), 0.0) > team.cpusMax() + 1e-6) {
+      if (team.cpusMax() > 0
+          && cpusByTeam.getOrDefault(team.name(), 0.0) > team.cpusMax() + CPU_ROUNDING_TOLERANCE) {
         reportViolation("quota", team.name() + " uses " + cpusByTeam.get(team.name()));
       }
     }
--- a/src/testbench/java/org/snowturn/simulation/JobHistory.java
+++ b/src/testbench/java/org/snowturn/simulation/JobHistory.java
@@ -1,10 +1,12 @@
 package org.snowturn.simulation;
 
 /**
- * What users have been told of one job, as the history of a register that only moves on: unknown,
- * accepted, over. Each answer counts for some moment between its question and itself. The history
- * is linearizable just when no answer is older than one that had come before it was asked for; so
- * questions to all nodes may overlap as they like, and nothing else is excused.
+ * Linearizability check of the answers that users got about one job.
+ *
+ * <p>The job is a register whose state only moves forward: unknown, accepted, terminal. An answer
+ * may reflect the state at any moment between its request and its arrival. The history is
+ * linearizable if and only if no answer reports an earlier state than an answer that had arrived
+ * before its request was sent. Requests to different controllers may therefore overlap.
  */
 final class JobHistory {
   private long acceptedAt = Long.MAX_VALUE;
@@ -12,10 +14,12 @@
   private String terminalPhase;
 
   /**
-   * Takes in an answer; answers are told of in the order in which they come.
+   * Records an answer. Answers must be recorded in the order in which they arrive.
    *
-   * @param phase what it called the job, null if nobody submitted it
-   * @return the rule that it breaks, or null
+   * @param askedAt the time at which the request was sent, in milliseconds
+   * @param now the time at which the answer arrived, in milliseconds
+   * @param phase the phase that the answer gives for the job, or null if it calls the job unknown
+   * @return the rule that the answer violates, or null
    */
   String recordAnswer(long askedAt, long now, String phase) {
     if (phase == null) {
--- a/src/testbench/java/org/snowturn/simulation/LoadGenerator.java
+++ b/src/testbench/java/org/snowturn/simulation/LoadGenerator.java
@@ -6,11 +6,12 @@
 import org.snowturn.wire.JobSpec;
 
 /**
- * The users' load of a scale run, by the clock and not by the answers: standing arrays that run to
- * the end, short arrays at the rate of starts that is asked for, and small urgent jobs among them.
+ * Open-loop load of a scale run: jobs arrive at the planned rate, independent of the controllers'
+ * responses. Standing arrays run until the end of the run; short arrays and small urgent jobs
+ * together start tasks at the planned rate.
  */
 final class LoadGenerator {
-  /** No job has more tasks. */
+  /** Maximum number of tasks of a job. */
   static final int MAX_TASKS_PER_JOB = 400;
 
   private static final int TASKS_PER_SHORT_JOB = 100;
@@ -26,8 +27,9 @@
   private final LoopbackPlan plan;
   private final Histogram urgentDelays = new Histogram(MAX_RECORDED_DELAY_MS, 2);
   private final Histogram acceptDelays = new Histogram(MAX_RECORDED_DELAY_MS, 2);
-  private int nextJob = 1;
+  private int nextJobNumber = 1;
 
+  /** Creates a load generator that records start and acceptance delays but submits no jobs yet. */
   LoadGenerator(SimulatedCluster cluster, LoopbackPlan plan) {
     this.cluster = cluster;
     this.plan = plan;
@@ -41,18 +43,22 @@
         delayMs -> acceptDelays.recordValue(Math.min(delayMs, MAX_RECORDED_DELAY_MS));
   }
 
+  /** Returns the name of the team with a number. */
   static String teamName(int number) {
     return "team-" + number;
   }
 
+  /** Returns the delays from submission to task start of urgent jobs, in milliseconds. */
   Histogram urgentDelays() {
     return urgentDelays;
   }
 
+  /** Returns the delays from submission to acceptance since the arrivals began, in milliseconds. */
   Histogram acceptDelays() {
     return acceptDelays;
   }
 
+  /** Returns the number of jobs that users have seen in a terminal phase. */
   long finishedJobs() {
     long finished = 0;
     for (SimulatedClients.SubmittedJob submitted : cluster.clients.all()) {
@@ -61,11 +67,15 @@
     return finished;
   }
 
-  /** What stands, less what the short arrays take once they come. */
+  /**
+   * Returns the number of tasks of standing arrays: the planned concurrent tasks less those that
+   * short and urgent jobs occupy once they arrive.
+   */
   int standingTasks() {
     return (int) Math.max(0, plan.concurrentTasks() - plan.startsPerSecond() * SHORT_RUN_MS / 1000);
   }
 
+  /** Submits the standing arrays one by one, at intervals. */
   void submitStandingJobs() {
     submitStandingJobs(standingTasks());
   }
@@ -78,6 +88,10 @@
     }
   }
 
+  /**
+   * Starts the arrivals of short arrays and urgent jobs. Discards the acceptance delays recorded
+   * before, which belong to the standing arrays.
+   */
   void startArrivals() {
     acceptDelays.reset();
     double urgentStarts =
@@ -91,7 +105,12 @@
         () -> submit("short", "high", TASKS_PER_SHORT_JOB, SHORT_RUN_MS));
   }
 
-  /** Arrivals are drawn as they come from many users, whatever becomes of those before. */
+  /**
+   * Submits jobs as a Poisson process, the arrival pattern of many independent users.
+   *
+   * @param perSecond the mean number of jobs per second; 0 or less submits none
+   * @param submitJob submits one job
+   */
   private void scheduleArrivals(double perSecond, Runnable submitJob) {
     if (perSecond > 0) {
       double delayS = -Math.log(1 - cluster.random.nextDouble()) / perSecond;
@@ -108,13 +127,13 @@
     Map<String, String> options = new HashMap<>();
     options.put("class", jobClass);
     options.put("rank", rank);
-    options.put("team", teamName(nextJob % plan.teams()));
+    options.put("team", teamName(nextJobNumber % plan.teams()));
     options.put("tasks", "" + tasks);
     options.put("cpus", "1");
     options.put("estimate", "" + Math.min(runMs, 600_000) / 1000);
     JobSpec spec =
         SimulatedJobs.spec(
-            String.format("wk-%d%07d", 1 + plan.regionNumber(), nextJob++), "batch", options);
+            String.format("wk-%d%07d", 1 + plan.regionNumber(), nextJobNumber++), "batch", options);
     cluster.clients.submit(spec, runMs, Map.of());
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/LoopbackCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackCluster.java
@@ -25,8 +25,8 @@
 import org.xnio.XnioWorker;
 
 /**
- * One region of a scale run: the stand-ins' world in real time, reached by the region's controllers
- * over HTTP, and the load on them. Its methods may be called from any thread.
+ * One region of a scale run: a simulated cluster in real time, which the region's controllers reach
+ * over HTTP, and the load on the controllers. Its methods may be called from any thread.
  */
 public final class LoopbackCluster implements AutoCloseable {
   private static final int MAX_USER_CONNECTIONS = 200;
@@ -38,11 +38,15 @@
   private static final long MACHINE_BOOT_MS = 3_000;
   private static final double MEMORY_PER_CPU_GB = 4.5;
 
-  /** Machines have so much more room than their share of the standing tasks takes. */
+  /** Ratio of a machine's CPUs to its share of the concurrent tasks, which use one CPU each. */
   private static final double CPU_HEADROOM = 1.15;
 
   private static final int MIN_CPUS_PER_MACHINE = 8;
+
+  /** Number of values used of the third and fourth octet of a machine's address. */
   private static final int ADDRESSES_PER_OCTET = 250;
+
+  /** Second octet of the machine addresses of region 0; the next region uses the next value. */
   private static final int FIRST_REGION_OCTET = 16;
 
   private final LoopbackPlan plan;
@@ -60,11 +64,16 @@
   private long longestPauseMs;
   private boolean isTrackingPauses;
 
-  /** Where a controller finds the outside, and what it is told of itself. */
+  /**
+   * Addresses of the simulated services, by the name of the controller that uses them.
+   *
+   * @param state the address of the state service for each controller
+   * @param cloud the address of the cloud for each controller
+   */
   public record ServiceAddresses(
       Map<String, InetSocketAddress> state, Map<String, InetSocketAddress> cloud) {}
 
-  /** Builds the region; nothing runs yet. */
+  /** Creates a region that does not run yet. */
   public LoopbackCluster(LoopbackPlan plan) {
     this.plan = plan;
     double cpus =
@@ -94,8 +103,8 @@
   private Settings settings() {
     InetSocketAddress unusedAddress = new InetSocketAddress(0);
     List<Settings.Team> teams = new ArrayList<>();
-    for (Team t : teams()) {
-      teams.add(new Settings.Team(t.name(), 0, t.maxCpus(), 0, 0));
+    for (Team team : teams()) {
+      teams.add(new Settings.Team(team.name(), 0, team.maxCpus(), 0, 0));
     }
     return new Settings(
         plan.controllers().get(0),
@@ -115,10 +124,18 @@
         plan.maxConnections());
   }
 
-  /** A team and the most that its tasks may use. */
+  /**
+   * A team that submits jobs.
+   *
+   * @param name the name of the team
+   * @param maxCpus the maximum number of CPUs that its tasks may use
+   */
   public record Team(String name, double maxCpus) {}
 
-  /** The teams: each may use twice its even part of the region. */
+  /**
+   * Returns the teams. Unless the plan sets their limit, each may use twice its even share of the
+   * concurrent tasks plus the largest job.
+   */
   public List<Team> teams() {
     List<Team> teams = new ArrayList<>();
     double maxCpus =
@@ -132,55 +149,66 @@
     return teams;
   }
 
+  /**
+   * Returns the address of a machine: an IPv4 loopback address determined by the region and by the
+   * number after the first hyphen of the machine's name, and the port of all workers.
+   */
   private String address(String machine) {
-    int n = Integer.parseInt(machine.substring(machine.indexOf('-') + 1));
-    int third = n / ADDRESSES_PER_OCTET % ADDRESSES_PER_OCTET;
+    int machineNumber = Integer.parseInt(machine.substring(machine.indexOf('-') + 1));
+    int thirdOctet = machineNumber / ADDRESSES_PER_OCTET % ADDRESSES_PER_OCTET;
     return "127."
         + (FIRST_REGION_OCTET + plan.regionNumber())
         + "."
-        + third
+        + thirdOctet
         + "."
-        + (1 + n % ADDRESSES_PER_OCTET)
+        + (1 + machineNumber % ADDRESSES_PER_OCTET)
         + ":"
         + workersPort;
   }
 
-  /** Opens the stand-ins' ports. */
+  /** Opens the ports of the simulated services and workers. */
   public ServiceAddresses open() throws IOException {
-    XnioWorker state = ioWorkers("state", 1);
-    XnioWorker workers = ioWorkers("hollow", 2);
+    XnioWorker state = createIoWorker("state", 1);
+    XnioWorker workers = createIoWorker("hollow", 2);
     Map<String, InetSocketAddress> ports = server.start(plan.controllers(), state, workers);
     workersPort = server.workersPort();
     return new ServiceAddresses(ports, server.cloud());
   }
 
-  private XnioWorker ioWorkers(String role, int count) throws IOException {
-    XnioWorker w =
+  private XnioWorker createIoWorker(String role, int threadCount) throws IOException {
+    XnioWorker ioWorker =
         Xnio.getInstance()
             .createWorker(
                 OptionMap.builder()
                     .set(Options.WORKER_NAME, role + "-" + plan.regionNumber())
-                    .set(Options.WORKER_IO_THREADS, count)
+                    .set(Options.WORKER_IO_THREADS, threadCount)
                     .set(Options.WORKER_TASK_CORE_THREADS, 1)
                     .set(Options.WORKER_TASK_MAX_THREADS, 1)
                     .set(Options.TCP_NODELAY, true)
                     .getMap());
-    ioWorkers.add(w);
-    return w;
+    ioWorkers.add(ioWorker);
+    return ioWorker;
   }
 
-  /** Starts the world; machines come up, and users' and workers' requests go to the controllers. */
-  public void start(Map<String, InetSocketAddress> serving) throws IOException {
+  /**
+   * Starts the simulation. It rents the planned machines and sends the requests of users and
+   * workers to the controllers.
+   *
+   * @param controllerAddresses the address on which each controller serves, by its name
+   */
+  public void start(Map<String, InetSocketAddress> controllerAddresses) throws IOException {
     ByteBufferPool buffers = new DefaultByteBufferPool(false, 16 * 1024, 256, 8);
-    XnioWorker workers = ioWorkers("report", 2);
-    XnioWorker users = ioWorkers("users", 1);
-    WorkerConnections links =
+    XnioWorker workers = createIoWorker("report", 2);
+    XnioWorker users = createIoWorker("users", 1);
+    WorkerConnections workerConnections =
         new WorkerConnections(List.of(workers.getIoThread(0), workers.getIoThread(1)), buffers);
     XnioIoThread usersThread = users.getIoThread(0);
     for (String name : plan.controllers()) {
-      InetSocketAddress at = serving.get(name);
-      HttpCaller caller = new HttpCaller(at, usersThread, buffers, MAX_USER_CONNECTIONS);
-      endpoints.add(new RemoteEndpoint(name, at, cluster, driver, links, usersThread, caller));
+      InetSocketAddress address = controllerAddresses.get(name);
+      HttpCaller usersCaller = new HttpCaller(address, usersThread, buffers, MAX_USER_CONNECTIONS);
+      endpoints.add(
+          new RemoteEndpoint(
+              name, address, cluster, driver, workerConnections, usersThread, usersCaller));
     }
     driver.start();
     driver.post(
@@ -194,11 +222,13 @@
         });
   }
 
+  /** Probes all controllers, now and at intervals. */
   private void probe() {
     endpoints.forEach(RemoteEndpoint::probe);
     cluster.after(PROBE_INTERVAL_MS, this::probe);
   }
 
+  /** Updates the longest pause between task starts and the tokens seen, now and at intervals. */
   private void sample() {
     if (cluster.invariants.startedTasks != lastStartCount) {
       lastStartCount = cluster.invariants.startedTasks;
@@ -210,17 +240,20 @@
     cluster.after(SAMPLE_INTERVAL_MS, this::sample);
   }
 
-  /** How many tasks of standing arrays there will be. */
+  /** Returns the number of tasks of the standing arrays. */
   public int standingTasks() {
     return loadGenerator.standingTasks();
   }
 
-  /** Submits the standing arrays, which run until the end. */
+  /** Submits the standing arrays, which run until the end of the run. */
   public void submitStandingJobs() {
     driver.post(loadGenerator::submitStandingJobs);
   }
 
-  /** From now on short arrays and urgent jobs come at their rates, and pauses are counted. */
+  /**
+   * Starts the arrivals of short arrays and urgent jobs, and begins to track pauses between task
+   * starts.
+   */
   public void startArrivals() {
     driver.post(
         () -> {
@@ -230,7 +263,7 @@
         });
   }
 
-  /** Ends so many machines at once, with all that is on them. */
+  /** Fails a number of machines at once, with all tasks on them. */
   public void failWorkers(int count) {
     driver.post(
         () -> {
@@ -244,7 +277,7 @@
         });
   }
 
-  /** Ends all machines of a zone at once. */
+  /** Fails all machines of a zone at once. */
   public void failZone(String zone) {
     driver.post(
         () ->
@@ -253,24 +286,34 @@
                 .forEach(worker -> cluster.cloud.fail(worker.rented)));
   }
 
-  /** The state service does not answer for so long. */
+  /** Makes the state service unavailable for a duration, in milliseconds. */
   public void startStateOutage(long durationMs) {
     driver.post(() -> cluster.state.outage(durationMs));
   }
 
-  /** What can go wrong in this region. */
+  /** Returns the faults that can be injected into this region. */
   public LoopbackFaults faults() {
     return new LoopbackFaults(cluster, driver, links);
   }
 
-  /** Random jobs come for so long from now on, one within each so many milliseconds. */
+  /**
+   * Starts submitting random jobs.
+   *
+   * @param durationMs the time for which jobs are submitted, in milliseconds
+   * @param intervalMs the maximum time between two jobs, in milliseconds
+   */
   public void startRandomJobs(long durationMs, int intervalMs) {
     List<String> names = teams().stream().map(Team::name).toList();
     driver.post(
         () -> new RandomJobs(cluster, names, 1, intervalMs).until(cluster.now + durationMs));
   }
 
-  /** Users ask at all nodes within milliseconds, repeat and submit what never runs, for so long. */
+  /**
+   * Starts users that read at all controllers within milliseconds after a job was accepted or
+   * ended, repeat submissions, cancel finished jobs and submit jobs that can never run.
+   *
+   * @param durationMs the time for which they do so, in milliseconds
+   */
   public void startStressClients(long durationMs) {
     driver.post(
         () -> {
@@ -279,47 +322,60 @@
         });
   }
 
-  /** Every message from now on is written there, a line each. */
+  /** Starts writing every message to {@code out}, one line each. */
   public void recordMessages(Writer out) {
     driver.post(() -> cluster.messages = new MessageWriter(out));
   }
 
-  /** Jobs that are open though nothing is in trouble any more; see {@code Rules.unsettled}. */
+  /**
+   * Returns descriptions of the jobs that are still open after all faults have ended.
+   *
+   * @param answeredSince the time since which users must have had an answer about each job, in
+   *     milliseconds of {@link LoopbackStatus#nowMs}
+   */
   public List<String> unsettledJobs(long answeredSince) throws TimeoutException {
     return query(() -> cluster.invariants.unsettledJobs(answeredSince));
   }
 
-  /** Which controller leads by the leader key, or null. */
+  /**
+   * Returns the name of the controller that holds the leader key in the state service, or null if
+   * the key is absent.
+   */
   public String leaderByKey() throws TimeoutException {
     return query(cluster.state::leader);
   }
 
-  /** Which controllers are ready for users. */
+  /** Returns the names of the controllers that are ready for users. */
   public List<String> readyControllers() throws TimeoutException {
-    return query(() -> endpoints.stream().filter(e -> e.isUp).map(e -> e.name).toList());
+    return query(
+        () ->
+            endpoints.stream()
+                .filter(endpoint -> endpoint.isUp)
+                .map(endpoint -> endpoint.name)
+                .toList());
   }
 
-  /** What has happened so far. */
+  /** Returns the current counters and state of the region. */
   public LoopbackStatus status() throws TimeoutException {
     return query(this::currentStatus);
   }
 
   private LoopbackStatus currentStatus() {
-    long running = 0;
-    int up = 0;
+    long runningTasks = 0;
+    int workersUp = 0;
     for (SimulatedWorker worker : cluster.workers.values()) {
-      up += worker.dead ? 0 : 1;
+      workersUp += worker.dead ? 0 : 1;
       for (SimulatedWorker.Task task : worker.tasks.values()) {
-        running += task.present ? 1 : 0;
+        runningTasks += task.present ? 1 : 0;
       }
     }
-    List<String> broken = new ArrayList<>(cluster.invariants.violatedRules);
-    broken.addAll(cluster.invariants.violationDetails);
+    List<String> violations = new ArrayList<>(cluster.invariants.violatedRules);
+    violations.addAll(cluster.invariants.violationDetails);
     return new LoopbackStatus(
         cluster.now,
         cluster.invariants.startedTasks,
-        running,
-        up,
+        runningTasks,
+        workersUp,
         loadGenerator.finishedJobs(),
         lastAnsweringController(),
         tokensSeen.size(),
@@ -329,30 +385,44 @@
         cluster.state.refusals.getOrDefault("429", 0),
         cluster.heartbeats,
         cluster.commands,
-        broken);
+        violations);
   }
 
+  /**
+   * Returns the name of the controller that last answered a heartbeat as leader, or null if none
+   * has.
+   */
   private String lastAnsweringController() {
     RemoteEndpoint last = null;
-    for (RemoteEndpoint e : endpoints) {
-      last = last == null || e.lastHeartbeatAnswerAt > last.lastHeartbeatAnswerAt ? e : last;
+    for (RemoteEndpoint endpoint : endpoints) {
+      last =
+          last == null || endpoint.lastHeartbeatAnswerAt > last.lastHeartbeatAnswerAt
+              ? endpoint
+              : last;
     }
     return last == null || last.lastHeartbeatAnswerAt == Long.MIN_VALUE ? null : last.name;
   }
 
-  /** How long tasks of urgent jobs waited for their start, from when the job was due, in ms. */
+  /**
+   * Returns a copy of the delays from the scheduled submission of urgent jobs to the start of their
+   * tasks, in milliseconds.
+   */
   public Histogram urgentDelays() throws TimeoutException {
     return query(() -> loadGenerator.urgentDelays().copy());
   }
 
-  /** How long submissions took to be accepted, from when they were due, in ms. */
+  /**
+   * Returns a copy of the delays from the scheduled submission of jobs to their acceptance, in
+   * milliseconds.
+   */
   public Histogram acceptDelays() throws TimeoutException {
     return query(() -> loadGenerator.acceptDelays().copy());
   }
 
-  private <T> T query(Supplier<T> question) throws TimeoutException {
+  /** Returns a value that is computed on the thread of the driver. */
+  private <T> T query(Supplier<T> value) throws TimeoutException {
     CompletableFuture<T> result = new CompletableFuture<>();
-    driver.post(() -> result.complete(question.get()));
+    driver.post(() -> result.complete(value.get()));
     try {
       return result.get(QUERY_TIMEOUT_S, TimeUnit.SECONDS);
     } catch (InterruptedException | ExecutionException e) {
--- a/src/testbench/java/org/snowturn/simulation/LoopbackPlan.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackPlan.java
@@ -4,22 +4,24 @@
 import org.snowturn.config.Settings;
 
 /**
- * What a region of a scale run is made of.
+ * Size, load and limits of one region of a scale run.
  *
- * @param number of the region, from 0
+ * @param regionNumber the number of the region, from 0
  * @param zones the names of its zones
- * @param controllers the names of its controllers, in zones by turns
- * @param workers how many machines
- * @param tasks how many tasks run at a time
- * @param startsPerSecond how many tasks are started in a second, once the standing ones run
- * @param teams how many teams submit
- * @param seed of all that is drawn
- * @param figures the workers' report interval and leases
- * @param state limits of the state service
- * @param cloud limits of the cloud
- * @param maxConnections sockets of a controller
- * @param hireablePerZone how many more machines of each kind the cloud has in each zone
- * @param teamCpus the most CPUs that a team's tasks may use; 0: twice its even part
+ * @param controllers the names of its controllers, which are assigned to the zones in turn
+ * @param workers the number of machines
+ * @param concurrentTasks the number of tasks that run at the same time
+ * @param startsPerSecond the number of tasks started per second once the standing tasks run
+ * @param teams the number of teams that submit jobs
+ * @param seed the seed of the random generator
+ * @param workerSettings the workers' heartbeat interval, lease duration and cancellation limit
+ * @param stateLimits the limits of the state service
+ * @param cloudLimits the limits of the cloud
+ * @param maxConnections the maximum number of connections of a controller
+ * @param rentablePerZone the number of further machines of each kind that can be rented in each
+ *     zone
+ * @param maxTeamCpus the maximum number of CPUs that a team's tasks may use; 0 selects the default
+ *     of {@link LoopbackCluster#teams}
  */
 public record LoopbackPlan(
     int regionNumber,
--- a/src/testbench/java/org/snowturn/simulation/LoopbackStatus.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackStatus.java
@@ -3,22 +3,25 @@
 import java.util.List;
 
 /**
- * What a region's world has seen so far.
+ * Counters and state of one region of a scale run at one moment.
  *
- * @param nowMs the world's time
- * @param starts tasks begun in all
- * @param running tasks that run
- * @param workersUp machines whose worker reports
- * @param jobsDone jobs that are over
- * @param leader the controller that answers workers, or null
- * @param tokens how many tokens workers have seen, so one more than changes of leader
- * @param longestPauseMs the longest time without a start since the load began
- * @param stateWrites changes asked of the state service
- * @param stateRequests requests to the state service
- * @param stateRefused requests that it refused for its rates
- * @param reports check-ins sent by workers
- * @param commands direct messages received by workers
- * @param broken names of the rules that are broken, and some details
+ * @param nowMs the time since the start of the region, in milliseconds
+ * @param startedTasks the total number of tasks started
+ * @param runningTasks the number of tasks that run now
+ * @param workersUp the number of machines whose worker is alive
+ * @param finishedJobs the number of jobs that users have seen in a terminal phase
+ * @param leader the controller that last accepted a heartbeat, or null if none has
+ * @param tokensSeen the number of distinct tokens seen by workers: one more than the number of
+ *     leader changes
+ * @param longestPauseMs the longest time without a task start since the arrivals began, in
+ *     milliseconds
+ * @param stateWrites the number of writes requested from the state service
+ * @param stateRequests the number of requests to the state service
+ * @param stateRefusals the number of requests that the state service refused because of its rate
+ *     limits
+ * @param heartbeats the number of heartbeats sent by workers
+ * @param commands the number of direct messages received by workers
+ * @param violations the names of the violated rules, followed by details of the first violations
  */
 public record LoopbackStatus(
     long nowMs,
--- a/src/testbench/java/org/snowturn/simulation/MessageWriter.java
+++ b/src/testbench/java/org/snowturn/simulation/MessageWriter.java
@@ -5,7 +5,10 @@
 import java.io.UncheckedIOException;
 import java.io.Writer;
 
-/** Writes every message as a line: time, sender, receiver, what it is, its body. */
+/**
+ * Writes one line for each message: its time, sender, receiver, description and body. A message
+ * without a body ends with the description.
+ */
 final class MessageWriter implements MessageLog {
   private final Writer out;
 
--- a/src/testbench/java/org/snowturn/simulation/RealTimeDriver.java
+++ b/src/testbench/java/org/snowturn/simulation/RealTimeDriver.java
@@ -7,14 +7,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Drives a world by the steady clock, on one thread. Whatever comes from outside (requests, answers
- * from real processes) is handed in by {@link #post} and runs on that thread too, so the stand-ins
- * need no locks.
+ * Runs a simulated cluster in real time, by the monotonic clock, on one thread. Requests and
+ * responses of other processes are passed in with {@link #post} and handled on the same thread, so
+ * the simulation needs no locks.
  */
 final class RealTimeDriver {
   private static final Logger LOG = LoggerFactory.getLogger(RealTimeDriver.class);
   private static final long MAX_IDLE_MS = 20;
+
+  /** Number of posted actions after which events that are due get their turn. */
   private static final int MAX_ACTIONS_PER_ROUND = 500;
+
   private static final long INVARIANT_CHECK_INTERVAL_MS = 500;
 
   private final SimulatedCluster cluster;
@@ -24,6 +27,7 @@
   private volatile boolean isStopped;
   private long nextInvariantCheckMs;
 
+  /** Creates a driver with a thread of the given name, which {@link #start} starts. */
   RealTimeDriver(SimulatedCluster cluster, String name) {
     this.cluster = cluster;
     this.thread = new Thread(this::run, name);
@@ -34,12 +38,12 @@
     thread.start();
   }
 
-  /** Ends the thread; what still waits is dropped. */
+  /** Stops the thread. Actions that have not run are dropped. */
   void stop() {
     isStopped = true;
   }
 
-  /** Runs something on the world's thread, soon. */
+  /** Queues an action to run on the thread of this driver. */
   void post(Runnable action) {
     actions.add(action);
   }
@@ -84,9 +88,9 @@
     }
   }
 
-  /** A fault of the world itself: it counts as a broken rule, so that no run passes over it. */
+  /** Reports an error of the simulation itself as a violated rule, so that the run fails. */
   private void reportFailure(RuntimeException e) {
-    LOG.error("the world failed", e);
+    LOG.error("simulated cluster: an action or event threw an exception", e);
     cluster.invariants.reportViolation("world_failed", e.toString());
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/RemoteEndpoint.java
+++ b/src/testbench/java/org/snowturn/simulation/RemoteEndpoint.java
@@ -10,7 +10,7 @@
 import org.snowturn.wire.Json;
 import org.xnio.XnioIoThread;
 
-/** A controller that is a process of its own, reached over loopback. */
+/** A controller in a process of its own, reached over HTTP on the loopback interface. */
 final class RemoteEndpoint extends Endpoint {
   private static final String RUNS_PATH = "/v2/runs";
   private static final String READY_PATH = "/ready";
@@ -26,30 +26,44 @@
   private final XnioIoThread usersThread;
   private final HttpCaller usersCaller;
 
-  /** The last check-in that it answered with 200, in the world's time; the leader does. */
+  /**
+   * Time of the last heartbeat answered with status 200, in milliseconds of the simulation's clock,
+   * or {@link Long#MIN_VALUE} if there was none. Only the leader answers with this status.
+   */
   long lastHeartbeatAnswerAt = Long.MIN_VALUE;
 
   private final SimulatedCluster cluster;
 
+  /**
+   * Creates an endpoint that counts as unavailable until a {@link #probe} succeeds.
+   *
+   * @param name the controller's name
+   * @param address the address on which the controller serves
+   * @param cluster the simulated cluster around the controller
+   * @param driver runs the handling of responses
+   * @param workerConnections the connections for heartbeats
+   * @param usersThread the I/O thread for users' requests
+   * @param usersCaller the connections for users' requests, used on {@code usersThread} only
+   */
   RemoteEndpoint(
       String name,
-      InetSocketAddress addr,
+      InetSocketAddress address,
       SimulatedCluster cluster,
-      RealTimeDriver loop,
-      WorkerConnections links,
+      RealTimeDriver driver,
+      WorkerConnections workerConnections,
       XnioIoThread usersThread,
-      HttpCaller users) {
+      HttpCaller usersCaller) {
     super(name);
-    this.address = addr;
+    this.address = address;
     this.cluster = cluster;
-    this.driver = loop;
-    this.workerConnections = links;
+    this.driver = driver;
+    this.workerConnections = workerConnections;
     this.usersThread = usersThread;
-    this.usersCaller = users;
+    this.usersCaller = usersCaller;
   }
 
   @Override
-  void heartbeat(String from, JsonNode report, ResponseHandler answer) {
+  void heartbeat(String from, JsonNode report, ResponseHandler onResponse) {
     cluster.messages.logMessage(cluster.now, from, name, "/checkin", report);
     workerConnections.withConnection(
         from,
@@ -62,46 +76,48 @@
                 HEARTBEAT_TIMEOUT_MS,
                 (outcome, status, body, retryAfterS) -> {
                   JsonNode json = parseOrNull(body);
-                  driver.post(() -> onHeartbeatResponse(from, outcome, status, json, answer));
+                  driver.post(() -> onHeartbeatResponse(from, outcome, status, json, onResponse));
                 }));
   }
 
   private void onHeartbeatResponse(
-      String from, Outcome outcome, int status, JsonNode body, ResponseHandler answer) {
-    boolean answered = outcome == Outcome.ANSWERED;
-    if (answered && status == 200) {
+      String from, Outcome outcome, int status, JsonNode body, ResponseHandler onResponse) {
+    boolean isAnswered = outcome == Outcome.ANSWERED;
+    if (isAnswered && status == 200) {
       lastHeartbeatAnswerAt = cluster.now;
     }
-    // When the answer left its node cannot be seen from here: no start is judged by it.
+    // The time at which the answer left the controller is unknown, so starts in it are not checked
+    // against cancellations.
     cluster.answerLeftAt = Long.MIN_VALUE;
-    int got = answered ? status : 0;
-    cluster.messages.logMessage(cluster.now, name, from, "" + got, body);
-    cluster.send(name, from, () -> answer.onResponse(got, body));
+    int receivedStatus = isAnswered ? status : 0;
+    cluster.messages.logMessage(cluster.now, name, from, "" + receivedStatus, body);
+    cluster.send(name, from, () -> onResponse.onResponse(receivedStatus, body));
   }
 
   @Override
-  void request(String from, LongFunction<Input> input, ResponseHandler answer) {
-    Input i = input.apply(0);
-    if (i instanceof Input.Submit s) {
-      call("POST", RUNS_PATH, Json.bytes(s.spec().toJson()), SUBMIT_TIMEOUT_MS, answer);
-    } else if (i instanceof Input.Poll p) {
-      call("GET", RUNS_PATH + "/" + p.job(), null, POLL_TIMEOUT_MS, answer);
-    } else if (i instanceof Input.Cancel c) {
-      call("POST", RUNS_PATH + "/" + c.job() + "/cancel", null, SUBMIT_TIMEOUT_MS, answer);
+  void request(String from, LongFunction<Input> input, ResponseHandler onResponse) {
+    Input userInput = input.apply(0);
+    if (userInput instanceof Input.Submit submit) {
+      call("POST", RUNS_PATH, Json.bytes(submit.spec().toJson()), SUBMIT_TIMEOUT_MS, onResponse);
+    } else if (userInput instanceof Input.Poll poll) {
+      call("GET", RUNS_PATH + "/" + poll.job(), null, POLL_TIMEOUT_MS, onResponse);
+    } else if (userInput instanceof Input.Cancel cancel) {
+      call("POST", RUNS_PATH + "/" + cancel.job() + "/cancel", null, SUBMIT_TIMEOUT_MS, onResponse);
     } else {
-      throw new IllegalArgumentException("no request of a user: " + i);
+      throw new IllegalArgumentException(
+          "expected a submission, poll or cancellation by a user, got: " + userInput);
     }
   }
 
-  /** Asks whether the node is ready, as the load balancer does. */
+  /** Updates {@link #isUp} from the controller's readiness check, as a load balancer does. */
   void probe() {
     call("GET", READY_PATH, null, PROBE_TIMEOUT_MS, (status, body) -> isUp = status == 200);
   }
 
   private void call(
-      String method, String path, byte[] body, int timeoutMs, ResponseHandler answer) {
-    boolean probe = path.equals(READY_PATH);
-    if (!probe) {
+      String method, String path, byte[] body, int timeoutMs, ResponseHandler onResponse) {
+    boolean isProbe = path.equals(READY_PATH);
+    if (!isProbe) {
       cluster.messages.logMessage(cluster.now, USERS, name, method + " " + path, null);
     }
     usersThread.execute(
@@ -113,18 +129,19 @@
                 timeoutMs,
                 (outcome, status, bytes, retryAfterS) -> {
                   JsonNode json = parseOrNull(bytes);
-                  int got = outcome == Outcome.ANSWERED ? status : 0;
+                  int receivedStatus = outcome == Outcome.ANSWERED ? status : 0;
                   driver.post(
                       () -> {
-                        if (!probe) {
+                        if (!isProbe) {
                           cluster.messages.logMessage(
-                              cluster.now, name, USERS, got + " " + path, json);
+                              cluster.now, name, USERS, receivedStatus + " " + path, json);
                         }
-                        answer.onResponse(got, json);
+                        onResponse.onResponse(receivedStatus, json);
                       });
                 }));
   }
 
+  /** Returns the parsed body, or null if it is empty or malformed. */
   private static JsonNode parseOrNull(byte[] body) {
     try {
       return body == null || body.length == 0 ? null : Json.parse(body);
--- a/src/testbench/java/org/snowturn/simulation/WorkerConnections.java
+++ b/src/testbench/java/org/snowturn/simulation/WorkerConnections.java
@@ -10,22 +10,22 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The connections over which hollow workers report: one each, to the controller that the worker has
- * chosen last. A worker's connection stays on one I/O thread, so no locks are needed.
+ * Connections over which simulated workers send heartbeats. Each worker has one connection, to the
+ * controller that it selected last, and always uses the same I/O thread, so no locks are needed.
  */
 final class WorkerConnections {
   private record Connection(InetSocketAddress to, HttpCaller caller) {}
 
-  /** The links of one I/O thread, entered by that thread only. */
+  /** Connections of one I/O thread, accessed only by that thread. */
   private static final class ThreadConnections {
     final XnioIoThread ioThread;
     final Map<String, Connection> byWorker = new HashMap<>();
 
-    /** Callers of nodes that their workers have left, until their last call is over. */
+    /** Connections replaced by one to another controller; closed once their last call ends. */
     final List<HttpCaller> closing = new ArrayList<>();
 
-    ThreadConnections(XnioIoThread io) {
-      this.ioThread = io;
+    ThreadConnections(XnioIoThread ioThread) {
+      this.ioThread = ioThread;
     }
   }
 
@@ -37,23 +37,31 @@
     this.buffers = buffers;
   }
 
-  /** Calls {@code use} with the worker's connection to a controller, on the worker's thread. */
+  /**
+   * Passes a worker's connection to a controller to {@code action}, on the worker's I/O thread.
+   *
+   * @param worker the worker's address
+   * @param to the controller's address
+   * @param action uses the connection
+   */
   void withConnection(
-      String worker, InetSocketAddress to, java.util.function.Consumer<HttpCaller> use) {
-    ThreadConnections lane = perThread.get(Math.floorMod(worker.hashCode(), perThread.size()));
-    lane.ioThread.execute(() -> use.accept(connect(lane, worker, to)));
+      String worker, InetSocketAddress to, java.util.function.Consumer<HttpCaller> action) {
+    ThreadConnections connections =
+        perThread.get(Math.floorMod(worker.hashCode(), perThread.size()));
+    connections.ioThread.execute(() -> action.accept(connect(connections, worker, to)));
   }
 
-  private HttpCaller connect(ThreadConnections lane, String worker, InetSocketAddress to) {
-    Connection l = lane.byWorker.get(worker);
-    lane.closing.removeIf(HttpCaller::closeIfIdle);
-    if (l == null || !l.to.equals(to)) {
-      if (l != null && !l.caller.closeIfIdle()) {
-        lane.closing.add(l.caller);
+  /** Returns the worker's connection, which is replaced if it leads to another controller. */
+  private HttpCaller connect(ThreadConnections connections, String worker, InetSocketAddress to) {
+    Connection connection = connections.byWorker.get(worker);
+    connections.closing.removeIf(HttpCaller::closeIfIdle);
+    if (connection == null || !connection.to.equals(to)) {
+      if (connection != null && !connection.caller.closeIfIdle()) {
+        connections.closing.add(connection.caller);
       }
-      l = new Connection(to, new HttpCaller(to, lane.ioThread, buffers, 1));
-      lane.byWorker.put(worker, l);
+      connection = new Connection(to, new HttpCaller(to, connections.ioThread, buffers, 1));
+      connections.byWorker.put(worker, connection);
     }
-    return l.caller;
+    return connection.caller;
   }
 }
