--- a/src/testbench/java/org/snowturn/simulation/Endpoint.java
+++ b/src/testbench/java/org/snowturn/simulation/Endpoint.java
@@ -23,18 +23,18 @@
    *
    * @param from the sender
    * @param input creates the request from the number of the exchange
-   * @param onResponse handles the response, if one arrives
+   * @param handler handles the response, if one arrives
    */
-  abstract void request(String from, LongFunction<Input> input, ResponseHandler onResponse);
+  abstract void request(String from, LongFunction<Input> input, ResponseHandler handler);
 
   /**
    * Sends a worker's heartbeat.
    *
    * @param from the worker's address
    * @param report the body of the heartbeat
-   * @param onResponse handles the response, if one arrives
+   * @param handler handles the response, if one arrives
    */
-  abstract void heartbeat(String from, JsonNode report, ResponseHandler onResponse);
+  abstract void heartbeat(String from, JsonNode report, ResponseHandler handler);
 
   /** Handles the response to a request. */
   interface ResponseHandler {
--- a/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
+++ b/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
@@ -27,7 +27,10 @@
   private static final long MAX_WAIT_MS = 90_000;
 
   private static final long JOB_CHECK_INTERVAL_MS = 1_000;
+
+  /** Memory of a task that takes as much of a machine as one CPU. */
   private static final int MEMORY_GB_PER_CPU = 4;
+
   private static final int MAX_DETAILS = 5;
   private static final double CPU_ROUNDING_TOLERANCE = 1e-6;
 
--- a/src/testbench/java/org/snowturn/simulation/LoadGenerator.java
+++ b/src/testbench/java/org/snowturn/simulation/LoadGenerator.java
@@ -7,7 +7,7 @@
 
 /**
  * Open-loop load of a scale run: jobs arrive at the planned rate, independent of the controllers'
- * responses. Standing arrays run until the end of the run; short arrays and small urgent jobs
+ * responses. Standing arrays last until the end of the run; short arrays and small urgent jobs
  * together start tasks at the planned rate.
  */
 final class LoadGenerator {
@@ -21,12 +21,14 @@
   private static final long STANDING_RUN_MS = 86_400_000;
   private static final long STANDING_SUBMIT_INTERVAL_MS = 500;
   private static final long MAX_RECORDED_DELAY_MS = 3_600_000;
+  private static final long MAX_ESTIMATE_MS = 600_000;
+  private static final int HISTOGRAM_DIGITS = 2;
   private static final String URGENT = "urgent";
 
   private final SimulatedCluster cluster;
   private final LoopbackPlan plan;
-  private final Histogram urgentDelays = new Histogram(MAX_RECORDED_DELAY_MS, 2);
-  private final Histogram acceptDelays = new Histogram(MAX_RECORDED_DELAY_MS, 2);
+  private final Histogram urgentDelays = new Histogram(MAX_RECORDED_DELAY_MS, HISTOGRAM_DIGITS);
+  private final Histogram acceptDelays = new Histogram(MAX_RECORDED_DELAY_MS, HISTOGRAM_DIGITS);
   private int nextJobNumber = 1;
 
   /** Creates a load generator that records start and acceptance delays but submits no jobs yet. */
@@ -130,7 +132,7 @@
     options.put("team", teamName(nextJobNumber % plan.teams()));
     options.put("tasks", "" + tasks);
     options.put("cpus", "1");
-    options.put("estimate", "" + Math.min(runMs, 600_000) / 1000);
+    options.put("estimate", "" + Math.min(runMs, MAX_ESTIMATE_MS) / 1000);
     JobSpec spec =
         SimulatedJobs.spec(
             String.format("wk-%d%07d", 1 + plan.regionNumber(), nextJobNumber++), "batch", options);
--- a/src/testbench/java/org/snowturn/simulation/LoopbackCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackCluster.java
@@ -29,6 +29,9 @@
  * over HTTP, and the load on the controllers. Its methods may be called from any thread.
  */
 public final class LoopbackCluster implements AutoCloseable {
+  private static final int BUFFER_BYTES = 16 * 1024;
+  private static final int MAX_POOLED_BUFFERS = 256;
+  private static final int MAX_BUFFERS_PER_THREAD = 8;
   private static final int MAX_USER_CONNECTIONS = 200;
   private static final long PROBE_INTERVAL_MS = 500;
   private static final long POLL_INTERVAL_MS = 3_300;
@@ -197,7 +200,8 @@
    * @param controllerAddresses the address on which each controller serves, by its name
    */
   public void start(Map<String, InetSocketAddress> controllerAddresses) throws IOException {
-    ByteBufferPool buffers = new DefaultByteBufferPool(false, 16 * 1024, 256, 8);
+    ByteBufferPool buffers =
+        new DefaultByteBufferPool(false, BUFFER_BYTES, MAX_POOLED_BUFFERS, MAX_BUFFERS_PER_THREAD);
     XnioWorker workers = createIoWorker("report", 2);
     XnioWorker users = createIoWorker("users", 1);
     WorkerConnections workerConnections =
@@ -245,7 +249,7 @@
     return loadGenerator.standingTasks();
   }
 
-  /** Submits the standing arrays, which run until the end of the run. */
+  /** Submits the standing arrays, which last until the end of the run. */
   public void submitStandingJobs() {
     driver.post(loadGenerator::submitStandingJobs);
   }
@@ -330,11 +334,11 @@
   /**
    * Returns descriptions of the jobs that are still open after all faults have ended.
    *
-   * @param answeredSince the time since which users must have had an answer about each job, in
+   * @param answeredSinceMs the time since which users must have had an answer about each job, in
    *     milliseconds of {@link LoopbackStatus#nowMs}
    */
-  public List<String> unsettledJobs(long answeredSince) throws TimeoutException {
-    return query(() -> cluster.invariants.unsettledJobs(answeredSince));
+  public List<String> unsettledJobs(long answeredSinceMs) throws TimeoutException {
+    return query(() -> cluster.invariants.unsettledJobs(answeredSinceMs));
   }
 
   /**
--- a/src/testbench/java/org/snowturn/simulation/RemoteEndpoint.java
+++ b/src/testbench/java/org/snowturn/simulation/RemoteEndpoint.java
@@ -63,7 +63,7 @@
   }
 
   @Override
-  void heartbeat(String from, JsonNode report, ResponseHandler onResponse) {
+  void heartbeat(String from, JsonNode report, ResponseHandler handler) {
     cluster.messages.logMessage(cluster.now, from, name, "/checkin", report);
     workerConnections.withConnection(
         from,
@@ -76,33 +76,33 @@
                 HEARTBEAT_TIMEOUT_MS,
                 (outcome, status, body, retryAfterS) -> {
                   JsonNode json = parseOrNull(body);
-                  driver.post(() -> onHeartbeatResponse(from, outcome, status, json, onResponse));
+                  driver.post(() -> onHeartbeatResponse(from, outcome, status, json, handler));
                 }));
   }
 
   private void onHeartbeatResponse(
-      String from, Outcome outcome, int status, JsonNode body, ResponseHandler onResponse) {
+      String from, Outcome outcome, int status, JsonNode body, ResponseHandler handler) {
     boolean isAnswered = outcome == Outcome.ANSWERED;
     if (isAnswered && status == 200) {
       lastHeartbeatAnswerAt = cluster.now;
     }
-    // The time at which the answer left the controller is unknown, so starts in it are not checked
-    // against cancellations.
+    // The time at which the answer left the controller is unknown, so the starts that it contains
+    // are not checked against cancellations.
     cluster.answerLeftAt = Long.MIN_VALUE;
     int receivedStatus = isAnswered ? status : 0;
     cluster.messages.logMessage(cluster.now, name, from, "" + receivedStatus, body);
-    cluster.send(name, from, () -> onResponse.onResponse(receivedStatus, body));
+    cluster.send(name, from, () -> handler.onResponse(receivedStatus, body));
   }
 
   @Override
-  void request(String from, LongFunction<Input> input, ResponseHandler onResponse) {
+  void request(String from, LongFunction<Input> input, ResponseHandler handler) {
     Input userInput = input.apply(0);
     if (userInput instanceof Input.Submit submit) {
-      call("POST", RUNS_PATH, Json.bytes(submit.spec().toJson()), SUBMIT_TIMEOUT_MS, onResponse);
+      call("POST", RUNS_PATH, Json.bytes(submit.spec().toJson()), SUBMIT_TIMEOUT_MS, handler);
     } else if (userInput instanceof Input.Poll poll) {
-      call("GET", RUNS_PATH + "/" + poll.job(), null, POLL_TIMEOUT_MS, onResponse);
+      call("GET", RUNS_PATH + "/" + poll.job(), null, POLL_TIMEOUT_MS, handler);
     } else if (userInput instanceof Input.Cancel cancel) {
-      call("POST", RUNS_PATH + "/" + cancel.job() + "/cancel", null, SUBMIT_TIMEOUT_MS, onResponse);
+      call("POST", RUNS_PATH + "/" + cancel.job() + "/cancel", null, SUBMIT_TIMEOUT_MS, handler);
     } else {
       throw new IllegalArgumentException(
           "expected a submission, poll or cancellation by a user, got: " + userInput);
@@ -115,7 +115,7 @@
   }
 
   private void call(
-      String method, String path, byte[] body, int timeoutMs, ResponseHandler onResponse) {
+      String method, String path, byte[] body, int timeoutMs, ResponseHandler handler) {
     boolean isProbe = path.equals(READY_PATH);
     if (!isProbe) {
       cluster.messages.logMessage(cluster.now, USERS, name, method + " " + path, null);
@@ -136,7 +136,7 @@
                           cluster.messages.logMessage(
                               cluster.now, name, USERS, receivedStatus + " " + path, json);
                         }
-                        onResponse.onResponse(receivedStatus, json);
+                        handler.onResponse(receivedStatus, json);
                       });
                 }));
   }
