--- a/src/test/java/org/snowturn/simulation/ElectionExplorerTest.java
+++ b/src/test/java/org/snowturn/simulation/ElectionExplorerTest.java
@@ -140,7 +140,7 @@
             + delayMs
             + " ms, crashed node: "
             + crashedNode;
-    assertEquals(List.of(), cluster.invariants.details, what);
+    assertEquals(List.of(), cluster.invariants.violationDetails, what);
     assertNotNull(cluster.leader(), () -> "no node leads, " + what + ": " + cluster.log);
   }
 }
--- a/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
+++ b/src/test/java/org/snowturn/simulation/ElectionFaultsTest.java
@@ -91,7 +91,7 @@
       faultsEndMs = Math.max(faultsEndMs, atMs + fault.durationMs);
     }
     cluster.runUntil(faultsEndMs + RECOVERY_MS);
-    assertEquals(List.of(), cluster.invariants.details);
+    assertEquals(List.of(), cluster.invariants.violationDetails);
     assertNotNull(cluster.leader(), "no node leads after the faults: " + cluster.log);
     Set<Long> tokens = new HashSet<>();
     long lastToken = 0;
--- a/src/test/java/org/snowturn/simulation/InvariantCheckerTest.java
+++ b/src/test/java/org/snowturn/simulation/InvariantCheckerTest.java
@@ -35,7 +35,7 @@
     scenario.run(1);
     cluster = scenario.lastCluster;
     workers = new ArrayList<>(cluster.workers.values());
-    assertEquals(Set.of(), cluster.invariants.violated);
+    assertEquals(Set.of(), cluster.invariants.violatedRules);
   }
 
   private JobSpec accepted(Map<String, String> options) {
@@ -52,7 +52,7 @@
     task.phase = "running";
     task.running = true;
     on.tasks.put(task.name() + "#" + attempt, task);
-    cluster.invariants.started(on, task, spec);
+    cluster.invariants.onTaskStarted(on, task, spec);
     cluster.invariants.check();
     return task;
   }
@@ -63,14 +63,14 @@
         endpoint ->
             new Endpoint("fake") {
               @Override
-              void request(String from, LongFunction<Input> input, Answer answer) {
-                answer.on(status, body);
+              void request(String from, LongFunction<Input> input, ResponseHandler answer) {
+                answer.onResponse(status, body);
               }
 
               @Override
-              void heartbeat(String from, JsonNode report, Answer answer) {}
+              void heartbeat(String from, JsonNode report, ResponseHandler answer) {}
             });
-    cluster.endpoints.get(0).up = true;
+    cluster.endpoints.get(0).isUp = true;
   }
 
   private static JsonNode phase(String phase) {
@@ -78,7 +78,7 @@
   }
 
   private void assertViolated(String... invariants) {
-    assertEquals(new TreeSet<>(List.of(invariants)), cluster.invariants.violated);
+    assertEquals(new TreeSet<>(List.of(invariants)), cluster.invariants.violatedRules);
   }
 
   @Test
@@ -88,7 +88,7 @@
     cluster.now += 500;
     start(workers.get(1), spec, 0, 8);
     assertViolated("ran_twice");
-    String detail = cluster.invariants.details.get(0);
+    String detail = cluster.invariants.violationDetails.get(0);
     for (String part :
         List.of(
             JOB + "/0",
@@ -210,11 +210,11 @@
   @Test
   void unsettledJobsAreReported() {
     JobSpec spec = accepted(Map.of("cpus", "1", "team", "u"));
-    assertTrue(cluster.invariants.unsettled(cluster.now).get(0).contains("last answered about"));
+    assertTrue(cluster.invariants.unsettledJobs(cluster.now).get(0).contains("last answered about"));
     answerAllRequests(200, phase("queued"));
     cluster.clients.pollOnce(JOB);
-    assertEquals(List.of(JOB + " runs nowhere"), cluster.invariants.unsettled(cluster.now));
+    assertEquals(List.of(JOB + " runs nowhere"), cluster.invariants.unsettledJobs(cluster.now));
     start(workers.get(0), spec, 0, 7);
-    assertEquals(List.of(), cluster.invariants.unsettled(cluster.now));
+    assertEquals(List.of(), cluster.invariants.unsettledJobs(cluster.now));
   }
 }
--- a/src/test/java/org/snowturn/simulation/JobHistoryTest.java
+++ b/src/test/java/org/snowturn/simulation/JobHistoryTest.java
@@ -56,7 +56,7 @@
       JobHistory history = new JobHistory();
       boolean isViolated = false;
       for (Answer answer : all) {
-        isViolated |= history.answered(answer.askedAtMs, answer.atMs, PHASES[answer.phase]) != null;
+        isViolated |= history.recordAnswer(answer.askedAtMs, answer.atMs, PHASES[answer.phase]) != null;
       }
       assertEquals(!isConsistent(all, 0), isViolated, all.toString());
       inconsistent += isViolated ? 1 : 0;
@@ -69,19 +69,19 @@
   @Test
   void doneJobIsNeverReportedAborted() {
     JobHistory history = new JobHistory();
-    assertNull(history.answered(0, 10, "done"));
-    assertEquals("went_back", history.answered(0, 11, "aborted"));
+    assertNull(history.recordAnswer(0, 10, "done"));
+    assertEquals("went_back", history.recordAnswer(0, 11, "aborted"));
   }
 
   /** Covers a stale cache, a live record read before the final one, and a delayed answer. */
   @Test
   void staleAnswersAreReported() {
     JobHistory history = new JobHistory();
-    assertNull(history.answered(0, 10, "queued"));
-    assertNull(history.answered(20, 30, "aborted"));
+    assertNull(history.recordAnswer(0, 10, "queued"));
+    assertNull(history.recordAnswer(20, 30, "aborted"));
     assertNull(
-        history.answered(29, 40, "running"), "the request began before the other answer arrived");
-    assertEquals("went_back", history.answered(30, 41, "running"));
-    assertEquals("forgotten", history.answered(10, 42, null));
+        history.recordAnswer(29, 40, "running"), "the request began before the other answer arrived");
+    assertEquals("went_back", history.recordAnswer(30, 41, "running"));
+    assertEquals("forgotten", history.recordAnswer(10, 42, null));
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
+++ b/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
@@ -13,139 +13,175 @@
 import org.snowturn.config.Settings;
 import org.snowturn.wire.JobSpec;
 
-/** Watches every step of the world for the rules of PROTOCOL. */
+/**
+ * Checks a simulated cluster against the rules of PROTOCOL.
+ *
+ * <p>Task starts, leadership and answers to users are checked when they occur, the remaining rules
+ * by {@link #check}. Violations are collected; they do not stop the run.
+ */
 final class InvariantChecker {
-  private static final long UNANSWERED_MS = 75_000;
-  private static final long WAIT_MS = 90_000;
+  /** Maximum time, after all faults have ended, without an answer about an accepted job. */
+  private static final long MAX_UNANSWERED_MS = 75_000;
 
-  /** Within this time a leader hears of what its peers, or the state service, know. */
-  private static final long HEARD_OF_MS = 1_000;
+  /** Maximum time, after all faults have ended, that a job waits although it could start. */
+  private static final long MAX_WAIT_MS = 90_000;
 
-  /** Longer than the time between two ticks of a node. */
-  private static final long JUST_NOW_MS = 100;
+  private static final long JOB_CHECK_INTERVAL_MS = 1_000;
 
-  /** A task that was started on a machine, and may have left it since. */
-  private record Started(SimulatedWorker on, SimulatedWorker.Task task, long atMs) {
-    boolean present() {
-      return task.running && on.hasTask(task);
+  /** Memory of a task that takes as much of a machine as one CPU. */
+  private static final int MEMORY_GB_PER_CPU = 4;
+
+  private static final int MAX_DETAILS = 5;
+  private static final double CPU_ROUNDING_TOLERANCE = 1e-6;
+
+  /** Maximum time until a leader learns what its peers or the state service know. */
+  private static final long MAX_PROPAGATION_MS = 1_000;
+
+  /**
+   * Maximum time between the inputs of two nodes for which both are checked for authority. Longer
+   * than the interval between two ticks of a node.
+   */
+  private static final long LEADER_OVERLAP_MS = 100;
+
+  /** A task that was started on a machine and may have left it since. */
+  private record StartedTask(SimulatedWorker worker, SimulatedWorker.Task task, long atMs) {
+    boolean isPresent() {
+      return task.running && worker.hasTask(task);
     }
 
     @Override
     public String toString() {
-      return "attempt " + task.attempt + " on " + on.machine.id + " since " + atMs;
+      return "attempt " + task.attempt + " on " + worker.machine.id + " since " + atMs;
     }
   }
 
-  private final Map<String, List<Started>> started = new HashMap<>();
+  /** Started tasks by job. */
+  private final Map<String, List<StartedTask>> startedTasksByJob = new HashMap<>();
 
-  /** Tasks that have begun to run, in all. */
-  long starts;
+  /** Total number of tasks that have started to run. */
+  long startedTasks;
 
   private final SimulatedCluster cluster;
-  private long nextLookAt;
-  private SimulatedCluster.Node leader;
-  private long ledAt;
-  private boolean asking;
-  private final Map<String, Long> waitsSince = new HashMap<>();
-  final TreeSet<String> violated = new TreeSet<>();
-  final List<String> details = new ArrayList<>();
+  private long nextJobCheckAt;
+  private SimulatedCluster.Node lastLeader;
+  private long lastLeaderInputAt;
+  private boolean isCheckingLeaders;
+
+  /** Time since which each job that could start has been waiting, by job. */
+  private final Map<String, Long> waitingSince = new HashMap<>();
+
+  final TreeSet<String> violatedRules = new TreeSet<>();
+
+  /** Details of the first violations, at most {@link #MAX_DETAILS}. */
+  final List<String> violationDetails = new ArrayList<>();
 
   InvariantChecker(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
-  void report(String rule, String detail) {
-    violated.add(rule);
-    if (details.size() < 5) {
-      details.add(cluster.now + " " + rule + ": " + detail);
+  /** Records the violation of a rule. */
+  void reportViolation(String rule, String detail) {
+    violatedRules.add(rule);
+    if (violationDetails.size() < MAX_DETAILS) {
+      violationDetails.add(cluster.now + " " + rule + ": " + detail);
     }
   }
 
-  /** A task has its image and starts. */
-  void started(SimulatedWorker worker, SimulatedWorker.Task task, JobSpec spec) {
-    checkAwaited(task, spec);
-    checkWanted(task);
+  /** Checks and records the start of a task, which has its image. */
+  void onTaskStarted(SimulatedWorker worker, SimulatedWorker.Task task, JobSpec spec) {
+    checkDependenciesDone(task, spec);
+    checkNotCancelled(task);
     cluster.clients.recordStart(task.job);
-    starts++;
+    startedTasks++;
     int[] sameZone = {0};
     int[] otherZone = {0};
-    List<Started> ofJob = started.computeIfAbsent(task.job, k -> new ArrayList<>());
-    ofJob.removeIf(s -> !s.present());
-    Started now = new Started(worker, task, cluster.now);
-    for (Started s : ofJob) {
-      if (s.task.index == task.index) {
-        report("ran_twice", task.name() + ": " + s + ", and " + now);
+    List<StartedTask> ofJob = startedTasksByJob.computeIfAbsent(task.job, job -> new ArrayList<>());
+    ofJob.removeIf(other -> !other.isPresent());
+    StartedTask started = new StartedTask(worker, task, cluster.now);
+    for (StartedTask other : ofJob) {
+      if (other.task.index == task.index) {
+        reportViolation("ran_twice", task.name() + ": " + other + ", and " + started);
       }
-      (s.on.machine.zone.equals(worker.machine.zone) ? sameZone : otherZone)[0]++;
+      (other.worker.machine.zone.equals(worker.machine.zone) ? sameZone : otherZone)[0]++;
     }
-    ofJob.add(now);
+    ofJob.add(started);
     if ((worker.machine.spot && !spec.canUseSpot())
         || (spec.zone() != null && !spec.zone().equals(worker.machine.zone))
         || (spec.spreadAcrossZones() && sameZone[0] + 1 > spec.maxTasksPerZone())
         || (spec.singleZone() && otherZone[0] > 0)) {
-      report("wrong_place", task.name() + " on " + worker.machine.id);
+      reportViolation("wrong_place", task.name() + " on " + worker.machine.id);
     }
   }
 
   /**
-   * From when its user was told that a job is cancelled, by whichever node and answer, no start of
-   * it may leave. A leader hears what its peers have told in a moment, not at once.
+   * Reports a start that was sent after a user had received confirmation, from any controller, that
+   * the job is cancelled. {@link #MAX_PROPAGATION_MS} allows for the time until the leader learns
+   * of a confirmation that one of its peers gave.
    */
-  private void checkWanted(SimulatedWorker.Task task) {
-    Long told = cluster.clients.cancelConfirmedAt(task.job);
-    if (told != null && task.startSentAt > told + HEARD_OF_MS) {
-      report(
-          "started_cancelled", task.name() + ", told at " + told + ", sent at " + task.startSentAt);
+  private void checkNotCancelled(SimulatedWorker.Task task) {
+    Long confirmedAt = cluster.clients.cancelConfirmedAt(task.job);
+    if (confirmedAt != null && task.startSentAt > confirmedAt + MAX_PROPAGATION_MS) {
+      reportViolation(
+          "started_cancelled",
+          task.name() + ", told at " + confirmedAt + ", sent at " + task.startSentAt);
     }
   }
 
-  /** All that a job needs must be durably done before any task of it starts. */
-  private void checkAwaited(SimulatedWorker.Task task, JobSpec spec) {
+  /**
+   * Reports a start of a task while a dependency of its job is not recorded as done in the state
+   * service.
+   */
+  private void checkDependenciesDone(SimulatedWorker.Task task, JobSpec spec) {
     for (String id : spec.dependencies()) {
-      JsonNode over = cluster.state.storedValue("d/" + id);
-      if (over == null || !over.path("p").asText().equals("done")) {
-        report("too_early", task.name() + " before " + id);
+      JsonNode outcome = cluster.state.storedValue("d/" + id);
+      if (outcome == null || !outcome.path("p").asText().equals("done")) {
+        reportViolation("too_early", task.name() + " before " + id);
       }
     }
   }
 
   /**
-   * A node has taken an input as the leader. If another did so just now, both are asked at this
-   * very moment: at none may two have authority, whatever the state service has given whom.
+   * Records that a node has handled an input as the leader. If another node did so within {@link
+   * #LEADER_OVERLAP_MS}, checks whether both have authority now. Two nodes must never have
+   * authority at the same time, whichever of them the state service lists as the leader.
    */
-  void leads(SimulatedCluster.Node node) {
-    SimulatedCluster.Node other = leader;
-    boolean both = other != null && other != node && cluster.now - ledAt < JUST_NOW_MS;
+  void onLeaderInput(SimulatedCluster.Node node) {
+    SimulatedCluster.Node other = lastLeader;
+    boolean isOverlapping =
+        other != null && other != node && cluster.now - lastLeaderInputAt < LEADER_OVERLAP_MS;
     if (other != node) {
       cluster.deliverHeldHeartbeats();
     }
-    leader = node;
-    ledAt = cluster.now;
-    if (both && !asking) {
-      asking = true;
+    lastLeader = node;
+    lastLeaderInputAt = cluster.now;
+    if (isOverlapping && !isCheckingLeaders) {
+      isCheckingLeaders = true;
       if (other.hasAuthorityNow() && node.hasAuthorityNow()) {
-        report("two_leaders", other.name + " and " + node.name);
+        reportViolation("two_leaders", other.name + " and " + node.name);
       }
-      asking = false;
+      isCheckingLeaders = false;
     }
   }
 
-  /** Once all troubles are over, a job about which no question is answered for so long is lost. */
-  private void checkKnown() {
-    if (cluster.now < nextLookAt) {
+  /**
+   * Reports each accepted job about which no request has been answered for {@link
+   * #MAX_UNANSWERED_MS} since all faults ended, and checks the waiting jobs. Runs at intervals.
+   */
+  private void checkAcceptedJobs() {
+    if (cluster.now < nextJobCheckAt) {
       return;
     }
-    nextLookAt = cluster.now + 1_000;
+    nextJobCheckAt = cluster.now + JOB_CHECK_INTERVAL_MS;
     if (cluster.now > cluster.faultsEndMs) {
-      checkWaiting();
+      checkWaitingJobs();
     }
     for (SimulatedClients.SubmittedJob submitted : cluster.clients.allJobs()) {
-      long from =
+      long answerDueFrom =
           Math.max(submitted.acceptedAt, Math.max(submitted.answeredAt, cluster.faultsEndMs));
       if (submitted.accepted
           && cluster.faultsEndMs < cluster.now
-          && cluster.now - from > UNANSWERED_MS) {
-        report(
+          && cluster.now - answerDueFrom > MAX_UNANSWERED_MS) {
+        reportViolation(
             "forgotten",
             submitted.spec.id() + " has not been answered about since " + submitted.answeredAt);
       }
@@ -153,77 +189,87 @@
   }
 
   /**
-   * Once all troubles are over, no job is left waiting while a machine that fits has room and its
-   * team is under its limit. Waiting is a job of which no task is on any machine.
+   * Reports each job that has waited longer than {@link #MAX_WAIT_MS} although a suitable machine
+   * has room and its team is under its limit. A job waits while none of its tasks is on a machine.
+   * Called only after all faults have ended.
    */
-  private void checkWaiting() {
+  private void checkWaitingJobs() {
     if (!cluster.seededBugs.contains("unseen_sick")
-        && cluster.workers.values().stream().anyMatch(InvariantChecker::fails)) {
-      waitsSince.clear(); // machines that fail whatever starts there are a trouble that goes on
+        && cluster.workers.values().stream().anyMatch(InvariantChecker::isFailing)) {
+      waitingSince.clear(); // a machine on which every task fails is a fault that has not ended
       return;
     }
-    Map<String, Double> use = new HashMap<>();
-    Set<String> placed = new HashSet<>();
-    Map<SimulatedWorker, Integer> taken = new HashMap<>();
+    Map<String, Double> cpusByTeam = new HashMap<>();
+    Set<String> placedJobs = new HashSet<>();
+    Map<SimulatedWorker, Integer> takenCpus = new HashMap<>();
     for (SimulatedWorker worker : cluster.workers.values()) {
       for (SimulatedWorker.Task task : worker.tasks.values()) {
         if (task.isAlive()) {
           JobSpec spec = cluster.clients.spec(task.job);
-          placed.add(task.job);
-          use.merge(spec.team(), spec.cpus(), Double::sum);
-          taken.merge(
-              worker, (int) Math.ceil(Math.max(spec.cpus(), spec.memoryGb() / 4)), Integer::sum);
+          placedJobs.add(task.job);
+          cpusByTeam.merge(spec.team(), spec.cpus(), Double::sum);
+          takenCpus.merge(
+              worker,
+              (int) Math.ceil(Math.max(spec.cpus(), spec.memoryGb() / MEMORY_GB_PER_CPU)),
+              Integer::sum);
         }
       }
     }
     for (SimulatedClients.SubmittedJob submitted : cluster.clients.allJobs()) {
-      boolean could =
+      boolean isStartable =
           submitted.accepted
               && !submitted.cancelRequested
               && !submitted.alwaysFails
               && submitted.terminalPhase == null
-              && !placed.contains(submitted.spec.id())
+              && !placedJobs.contains(submitted.spec.id())
               && !cluster.clients.areAllTasksDone(submitted)
-              && released(submitted.spec)
-              && underLimit(submitted.spec, use)
+              && areDependenciesDone(submitted.spec)
+              && isWithinTeamLimit(submitted.spec, cpusByTeam)
               && cluster.workers.values().stream()
-                  .anyMatch(worker -> hasRoom(worker, submitted.spec, taken));
-      if (!could) {
-        waitsSince.remove(submitted.spec.id());
-      } else if (cluster.now - waitsSince.computeIfAbsent(submitted.spec.id(), k -> cluster.now)
-          > WAIT_MS) {
-        report(
-            "left_waiting", submitted.spec.id() + " since " + waitsSince.get(submitted.spec.id()));
+                  .anyMatch(worker -> hasRoom(worker, submitted.spec, takenCpus));
+      if (!isStartable) {
+        waitingSince.remove(submitted.spec.id());
+      } else if (cluster.now - waitingSince.computeIfAbsent(submitted.spec.id(), job -> cluster.now)
+          > MAX_WAIT_MS) {
+        reportViolation(
+            "left_waiting",
+            submitted.spec.id() + " since " + waitingSince.get(submitted.spec.id()));
       }
     }
   }
 
-  private static boolean fails(SimulatedWorker worker) {
+  private static boolean isFailing(SimulatedWorker worker) {
     return worker.failing && !worker.dead;
   }
 
-  private boolean released(JobSpec spec) {
+  private boolean areDependenciesDone(JobSpec spec) {
     for (String id : spec.dependencies()) {
-      JsonNode over = cluster.state.storedValue("d/" + id);
-      if (over == null || !over.path("p").asText().equals("done")) {
+      JsonNode outcome = cluster.state.storedValue("d/" + id);
+      if (outcome == null || !outcome.path("p").asText().equals("done")) {
         return false;
       }
     }
     return true;
   }
 
-  private boolean underLimit(JobSpec spec, Map<String, Double> use) {
+  private boolean isWithinTeamLimit(JobSpec spec, Map<String, Double> cpusByTeam) {
     for (Settings.Team team : cluster.settings[0].teams()) {
       if (team.name().equals(spec.team()) && team.maxCpus() > 0) {
-        return use.getOrDefault(team.name(), 0.0) + spec.cpus() * spec.minConcurrentTasks()
+        return cpusByTeam.getOrDefault(team.name(), 0.0) + spec.cpus() * spec.minConcurrentTasks()
             <= team.maxCpus();
       }
     }
     return true;
   }
 
+  /**
+   * Returns whether a job may use a machine and one of its tasks fits there.
+   *
+   * @param takenCpus the CPUs taken on each machine; a task takes the larger of its CPUs and its
+   *     memory divided by {@link #MEMORY_GB_PER_CPU}, rounded up
+   */
   private static boolean hasRoom(
-      SimulatedWorker worker, JobSpec spec, Map<SimulatedWorker, Integer> taken) {
+      SimulatedWorker worker, JobSpec spec, Map<SimulatedWorker, Integer> takenCpus) {
     return !worker.dead
         && !worker.hung
         && !worker.outboundDropped
@@ -231,69 +277,79 @@
         && worker.machine.terminatedAt == Long.MAX_VALUE
         && (spec.canUseSpot() || !worker.machine.spot)
         && (spec.zone() == null || spec.zone().equals(worker.machine.zone))
-        && taken.getOrDefault(worker, 0) + spec.cpus() <= worker.cluster.parameters.cpus()
-        && taken.getOrDefault(worker, 0) + spec.memoryGb() / 4
-            <= worker.cluster.parameters.memoryGb() / 4;
+        && takenCpus.getOrDefault(worker, 0) + spec.cpus() <= worker.cluster.parameters.cpus()
+        && takenCpus.getOrDefault(worker, 0) + spec.memoryGb() / MEMORY_GB_PER_CPU
+            <= worker.cluster.parameters.memoryGb() / MEMORY_GB_PER_CPU;
   }
 
   /**
-   * What is left open once all troubles are over: jobs that were accepted, are not over, and have
-   * no task on any machine, or about which nobody has answered since then.
+   * Returns descriptions of the accepted jobs that are not settled after all faults have ended. A
+   * job is not settled if no user has seen it in a terminal phase and one of these holds: no
+   * request about it has been answered since {@code answeredSinceMs}, its cancellation was
+   * requested, or none of its tasks is on a machine.
    */
-  List<String> unsettled(long answeredSince) {
-    Set<String> placed = new HashSet<>();
+  List<String> unsettledJobs(long answeredSinceMs) {
+    Set<String> placedJobs = new HashSet<>();
     for (SimulatedWorker worker : cluster.workers.values()) {
       worker.tasks.values().stream()
           .filter(SimulatedWorker.Task::isAlive)
-          .forEach(task -> placed.add(task.job));
+          .forEach(task -> placedJobs.add(task.job));
     }
-    List<String> open = new ArrayList<>();
+    List<String> unsettled = new ArrayList<>();
     for (SimulatedClients.SubmittedJob submitted : cluster.clients.allJobs()) {
       String id = submitted.spec.id();
       if (!submitted.accepted || submitted.terminalPhase != null) {
         continue;
       }
-      if (submitted.answeredAt < answeredSince) {
-        open.add(id + " was last answered about at " + submitted.answeredAt);
-      } else if (submitted.cancelRequested || !placed.contains(id)) {
-        open.add(id + (submitted.cancelRequested ? " is not called cancelled" : " runs nowhere"));
+      if (submitted.answeredAt < answeredSinceMs) {
+        unsettled.add(id + " was last answered about at " + submitted.answeredAt);
+      } else if (submitted.cancelRequested || !placedJobs.contains(id)) {
+        unsettled.add(
+            id + (submitted.cancelRequested ? " is not called cancelled" : " runs nowhere"));
       }
     }
-    return open;
+    return unsettled;
   }
 
   /**
-   * At the end of a day: so much of each class, of each team and of each class's largest jobs must
-   * have been served, and the largest begun in time. Largest is the tenth of a class with the most
-   * tasks, at least one; cancelled jobs do not count.
+   * Checks at the end of a run that a minimum share of the jobs of each class, of each team and of
+   * the largest jobs of each class was served, and that the largest jobs started in time. The
+   * largest jobs of a class are the tenth with the most tasks, at least one job. Jobs whose
+   * cancellation was requested do not count.
+   *
+   * @param minServedShare the minimum share of the jobs served, from 0 to 1
+   * @param maxStartDelayMs the maximum delay from submission to the first start of a largest job,
+   *     in milliseconds
    */
-  void checkServed(double least, long beginMs) {
+  void checkServed(double minServedShare, long maxStartDelayMs) {
     Map<String, List<SimulatedClients.SubmittedJob>> groups = new TreeMap<>();
     for (SimulatedClients.SubmittedJob submitted : cluster.clients.allJobs()) {
       if (submitted.accepted && !submitted.cancelRequested && !submitted.alwaysFails) {
         groups
-            .computeIfAbsent("class " + submitted.spec.jobClass(), g -> new ArrayList<>())
+            .computeIfAbsent("class " + submitted.spec.jobClass(), group -> new ArrayList<>())
             .add(submitted);
         groups
-            .computeIfAbsent("team " + submitted.spec.team(), g -> new ArrayList<>())
+            .computeIfAbsent("team " + submitted.spec.team(), group -> new ArrayList<>())
             .add(submitted);
       }
     }
     groups.forEach(
         (name, jobs) -> {
-          served(name, jobs, least);
+          checkServedShare(name, jobs, minServedShare);
           if (name.startsWith("class ")) {
             jobs.sort(Comparator.comparingInt(submitted -> -submitted.spec.tasks()));
             List<SimulatedClients.SubmittedJob> largest =
                 jobs.subList(0, Math.max(1, jobs.size() / 10));
-            served("largest of " + name, largest, least);
-            largest.forEach(submitted -> begun(submitted, beginMs));
+            checkServedShare("largest of " + name, largest, minServedShare);
+            largest.forEach(submitted -> checkStartDelay(submitted, maxStartDelayMs));
           }
         });
   }
 
-  private void served(String name, List<SimulatedClients.SubmittedJob> jobs, double least) {
-    long n =
+  /** Checks the share of jobs served in a group: services that started and other jobs done. */
+  private void checkServedShare(
+      String name, List<SimulatedClients.SubmittedJob> jobs, double minServedShare) {
+    long servedJobs =
         jobs.stream()
             .filter(
                 submitted ->
@@ -301,53 +357,62 @@
                         ? submitted.firstStartAt >= 0
                         : "done".equals(submitted.terminalPhase))
             .count();
-    if (n < least * jobs.size()) {
-      report("unserved", name + ": " + n + " of " + jobs.size());
+    if (servedJobs < minServedShare * jobs.size()) {
+      reportViolation("unserved", name + ": " + servedJobs + " of " + jobs.size());
     }
   }
 
-  private void begun(SimulatedClients.SubmittedJob submitted, long beginMs) {
-    long waited =
+  private void checkStartDelay(SimulatedClients.SubmittedJob submitted, long maxStartDelayMs) {
+    long waitedMs =
         (submitted.firstStartAt < 0 ? cluster.now : submitted.firstStartAt) - submitted.submittedAt;
-    if (waited > beginMs) {
-      report("late_start", submitted.spec.id() + " began after " + waited + " ms");
+    if (waitedMs > maxStartDelayMs) {
+      reportViolation("late_start", submitted.spec.id() + " began after " + waitedMs + " ms");
     }
   }
 
-  /** A job is called queued or running, though one that it needs was cancelled long ago. */
-  void calledLive(SimulatedClients.SubmittedJob submitted) {
-    Long told = cluster.clients.dependencyCancelConfirmedAt(submitted.spec.id());
+  /**
+   * Reports a job that an answer calls queued or running although the cancellation of one of its
+   * dependencies was confirmed longer ago than the cancellation limit.
+   */
+  void checkOrphaned(SimulatedClients.SubmittedJob submitted) {
+    Long confirmedAt = cluster.clients.dependencyCancelConfirmedAt(submitted.spec.id());
     double cancelMs = cluster.settings[0].workers().cancellationDeadlineS() * 1000;
-    if (told != null && cluster.now > Math.max(told, submitted.acceptedAt) + cancelMs) {
-      report("orphaned", submitted.spec.id());
+    if (confirmedAt != null
+        && cluster.now > Math.max(confirmedAt, submitted.acceptedAt) + cancelMs) {
+      reportViolation("orphaned", submitted.spec.id());
     }
   }
 
-  /** Looks at the whole world, after every event. */
+  /**
+   * Checks the accepted jobs, the team limits, and that cancelled jobs have stopped. In simulated
+   * time this runs after every event, in real time at intervals.
+   */
   void check() {
-    checkKnown();
-    boolean limits = cluster.settings[0].teams().stream().anyMatch(team -> team.maxCpus() > 0);
-    if (!limits && !cluster.clients.hasConfirmedCancel()) {
-      return; // nothing that time alone can break; a start is checked when it happens
+    checkAcceptedJobs();
+    boolean hasTeamLimits =
+        cluster.settings[0].teams().stream().anyMatch(team -> team.maxCpus() > 0);
+    if (!hasTeamLimits && !cluster.clients.hasConfirmedCancel()) {
+      return; // the other rules are checked when a task starts or an answer arrives
     }
-    Map<String, Double> use = new HashMap<>();
+    Map<String, Double> cpusByTeam = new HashMap<>();
     for (SimulatedWorker worker : cluster.workers.values()) {
       for (SimulatedWorker.Task task : worker.tasks.values()) {
         if (!task.running) {
           continue;
         }
         JobSpec spec = cluster.clients.spec(task.job);
-        use.merge(spec.team(), spec.cpus(), Double::sum);
-        Long told = cluster.clients.cancelConfirmedAt(task.job);
+        cpusByTeam.merge(spec.team(), spec.cpus(), Double::sum);
+        Long confirmedAt = cluster.clients.cancelConfirmedAt(task.job);
         double cancelMs = cluster.settings[0].workers().cancellationDeadlineS() * 1000;
-        if (told != null && cluster.now > told + cancelMs) {
-          report("ran_cancelled", task.name());
+        if (confirmedAt != null && cluster.now > confirmedAt + cancelMs) {
+          reportViolation("ran_cancelled", task.name());
         }
       }
     }
     for (Settings.Team team : cluster.settings[0].teams()) {
-      if (team.maxCpus() > 0 && use.getOrDefault(team.name(), 0.0) > team.maxCpus() + 1e-6) {
-        report("quota", team.name() + " uses " + use.get(team.name()));
+      if (team.maxCpus() > 0
+          && cpusByTeam.getOrDefault(team.name(), 0.0) > team.maxCpus() + CPU_ROUNDING_TOLERANCE) {
+        reportViolation("quota", team.name() + " uses " + cpusByTeam.get(team.name()));
       }
     }
   }
--- a/src/testbench/java/org/snowturn/simulation/LoopbackCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackCluster.java
@@ -25,155 +25,197 @@
 import org.xnio.XnioWorker;
 
 /**
- * One region of a scale run: the stand-ins' world in real time, reached by the region's controllers
- * over HTTP, and the load on them. Its methods may be called from any thread.
+ * One region of a scale run: a simulated cluster in real time, which the region's controllers reach
+ * over HTTP, and the load on the controllers. Its methods may be called from any thread.
  */
 public final class LoopbackCluster implements AutoCloseable {
-  private static final int USER_CONNECTIONS = 200;
-  private static final long PROBE_MS = 500;
-  private static final long POLL_MS = 3_300;
-  private static final long LEASE_CHECK_MS = 100;
-  private static final long SAMPLE_MS = 100;
-  private static final long ANSWER_S = 30;
-  private static final long BOOT_MS = 3_000;
+  private static final int BUFFER_BYTES = 16 * 1024;
+  private static final int MAX_POOLED_BUFFERS = 256;
+  private static final int MAX_BUFFERS_PER_THREAD = 8;
+  private static final int MAX_USER_CONNECTIONS = 200;
+  private static final long PROBE_INTERVAL_MS = 500;
+  private static final long POLL_INTERVAL_MS = 3_300;
+  private static final long LEASE_CHECK_INTERVAL_MS = 100;
+  private static final long SAMPLE_INTERVAL_MS = 100;
+  private static final long QUERY_TIMEOUT_S = 30;
+  private static final long MACHINE_BOOT_MS = 3_000;
   private static final double MEMORY_PER_CPU_GB = 4.5;
 
-  /** Machines have so much more room than their share of the standing tasks takes. */
-  private static final double ROOM = 1.15;
+  /** Ratio of a machine's CPUs to its share of the concurrent tasks, which use one CPU each. */
+  private static final double CPU_HEADROOM = 1.15;
 
-  private static final int LEAST_CPUS = 8;
-  private static final int PER_OCTET = 250;
-  private static final int FIRST_OCTET = 16;
+  private static final int MIN_CPUS_PER_MACHINE = 8;
+
+  /** Number of values used of the third and fourth octet of a machine's address. */
+  private static final int ADDRESSES_PER_OCTET = 250;
+
+  /** Second octet of the machine addresses of region 0; the next region uses the next value. */
+  private static final int FIRST_REGION_OCTET = 16;
 
   private final LoopbackPlan plan;
   private final SimulatedCluster cluster;
-  private final RealTimeDriver loop;
+  private final RealTimeDriver driver;
   private final SimulatedServer server;
   private final List<RemoteEndpoint> endpoints = new ArrayList<>();
-  private final List<XnioWorker> threads = new ArrayList<>();
-  private final LoadGenerator load;
+  private final List<XnioWorker> ioWorkers = new ArrayList<>();
+  private final LoadGenerator loadGenerator;
   private final DirectedLinks links;
-  private final Set<Long> tokens = new HashSet<>();
+  private final Set<Long> tokensSeen = new HashSet<>();
   private int workersPort;
-  private long lastStarts;
+  private long lastStartCount;
   private long lastStartAt;
-  private long longestPause;
-  private boolean watchingPauses;
-
-  /** Where a controller finds the outside, and what it is told of itself. */
-  public record Outside(
+  private long longestPauseMs;
+  private boolean isTrackingPauses;
+
+  /**
+   * Addresses of the simulated services, by the name of the controller that uses them.
+   *
+   * @param state the address of the state service for each controller
+   * @param cloud the address of the cloud for each controller
+   */
+  public record ServiceAddresses(
       Map<String, InetSocketAddress> state, Map<String, InetSocketAddress> cloud) {}
 
-  /** Builds the region; nothing runs yet. */
+  /** Creates a region that does not run yet. */
   public LoopbackCluster(LoopbackPlan plan) {
     this.plan = plan;
-    double cpus = Math.max(LEAST_CPUS, Math.ceil(plan.tasks() * ROOM / plan.workers()));
-    SimulationParameters sizes =
+    double cpus =
+        Math.max(
+            MIN_CPUS_PER_MACHINE,
+            Math.ceil(plan.concurrentTasks() * CPU_HEADROOM / plan.workers()));
+    SimulationParameters parameters =
         new SimulationParameters(
-            cpus, cpus * MEMORY_PER_CPU_GB, POLL_MS, false, LEASE_CHECK_MS, id -> address(id));
-    this.cluster = SimulatedCluster.ofProcesses(plan.seed(), new Settings[] {settings()}, sizes);
+            cpus,
+            cpus * MEMORY_PER_CPU_GB,
+            POLL_INTERVAL_MS,
+            false,
+            LEASE_CHECK_INTERVAL_MS,
+            id -> address(id));
+    this.cluster =
+        SimulatedCluster.ofProcesses(plan.seed(), new Settings[] {settings()}, parameters);
     this.links = new DirectedLinks(cluster);
     cluster.setLinkDelays(links);
-    cluster.cloud.capacityPerZone = plan.hireablePerZone();
-    cluster.cloud.bootMs = BOOT_MS;
-    cluster.cloud.listLagMs = (long) (plan.cloud().listLagS() * 1000);
-    this.loop = new RealTimeDriver(cluster, "world-" + plan.number());
-    this.server = new SimulatedServer(cluster, loop);
-    this.load = new LoadGenerator(cluster, plan);
+    cluster.cloud.capacityPerZone = plan.rentablePerZone();
+    cluster.cloud.bootMs = MACHINE_BOOT_MS;
+    cluster.cloud.listLagMs = (long) (plan.cloudLimits().listLagS() * 1000);
+    this.driver = new RealTimeDriver(cluster, "world-" + plan.regionNumber());
+    this.server = new SimulatedServer(cluster, driver);
+    this.loadGenerator = new LoadGenerator(cluster, plan);
   }
 
   private Settings settings() {
-    InetSocketAddress none = new InetSocketAddress(0);
+    InetSocketAddress unusedAddress = new InetSocketAddress(0);
     List<Settings.Team> teams = new ArrayList<>();
-    for (Team t : teams()) {
-      teams.add(new Settings.Team(t.name(), 0, t.mostCpus(), 0, 0));
+    for (Team team : teams()) {
+      teams.add(new Settings.Team(team.name(), 0, team.maxCpus(), 0, 0));
     }
     return new Settings(
         plan.controllers().get(0),
         plan.zones().get(0),
-        none,
-        none,
+        unusedAddress,
+        unusedAddress,
         List.of(),
-        none,
-        none,
+        unusedAddress,
+        unusedAddress,
         plan.zones(),
         teams,
         List.of(),
-        plan.figures(),
-        plan.state(),
-        plan.state(),
-        plan.cloud(),
+        plan.workerSettings(),
+        plan.stateLimits(),
+        plan.stateLimits(),
+        plan.cloudLimits(),
         plan.maxConnections());
   }
 
-  /** A team and the most that its tasks may use. */
-  public record Team(String name, double mostCpus) {}
-
-  /** The teams: each may use twice its even part of the region. */
+  /**
+   * A team that submits jobs.
+   *
+   * @param name the name of the team
+   * @param maxCpus the maximum number of CPUs that its tasks may use
+   */
+  public record Team(String name, double maxCpus) {}
+
+  /**
+   * Returns the teams. Unless the plan sets their limit, each may use twice its even share of the
+   * concurrent tasks plus the largest job.
+   */
   public List<Team> teams() {
-    List<Team> out = new ArrayList<>();
-    double most =
-        plan.teamCpus() > 0
-            ? plan.teamCpus()
-            : Math.ceil(2.0 * plan.tasks() / plan.teams()) + LoadGenerator.LARGEST_JOB;
+    List<Team> teams = new ArrayList<>();
+    double maxCpus =
+        plan.maxTeamCpus() > 0
+            ? plan.maxTeamCpus()
+            : Math.ceil(2.0 * plan.concurrentTasks() / plan.teams())
+                + LoadGenerator.MAX_TASKS_PER_JOB;
     for (int i = 0; i < plan.teams(); i++) {
-      out.add(new Team(LoadGenerator.team(i), most));
+      teams.add(new Team(LoadGenerator.teamName(i), maxCpus));
     }
-    return out;
+    return teams;
   }
 
+  /**
+   * Returns the address of a machine: an IPv4 loopback address determined by the region and by the
+   * number after the first hyphen of the machine's name, and the port of all workers.
+   */
   private String address(String machine) {
-    int n = Integer.parseInt(machine.substring(machine.indexOf('-') + 1));
-    int third = n / PER_OCTET % PER_OCTET;
+    int machineNumber = Integer.parseInt(machine.substring(machine.indexOf('-') + 1));
+    int thirdOctet = machineNumber / ADDRESSES_PER_OCTET % ADDRESSES_PER_OCTET;
     return "127."
-        + (FIRST_OCTET + plan.number())
+        + (FIRST_REGION_OCTET + plan.regionNumber())
         + "."
-        + third
+        + thirdOctet
         + "."
-        + (1 + n % PER_OCTET)
+        + (1 + machineNumber % ADDRESSES_PER_OCTET)
         + ":"
         + workersPort;
   }
 
-  /** Opens the stand-ins' ports. */
-  public Outside open() throws IOException {
-    XnioWorker state = threads("state", 1);
-    XnioWorker workers = threads("hollow", 2);
+  /** Opens the ports of the simulated services and workers. */
+  public ServiceAddresses open() throws IOException {
+    XnioWorker state = createIoWorker("state", 1);
+    XnioWorker workers = createIoWorker("hollow", 2);
     Map<String, InetSocketAddress> ports = server.start(plan.controllers(), state, workers);
     workersPort = server.workersPort();
-    return new Outside(ports, server.cloudAddresses());
+    return new ServiceAddresses(ports, server.cloudAddresses());
   }
 
-  private XnioWorker threads(String role, int count) throws IOException {
-    XnioWorker w =
+  private XnioWorker createIoWorker(String role, int threadCount) throws IOException {
+    XnioWorker ioWorker =
         Xnio.getInstance()
             .createWorker(
                 OptionMap.builder()
-                    .set(Options.WORKER_NAME, role + "-" + plan.number())
-                    .set(Options.WORKER_IO_THREADS, count)
+                    .set(Options.WORKER_NAME, role + "-" + plan.regionNumber())
+                    .set(Options.WORKER_IO_THREADS, threadCount)
                     .set(Options.WORKER_TASK_CORE_THREADS, 1)
                     .set(Options.WORKER_TASK_MAX_THREADS, 1)
                     .set(Options.TCP_NODELAY, true)
                     .getMap());
-    threads.add(w);
-    return w;
+    ioWorkers.add(ioWorker);
+    return ioWorker;
   }
 
-  /** Starts the world; machines come up, and users' and workers' requests go to the controllers. */
-  public void start(Map<String, InetSocketAddress> serving) throws IOException {
-    ByteBufferPool buffers = new DefaultByteBufferPool(false, 16 * 1024, 256, 8);
-    XnioWorker workers = threads("report", 2);
-    XnioWorker users = threads("users", 1);
-    WorkerLinks links =
-        new WorkerLinks(List.of(workers.getIoThread(0), workers.getIoThread(1)), buffers);
+  /**
+   * Starts the simulation. It rents the planned machines and sends the requests of users and
+   * workers to the controllers.
+   *
+   * @param controllerAddresses the address on which each controller serves, by its name
+   */
+  public void start(Map<String, InetSocketAddress> controllerAddresses) throws IOException {
+    ByteBufferPool buffers =
+        new DefaultByteBufferPool(false, BUFFER_BYTES, MAX_POOLED_BUFFERS, MAX_BUFFERS_PER_THREAD);
+    XnioWorker workers = createIoWorker("report", 2);
+    XnioWorker users = createIoWorker("users", 1);
+    WorkerConnections workerConnections =
+        new WorkerConnections(List.of(workers.getIoThread(0), workers.getIoThread(1)), buffers);
     XnioIoThread usersThread = users.getIoThread(0);
     for (String name : plan.controllers()) {
-      InetSocketAddress at = serving.get(name);
-      HttpCaller caller = new HttpCaller(at, usersThread, buffers, USER_CONNECTIONS);
-      endpoints.add(new RemoteEndpoint(name, at, cluster, loop, links, usersThread, caller));
+      InetSocketAddress address = controllerAddresses.get(name);
+      HttpCaller usersCaller = new HttpCaller(address, usersThread, buffers, MAX_USER_CONNECTIONS);
+      endpoints.add(
+          new RemoteEndpoint(
+              name, address, cluster, driver, workerConnections, usersThread, usersCaller));
     }
-    loop.start();
-    loop.post(
+    driver.start();
+    driver.post(
         () -> {
           cluster.endpoints.addAll(endpoints);
           for (int i = 0; i < plan.workers(); i++) {
@@ -184,166 +226,209 @@
         });
   }
 
+  /** Probes all controllers, now and at intervals. */
   private void probe() {
     endpoints.forEach(RemoteEndpoint::probe);
-    cluster.after(PROBE_MS, this::probe);
+    cluster.after(PROBE_INTERVAL_MS, this::probe);
   }
 
+  /** Updates the longest pause between task starts and the tokens seen, now and at intervals. */
   private void sample() {
-    if (cluster.invariants.starts != lastStarts) {
-      lastStarts = cluster.invariants.starts;
+    if (cluster.invariants.startedTasks != lastStartCount) {
+      lastStartCount = cluster.invariants.startedTasks;
       lastStartAt = cluster.now;
-    } else if (watchingPauses) {
-      longestPause = Math.max(longestPause, cluster.now - lastStartAt);
+    } else if (isTrackingPauses) {
+      longestPauseMs = Math.max(longestPauseMs, cluster.now - lastStartAt);
     }
-    cluster.workers.values().forEach(worker -> tokens.add(worker.token()));
-    cluster.after(SAMPLE_MS, this::sample);
+    cluster.workers.values().forEach(worker -> tokensSeen.add(worker.token()));
+    cluster.after(SAMPLE_INTERVAL_MS, this::sample);
   }
 
-  /** How many tasks of standing arrays there will be. */
-  public int standing() {
-    return load.standing();
+  /** Returns the number of tasks of the standing arrays. */
+  public int standingTasks() {
+    return loadGenerator.standingTasks();
   }
 
-  /** Submits the standing arrays, which run until the end. */
-  public void fill() {
-    loop.post(load::fill);
+  /** Submits the standing arrays, which last until the end of the run. */
+  public void submitStandingJobs() {
+    driver.post(loadGenerator::submitStandingJobs);
   }
 
-  /** From now on short arrays and urgent jobs come at their rates, and pauses are counted. */
-  public void arrive() {
-    loop.post(
+  /**
+   * Starts the arrivals of short arrays and urgent jobs, and begins to track pauses between task
+   * starts.
+   */
+  public void startArrivals() {
+    driver.post(
         () -> {
           lastStartAt = cluster.now;
-          watchingPauses = true;
-          load.arrive();
+          isTrackingPauses = true;
+          loadGenerator.startArrivals();
         });
   }
 
-  /** Ends so many machines at once, with all that is on them. */
+  /** Fails a number of machines at once, with all tasks on them. */
   public void failWorkers(int count) {
-    loop.post(
+    driver.post(
         () -> {
-          int left = count;
+          int remaining = count;
           for (SimulatedWorker worker : List.copyOf(cluster.workers.values())) {
-            if (left > 0 && !worker.dead) {
+            if (remaining > 0 && !worker.dead) {
               cluster.cloud.fail(worker.machine);
-              left--;
+              remaining--;
             }
           }
         });
   }
 
-  /** Ends all machines of a zone at once. */
+  /** Fails all machines of a zone at once. */
   public void failZone(String zone) {
-    loop.post(
+    driver.post(
         () ->
             List.copyOf(cluster.workers.values()).stream()
                 .filter(worker -> !worker.dead && worker.machine.zone.equals(zone))
                 .forEach(worker -> cluster.cloud.fail(worker.machine)));
   }
 
-  /** The state service does not answer for so long. */
-  public void stateOutage(long ms) {
-    loop.post(() -> cluster.state.startOutage(ms));
+  /** Makes the state service unavailable for a duration, in milliseconds. */
+  public void startStateOutage(long durationMs) {
+    driver.post(() -> cluster.state.startOutage(durationMs));
   }
 
-  /** What can go wrong in this region. */
+  /** Returns the faults that can be injected into this region. */
   public LoopbackFaults faults() {
-    return new LoopbackFaults(cluster, loop, links);
+    return new LoopbackFaults(cluster, driver, links);
   }
 
-  /** Random jobs come for so long from now on, one within each so many milliseconds. */
-  public void randomJobs(long forMs, int everyMs) {
+  /**
+   * Starts submitting random jobs.
+   *
+   * @param durationMs the time for which jobs are submitted, in milliseconds
+   * @param intervalMs the maximum time between two jobs, in milliseconds
+   */
+  public void startRandomJobs(long durationMs, int intervalMs) {
     List<String> names = teams().stream().map(Team::name).toList();
-    loop.post(() -> new RandomJobs(cluster, names, 1, everyMs).submitUntil(cluster.now + forMs));
+    driver.post(
+        () -> new RandomJobs(cluster, names, 1, intervalMs).submitUntil(cluster.now + durationMs));
   }
 
-  /** Users ask at all nodes within milliseconds, repeat and submit what never runs, for so long. */
-  public void insistentUsers(long forMs) {
-    loop.post(
+  /**
+   * Starts users that read at all controllers within milliseconds after a job was accepted or
+   * ended, repeat submissions, cancel finished jobs and submit jobs that can never run.
+   *
+   * @param durationMs the time for which they do so, in milliseconds
+   */
+  public void startStressClients(long durationMs) {
+    driver.post(
         () -> {
-          cluster.clients.enableReadsAfterWrite(forMs);
-          cluster.clients.sendInvalidRequests(forMs);
+          cluster.clients.enableReadsAfterWrite(durationMs);
+          cluster.clients.sendInvalidRequests(durationMs);
         });
   }
 
-  /** Every message from now on is written there, a line each. */
-  public void keepMessages(Writer out) {
-    loop.post(() -> cluster.messageLog = new MessageWriter(out));
+  /** Starts writing every message to {@code out}, one line each. */
+  public void recordMessages(Writer out) {
+    driver.post(() -> cluster.messageLog = new MessageWriter(out));
   }
 
-  /** Jobs that are open though nothing is in trouble any more; see {@code Rules.unsettled}. */
-  public List<String> unsettled(long answeredSince) throws TimeoutException {
-    return ask(() -> cluster.invariants.unsettled(answeredSince));
+  /**
+   * Returns descriptions of the jobs that are still open after all faults have ended.
+   *
+   * @param answeredSinceMs the time since which users must have had an answer about each job, in
+   *     milliseconds of {@link LoopbackStatus#nowMs}
+   */
+  public List<String> unsettledJobs(long answeredSinceMs) throws TimeoutException {
+    return query(() -> cluster.invariants.unsettledJobs(answeredSinceMs));
   }
 
-  /** Which controller leads by the leader key, or null. */
+  /**
+   * Returns the name of the controller that holds the leader key in the state service, or null if
+   * the key is absent.
+   */
   public String leaderByKey() throws TimeoutException {
-    return ask(cluster.state::leader);
+    return query(cluster.state::leader);
   }
 
-  /** Which controllers are ready for users. */
-  public List<String> ready() throws TimeoutException {
-    return ask(() -> endpoints.stream().filter(e -> e.up).map(e -> e.name).toList());
+  /** Returns the names of the controllers that are ready for users. */
+  public List<String> readyControllers() throws TimeoutException {
+    return query(
+        () ->
+            endpoints.stream()
+                .filter(endpoint -> endpoint.isUp)
+                .map(endpoint -> endpoint.name)
+                .toList());
   }
 
-  /** What has happened so far. */
+  /** Returns the current counters and state of the region. */
   public LoopbackStatus status() throws TimeoutException {
-    return ask(this::now);
+    return query(this::currentStatus);
   }
 
-  private LoopbackStatus now() {
-    long running = 0;
-    int up = 0;
+  private LoopbackStatus currentStatus() {
+    long runningTasks = 0;
+    int workersUp = 0;
     for (SimulatedWorker worker : cluster.workers.values()) {
-      up += worker.dead ? 0 : 1;
+      workersUp += worker.dead ? 0 : 1;
       for (SimulatedWorker.Task task : worker.tasks.values()) {
-        running += task.running ? 1 : 0;
+        runningTasks += task.running ? 1 : 0;
       }
     }
-    List<String> broken = new ArrayList<>(cluster.invariants.violated);
-    broken.addAll(cluster.invariants.details);
+    List<String> violations = new ArrayList<>(cluster.invariants.violatedRules);
+    violations.addAll(cluster.invariants.violationDetails);
     return new LoopbackStatus(
         cluster.now,
-        cluster.invariants.starts,
-        running,
-        up,
-        load.over(),
-        leader(),
-        tokens.size(),
-        longestPause,
+        cluster.invariants.startedTasks,
+        runningTasks,
+        workersUp,
+        loadGenerator.finishedJobs(),
+        lastAnsweringController(),
+        tokensSeen.size(),
+        longestPauseMs,
         cluster.state.writes,
         cluster.state.requests,
         cluster.state.refusals.getOrDefault("429", 0),
         cluster.heartbeatsSent,
         cluster.commandsReceived,
-        broken);
+        violations);
   }
 
-  private String leader() {
+  /**
+   * Returns the name of the controller that last answered a heartbeat as leader, or null if none
+   * has.
+   */
+  private String lastAnsweringController() {
     RemoteEndpoint last = null;
-    for (RemoteEndpoint e : endpoints) {
-      last = last == null || e.answeredWorkersAt > last.answeredWorkersAt ? e : last;
+    for (RemoteEndpoint endpoint : endpoints) {
+      last =
+          last == null || endpoint.lastHeartbeatAnswerAt > last.lastHeartbeatAnswerAt
+              ? endpoint
+              : last;
     }
-    return last == null || last.answeredWorkersAt == Long.MIN_VALUE ? null : last.name;
+    return last == null || last.lastHeartbeatAnswerAt == Long.MIN_VALUE ? null : last.name;
   }
 
-  /** How long tasks of urgent jobs waited for their start, from when the job was due, in ms. */
+  /**
+   * Returns a copy of the delays from the scheduled submission of urgent jobs to the start of their
+   * tasks, in milliseconds.
+   */
   public Histogram urgentDelays() throws TimeoutException {
-    return ask(() -> load.urgentDelays().copy());
+    return query(() -> loadGenerator.urgentDelays().copy());
   }
 
-  /** How long submissions took to be accepted, from when they were due, in ms. */
+  /**
+   * Returns a copy of the delays from the scheduled submission of jobs to their acceptance, in
+   * milliseconds.
+   */
   public Histogram acceptDelays() throws TimeoutException {
-    return ask(() -> load.acceptDelays().copy());
+    return query(() -> loadGenerator.acceptDelays().copy());
   }
 
-  private <T> T ask(Supplier<T> question) throws TimeoutException {
-    CompletableFuture<T> answer = new CompletableFuture<>();
-    loop.post(() -> answer.complete(question.get()));
+  /** Returns a value that is computed on the thread of the driver. */
+  private <T> T query(Supplier<T> value) throws TimeoutException {
+    CompletableFuture<T> result = new CompletableFuture<>();
+    driver.post(() -> result.complete(value.get()));
     try {
-      return answer.get(ANSWER_S, TimeUnit.SECONDS);
+      return result.get(QUERY_TIMEOUT_S, TimeUnit.SECONDS);
     } catch (InterruptedException | ExecutionException e) {
       throw new IllegalStateException(e);
     }
@@ -351,8 +436,8 @@
 
   @Override
   public void close() {
-    loop.stop();
+    driver.stop();
     server.stop();
-    threads.forEach(XnioWorker::shutdownNow);
+    ioWorkers.forEach(XnioWorker::shutdownNow);
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/MessageWriter.java
+++ b/src/testbench/java/org/snowturn/simulation/MessageWriter.java
@@ -5,7 +5,10 @@
 import java.io.UncheckedIOException;
 import java.io.Writer;
 
-/** Writes every message as a line: time, sender, receiver, what it is, its body. */
+/**
+ * Writes one line for each message: its time, sender, receiver, description and body. A message
+ * without a body ends with the description.
+ */
 final class MessageWriter implements MessageLog {
   private final Writer out;
 
@@ -14,9 +17,9 @@
   }
 
   @Override
-  public void message(long atMs, String from, String to, String what, JsonNode body) {
+  public void logMessage(long atMs, String from, String to, String description, JsonNode body) {
     try {
-      out.write(atMs + " " + from + " -> " + to + " " + what);
+      out.write(atMs + " " + from + " -> " + to + " " + description);
       if (body != null) {
         out.write(" " + body);
       }
--- a/src/testbench/java/org/snowturn/simulation/RealTimeDriver.java
+++ b/src/testbench/java/org/snowturn/simulation/RealTimeDriver.java
@@ -7,23 +7,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Drives a world by the steady clock, on one thread. Whatever comes from outside (requests, answers
- * from real processes) is handed in by {@link #post} and runs on that thread too, so the stand-ins
- * need no locks.
+ * Runs a simulated cluster in real time, by the monotonic clock, on one thread. Requests and
+ * responses of other processes are passed in with {@link #post} and handled on the same thread, so
+ * the simulation needs no locks.
  */
 final class RealTimeDriver {
   private static final Logger LOG = LoggerFactory.getLogger(RealTimeDriver.class);
-  private static final long LONGEST_SLEEP_MS = 20;
-  private static final int AT_ONCE = 500;
-  private static final long RULES_EVERY_MS = 500;
+  private static final long MAX_IDLE_MS = 20;
+
+  /** Number of posted actions after which events that are due get their turn. */
+  private static final int MAX_ACTIONS_PER_ROUND = 500;
+
+  private static final long INVARIANT_CHECK_INTERVAL_MS = 500;
 
   private final SimulatedCluster cluster;
-  private final BlockingQueue<Runnable> inbox = new LinkedBlockingQueue<>();
-  private final long beganNanos = System.nanoTime();
+  private final BlockingQueue<Runnable> actions = new LinkedBlockingQueue<>();
+  private final long startNanos = System.nanoTime();
   private final Thread thread;
-  private volatile boolean stopped;
-  private long rulesAt;
+  private volatile boolean isStopped;
+  private long nextInvariantCheckMs;
 
+  /** Creates a driver with a thread of the given name, which {@link #start} starts. */
   RealTimeDriver(SimulatedCluster cluster, String name) {
     this.cluster = cluster;
     this.thread = new Thread(this::run, name);
@@ -34,59 +38,59 @@
     thread.start();
   }
 
-  /** Ends the thread; what still waits is dropped. */
+  /** Stops the thread. Actions that have not run are dropped. */
   void stop() {
-    stopped = true;
+    isStopped = true;
   }
 
-  /** Runs something on the world's thread, soon. */
-  void post(Runnable run) {
-    inbox.add(run);
+  /** Queues an action to run on the thread of this driver. */
+  void post(Runnable action) {
+    actions.add(action);
   }
 
   private long nowMs() {
-    return (System.nanoTime() - beganNanos) / 1_000_000;
+    return (System.nanoTime() - startNanos) / 1_000_000;
   }
 
   private void run() {
-    while (!stopped) {
+    while (!isStopped) {
       try {
-        Runnable next = inbox.poll(cluster.msUntilNextEvent(LONGEST_SLEEP_MS), TimeUnit.MILLISECONDS);
+        Runnable next = actions.poll(cluster.msUntilNextEvent(MAX_IDLE_MS), TimeUnit.MILLISECONDS);
         cluster.runDueEvents(nowMs());
-        for (int n = 0; next != null && n < AT_ONCE; n++) {
-          safely(next);
-          next = inbox.poll();
+        for (int n = 0; next != null && n < MAX_ACTIONS_PER_ROUND; n++) {
+          runAction(next);
+          next = actions.poll();
         }
         if (next != null) {
-          safely(next);
+          runAction(next);
         }
-        checkRules();
+        checkInvariants();
       } catch (InterruptedException e) {
         return;
       } catch (RuntimeException e) {
-        failed(e);
+        reportFailure(e);
       }
     }
   }
 
-  private void checkRules() {
-    if (cluster.now >= rulesAt) {
-      rulesAt = cluster.now + RULES_EVERY_MS;
+  private void checkInvariants() {
+    if (cluster.now >= nextInvariantCheckMs) {
+      nextInvariantCheckMs = cluster.now + INVARIANT_CHECK_INTERVAL_MS;
       cluster.invariants.check();
     }
   }
 
-  private void safely(Runnable run) {
+  private void runAction(Runnable action) {
     try {
-      run.run();
+      action.run();
     } catch (RuntimeException e) {
-      failed(e);
+      reportFailure(e);
     }
   }
 
-  /** A fault of the world itself: it counts as a broken rule, so that no run passes over it. */
-  private void failed(RuntimeException e) {
-    LOG.error("the world failed", e);
-    cluster.invariants.report("world_failed", e.toString());
+  /** Reports an error of the simulation itself as a violated rule, so that the run fails. */
+  private void reportFailure(RuntimeException e) {
+    LOG.error("simulated cluster: an action or event threw an exception", e);
+    cluster.invariants.reportViolation("world_failed", e.toString());
   }
 }
--- a/src/testbench/java/org/snowturn/simulation/RemoteEndpoint.java
+++ b/src/testbench/java/org/snowturn/simulation/RemoteEndpoint.java
@@ -10,120 +10,139 @@
 import org.snowturn.wire.Json;
 import org.xnio.XnioIoThread;
 
-/** A controller that is a process of its own, reached over loopback. */
+/** A controller in a process of its own, reached over HTTP on the loopback interface. */
 final class RemoteEndpoint extends Endpoint {
-  private static final String RUNS = "/v2/runs";
-  private static final String READY = "/ready";
+  private static final String RUNS_PATH = "/v2/runs";
+  private static final String READY_PATH = "/ready";
   private static final String USERS = "users";
-  private static final int CHECK_IN_TIMEOUT_MS = 4_000;
+  private static final int HEARTBEAT_TIMEOUT_MS = 4_000;
   private static final int SUBMIT_TIMEOUT_MS = 5_000;
   private static final int POLL_TIMEOUT_MS = 2_000;
   private static final int PROBE_TIMEOUT_MS = 1_000;
 
-  private final RealTimeDriver loop;
-  private final InetSocketAddress addr;
-  private final WorkerLinks links;
+  private final RealTimeDriver driver;
+  private final InetSocketAddress address;
+  private final WorkerConnections workerConnections;
   private final XnioIoThread usersThread;
-  private final HttpCaller users;
+  private final HttpCaller usersCaller;
 
-  /** The last check-in that it answered with 200, in the world's time; the leader does. */
-  long answeredWorkersAt = Long.MIN_VALUE;
+  /**
+   * Time of the last heartbeat answered with status 200, in milliseconds of the simulation's clock,
+   * or {@link Long#MIN_VALUE} if there was none. Only the leader answers with this status.
+   */
+  long lastHeartbeatAnswerAt = Long.MIN_VALUE;
 
   private final SimulatedCluster cluster;
 
+  /**
+   * Creates an endpoint that counts as unavailable until a {@link #probe} succeeds.
+   *
+   * @param name the controller's name
+   * @param address the address on which the controller serves
+   * @param cluster the simulated cluster around the controller
+   * @param driver runs the handling of responses
+   * @param workerConnections the connections for heartbeats
+   * @param usersThread the I/O thread for users' requests
+   * @param usersCaller the connections for users' requests, used on {@code usersThread} only
+   */
   RemoteEndpoint(
       String name,
-      InetSocketAddress addr,
+      InetSocketAddress address,
       SimulatedCluster cluster,
-      RealTimeDriver loop,
-      WorkerLinks links,
+      RealTimeDriver driver,
+      WorkerConnections workerConnections,
       XnioIoThread usersThread,
-      HttpCaller users) {
+      HttpCaller usersCaller) {
     super(name);
-    this.addr = addr;
+    this.address = address;
     this.cluster = cluster;
-    this.loop = loop;
-    this.links = links;
+    this.driver = driver;
+    this.workerConnections = workerConnections;
     this.usersThread = usersThread;
-    this.users = users;
+    this.usersCaller = usersCaller;
   }
 
   @Override
-  void heartbeat(String from, JsonNode report, Answer answer) {
-    cluster.messageLog.message(cluster.now, from, name, "/checkin", report);
-    links.on(
+  void heartbeat(String from, JsonNode report, ResponseHandler handler) {
+    cluster.messageLog.logMessage(cluster.now, from, name, "/checkin", report);
+    workerConnections.withConnection(
         from,
-        addr,
+        address,
         caller ->
             caller.call(
                 "POST",
                 "/checkin",
                 Json.bytes(report),
-                CHECK_IN_TIMEOUT_MS,
+                HEARTBEAT_TIMEOUT_MS,
                 (outcome, status, body, retryAfterS) -> {
-                  JsonNode json = parsed(body);
-                  loop.post(() -> checkedIn(from, outcome, status, json, answer));
+                  JsonNode json = parseOrNull(body);
+                  driver.post(() -> onHeartbeatResponse(from, outcome, status, json, handler));
                 }));
   }
 
-  private void checkedIn(String from, Outcome outcome, int status, JsonNode body, Answer answer) {
-    boolean answered = outcome == Outcome.ANSWERED;
-    if (answered && status == 200) {
-      answeredWorkersAt = cluster.now;
+  private void onHeartbeatResponse(
+      String from, Outcome outcome, int status, JsonNode body, ResponseHandler handler) {
+    boolean isAnswered = outcome == Outcome.ANSWERED;
+    if (isAnswered && status == 200) {
+      lastHeartbeatAnswerAt = cluster.now;
     }
-    // When the answer left its node cannot be seen from here: no start is judged by it.
+    // The time at which the answer left the controller is unknown, so the starts that it contains
+    // are not checked against cancellations.
     cluster.answerSentAt = Long.MIN_VALUE;
-    int got = answered ? status : 0;
-    cluster.messageLog.message(cluster.now, name, from, "" + got, body);
-    cluster.send(name, from, () -> answer.on(got, body));
+    int receivedStatus = isAnswered ? status : 0;
+    cluster.messageLog.logMessage(cluster.now, name, from, "" + receivedStatus, body);
+    cluster.send(name, from, () -> handler.onResponse(receivedStatus, body));
   }
 
   @Override
-  void request(String from, LongFunction<Input> input, Answer answer) {
-    Input i = input.apply(0);
-    if (i instanceof Input.Submit s) {
-      ask("POST", RUNS, Json.bytes(s.spec().toJson()), SUBMIT_TIMEOUT_MS, answer);
-    } else if (i instanceof Input.Poll p) {
-      ask("GET", RUNS + "/" + p.job(), null, POLL_TIMEOUT_MS, answer);
-    } else if (i instanceof Input.Cancel c) {
-      ask("POST", RUNS + "/" + c.job() + "/cancel", null, SUBMIT_TIMEOUT_MS, answer);
+  void request(String from, LongFunction<Input> input, ResponseHandler handler) {
+    Input userInput = input.apply(0);
+    if (userInput instanceof Input.Submit submit) {
+      call("POST", RUNS_PATH, Json.bytes(submit.spec().toJson()), SUBMIT_TIMEOUT_MS, handler);
+    } else if (userInput instanceof Input.Poll poll) {
+      call("GET", RUNS_PATH + "/" + poll.job(), null, POLL_TIMEOUT_MS, handler);
+    } else if (userInput instanceof Input.Cancel cancel) {
+      call("POST", RUNS_PATH + "/" + cancel.job() + "/cancel", null, SUBMIT_TIMEOUT_MS, handler);
     } else {
-      throw new IllegalArgumentException("no request of a user: " + i);
+      throw new IllegalArgumentException(
+          "expected a submission, poll or cancellation by a user, got: " + userInput);
     }
   }
 
-  /** Asks whether the node is ready, as the load balancer does. */
+  /** Updates {@link #isUp} from the controller's readiness check, as a load balancer does. */
   void probe() {
-    ask("GET", READY, null, PROBE_TIMEOUT_MS, (status, body) -> up = status == 200);
+    call("GET", READY_PATH, null, PROBE_TIMEOUT_MS, (status, body) -> isUp = status == 200);
   }
 
-  private void ask(String method, String path, byte[] body, int timeoutMs, Answer answer) {
-    boolean probe = path.equals(READY);
-    if (!probe) {
-      cluster.messageLog.message(cluster.now, USERS, name, method + " " + path, null);
+  private void call(
+      String method, String path, byte[] body, int timeoutMs, ResponseHandler handler) {
+    boolean isProbe = path.equals(READY_PATH);
+    if (!isProbe) {
+      cluster.messageLog.logMessage(cluster.now, USERS, name, method + " " + path, null);
     }
     usersThread.execute(
         () ->
-            users.call(
+            usersCaller.call(
                 method,
                 path,
                 body,
                 timeoutMs,
                 (outcome, status, bytes, retryAfterS) -> {
-                  JsonNode json = parsed(bytes);
-                  int got = outcome == Outcome.ANSWERED ? status : 0;
-                  loop.post(
+                  JsonNode json = parseOrNull(bytes);
+                  int receivedStatus = outcome == Outcome.ANSWERED ? status : 0;
+                  driver.post(
                       () -> {
-                        if (!probe) {
-                          cluster.messageLog.message(
-                              cluster.now, name, USERS, got + " " + path, json);
+                        if (!isProbe) {
+                          cluster.messageLog.logMessage(
+                              cluster.now, name, USERS, receivedStatus + " " + path, json);
                         }
-                        answer.on(got, json);
+                        handler.onResponse(receivedStatus, json);
                       });
                 }));
   }
 
-  private static JsonNode parsed(byte[] body) {
+  /** Returns the parsed body, or null if it is empty or malformed. */
+  private static JsonNode parseOrNull(byte[] body) {
     try {
       return body == null || body.length == 0 ? null : Json.parse(body);
     } catch (IOException e) {
--- a/src/testbench/java/org/snowturn/simulation/ScenarioExpectations.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioExpectations.java
@@ -77,10 +77,10 @@
     }
     List<String> messages = failures.messages;
     if (expectedViolations.isEmpty()) {
-      messages.addAll(cluster.invariants.details);
+      messages.addAll(cluster.invariants.violationDetails);
     }
     for (String invariant : expectedViolations) {
-      if (!cluster.invariants.violated.contains(invariant)) {
+      if (!cluster.invariants.violatedRules.contains(invariant)) {
         messages.add("the invariant checker did not report a violation of " + invariant);
       }
     }
--- a/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
@@ -350,7 +350,7 @@
         x -> new Input.Submit(x, spec),
         (status, body) -> {
           if (status < 500 && status != 422 && status != 0) {
-            cluster.invariants.report("accepted_bad", id + " got " + status);
+            cluster.invariants.reportViolation("accepted_bad", id + " got " + status);
           }
         },
         () -> {});
@@ -430,7 +430,7 @@
   /** Returns a random endpoint, one that is up if there is any. */
   private Endpoint anyEndpoint() {
     // A load balancer skips nodes that refuse connections.
-    List<Endpoint> available = cluster.endpoints.stream().filter(n -> n.up).toList();
+    List<Endpoint> available = cluster.endpoints.stream().filter(n -> n.isUp).toList();
     List<Endpoint> candidates = available.isEmpty() ? cluster.endpoints : available;
     return candidates.get(cluster.random.nextInt(candidates.size()));
   }
@@ -445,7 +445,7 @@
   private void sendRequest(
       Endpoint endpoint,
       java.util.function.LongFunction<Input> input,
-      Endpoint.Answer answer,
+      Endpoint.ResponseHandler answer,
       Runnable onTimeout) {
     boolean[] isFinished = {false};
     endpoint.request(
@@ -454,7 +454,7 @@
         (status, body) -> {
           if (!isFinished[0]) {
             isFinished[0] = true;
-            answer.on(status, body);
+            answer.onResponse(status, body);
           }
         });
     cluster.after(
@@ -499,7 +499,7 @@
           } else if (status == 422 || status == 400) {
             submitted.refusalStatus = "" + status;
             if (submitted.accepted) {
-              cluster.invariants.report("forgotten", submitted.spec.id() + " got " + status);
+              cluster.invariants.reportViolation("forgotten", submitted.spec.id() + " got " + status);
             }
           } else {
             retry.run();
@@ -553,7 +553,7 @@
           }
           if (submitted == null) {
             if (status == 200) {
-              cluster.invariants.report("invented", id);
+              cluster.invariants.reportViolation("invented", id);
             }
           } else if (status == 404) {
             checkAnswer(submitted, requestedAt, null);
@@ -589,9 +589,9 @@
    * @param phase the phase in the answer; null if the node did not know the job
    */
   private void checkAnswer(SubmittedJob submitted, long requestedAt, String phase) {
-    String rule = submitted.history.answered(requestedAt, cluster.now, phase);
+    String rule = submitted.history.recordAnswer(requestedAt, cluster.now, phase);
     if (rule != null) {
-      cluster.invariants.report(
+      cluster.invariants.reportViolation(
           rule, submitted.spec.id() + ": " + submitted.terminalPhase + " then " + phase);
     }
   }
@@ -610,7 +610,7 @@
     if (phase.equals("aborted")) {
       if (!submitted.cancelRequested
           && allDependencies(id).stream().noneMatch(n -> jobs.get(n).cancelRequested)) {
-        cluster.invariants.report("went_back", id + " cancelled by nobody");
+        cluster.invariants.reportViolation("went_back", id + " cancelled by nobody");
       }
       if (submitted.cancelConfirmedAt == null) {
         submitted.cancelConfirmedAt = cluster.now;
@@ -618,12 +618,12 @@
       }
     }
     if (phase.equals("queued") || phase.equals("running")) {
-      cluster.invariants.calledLive(submitted);
+      cluster.invariants.checkOrphaned(submitted);
     }
     if (phase.equals("done")) {
       for (int t = 0; t < submitted.spec.tasks(); t++) {
         if (!completedTasks.contains(id + "/" + t)) {
-          cluster.invariants.report("not_done", id + "/" + t);
+          cluster.invariants.reportViolation("not_done", id + "/" + t);
         }
       }
     }
--- a/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
@@ -428,11 +428,11 @@
 
     /** Starts the process if it is down. */
     void start() {
-      if (up) {
+      if (isUp) {
         return;
       }
       incarnation++;
-      up = true;
+      isUp = true;
       paused = false;
       backlog.clear();
       core = new Controller(settings, tunables, name + "-" + incarnation, now);
@@ -441,7 +441,7 @@
 
     /** Stops the process, which loses its memory, and restarts it after a delay. */
     void crash(long restartAfterMs) {
-      up = false;
+      isUp = false;
       exchanges.clear();
       after(restartAfterMs, this::start);
     }
@@ -469,12 +469,12 @@
     /** Handles a tick and returns whether the node then acts as the leader. */
     boolean hasAuthorityNow() {
       accept(new Input.Tick());
-      return up && !paused && core.hasAuthority();
+      return isUp && !paused && core.hasAuthority();
     }
 
     /** Ticks at regular intervals until the process stops. */
     private void tick(int expectedIncarnation) {
-      if (up && expectedIncarnation == incarnation) {
+      if (isUp && expectedIncarnation == incarnation) {
         accept(new Input.Tick());
         after(TICK_MS, () -> tick(expectedIncarnation));
       }
@@ -482,7 +482,7 @@
 
     /** Passes an input to the core and performs the effects; a paused process defers it. */
     private void accept(Input input) {
-      if (!up) {
+      if (!isUp) {
         return;
       }
       if (paused) {
@@ -495,7 +495,7 @@
         perform(effect);
       }
       if (core.hasAuthority()) {
-        invariants.leads(this);
+        invariants.onLeaderInput(this);
       }
     }
 
@@ -511,7 +511,7 @@
               exchange.from,
               () -> {
                 answerSentAt = sentAt;
-                exchange.answer.on(answer.status(), answer.body());
+                exchange.answer.onResponse(answer.status(), answer.body());
               });
         }
       } else if (effect instanceof Effect.Broadcast broadcast) {
@@ -531,7 +531,7 @@
     /** Logs an event at INFO level; one at ERROR level is a broken invariant. */
     private void logEvent(Effect.Event event) {
       if (event.severity() == Effect.Severity.ERROR) {
-        invariants.report("invariant_violated", name + " " + event.text());
+        invariants.reportViolation("invariant_violated", name + " " + event.text());
       } else if (event.severity() == Effect.Severity.INFO) {
         log.add(now, name, event.text());
       }
@@ -604,7 +604,7 @@
     }
 
     @Override
-    void heartbeat(String from, JsonNode report, Answer answer) {
+    void heartbeat(String from, JsonNode report, ResponseHandler answer) {
       Heartbeat heartbeat;
       try {
         heartbeat = Heartbeat.parse(report);
@@ -615,20 +615,20 @@
     }
 
     @Override
-    void request(String from, LongFunction<Input> input, Answer answer) {
-      if (up) {
+    void request(String from, LongFunction<Input> input, ResponseHandler answer) {
+      if (isUp) {
         long id = nextExchange++;
         exchanges.put(id, new Exchange(from, answer));
         accept(input.apply(id));
       } else {
         // The host is up but the process is down, so the connection is refused at once.
-        send(name, from, () -> answer.on(0, null));
+        send(name, from, () -> answer.onResponse(0, null));
       }
     }
   }
 
   /** A request that the node has not answered yet. */
-  private record Exchange(String from, Endpoint.Answer answer) {}
+  private record Exchange(String from, Endpoint.ResponseHandler answer) {}
 
   /** Handles the reply to a call. */
   interface ReplyHandler {
@@ -644,7 +644,7 @@
   /** Returns a node that acts as the leader, or null. */
   Node leader() {
     for (Node node : nodes) {
-      if (node.up && node.core.hasAuthority()) {
+      if (node.isUp && node.core.hasAuthority()) {
         return node;
       }
     }
--- a/src/testbench/java/org/snowturn/simulation/SimulatedServer.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedServer.java
@@ -146,7 +146,7 @@
   }
 
   private void log(String from, String to, String summary, JsonNode body) {
-    cluster.messageLog.message(cluster.now, from, to, summary, body);
+    cluster.messageLog.logMessage(cluster.now, from, to, summary, body);
   }
 
   /** Returns the call that a request stands for. */
--- a/src/testbench/java/org/snowturn/simulation/SimulatedStateService.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedStateService.java
@@ -512,10 +512,10 @@
       boolean isLeaderRecord = isTaskRecord || key.startsWith("r/") || key.startsWith("s/");
       boolean isTaskWrite = isTaskRecord && operation.has("write");
       if (isLeaderRecord && !guards.contains(LEADER_KEY)) {
-        cluster.invariants.report("unguarded_write", key);
+        cluster.invariants.reportViolation("unguarded_write", key);
       }
       if (isTaskWrite && !(guards.contains(key) && guards.contains("j/" + key.split("/", -1)[1]))) {
-        cluster.invariants.report("unguarded_write", key);
+        cluster.invariants.reportViolation("unguarded_write", key);
       }
     }
   }
--- a/src/testbench/java/org/snowturn/simulation/SimulatedWorker.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedWorker.java
@@ -371,7 +371,7 @@
     }
     task.phase = "running";
     task.running = true;
-    cluster.invariants.started(this, task, spec);
+    cluster.invariants.onTaskStarted(this, task, spec);
     if (failing || cluster.clients.alwaysFails(task.job)) {
       endTask(task, "error");
     } else if (cluster.clients.hasResult(task.name())) {
