--- a/src/test/java/org/snowturn/testbench/SoakPlanTest.java
+++ b/src/test/java/org/snowturn/testbench/SoakPlanTest.java
@@ -23,32 +23,33 @@
   @Test
   void oneSeedGivesOnePlanAndAWrittenPlanIsReadAsItWas() throws Exception {
     for (long seed = 1; seed <= 50; seed++) {
-      SoakPlan plan = SoakPlan.draw(seed, 0, DURATION_S);
-      assertEquals(plan, SoakPlan.draw(seed, 0, DURATION_S));
-      Path file = Files.write(dir.resolve("plan-" + seed), plan.lines());
-      assertEquals(plan.lines(), SoakPlan.read(file).lines());
+      SoakPlan plan = SoakPlan.generate(seed, 0, DURATION_S);
+      assertEquals(plan, SoakPlan.generate(seed, 0, DURATION_S));
+      Path file = Files.write(dir.resolve("plan-" + seed), plan.toLines());
+      assertEquals(plan.toLines(), SoakPlan.read(file).toLines());
     }
-    assertNotEquals(SoakPlan.draw(1, 0, DURATION_S), SoakPlan.draw(2, 0, DURATION_S));
+    assertNotEquals(SoakPlan.generate(1, 0, DURATION_S), SoakPlan.generate(2, 0, DURATION_S));
   }
 
   @Test
   void fiftySeedsHaveEveryKindOfFaultAndSomeLargeFleets() {
     Set<Kind> kinds = EnumSet.noneOf(Kind.class);
     LongStream.rangeClosed(1, 50)
-        .mapToObj(seed -> SoakPlan.draw(seed, 0, DURATION_S))
+        .mapToObj(seed -> SoakPlan.generate(seed, 0, DURATION_S))
         .forEach(plan -> plan.faults().forEach(fault -> kinds.add(fault.kind())));
     assertEquals(EnumSet.allOf(Kind.class), kinds);
     long large =
         LongStream.rangeClosed(1, 50)
-            .filter(seed -> SoakPlan.draw(seed, 0, DURATION_S).workers() >= 200)
+            .filter(seed -> SoakPlan.generate(seed, 0, DURATION_S).workers() >= 200)
             .count();
     assertTrue(large > 2, "of 50 seeds only " + large + " have a few hundred workers");
   }
 
   @Test
   void aPlanBeyondHalfOfTheMemoryIsRefused() {
-    SoakPlan plan = SoakPlan.draw(1, 2_000, DURATION_S);
-    String message = assertThrows(InvalidPlanException.class, () -> plan.check(3_000)).getMessage();
+    SoakPlan plan = SoakPlan.generate(1, 2_000, DURATION_S);
+    String message =
+        assertThrows(InvalidInputException.class, () -> plan.check(3_000)).getMessage();
     assertTrue(message.contains("more than half"), message);
   }
 }
--- a/src/test/java/org/snowturn/testbench/SoakRunTest.java
+++ b/src/test/java/org/snowturn/testbench/SoakRunTest.java
@@ -41,7 +41,7 @@
   @ParameterizedTest
   @ValueSource(longs = {3, 11, 17})
   void noRuleIsBrokenUnderDrawnFaultsAndNothingIsLeftRunning(long seed) throws Exception {
-    SoakPlan plan = SoakPlan.draw(seed, WORKERS, DURATION_S);
+    SoakPlan plan = SoakPlan.generate(seed, WORKERS, DURATION_S);
     SoakVerdict verdict = run(plan, "org.snowturn.daemon.Main").play();
     assertEquals(List.of(), verdict.details());
     assertEquals(Result.PASSED, verdict.result());
@@ -60,8 +60,8 @@
 
   @Test
   void aControllerThatDoesNotStartIsNamedAndNothingIsLeftRunning() {
-    SoakRun run = run(SoakPlan.draw(1, WORKERS, DURATION_S), "org.snowturn.daemon.NoSuchMain");
-    String message = assertThrows(InvalidPlanException.class, run::play).getMessage();
+    SoakRun run = run(SoakPlan.generate(1, WORKERS, DURATION_S), "org.snowturn.daemon.NoSuchMain");
+    String message = assertThrows(InvalidInputException.class, run::play).getMessage();
     assertTrue(message.contains("does not start"), message);
     assertEquals(List.of(), children());
   }
--- a/src/test/java/org/snowturn/testbench/TestbenchCommandsTest.java
+++ b/src/test/java/org/snowturn/testbench/TestbenchCommandsTest.java
@@ -116,15 +116,15 @@
   void aPlanBeyondHalfOfTheMemoryIsRefused() {
     ScalePlan large = ScaleRunTest.plan(11_000, 300_000, 3, 60, Failure.NONE);
     String message =
-        assertThrows(InvalidPlanException.class, () -> large.check(4_000)).getMessage();
+        assertThrows(InvalidInputException.class, () -> large.check(4_000)).getMessage();
     assertTrue(message.contains("more than half"), message);
   }
 
   @Test
   void aMissingJarIsNamed() throws Exception {
     Path deploy = Files.writeString(dir.resolve("service.toml"), "run = \"java -jar no.jar --c\"");
-    InvalidPlanException e =
-        assertThrows(InvalidPlanException.class, () -> LaunchCommand.read(deploy, dir, 0));
+    InvalidInputException e =
+        assertThrows(InvalidInputException.class, () -> LaunchCommand.read(deploy, dir, 0));
     assertTrue(e.getMessage().startsWith("no.jar"), e.getMessage());
   }
 
@@ -168,7 +168,7 @@
   void damagedMeasurementsAreRefusedWithTheirLine(String line) throws Exception {
     Path file = measurements(row("workers", 500, 8_000, 0.1), line);
     String message =
-        assertThrows(InvalidPlanException.class, () -> Measurements.read(file)).getMessage();
+        assertThrows(InvalidInputException.class, () -> Measurements.read(file)).getMessage();
     assertTrue(message.contains(":3:"), message);
     assertEquals(BAD_INPUT, run("capacity", "--in", dir.toString()));
   }
--- a/src/testbench/java/org/snowturn/testbench/CapacityCommand.java
+++ b/src/testbench/java/org/snowturn/testbench/CapacityCommand.java
@@ -79,18 +79,18 @@
       Files.writeString(page, text);
       plots(measured);
       return 0;
-    } catch (InvalidPlanException e) {
+    } catch (InvalidInputException e) {
       throw new ParameterException(spec.commandLine(), e.getMessage());
     }
   }
 
   private static String replaced(String page, String name, String table)
-      throws InvalidPlanException {
+      throws InvalidInputException {
     String begin = "<!-- table: " + name + " -->";
     int from = page.indexOf(begin);
     int to = from < 0 ? -1 : page.indexOf(END, from);
     if (to < 0) {
-      throw new InvalidPlanException("the page has no place for the table " + name);
+      throw new InvalidInputException("the page has no place for the table " + name);
     }
     return page.substring(0, from + begin.length()) + "\n" + table + page.substring(to);
   }
--- a/src/testbench/java/org/snowturn/testbench/CapacityModel.java
+++ b/src/testbench/java/org/snowturn/testbench/CapacityModel.java
@@ -24,7 +24,7 @@
   }
 
   /** A figure at a size. */
-  double at(Map<Factor, Double> size, String role, String figure) throws InvalidPlanException {
+  double at(Map<Factor, Double> size, String role, String figure) throws InvalidInputException {
     double sum = alongWorkers(size.get(Factor.WORKERS), role, figure);
     for (Factor f : Factor.values()) {
       if (f != Factor.WORKERS) {
--- a/src/testbench/java/org/snowturn/testbench/CapacityTables.java
+++ b/src/testbench/java/org/snowturn/testbench/CapacityTables.java
@@ -33,28 +33,28 @@
   private final CapacityModel model;
   private final List<String[]> limits;
 
-  CapacityTables(Measurements measured, Path limitsFile) throws InvalidPlanException {
+  CapacityTables(Measurements measured, Path limitsFile) throws InvalidInputException {
     this.measured = measured;
     this.model = new CapacityModel(measured);
     this.limits = limits(limitsFile);
   }
 
-  private static List<String[]> limits(Path file) throws InvalidPlanException {
+  private static List<String[]> limits(Path file) throws InvalidInputException {
     List<String[]> out = new ArrayList<>();
     try {
       List<String> lines = Files.readAllLines(file);
       if (lines.isEmpty() || !lines.get(0).equals(LIMITS_HEADER)) {
-        throw new InvalidPlanException(file + ": its first line is not " + LIMITS_HEADER);
+        throw new InvalidInputException(file + ": its first line is not " + LIMITS_HEADER);
       }
       for (String line : lines.subList(1, lines.size())) {
         String[] words = line.split(",", -1);
         if (words.length != LIMITS_COLUMNS || !words[3].matches("[0-9.]*")) {
-          throw new InvalidPlanException(file + ": not a limit: " + line);
+          throw new InvalidInputException(file + ": not a limit: " + line);
         }
         out.add(words);
       }
     } catch (IOException e) {
-      throw new InvalidPlanException(file + ": cannot be read");
+      throw new InvalidInputException(file + ": cannot be read");
     }
     return out;
   }
@@ -89,7 +89,7 @@
   }
 
   /** What a region of the plan needs, and at one and a half times its size. */
-  String plan() throws InvalidPlanException {
+  String plan() throws InvalidInputException {
     StringBuilder text = new StringBuilder();
     text.append("| role | figure | plan, a region | 1.5 times | limit | headroom | carried by |\n");
     text.append("| --- | --- | --- | --- | --- | --- | --- |\n");
--- a/src/testbench/java/org/snowturn/testbench/ControllerProcess.java
+++ b/src/testbench/java/org/snowturn/testbench/ControllerProcess.java
@@ -27,20 +27,20 @@
 
   final String name;
   final String zone;
-  final InetSocketAddress serving;
-  final InetSocketAddress peerBind;
+  final InetSocketAddress servingAddress;
+  final InetSocketAddress peerBindAddress;
   private final Path settings;
   private final Path log;
   private Process process;
   private boolean ended;
-  private ProcessUsage before = ProcessUsage.NOTHING;
-  private ProcessUsage peak = ProcessUsage.NOTHING;
+  private ProcessUsage before = ProcessUsage.NONE;
+  private ProcessUsage peak = ProcessUsage.NONE;
 
   ControllerProcess(String name, String zone, Path dir) throws IOException {
     this.name = name;
     this.zone = zone;
-    this.serving = free();
-    this.peerBind = free();
+    this.servingAddress = free();
+    this.peerBindAddress = free();
     this.settings = dir.resolve(name + ".toml");
     this.log = dir.resolve(name + ".log");
   }
@@ -64,7 +64,7 @@
     throw new BindException("no free port from " + FIRST_PORT + " to " + END_PORT);
   }
 
-  void configure(String toml) throws IOException {
+  void writeSettings(String toml) throws IOException {
     Files.writeString(settings, toml);
   }
 
@@ -84,14 +84,14 @@
   }
 
   /** Lets the process stand still, or go on. */
-  void pause(boolean on) throws IOException, InterruptedException {
-    if (alive()) {
+  void setPaused(boolean on) throws IOException, InterruptedException {
+    if (isAlive()) {
       new ProcessBuilder("kill", on ? "-STOP" : "-CONT", "" + process.pid()).start().waitFor();
     }
   }
 
   /** Whether the process has ended though nobody has ended it. */
-  boolean endedByItself() {
+  boolean hasEndedUnexpectedly() {
     return process != null && !ended && !process.isAlive();
   }
 
@@ -100,7 +100,7 @@
     return log;
   }
 
-  boolean alive() {
+  boolean isAlive() {
     return process != null && process.isAlive();
   }
 
@@ -109,7 +109,7 @@
     if (process == null) {
       return;
     }
-    sample();
+    sampleUsage();
     ended = true;
     process.destroyForcibly();
     try {
@@ -119,25 +119,25 @@
     }
   }
 
-  /** Forgets what was used so far, so that {@link #used} tells of a phase of the run. */
-  void mark() {
-    before = alive() ? ProcessUsage.of(process.pid()) : ProcessUsage.NOTHING;
+  /** Forgets what was used so far, so that {@link #usage} tells of a phase of the run. */
+  void resetUsage() {
+    before = isAlive() ? ProcessUsage.ofProcess(process.pid()) : ProcessUsage.NONE;
     peak = before;
   }
 
   /** Takes a look; the last one before the process ends counts. */
-  void sample() {
-    if (alive()) {
-      ProcessUsage now = ProcessUsage.of(process.pid());
-      if (now.processorS() < peak.processorS()) {
-        before = ProcessUsage.NOTHING; // a new process, whose counters begin anew
+  void sampleUsage() {
+    if (isAlive()) {
+      ProcessUsage now = ProcessUsage.ofProcess(process.pid());
+      if (now.cpuTimeS() < peak.cpuTimeS()) {
+        before = ProcessUsage.NONE; // a new process, whose counters begin anew
       }
       peak = now.withPeaksOf(peak);
     }
   }
 
   /** What was used since the mark, with the peaks of memory and sockets. */
-  ProcessUsage used() {
+  ProcessUsage usage() {
     return peak.since(before);
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/Deployment.java
+++ b/src/testbench/java/org/snowturn/testbench/Deployment.java
@@ -20,23 +20,23 @@
   private final Path root;
   private final Path dir;
   private final Map<String, String> environment;
-  private final List<Part> parts = new ArrayList<>();
+  private final List<Region> regions = new ArrayList<>();
   private final List<PeerRelay> relays = new ArrayList<>();
   private final Thread atExit = new Thread(this::killAll, "stop");
 
   /** One region: its stand-ins, and its processes. */
-  static final class Part {
+  static final class Region {
     final LoopbackPlan plan;
-    final LoopbackCluster region;
+    final LoopbackCluster cluster;
     final List<ControllerProcess> controllers = new ArrayList<>();
 
-    private Part(LoopbackPlan plan) {
+    private Region(LoopbackPlan plan) {
       this.plan = plan;
-      this.region = new LoopbackCluster(plan);
+      this.cluster = new LoopbackCluster(plan);
     }
 
     /** The controller of this name, or null. */
-    ControllerProcess named(String name) {
+    ControllerProcess findController(String name) {
       return controllers.stream()
           .filter(controller -> controller.name.equals(name))
           .findFirst()
@@ -58,8 +58,8 @@
     this.environment = environment;
   }
 
-  List<Part> parts() {
-    return parts;
+  List<Region> regions() {
+    return regions;
   }
 
   /** Opens the stand-ins of the regions; machines come up. */
@@ -72,7 +72,7 @@
     open(
         plans,
         (from, to) -> {
-          PeerRelay relay = new PeerRelay(from.name, to.name, to.peerBind);
+          PeerRelay relay = new PeerRelay(from.name, to.name, to.peerBindAddress);
           relays.add(relay);
           return relay.address();
         });
@@ -82,13 +82,13 @@
     Files.createDirectories(dir);
     Runtime.getRuntime().addShutdownHook(atExit);
     for (LoopbackPlan plan : plans) {
-      open(new Part(plan), addresses);
+      open(new Region(plan), addresses);
     }
   }
 
-  private void open(Part part, PeerAddresses addresses) throws IOException {
-    parts.add(part);
-    LoopbackCluster.Outside outside = part.region.open();
+  private void open(Region part, PeerAddresses addresses) throws IOException {
+    regions.add(part);
+    LoopbackCluster.Outside outside = part.cluster.open();
     List<String> zones = part.plan.zones();
     for (String name : part.plan.controllers()) {
       String zone = zones.get(part.controllers.size() % zones.size());
@@ -96,16 +96,16 @@
     }
     Map<String, InetSocketAddress> serving = new HashMap<>();
     for (ControllerProcess controller : part.controllers) {
-      serving.put(controller.name, controller.serving);
-      controller.configure(
-          SettingsFile.of(
-              controller, part.controllers, part.plan, part.region, outside, addresses));
+      serving.put(controller.name, controller.servingAddress);
+      controller.writeSettings(
+          SettingsFile.render(
+              controller, part.controllers, part.plan, part.cluster, outside, addresses));
     }
-    part.region.start(serving);
+    part.cluster.start(serving);
   }
 
   void startControllers() throws IOException {
-    for (Part p : parts) {
+    for (Region p : regions) {
       for (ControllerProcess controller : p.controllers) {
         start(controller);
       }
@@ -118,19 +118,19 @@
   }
 
   /** Cuts the way between two controllers in one direction, or opens it again. */
-  void cutPeers(String from, String to, boolean cut) {
-    relays.stream().filter(r -> r.isFrom(from) && r.isTo(to)).forEach(r -> r.cut(cut));
+  void setPeerLinkCut(String from, String to, boolean cut) {
+    relays.stream().filter(r -> r.isFrom(from) && r.isTo(to)).forEach(r -> r.setCut(cut));
   }
 
   private void killAll() {
-    parts.forEach(p -> p.controllers.forEach(ControllerProcess::kill));
+    regions.forEach(p -> p.controllers.forEach(ControllerProcess::kill));
   }
 
   @Override
   public void close() {
     killAll();
     relays.forEach(PeerRelay::close);
-    parts.forEach(p -> p.region.close());
+    regions.forEach(p -> p.cluster.close());
     try {
       Runtime.getRuntime().removeShutdownHook(atExit);
     } catch (IllegalStateException e) {
--- a/src/testbench/java/org/snowturn/testbench/DigestCommand.java
+++ b/src/testbench/java/org/snowturn/testbench/DigestCommand.java
@@ -68,29 +68,29 @@
         Files.write(out, lines);
       }
       return baseline == null ? summary(digests) : compare(expected, digests);
-    } catch (InvalidPlanException e) {
+    } catch (InvalidInputException e) {
       throw new ParameterException(spec.commandLine(), e.getMessage());
     }
   }
 
-  private void checkOptions() throws InvalidPlanException {
+  private void checkOptions() throws InvalidInputException {
     if (every < 1) {
-      throw new InvalidPlanException("--every: must be at least 1");
+      throw new InvalidInputException("--every: must be at least 1");
     }
     if (jobs < 1 || jobs > MAX_JOBS) {
-      throw new InvalidPlanException("--jobs: must be from 1 to " + MAX_JOBS);
+      throw new InvalidInputException("--jobs: must be from 1 to " + MAX_JOBS);
     }
     if (out == null && baseline == null) {
-      throw new InvalidPlanException("--out or --compare is needed");
+      throw new InvalidInputException("--out or --compare is needed");
     }
   }
 
-  private List<Simulation> selected() throws IOException, InvalidPlanException {
+  private List<Simulation> selected() throws IOException, InvalidInputException {
     List<Simulation> all = new ArrayList<>();
     try {
       all.addAll(Simulation.ofFiles(scenarios));
     } catch (NotDirectoryException | java.nio.file.NoSuchFileException e) {
-      throw new InvalidPlanException("--scenarios: no folder " + scenarios);
+      throw new InvalidInputException("--scenarios: no folder " + scenarios);
     }
     all.addAll(Simulation.ofOverlappingFaults(1, OVERLAPPING_SEEDS));
     all.addAll(Simulation.ofTargetedFaults(1, TARGETED_SEEDS));
@@ -101,7 +101,7 @@
       }
     }
     if (selected.isEmpty()) {
-      throw new InvalidPlanException("--only: no run begins with " + prefix);
+      throw new InvalidInputException("--only: no run begins with " + prefix);
     }
     return selected;
   }
@@ -126,15 +126,15 @@
     }
   }
 
-  private static Map<String, String> read(Path file) throws IOException, InvalidPlanException {
+  private static Map<String, String> read(Path file) throws IOException, InvalidInputException {
     if (!Files.isRegularFile(file)) {
-      throw new InvalidPlanException("--compare: no file " + file);
+      throw new InvalidInputException("--compare: no file " + file);
     }
     Map<String, String> digests = new LinkedHashMap<>();
     for (String line : Files.readAllLines(file)) {
       int separator = line.indexOf(SEPARATOR);
       if (separator < 0) {
-        throw new InvalidPlanException("--compare: not a line of digests: " + line);
+        throw new InvalidInputException("--compare: not a line of digests: " + line);
       }
       digests.put(line.substring(0, separator), line.substring(separator + SEPARATOR.length()));
     }
--- a/src/testbench/java/org/snowturn/testbench/Failure.java
+++ b/src/testbench/java/org/snowturn/testbench/Failure.java
@@ -27,7 +27,7 @@
   private static final String WORKERS = "workers=";
 
   /** Reads {@code leader}, {@code zone}, {@code region}, {@code workers=P} or {@code none}. */
-  static final class Reader implements ITypeConverter<Failure> {
+  static final class Converter implements ITypeConverter<Failure> {
     @Override
     public Failure convert(String text) {
       return switch (text) {
--- a/src/testbench/java/org/snowturn/testbench/FaultInjector.java
+++ b/src/testbench/java/org/snowturn/testbench/FaultInjector.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
 import org.snowturn.simulation.LoopbackFaults;
-import org.snowturn.testbench.Deployment.Part;
+import org.snowturn.testbench.Deployment.Region;
 
 /** Makes the faults of a plan happen to a deployment, each at its time, and undoes them. */
 final class FaultInjector {
@@ -29,16 +29,16 @@
   private static final long LOOK_MS = 5;
 
   private final Deployment deployment;
-  private final Part part;
+  private final Region part;
   private final LoopbackFaults faults;
   private final Consumer<String> progress;
   private final List<Step> later = new ArrayList<>();
   private final long beganNanos = System.nanoTime();
 
-  FaultInjector(Deployment deployment, Part part, Consumer<String> progress) {
+  FaultInjector(Deployment deployment, Region part, Consumer<String> progress) {
     this.deployment = deployment;
     this.part = part;
-    this.faults = part.region.faults();
+    this.faults = part.cluster.faults();
     this.progress = progress;
   }
 
@@ -51,7 +51,7 @@
     long end = 0;
     for (SoakFault fault : plan) {
       later.add(new Step(fault.atMs(), () -> begin(fault)));
-      end = Math.max(end, fault.atMs() + fault.forMs());
+      end = Math.max(end, fault.atMs() + fault.durationMs());
     }
     while (!later.isEmpty() || nowMs() < end) {
       Step next = earliest();
@@ -77,11 +77,11 @@
   }
 
   private void begin(SoakFault fault) throws IOException, InterruptedException, TimeoutException {
-    progress.accept(nowMs() + " " + fault.line());
+    progress.accept(nowMs() + " " + fault.toPlanLine());
     switch (fault.kind()) {
-      case KILL -> targets(fault).forEach(controller -> kill(controller, fault.forMs()));
-      case KILL_LEADERS -> killLeaders((int) fault.amount(), fault.forMs());
-      case KILL_IN_TAKEOVER -> killInTakeover(fault.forMs());
+      case KILL -> targets(fault).forEach(controller -> kill(controller, fault.durationMs()));
+      case KILL_LEADERS -> killLeaders((int) fault.amount(), fault.durationMs());
+      case KILL_IN_TAKEOVER -> killInTakeover(fault.durationMs());
       case PAUSE -> pause(fault);
       case CUT_TO_WORKERS -> cut(fault, true, LoopbackFaults.WORKERS);
       case CUT_FROM_WORKERS -> cut(fault, false, LoopbackFaults.WORKERS);
@@ -91,18 +91,18 @@
       case CUT_TO_PEERS -> cutPeers(fault, true);
       case CUT_FROM_PEERS -> cutPeers(fault, false);
       case REFUSE ->
-          targets(fault).forEach(controller -> faults.refuse(controller.name, fault.forMs()));
-      case OUTAGE -> faults.outage(fault.forMs());
-      case SLOW_STATE -> faults.slowState((int) fault.amount(), fault.forMs());
-      case LOSE_ANSWERS -> faults.loseAnswers(fault.amount(), fault.forMs());
-      case LATE_TRANSACTIONS -> faults.lateTransactions(fault.amount(), fault.forMs());
-      case LATE_COMMANDS -> faults.lateCommands(amountMs(fault), fault.forMs());
-      case COPY_REPORTS -> faults.copyReports(amountMs(fault), fault.forMs());
-      case SLOW_REPORTS -> faults.slowReports(amountMs(fault), fault.forMs());
-      case HANG_WORKERS -> faults.hangWorkers((int) fault.amount(), fault.forMs());
+          targets(fault).forEach(controller -> faults.refuse(controller.name, fault.durationMs()));
+      case OUTAGE -> faults.outage(fault.durationMs());
+      case SLOW_STATE -> faults.slowState((int) fault.amount(), fault.durationMs());
+      case LOSE_ANSWERS -> faults.loseAnswers(fault.amount(), fault.durationMs());
+      case LATE_TRANSACTIONS -> faults.lateTransactions(fault.amount(), fault.durationMs());
+      case LATE_COMMANDS -> faults.lateCommands(amountMs(fault), fault.durationMs());
+      case COPY_REPORTS -> faults.copyReports(amountMs(fault), fault.durationMs());
+      case SLOW_REPORTS -> faults.slowReports(amountMs(fault), fault.durationMs());
+      case HANG_WORKERS -> faults.hangWorkers((int) fault.amount(), fault.durationMs());
       case KILL_WORKERS -> faults.killWorkers((int) fault.amount());
       case TAKE_WORKERS -> faults.takeWorkers((int) fault.amount());
-      case SICK_WORKERS -> faults.sickWorkers((int) fault.amount(), fault.forMs());
+      case SICK_WORKERS -> faults.sickWorkers((int) fault.amount(), fault.durationMs());
       case CANCEL_JOBS -> faults.cancelJobs((int) fault.amount());
       default -> throw new IllegalStateException(fault.toString());
     }
@@ -113,7 +113,7 @@
   }
 
   private List<ControllerProcess> targets(SoakFault fault) throws TimeoutException {
-    String leader = part.region.leaderByKey();
+    String leader = part.cluster.leaderByKey();
     return switch (fault.target()) {
       case SoakFault.ALL -> part.controllers;
       case SoakFault.LEADER ->
@@ -127,12 +127,12 @@
   }
 
   private void kill(ControllerProcess controller, long backMs) {
-    if (controller.alive()) {
+    if (controller.isAlive()) {
       controller.kill();
       after(
           backMs,
           () -> {
-            if (!controller.alive()) {
+            if (!controller.isAlive()) {
               deployment.start(controller);
             }
           });
@@ -140,8 +140,8 @@
   }
 
   private void killLeaders(int count, long backMs) throws TimeoutException {
-    String leader = part.region.leaderByKey();
-    ControllerProcess controller = leader == null ? null : part.named(leader);
+    String leader = part.cluster.leaderByKey();
+    ControllerProcess controller = leader == null ? null : part.findController(leader);
     if (controller != null) {
       kill(controller, backMs);
     }
@@ -151,8 +151,8 @@
   }
 
   private void killInTakeover(long backMs) throws TimeoutException {
-    String old = part.region.leaderByKey();
-    ControllerProcess controller = old == null ? null : part.named(old);
+    String old = part.cluster.leaderByKey();
+    ControllerProcess controller = old == null ? null : part.findController(old);
     if (controller != null) {
       kill(controller, backMs);
     }
@@ -162,9 +162,9 @@
             after(
                 IN_TAKEOVER_MS,
                 () -> {
-                  String leader = part.region.leaderByKey();
+                  String leader = part.cluster.leaderByKey();
                   if (leader != null) {
-                    kill(part.named(leader), backMs);
+                    kill(part.findController(leader), backMs);
                   }
                 }));
   }
@@ -177,7 +177,7 @@
     after(
         LOOK_MS,
         () -> {
-          String now = part.region.leaderByKey();
+          String now = part.cluster.leaderByKey();
           if (now != null && !now.equals(than)) {
             then.run();
           } else if (nowMs() < untilMs) {
@@ -188,15 +188,17 @@
 
   private void pause(SoakFault fault) throws IOException, InterruptedException, TimeoutException {
     for (ControllerProcess controller : targets(fault)) {
-      controller.pause(true);
-      after(fault.forMs(), () -> controller.pause(false));
+      controller.setPaused(true);
+      after(fault.durationMs(), () -> controller.setPaused(false));
     }
   }
 
   private void cut(SoakFault fault, boolean outwards, String other) throws TimeoutException {
     for (ControllerProcess controller : targets(fault)) {
       faults.cut(
-          outwards ? controller.name : other, outwards ? other : controller.name, fault.forMs());
+          outwards ? controller.name : other,
+          outwards ? other : controller.name,
+          fault.durationMs());
     }
   }
 
@@ -206,8 +208,8 @@
         if (peer != controller) {
           String from = outwards ? controller.name : peer.name;
           String to = outwards ? peer.name : controller.name;
-          deployment.cutPeers(from, to, true);
-          after(fault.forMs(), () -> deployment.cutPeers(from, to, false));
+          deployment.setPeerLinkCut(from, to, true);
+          after(fault.durationMs(), () -> deployment.setPeerLinkCut(from, to, false));
         }
       }
     }
--- a/src/testbench/java/org/snowturn/testbench/InvalidPlanException.java
+++ b/src/testbench/java/org/snowturn/testbench/InvalidInputException.java
@@ -1,10 +1,10 @@
 package org.snowturn.testbench;
 
 /** A plan or a file that the caller got wrong; the message is one line. */
-final class InvalidPlanException extends Exception {
+final class InvalidInputException extends Exception {
   private static final long serialVersionUID = 1;
 
-  InvalidPlanException(String message) {
+  InvalidInputException(String message) {
     super(message);
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/Measurements.java
+++ b/src/testbench/java/org/snowturn/testbench/Measurements.java
@@ -52,26 +52,27 @@
   private final List<Point> points = new ArrayList<>();
 
   /** Reads a file; a damaged line ends it with the line's number. */
-  static Measurements read(Path file) throws InvalidPlanException {
+  static Measurements read(Path file) throws InvalidInputException {
     Measurements out = new Measurements();
     List<String> lines;
     try {
       lines = Files.readAllLines(file);
     } catch (IOException e) {
-      throw new InvalidPlanException(file + ": cannot be read");
+      throw new InvalidInputException(file + ": cannot be read");
     }
     if (lines.isEmpty() || !lines.get(0).equals(HEADER)) {
-      throw new InvalidPlanException(file + ": its first line is not the header of measurements");
+      throw new InvalidInputException(file + ": its first line is not the header of measurements");
     }
     for (int i = 1; i < lines.size(); i++) {
       String[] words = lines.get(i).split(",", -1);
       if (words.length != COLUMNS) {
-        throw new InvalidPlanException(file + ":" + (i + 1) + ": " + COLUMNS + " columns expected");
+        throw new InvalidInputException(
+            file + ":" + (i + 1) + ": " + COLUMNS + " columns expected");
       }
       try {
         out.points.add(point(words));
       } catch (NumberFormatException e) {
-        throw new InvalidPlanException(file + ":" + (i + 1) + ": a number expected");
+        throw new InvalidInputException(file + ":" + (i + 1) + ": a number expected");
       }
     }
     return out;
@@ -112,12 +113,12 @@
   }
 
   /** The size that a series' runs have in common in a factor that they do not vary. */
-  double common(Factor factor, String series) throws InvalidPlanException {
+  double common(Factor factor, String series) throws InvalidInputException {
     return points.stream()
         .filter(p -> p.series.equals(series))
         .mapToDouble(p -> p.size.get(factor))
         .findFirst()
         .orElseThrow(
-            () -> new InvalidPlanException("no series " + series + " among the measurements"));
+            () -> new InvalidInputException("no series " + series + " among the measurements"));
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/PeerAddresses.java
+++ b/src/testbench/java/org/snowturn/testbench/PeerAddresses.java
@@ -6,7 +6,7 @@
 /** Where one controller finds another. */
 interface PeerAddresses {
   /** Each finds the other where it listens. */
-  PeerAddresses DIRECT = (from, to) -> to.peerBind;
+  PeerAddresses DIRECT = (from, to) -> to.peerBindAddress;
 
-  InetSocketAddress of(ControllerProcess from, ControllerProcess to) throws IOException;
+  InetSocketAddress resolve(ControllerProcess from, ControllerProcess to) throws IOException;
 }
--- a/src/testbench/java/org/snowturn/testbench/PeerRelay.java
+++ b/src/testbench/java/org/snowturn/testbench/PeerRelay.java
@@ -46,7 +46,7 @@
   }
 
   /** While it is cut, what is sent is lost; connections end when it is opened again. */
-  void cut(boolean on) {
+  void setCut(boolean on) {
     if (cut && !on) {
       open.forEach(PeerRelay::close);
     }
--- a/src/testbench/java/org/snowturn/testbench/ProcessUsage.java
+++ b/src/testbench/java/org/snowturn/testbench/ProcessUsage.java
@@ -12,22 +12,22 @@
 /**
  * What the kernel says that a process or one of its threads has used so far.
  *
- * @param processorS processor time in seconds
+ * @param cpuTimeS processor time in seconds
  * @param residentMb memory held now
  * @param sockets open now
- * @param bytesIn read by system calls, which for these processes is nearly all from sockets
- * @param bytesOut written
- * @param reads system calls that read
- * @param writes system calls that wrote
+ * @param bytesRead read by system calls, which for these processes is nearly all from sockets
+ * @param bytesWritten written
+ * @param readCalls system calls that read
+ * @param writeCalls system calls that wrote
  */
 record ProcessUsage(
-    double processorS,
+    double cpuTimeS,
     double residentMb,
     int sockets,
-    long bytesIn,
-    long bytesOut,
-    long reads,
-    long writes) {
+    long bytesRead,
+    long bytesWritten,
+    long readCalls,
+    long writeCalls) {
 
   private static final Logger LOG = LoggerFactory.getLogger(ProcessUsage.class);
   private static final double TICKS_PER_S = 100;
@@ -37,15 +37,15 @@
   private static final int USER_TIME = 11;
 
   private static final int SYSTEM_TIME = 12;
-  static final ProcessUsage NOTHING = new ProcessUsage(0, 0, 0, 0, 0, 0, 0);
+  static final ProcessUsage NONE = new ProcessUsage(0, 0, 0, 0, 0, 0, 0);
 
   /** A process that is gone has used nothing that could still be read. */
-  static ProcessUsage of(long pid) {
+  static ProcessUsage ofProcess(long pid) {
     Path at = Path.of("/proc", Long.toString(pid));
     try {
       Map<String, Long> io = fields(at.resolve("io"));
       return new ProcessUsage(
-          processorS(at),
+          cpuTimeS(at),
           fields(at.resolve("status")).getOrDefault("VmRSS", 0L) / KB_PER_MB,
           sockets(at),
           io.getOrDefault("rchar", 0L),
@@ -53,12 +53,12 @@
           io.getOrDefault("syscr", 0L),
           io.getOrDefault("syscw", 0L));
     } catch (IOException e) {
-      return NOTHING;
+      return NONE;
     }
   }
 
   /** This process's threads, summed up by the part of their name before the first dash. */
-  static Map<String, ProcessUsage> ownThreads() throws IOException {
+  static Map<String, ProcessUsage> ofOwnThreads() throws IOException {
     Map<String, ProcessUsage> out = new TreeMap<>();
     try (DirectoryStream<Path> threads = Files.newDirectoryStream(Path.of("/proc/self/task"))) {
       for (Path t : threads) {
@@ -67,7 +67,7 @@
           Map<String, Long> io = fields(t.resolve("io"));
           ProcessUsage u =
               new ProcessUsage(
-                  processorS(t),
+                  cpuTimeS(t),
                   0,
                   0,
                   io.getOrDefault("rchar", 0L),
@@ -83,7 +83,7 @@
     return out;
   }
 
-  private static double processorS(Path at) throws IOException {
+  private static double cpuTimeS(Path at) throws IOException {
     String stat = Files.readString(at.resolve("stat"));
     String[] words = stat.substring(stat.lastIndexOf(')') + 2).split(" ", -1);
     return (Long.parseLong(words[USER_TIME]) + Long.parseLong(words[SYSTEM_TIME])) / TICKS_PER_S;
@@ -116,36 +116,36 @@
 
   ProcessUsage plus(ProcessUsage o) {
     return new ProcessUsage(
-        processorS + o.processorS,
+        cpuTimeS + o.cpuTimeS,
         residentMb + o.residentMb,
         sockets + o.sockets,
-        bytesIn + o.bytesIn,
-        bytesOut + o.bytesOut,
-        reads + o.reads,
-        writes + o.writes);
+        bytesRead + o.bytesRead,
+        bytesWritten + o.bytesWritten,
+        readCalls + o.readCalls,
+        writeCalls + o.writeCalls);
   }
 
   /** What was used since an earlier look; what is held now stays as it is. */
   ProcessUsage since(ProcessUsage o) {
     return new ProcessUsage(
-        processorS - o.processorS,
+        cpuTimeS - o.cpuTimeS,
         residentMb,
         sockets,
-        bytesIn - o.bytesIn,
-        bytesOut - o.bytesOut,
-        reads - o.reads,
-        writes - o.writes);
+        bytesRead - o.bytesRead,
+        bytesWritten - o.bytesWritten,
+        readCalls - o.readCalls,
+        writeCalls - o.writeCalls);
   }
 
   /** The larger memory and socket count of two looks, with what was used by the later one. */
   ProcessUsage withPeaksOf(ProcessUsage earlier) {
     return new ProcessUsage(
-        processorS,
+        cpuTimeS,
         Math.max(residentMb, earlier.residentMb),
         Math.max(sockets, earlier.sockets),
-        bytesIn,
-        bytesOut,
-        reads,
-        writes);
+        bytesRead,
+        bytesWritten,
+        readCalls,
+        writeCalls);
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/ScaleCommand.java
+++ b/src/testbench/java/org/snowturn/testbench/ScaleCommand.java
@@ -60,7 +60,7 @@
 
   @Option(
       names = "--fail",
-      converter = Failure.Reader.class,
+      converter = Failure.Converter.class,
       description = "leader, zone, region or workers=COUNT, after a third of the time.")
   private Failure failure = Failure.NONE;
 
@@ -92,7 +92,7 @@
     try {
       plan.check(MachineMemory.totalMb());
       command = LaunchCommand.read(DEPLOY, root, heap);
-    } catch (InvalidPlanException e) {
+    } catch (InvalidInputException e) {
       throw new ParameterException(spec.commandLine(), e.getMessage());
     }
     ScaleResult result;
--- a/src/testbench/java/org/snowturn/testbench/ScalePlan.java
+++ b/src/testbench/java/org/snowturn/testbench/ScalePlan.java
@@ -62,7 +62,7 @@
   private static final int STATE_TXN_OPS = 24;
 
   /** Checks all figures; says in one line which is wrong. */
-  void check(long machineMemoryMb) throws InvalidPlanException {
+  void check(long machineMemoryMb) throws InvalidInputException {
     between("--workers", workers, 1, MOST_WORKERS);
     between("--tasks", tasks, 1, MOST_TASKS);
     between("--starts", startsPerSecond, 0, MOST_STARTS);
@@ -73,27 +73,27 @@
     between("--heap", heapMb, 0, MOST_HEAP_MB);
     between("--connections", connections, 16, 60_000);
     if (!(stateRps >= 1) || !(stateWrites >= 1)) {
-      throw new InvalidPlanException("the state service's rates must be at least 1");
+      throw new InvalidInputException("the state service's rates must be at least 1");
     }
     if (workers < regions) {
-      throw new InvalidPlanException("--workers: fewer than regions");
+      throw new InvalidInputException("--workers: fewer than regions");
     }
     if (failure.workers() > workers) {
-      throw new InvalidPlanException("--fail: more workers than there are");
+      throw new InvalidInputException("--fail: more workers than there are");
     }
     if (controllers * regions + 1 > MOST_PROCESSES) {
-      throw new InvalidPlanException("more than " + MOST_PROCESSES + " processes");
+      throw new InvalidInputException("more than " + MOST_PROCESSES + " processes");
     }
     if (memoryMb() > machineMemoryMb / 2) {
-      throw new InvalidPlanException(
+      throw new InvalidInputException(
           "needs about " + memoryMb() + " MB, more than half of the machine's " + machineMemoryMb);
     }
   }
 
   private static void between(String name, double value, double least, double most)
-      throws InvalidPlanException {
+      throws InvalidInputException {
     if (!(value >= least && value <= most)) {
-      throw new InvalidPlanException(name + ": must be from " + least + " to " + most);
+      throw new InvalidInputException(name + ": must be from " + least + " to " + most);
     }
   }
 
--- a/src/testbench/java/org/snowturn/testbench/ScaleResult.java
+++ b/src/testbench/java/org/snowturn/testbench/ScaleResult.java
@@ -106,20 +106,20 @@
 
     private static Map<String, Double> usage(ProcessUsage u, double seconds) {
       Map<String, Double> f = new TreeMap<>();
-      f.put("cores", u.processorS() / seconds);
-      f.put("kb_in_per_s", u.bytesIn() / KB / seconds);
-      f.put("kb_out_per_s", u.bytesOut() / KB / seconds);
-      f.put("reads_per_s", u.reads() / seconds);
-      f.put("writes_per_s", u.writes() / seconds);
+      f.put("cores", u.cpuTimeS() / seconds);
+      f.put("kb_in_per_s", u.bytesRead() / KB / seconds);
+      f.put("kb_out_per_s", u.bytesWritten() / KB / seconds);
+      f.put("reads_per_s", u.readCalls() / seconds);
+      f.put("writes_per_s", u.writeCalls() / seconds);
       return f;
     }
 
     /** The stand-ins' own threads; what one worker's control costs it is their part of it. */
     Builder threads(Map<String, ProcessUsage> now) {
-      ProcessUsage hollow = ProcessUsage.NOTHING;
+      ProcessUsage hollow = ProcessUsage.NONE;
       for (var e : now.entrySet()) {
         ProcessUsage u =
-            e.getValue().since(threadsBefore.getOrDefault(e.getKey(), ProcessUsage.NOTHING));
+            e.getValue().since(threadsBefore.getOrDefault(e.getKey(), ProcessUsage.NONE));
         if (List.of("world", "state", "hollow", "report", "users").contains(e.getKey())) {
           rows.add(new Row("stand-in " + e.getKey(), usage(u, lastedS)));
         }
--- a/src/testbench/java/org/snowturn/testbench/ScaleRun.java
+++ b/src/testbench/java/org/snowturn/testbench/ScaleRun.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
 import org.snowturn.simulation.LoopbackStatus;
-import org.snowturn.testbench.Deployment.Part;
+import org.snowturn.testbench.Deployment.Region;
 
 /**
  * Plays a plan on a deployment of its own: fills it, loads it, lets something fail, and measures.
@@ -29,7 +29,7 @@
   private final ScalePlan plan;
   private final Consumer<String> progress;
   private final Deployment deployment;
-  private final Map<Part, LoopbackStatus> atMark = new HashMap<>();
+  private final Map<Region, LoopbackStatus> atMark = new HashMap<>();
   private ScaleResult.Builder result;
   private double fillS;
 
@@ -51,7 +51,7 @@
 
   /** Until the standing tasks run, or for as long as that may take. */
   private void fill() throws InterruptedException, TimeoutException {
-    deployment.parts().forEach(p -> p.region.fill());
+    deployment.regions().forEach(p -> p.cluster.fill());
     long began = System.nanoTime();
     int seconds = 0;
     while (seconds < LONGEST_FILL_S && !filled()) {
@@ -65,8 +65,8 @@
   }
 
   private boolean filled() throws TimeoutException {
-    for (Part p : deployment.parts()) {
-      if (p.region.status().running() < p.region.standing() * FILLED) {
+    for (Region p : deployment.regions()) {
+      if (p.cluster.status().running() < p.cluster.standing() * FILLED) {
         return false;
       }
     }
@@ -74,15 +74,15 @@
   }
 
   private void mark() throws IOException, TimeoutException {
-    result = new ScaleResult.Builder(plan, ProcessUsage.ownThreads(), fillS);
-    for (Part p : deployment.parts()) {
-      atMark.put(p, p.region.status());
-      p.controllers.forEach(ControllerProcess::mark);
+    result = new ScaleResult.Builder(plan, ProcessUsage.ofOwnThreads(), fillS);
+    for (Region p : deployment.regions()) {
+      atMark.put(p, p.cluster.status());
+      p.controllers.forEach(ControllerProcess::resetUsage);
     }
   }
 
   private void load() throws IOException, InterruptedException, TimeoutException {
-    deployment.parts().forEach(p -> p.region.arrive());
+    deployment.regions().forEach(p -> p.cluster.arrive());
     int failsAt = plan.durationS() / 3;
     long began = System.nanoTime();
     boolean failed = plan.failure().kind() == Failure.Kind.NONE;
@@ -92,7 +92,7 @@
         fail();
       }
       sleep(1, null);
-      deployment.parts().forEach(p -> p.controllers.forEach(ControllerProcess::sample));
+      deployment.regions().forEach(p -> p.controllers.forEach(ControllerProcess::sampleUsage));
       if ((s + 1) % PROGRESS_EVERY_S == 0) {
         tell("load");
       }
@@ -101,11 +101,11 @@
   }
 
   private void fail() throws IOException, InterruptedException, TimeoutException {
-    Part first = deployment.parts().get(0);
+    Region first = deployment.regions().get(0);
     progress.accept("fails now: " + plan.failure());
     switch (plan.failure().kind()) {
       case LEADER -> {
-        ControllerProcess leader = first.named(first.region.status().leader());
+        ControllerProcess leader = first.findController(first.cluster.status().leader());
         if (leader != null) {
           leader.kill();
           Thread.sleep(RESTART_MS);
@@ -114,40 +114,40 @@
       }
       case ZONE -> {
         String zone = first.plan.zones().get(0);
-        first.region.failZone(zone);
+        first.cluster.failZone(zone);
         first.controllers.stream()
             .filter(controller -> controller.zone.equals(zone))
             .forEach(ControllerProcess::kill);
       }
       case REGION -> {
-        first.region.stateOutage(REGION_OUT_MS);
+        first.cluster.stateOutage(REGION_OUT_MS);
         first.controllers.forEach(ControllerProcess::kill);
         Thread.sleep(RESTART_MS);
         for (ControllerProcess controller : first.controllers) {
           deployment.start(controller);
         }
       }
-      case WORKERS -> first.region.failWorkers(plan.failure().workers());
+      case WORKERS -> first.cluster.failWorkers(plan.failure().workers());
       default -> throw new IllegalStateException(plan.failure().toString());
     }
   }
 
   private ScaleResult collect() throws IOException, TimeoutException {
-    for (Part p : deployment.parts()) {
-      LoopbackStatus now = p.region.status();
-      Histogram urgent = p.region.urgentDelays();
-      Histogram accepted = p.region.acceptDelays();
+    for (Region p : deployment.regions()) {
+      LoopbackStatus now = p.cluster.status();
+      Histogram urgent = p.cluster.urgentDelays();
+      Histogram accepted = p.cluster.acceptDelays();
       result.region(p.plan, atMark.get(p), now, urgent, accepted);
       for (ControllerProcess controller : p.controllers) {
-        controller.sample();
+        controller.sampleUsage();
         result.controller(
             p.plan.number(),
             controller.name,
             controller.name.equals(now.leader()),
-            controller.used());
+            controller.usage());
       }
     }
-    return result.threads(ProcessUsage.ownThreads()).build();
+    return result.threads(ProcessUsage.ofOwnThreads()).build();
   }
 
   private void sleep(int seconds, String why) throws InterruptedException {
@@ -159,8 +159,8 @@
 
   private void tell(String phase) throws TimeoutException {
     StringBuilder line = new StringBuilder(phase);
-    for (Part p : deployment.parts()) {
-      LoopbackStatus s = p.region.status();
+    for (Region p : deployment.regions()) {
+      LoopbackStatus s = p.cluster.status();
       line.append(
           String.format(
               java.util.Locale.ROOT,
--- a/src/testbench/java/org/snowturn/testbench/SettingsFile.java
+++ b/src/testbench/java/org/snowturn/testbench/SettingsFile.java
@@ -10,7 +10,7 @@
 final class SettingsFile {
   private SettingsFile() {}
 
-  static String of(
+  static String render(
       ControllerProcess self,
       List<ControllerProcess> all,
       LoopbackPlan plan,
@@ -21,14 +21,14 @@
     StringBuilder s = new StringBuilder();
     text(s, "node", self.name);
     text(s, "location", self.zone);
-    text(s, "serve_on", at(self.serving));
-    text(s, "peer_bind", at(self.peerBind));
+    text(s, "serve_on", at(self.servingAddress));
+    text(s, "peer_bind", at(self.peerBindAddress));
     for (ControllerProcess p : all) {
       if (p != self) {
         s.append("[[peers]]\n");
         text(s, "node", p.name);
         text(s, "location", p.zone);
-        text(s, "addr", at(addresses.of(self, p)));
+        text(s, "addr", at(addresses.resolve(self, p)));
       }
     }
     s.append("[outside]\n");
--- a/src/testbench/java/org/snowturn/testbench/SoakCommand.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakCommand.java
@@ -61,42 +61,42 @@
       }
       Path root = Path.of("").toAbsolutePath();
       return play(plans, LaunchCommand.read(DEPLOY, root, 0), root);
-    } catch (InvalidPlanException e) {
+    } catch (InvalidInputException e) {
       throw new ParameterException(spec.commandLine(), e.getMessage());
     }
   }
 
-  private List<SoakPlan> plans() throws InvalidPlanException {
+  private List<SoakPlan> plans() throws InvalidInputException {
     if ((planFile == null) == (seeds == null)) {
-      throw new InvalidPlanException("either --seeds or --plan is needed");
+      throw new InvalidInputException("either --seeds or --plan is needed");
     }
     if (planFile != null) {
       return List.of(SoakPlan.read(planFile));
     }
     if (!seeds.matches(RANGE)) {
-      throw new InvalidPlanException("--seeds: A or A-B expected, not " + seeds);
+      throw new InvalidInputException("--seeds: A or A-B expected, not " + seeds);
     }
     String[] ends = seeds.split("-", -1);
     long first = Long.parseLong(ends[0]);
     long last = Long.parseLong(ends[ends.length - 1]);
     if (last < first || last - first >= MOST_SEEDS) {
-      throw new InvalidPlanException("--seeds: from 1 to " + MOST_SEEDS + " seeds, first to last");
+      throw new InvalidInputException("--seeds: from 1 to " + MOST_SEEDS + " seeds, first to last");
     }
     if (workers != null && workers < 1) {
-      throw new InvalidPlanException("--workers: must be from 1 to " + SoakPlan.MOST_WORKERS);
+      throw new InvalidInputException("--workers: must be from 1 to " + SoakPlan.MAX_WORKERS);
     }
-    if (duration < 1 || duration > SoakPlan.LONGEST_S) {
-      throw new InvalidPlanException("--duration: must be from 1 to " + SoakPlan.LONGEST_S);
+    if (duration < 1 || duration > SoakPlan.MAX_DURATION_S) {
+      throw new InvalidInputException("--duration: must be from 1 to " + SoakPlan.MAX_DURATION_S);
     }
     List<SoakPlan> plans = new ArrayList<>();
     for (long seed = first; seed <= last; seed++) {
-      plans.add(SoakPlan.draw(seed, workers == null ? 0 : workers, duration));
+      plans.add(SoakPlan.generate(seed, workers == null ? 0 : workers, duration));
     }
     return plans;
   }
 
   private int play(List<SoakPlan> plans, List<String> command, Path root)
-      throws IOException, InterruptedException, InvalidPlanException {
+      throws IOException, InterruptedException, InvalidInputException {
     Map<SoakVerdict.Result, Integer> results = new EnumMap<>(SoakVerdict.Result.class);
     for (SoakPlan plan : plans) {
       Path dir = out.resolve("seed-" + plan.seed());
@@ -106,7 +106,7 @@
           new SoakRun(plan, command, root, dir, keep, line -> System.err.println("  " + line))
               .play();
       results.merge(verdict.result(), 1, Integer::sum);
-      System.out.println(verdict.line());
+      System.out.println(verdict.summary());
       verdict.details().forEach(d -> System.out.println("  " + d));
     }
     int passed = results.getOrDefault(SoakVerdict.Result.PASSED, 0);
--- a/src/testbench/java/org/snowturn/testbench/SoakFault.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakFault.java
@@ -8,10 +8,10 @@
  * @param atMs when, after the load has begun
  * @param kind what
  * @param target whom it happens to: {@code leader}, {@code standby}, {@code all}, or nobody
- * @param forMs how long it lasts, or how soon a process is back
+ * @param durationMs how long it lasts, or how soon a process is back
  * @param amount how many, how late or how often, as the kind has it
  */
-record SoakFault(long atMs, Kind kind, String target, long forMs, double amount) {
+record SoakFault(long atMs, Kind kind, String target, long durationMs, double amount) {
   /** What can go wrong. */
   enum Kind {
     /** A controller ends and is back after a while. */
@@ -64,12 +64,12 @@
     CANCEL_JOBS;
 
     /** Whether it happens to a controller. */
-    boolean ofController() {
+    boolean isControllerFault() {
       return this == KILL || this == PAUSE || this == REFUSE || name().startsWith("CUT_");
     }
 
     /** Its name in a plan. */
-    String word() {
+    String planName() {
       return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
   }
@@ -77,17 +77,17 @@
   static final String LEADER = "leader";
   static final String STANDBY = "standby";
   static final String ALL = "all";
-  static final String NOBODY = "-";
+  static final String NO_TARGET = "-";
 
   /** Its line in a plan. */
-  String line() {
+  String toPlanLine() {
     return String.format(
         Locale.ROOT,
         "at %.3f %s %s for %.3f amount %.3f",
         atMs / 1000.0,
-        kind.word(),
+        kind.planName(),
         target,
-        forMs / 1000.0,
+        durationMs / 1000.0,
         amount);
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/SoakPlan.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakPlan.java
@@ -26,8 +26,8 @@
 record SoakPlan(long seed, int workers, int durationS, List<SoakFault> faults) {
   private static final List<Kind> KINDS = List.of(Kind.values());
 
-  static final int MOST_WORKERS = 2_000;
-  static final int LONGEST_S = 3_600;
+  static final int MAX_WORKERS = 2_000;
+  static final int MAX_DURATION_S = 3_600;
   private static final int CONTROLLERS = 3;
   private static final int ZONES = 3;
   private static final int TEAMS = 2;
@@ -66,7 +66,7 @@
               + " for (\\d{1,6}\\.?\\d{0,3}) amount (\\d{1,6}\\.?\\d{0,3})");
 
   /** Draws the plan of a seed; {@code workers} 0 leaves the size to the seed. */
-  static SoakPlan draw(long seed, int workers, int durationS) {
+  static SoakPlan generate(long seed, int workers, int durationS) {
     SplittableRandom random = new SplittableRandom(seed);
     boolean large = random.nextInt(LARGE_ONE_IN) == 0;
     int drawn = large ? random.nextInt(200, 401) : random.nextInt(18, 61);
@@ -88,8 +88,8 @@
   private static SoakFault fault(SplittableRandom random, long at, int workers) {
     Kind kind = KINDS.get(random.nextInt(KINDS.size()));
     long lasts = random.nextLong(500, 12_000);
-    String target = SoakFault.NOBODY;
-    if (kind.ofController()) {
+    String target = SoakFault.NO_TARGET;
+    if (kind.isControllerFault()) {
       int who = random.nextInt(10);
       target = who < 6 ? SoakFault.LEADER : who < 9 ? SoakFault.STANDBY : SoakFault.ALL;
     }
@@ -114,17 +114,17 @@
     return new SoakFault(at, kind, target, lasts, amount);
   }
 
-  /** Reads a plan that {@link #lines} has written; says which line is damaged. */
-  static SoakPlan read(Path file) throws InvalidPlanException {
+  /** Reads a plan that {@link #toLines} has written; says which line is damaged. */
+  static SoakPlan read(Path file) throws InvalidInputException {
     List<String> lines;
     try {
       lines = Files.readAllLines(file);
     } catch (IOException e) {
-      throw new InvalidPlanException(file + ": cannot be read");
+      throw new InvalidInputException(file + ": cannot be read");
     }
     Matcher header = HEADER.matcher(lines.isEmpty() ? "" : lines.get(0).trim());
     if (!header.matches()) {
-      throw new InvalidPlanException(file + ":1: \"soak seed N workers N duration N\" expected");
+      throw new InvalidInputException(file + ":1: \"soak seed N workers N duration N\" expected");
     }
     List<SoakFault> faults = new ArrayList<>();
     for (int i = 1; i < lines.size(); i++) {
@@ -140,23 +140,23 @@
         List.copyOf(faults));
   }
 
-  private static SoakFault fault(String place, String line) throws InvalidPlanException {
+  private static SoakFault fault(String place, String line) throws InvalidInputException {
     Matcher m = LINE.matcher(line);
     if (!m.matches()) {
-      throw new InvalidPlanException(
+      throw new InvalidInputException(
           place + ": \"at SECONDS KIND TARGET for SECONDS amount NUMBER\" expected");
     }
     for (Kind kind : Kind.values()) {
-      if (kind.word().equals(m.group(2))) {
-        boolean aimed = !m.group(3).equals(SoakFault.NOBODY);
-        if (aimed != kind.ofController()) {
-          throw new InvalidPlanException(place + ": " + kind.word() + " of " + m.group(3));
+      if (kind.planName().equals(m.group(2))) {
+        boolean aimed = !m.group(3).equals(SoakFault.NO_TARGET);
+        if (aimed != kind.isControllerFault()) {
+          throw new InvalidInputException(place + ": " + kind.planName() + " of " + m.group(3));
         }
         return new SoakFault(
             ms(m.group(1)), kind, m.group(3), ms(m.group(4)), Double.parseDouble(m.group(5)));
       }
     }
-    throw new InvalidPlanException(place + ": no such fault: " + m.group(2));
+    throw new InvalidInputException(place + ": no such fault: " + m.group(2));
   }
 
   private static long ms(String seconds) {
@@ -164,32 +164,32 @@
   }
 
   /** Its lines; {@link #read} takes them. */
-  List<String> lines() {
+  List<String> toLines() {
     List<String> lines = new ArrayList<>();
     lines.add(
         String.format(
             Locale.ROOT, "soak seed %d workers %d duration %d", seed, workers, durationS));
-    faults.forEach(fault -> lines.add(fault.line()));
+    faults.forEach(fault -> lines.add(fault.toPlanLine()));
     return lines;
   }
 
   /** Checks the figures; says in one line which is wrong. */
-  void check(long machineMemoryMb) throws InvalidPlanException {
-    if (workers < 1 || workers > MOST_WORKERS) {
-      throw new InvalidPlanException("--workers: must be from 1 to " + MOST_WORKERS);
+  void check(long machineMemoryMb) throws InvalidInputException {
+    if (workers < 1 || workers > MAX_WORKERS) {
+      throw new InvalidInputException("--workers: must be from 1 to " + MAX_WORKERS);
     }
-    if (durationS < 1 || durationS > LONGEST_S) {
-      throw new InvalidPlanException("--duration: must be from 1 to " + LONGEST_S);
+    if (durationS < 1 || durationS > MAX_DURATION_S) {
+      throw new InvalidInputException("--duration: must be from 1 to " + MAX_DURATION_S);
     }
     long needs = Math.round(BASE_MB + workers * MB_PER_WORKER + CONTROLLERS * MB_PER_CONTROLLER);
     if (needs > machineMemoryMb / 2) {
-      throw new InvalidPlanException(
+      throw new InvalidInputException(
           "needs about " + needs + " MB, more than half of the machine's " + machineMemoryMb);
     }
   }
 
   /** The region that it is played in. */
-  LoopbackPlan region() {
+  LoopbackPlan regionPlan() {
     List<String> zones = new ArrayList<>();
     for (int i = 0; i < ZONES; i++) {
       zones.add("zone-" + i);
--- a/src/testbench/java/org/snowturn/testbench/SoakRun.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakRun.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 import org.snowturn.simulation.LoopbackStatus;
-import org.snowturn.testbench.Deployment.Part;
+import org.snowturn.testbench.Deployment.Region;
 import org.snowturn.testbench.SoakVerdict.Result;
 
 /**
@@ -63,14 +63,14 @@
     this.progress = progress;
   }
 
-  SoakVerdict play() throws IOException, InterruptedException, InvalidPlanException {
+  SoakVerdict play() throws IOException, InterruptedException, InvalidInputException {
     Files.createDirectories(dir);
-    Files.write(dir.resolve(PLAN), plan.lines());
+    Files.write(dir.resolve(PLAN), plan.toLines());
     SoakVerdict verdict;
     try (BufferedWriter messages = Files.newBufferedWriter(dir.resolve(MESSAGES));
         Deployment deployment = new Deployment(command, root, dir, LOG_ALL)) {
-      deployment.openWithRelays(List.of(plan.region()));
-      deployment.parts().get(0).region.keepMessages(messages);
+      deployment.openWithRelays(List.of(plan.regionPlan()));
+      deployment.regions().get(0).cluster.keepMessages(messages);
       verdict = play(deployment);
     }
     if (verdict.result() != Result.PASSED) {
@@ -83,20 +83,21 @@
 
   private void removeLogs() throws IOException {
     Files.delete(dir.resolve(MESSAGES));
-    for (String node : plan.region().controllers()) {
+    for (String node : plan.regionPlan().controllers()) {
       Files.deleteIfExists(dir.resolve(node + ".log"));
     }
   }
 
   private SoakVerdict play(Deployment deployment)
-      throws IOException, InterruptedException, InvalidPlanException {
-    Part part = deployment.parts().get(0);
+      throws IOException, InterruptedException, InvalidInputException {
+    Region part = deployment.regions().get(0);
     try {
       deployment.startControllers();
       awaitReady(part);
       long forMs = plan.durationS() * 1000L;
-      part.region.randomJobs(forMs, plan.workers() < LARGE_FLEET ? JOB_EVERY_MS : JOB_EVERY_MS / 3);
-      part.region.insistentUsers(forMs);
+      part.cluster.randomJobs(
+          forMs, plan.workers() < LARGE_FLEET ? JOB_EVERY_MS : JOB_EVERY_MS / 3);
+      part.cluster.insistentUsers(forMs);
       new FaultInjector(deployment, part, progress).play(plan.faults());
       List<String> open = awaitSettled(part);
       return judge(part, open);
@@ -106,13 +107,13 @@
     }
   }
 
-  private void awaitReady(Part part)
-      throws InterruptedException, TimeoutException, IOException, InvalidPlanException {
+  private void awaitReady(Region part)
+      throws InterruptedException, TimeoutException, IOException, InvalidInputException {
     long until = System.currentTimeMillis() + READY_WITHIN_MS;
-    while (part.region.ready().size() < part.controllers.size()) {
+    while (part.cluster.ready().size() < part.controllers.size()) {
       for (ControllerProcess controller : part.controllers) {
-        if (controller.endedByItself()) {
-          throw new InvalidPlanException(
+        if (controller.hasEndedUnexpectedly()) {
+          throw new InvalidInputException(
               controller.name + " does not start: " + lastLine(controller.log()));
         }
       }
@@ -129,26 +130,26 @@
   }
 
   /** Waits until every accepted job is answered for and running or over; returns what is not. */
-  private List<String> awaitSettled(Part part) throws InterruptedException, TimeoutException {
-    long calmFrom = part.region.status().nowMs();
+  private List<String> awaitSettled(Region part) throws InterruptedException, TimeoutException {
+    long calmFrom = part.cluster.status().nowMs();
     long until = System.currentTimeMillis() + SETTLED_WITHIN_MS;
     List<String> open;
     do {
       Thread.sleep(LOOK_MS);
-      open = part.region.unsettled(calmFrom);
+      open = part.cluster.unsettled(calmFrom);
     } while (!open.isEmpty() && System.currentTimeMillis() < until);
     return open;
   }
 
-  private SoakVerdict judge(Part part, List<String> open) throws TimeoutException, IOException {
-    LoopbackStatus status = part.region.status();
+  private SoakVerdict judge(Region part, List<String> open) throws TimeoutException, IOException {
+    LoopbackStatus status = part.cluster.status();
     List<String> broken = new ArrayList<>(status.broken());
     open.forEach(o -> broken.add("unsettled: " + o));
     if (status.starts() == 0) {
       broken.add("nothing_ran");
     }
     for (ControllerProcess controller : part.controllers) {
-      if (controller.endedByItself()) {
+      if (controller.hasEndedUnexpectedly()) {
         broken.add("controller_ended: " + controller.name);
       }
       try (Stream<String> lines = Files.lines(controller.log())) {
--- a/src/testbench/java/org/snowturn/testbench/SoakVerdict.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakVerdict.java
@@ -8,11 +8,16 @@
  * @param result in one word
  * @param details what was broken, by rule, with tasks, attempts, machines and times
  * @param starts tasks that were begun
- * @param jobsOver jobs that users were told are over
- * @param leaders changes of leader that machines have seen
+ * @param finishedJobs jobs that users were told are over
+ * @param leaderChanges changes of leader that machines have seen
  */
 record SoakVerdict(
-    SoakPlan plan, Result result, List<String> details, long starts, long jobsOver, int leaders) {
+    SoakPlan plan,
+    Result result,
+    List<String> details,
+    long starts,
+    long finishedJobs,
+    int leaderChanges) {
   /** How a run may end. */
   enum Result {
     PASSED,
@@ -23,7 +28,7 @@
   }
 
   /** One line for people. */
-  String line() {
+  String summary() {
     return "seed "
         + plan.seed()
         + ": "
@@ -35,9 +40,9 @@
         + " faults, "
         + starts
         + " starts, "
-        + jobsOver
+        + finishedJobs
         + " jobs over, "
-        + leaders
+        + leaderChanges
         + " changes of leader";
   }
 }
