--- a/src/test/java/org/snowturn/testbench/ScaleRunTest.java
+++ b/src/test/java/org/snowturn/testbench/ScaleRunTest.java
@@ -15,29 +15,31 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 /**
- * A small scale run, with real controllers as processes of the classes under test. It mostly waits,
- * so other tests run beside it; nothing in it depends on how fast anything is.
+ * A small scale run with real controllers in processes of their own. It guards against rules broken
+ * after the death of a leader, and against processes left running after the run. It mostly waits
+ * and does not depend on speed, so that it runs concurrently with other tests.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class ScaleRunTest {
-  private static final long PLENTY_MB = 1_000_000;
+  private static final long AMPLE_MEMORY_MB = 1_000_000;
 
   @TempDir private Path dir;
 
+  /** Returns a plan whose other values suit a short test. */
   static ScalePlan plan(int workers, int tasks, int regions, int durationS, Failure failure) {
     return new ScalePlan(
         workers, tasks, 6, regions, 3, 4, durationS, 0, failure, 1, 4_096, 600, 250);
   }
 
-  private static List<String> command() {
+  private static List<String> controllerCommand() {
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-    String classes = System.getProperty("java.class.path");
+    String classPath = System.getProperty("java.class.path");
     return List.of(
         java,
         "-Xmx80m",
         "-XX:TieredStopAtLevel=1",
         "-cp",
-        classes,
+        classPath,
         "org.snowturn.daemon.Main",
         "--config");
   }
@@ -45,19 +47,21 @@
   @Test
   void noRuleIsBrokenWhenTheLeaderEndsAndNothingIsLeftRunning() throws Exception {
     ScalePlan plan = plan(24, 96, 2, 9, new Failure(Failure.Kind.LEADER, 0));
-    plan.check(PLENTY_MB);
+    plan.check(AMPLE_MEMORY_MB);
     List<String> progress = new ArrayList<>();
     ScaleResult result;
-    try (ScaleRun run = new ScaleRun(plan, command(), dir, dir, progress::add)) {
+    try (ScaleRun run = new ScaleRun(plan, controllerCommand(), dir, dir, progress::add)) {
       result = run.play();
     }
     assertEquals(List.of(), result.broken());
-    assertTrue(progress.stream().anyMatch(l -> l.contains("fails now: leader")), "" + progress);
+    assertTrue(
+        progress.stream().anyMatch(line -> line.contains("fails now: leader")), "" + progress);
     for (String region : List.of("region 0", "region 1")) {
       assertTrue(figures(result, region).get("starts_in_all") > 0, region);
     }
     assertEquals(
-        6, result.rows().stream().filter(r -> r.scope().matches("(leader|standby) .*")).count());
+        6,
+        result.rows().stream().filter(row -> row.scope().matches("(leader|standby) .*")).count());
     assertEquals(
         List.of(), ProcessHandle.current().children().filter(ScaleRunTest::isController).toList());
     ScaleFiles.write(result, dir);
@@ -66,14 +70,14 @@
     assertFalse(lines.size() < 20);
   }
 
-  private static boolean isController(ProcessHandle p) {
-    return p.isAlive()
-        && p.info().commandLine().orElse("").contains("org.snowturn.daemon.Main --config");
+  private static boolean isController(ProcessHandle process) {
+    return process.isAlive()
+        && process.info().commandLine().orElse("").contains("org.snowturn.daemon.Main --config");
   }
 
-  private static Map<String, Double> figures(ScaleResult r, String scope) {
-    return r.rows().stream()
-        .filter(x -> x.scope().equals(scope))
+  private static Map<String, Double> figures(ScaleResult result, String scope) {
+    return result.rows().stream()
+        .filter(row -> row.scope().equals(scope))
         .findFirst()
         .orElseThrow()
         .figures();
--- a/src/test/java/org/snowturn/testbench/SoakPlanTest.java
+++ b/src/test/java/org/snowturn/testbench/SoakPlanTest.java
@@ -14,15 +14,19 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.snowturn.testbench.SoakFault.Kind;
 
-/** Plans of soak runs: drawn from a seed, written down, read again. */
+/**
+ * Plans of soak runs. A failure could not be reproduced if a seed gave different plans or a plan
+ * changed when it is written and read; a kind of fault that no seed gives would never be tested.
+ */
 class SoakPlanTest {
   private static final int DURATION_S = 30;
+  private static final int SEEDS = 50;
 
   @TempDir private Path dir;
 
   @Test
-  void oneSeedGivesOnePlanAndAWrittenPlanIsReadAsItWas() throws Exception {
-    for (long seed = 1; seed <= 50; seed++) {
+  void aSeedGivesOnePlanAndAWrittenPlanIsReadUnchanged() throws Exception {
+    for (long seed = 1; seed <= SEEDS; seed++) {
       SoakPlan plan = SoakPlan.generate(seed, 0, DURATION_S);
       assertEquals(plan, SoakPlan.generate(seed, 0, DURATION_S));
       Path file = Files.write(dir.resolve("plan-" + seed), plan.toLines());
@@ -32,17 +36,19 @@
   }
 
   @Test
-  void fiftySeedsHaveEveryKindOfFaultAndSomeLargeFleets() {
+  void fiftySeedsGiveEveryKindOfFaultAndSomeLargeFleets() {
     Set<Kind> kinds = EnumSet.noneOf(Kind.class);
-    LongStream.rangeClosed(1, 50)
+    LongStream.rangeClosed(1, SEEDS)
         .mapToObj(seed -> SoakPlan.generate(seed, 0, DURATION_S))
         .forEach(plan -> plan.faults().forEach(fault -> kinds.add(fault.kind())));
     assertEquals(EnumSet.allOf(Kind.class), kinds);
-    long large =
-        LongStream.rangeClosed(1, 50)
+    long largeFleets =
+        LongStream.rangeClosed(1, SEEDS)
             .filter(seed -> SoakPlan.generate(seed, 0, DURATION_S).workers() >= 200)
             .count();
-    assertTrue(large > 2, "of 50 seeds only " + large + " have a few hundred workers");
+    assertTrue(
+        largeFleets > 2,
+        "only " + largeFleets + " of " + SEEDS + " seeds have 200 or more workers");
   }
 
   @Test
--- a/src/test/java/org/snowturn/testbench/SoakRunTest.java
+++ b/src/test/java/org/snowturn/testbench/SoakRunTest.java
@@ -17,8 +17,9 @@
 import org.snowturn.testbench.SoakVerdict.Result;
 
 /**
- * Short soak runs with real controllers as processes of the classes under test. They mostly wait,
- * so other tests run beside them; nothing in them depends on how fast anything is.
+ * Short soak runs with real controllers in processes of their own. They guard against rules broken
+ * under random faults, and against processes left running after a run. They mostly wait and do not
+ * depend on speed, so that they run concurrently with other tests.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class SoakRunTest {
@@ -27,33 +28,37 @@
 
   @TempDir private Path dir;
 
-  private static List<String> command(String mainClass) {
+  private static List<String> controllerCommand(String mainClass) {
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-    String classes = System.getProperty("java.class.path");
+    String classPath = System.getProperty("java.class.path");
     return List.of(
-        java, "-Xmx80m", "-XX:TieredStopAtLevel=1", "-cp", classes, mainClass, "--config");
+        java, "-Xmx80m", "-XX:TieredStopAtLevel=1", "-cp", classPath, mainClass, "--config");
   }
 
   private SoakRun run(SoakPlan plan, String mainClass) {
-    return new SoakRun(plan, command(mainClass), dir, dir, false, line -> {});
+    return new SoakRun(plan, controllerCommand(mainClass), dir, dir, false, line -> {});
   }
 
   @ParameterizedTest
   @ValueSource(longs = {3, 11, 17})
-  void noRuleIsBrokenUnderDrawnFaultsAndNothingIsLeftRunning(long seed) throws Exception {
+  void noRuleIsBrokenUnderRandomFaultsAndNothingIsLeftRunning(long seed) throws Exception {
     SoakPlan plan = SoakPlan.generate(seed, WORKERS, DURATION_S);
     SoakVerdict verdict = run(plan, "org.snowturn.daemon.Main").play();
     assertEquals(List.of(), verdict.details());
     assertEquals(Result.PASSED, verdict.result());
     assertTrue(verdict.starts() > 0);
-    assertEquals(List.of(), children());
+    assertEquals(List.of(), controllerProcesses());
     assertTrue(Files.exists(dir.resolve("plan.txt")));
-    assertFalse(Files.exists(dir.resolve("messages.log")), "kept though the run passed");
+    assertFalse(
+        Files.exists(dir.resolve("messages.log")), "messages.log was kept although the run passed");
   }
 
-  /** The plan of docs/incidents/ran-twice-at-size.md: without its fix invariants are violated. */
+  /**
+   * The plan of docs/incidents/ran-twice-at-size.md: start commands wait in a queue behind delayed
+   * commands. Without the fix of that incident, invariants are violated.
+   */
   @Test
-  void startsThatWaitBehindLateCommandsDoNotOutliveTheirAttempts() throws Exception {
+  void queuedStartsBehindDelayedCommandsDoNotOutliveTheirAttempts() throws Exception {
     SoakPlan plan = SoakPlan.read(Path.of("src/test/resources/soak/queued-start.txt"));
     assertEquals(List.of(), run(plan, "org.snowturn.daemon.Main").play().details());
   }
@@ -63,15 +68,15 @@
     SoakRun run = run(SoakPlan.generate(1, WORKERS, DURATION_S), "org.snowturn.daemon.NoSuchMain");
     String message = assertThrows(InvalidInputException.class, run::play).getMessage();
     assertTrue(message.contains("does not start"), message);
-    assertEquals(List.of(), children());
+    assertEquals(List.of(), controllerProcesses());
   }
 
-  /** This run's processes: each has its settings in this run's folder. */
-  private List<String> children() {
+  /** Returns the command lines of this run's processes, whose settings are in its directory. */
+  private List<String> controllerProcesses() {
     return ProcessHandle.current()
         .children()
         .filter(ProcessHandle::isAlive)
-        .map(p -> p.info().commandLine().orElse(""))
+        .map(process -> process.info().commandLine().orElse(""))
         .filter(line -> line.contains(dir.toString()))
         .toList();
   }
--- a/src/testbench/java/org/snowturn/testbench/ControllerProcess.java
+++ b/src/testbench/java/org/snowturn/testbench/ControllerProcess.java
@@ -15,15 +15,20 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 
-/** One real controller: its settings file, its process and what the process has used. */
+/** A controller that runs as a process of its own: its settings file, log and resource usage. */
 final class ControllerProcess {
-  private static final int KILL_WAIT_S = 5;
+  private static final int KILL_TIMEOUT_S = 5;
+
+  /** First port for controllers. */
   private static final int FIRST_PORT = 10_000;
+
+  /** Exclusive upper bound, below the ephemeral port range. */
   private static final int END_PORT = 32_000;
-  private static final int MOST_TRIES = 100;
 
-  /** Ports that this process has given to controllers. */
-  private static final Set<Integer> GIVEN = ConcurrentHashMap.newKeySet();
+  private static final int MAX_PORT_ATTEMPTS = 100;
+
+  /** Ports that this process has assigned to controllers. */
+  private static final Set<Integer> ASSIGNED_PORTS = ConcurrentHashMap.newKeySet();
 
   final String name;
   final String zone;
@@ -32,112 +37,137 @@
   private final Path settings;
   private final Path log;
   private Process process;
-  private boolean ended;
-  private ProcessUsage before = ProcessUsage.NONE;
-  private ProcessUsage peak = ProcessUsage.NONE;
+  private boolean wasKilled;
+  private ProcessUsage baseline = ProcessUsage.NONE;
+  private ProcessUsage latest = ProcessUsage.NONE;
 
+  /**
+   * Creates a controller with two free ports, whose process is not yet started.
+   *
+   * @param name the controller's node name
+   * @param zone the zone that the controller reports as its location
+   * @param dir directory for the settings file and the log
+   */
   ControllerProcess(String name, String zone, Path dir) throws IOException {
     this.name = name;
     this.zone = zone;
-    this.servingAddress = free();
-    this.peerBindAddress = free();
+    this.servingAddress = findFreeAddress();
+    this.peerBindAddress = findFreeAddress();
     this.settings = dir.resolve(name + ".toml");
     this.log = dir.resolve(name + ".log");
   }
 
   /**
-   * An address that nobody listens on, below the ports that the system gives to connections: one of
-   * those may be taken before the controller listens, or while it is ended and not started again.
+   * Returns an unused loopback address with a port below the ephemeral range. The system could
+   * assign an ephemeral port to a connection before the controller listens, or while the controller
+   * is down between two starts.
    */
-  private static InetSocketAddress free() throws IOException {
-    for (int tries = 0; tries < MOST_TRIES; tries++) {
+  private static InetSocketAddress findFreeAddress() throws IOException {
+    for (int attempt = 0; attempt < MAX_PORT_ATTEMPTS; attempt++) {
       int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, END_PORT);
-      if (!GIVEN.add(port)) {
+      if (!ASSIGNED_PORTS.add(port)) {
         continue;
       }
-      try (ServerSocket s = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(), s.getLocalPort());
+      try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
+        return new InetSocketAddress(InetAddress.getLoopbackAddress(), socket.getLocalPort());
       } catch (BindException e) {
-        // In use: the next one is tried.
+        // The port is in use; the loop tries another one.
       }
     }
-    throw new BindException("no free port from " + FIRST_PORT + " to " + END_PORT);
+    throw new BindException(
+        "no free loopback port found between "
+            + FIRST_PORT
+            + " and "
+            + (END_PORT - 1)
+            + " in "
+            + MAX_PORT_ATTEMPTS
+            + " attempts");
   }
 
+  /** Writes the settings file; the next start reads it. */
   void writeSettings(String toml) throws IOException {
     Files.writeString(settings, toml);
   }
 
-  /** Starts the process with the given command line, to which the settings file is added. */
+  /**
+   * Starts the process and appends its output to the log.
+   *
+   * @param command command line, to which the path of the settings file is appended
+   * @param workingDirectory working directory of the process
+   * @param environment variables added to this process's environment
+   */
   void start(List<String> command, Path workingDirectory, Map<String, String> environment)
       throws IOException {
-    List<String> all = new ArrayList<>(command);
-    all.add(settings.toAbsolutePath().toString());
+    List<String> fullCommand = new ArrayList<>(command);
+    fullCommand.add(settings.toAbsolutePath().toString());
     ProcessBuilder builder =
-        new ProcessBuilder(all)
+        new ProcessBuilder(fullCommand)
             .directory(workingDirectory.toFile())
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
     builder.environment().putAll(environment);
     process = builder.start();
-    ended = false;
+    wasKilled = false;
   }
 
-  /** Lets the process stand still, or go on. */
-  void setPaused(boolean on) throws IOException, InterruptedException {
+  /** Suspends the process with SIGSTOP, or resumes it with SIGCONT. */
+  void setPaused(boolean isPaused) throws IOException, InterruptedException {
     if (isAlive()) {
-      new ProcessBuilder("kill", on ? "-STOP" : "-CONT", "" + process.pid()).start().waitFor();
+      new ProcessBuilder("kill", isPaused ? "-STOP" : "-CONT", "" + process.pid())
+          .start()
+          .waitFor();
     }
   }
 
-  /** Whether the process has ended though nobody has ended it. */
+  /** Returns whether the process has ended without a call of {@link #kill}. */
   boolean hasEndedUnexpectedly() {
-    return process != null && !ended && !process.isAlive();
+    return process != null && !wasKilled && !process.isAlive();
   }
 
-  /** All that the process and its predecessors have logged. */
+  /** Returns the file with the output of this process and its predecessors. */
   Path log() {
     return log;
   }
 
+  /** Returns whether the process has been started and is running. */
   boolean isAlive() {
     return process != null && process.isAlive();
   }
 
-  /** Ends the process at once, as a crash would, and waits until it is gone. */
+  /** Kills the process, as a crash would, and waits until it has ended. */
   void kill() {
     if (process == null) {
       return;
     }
     sampleUsage();
-    ended = true;
+    wasKilled = true;
     process.destroyForcibly();
     try {
-      process.waitFor(KILL_WAIT_S, TimeUnit.SECONDS);
+      process.waitFor(KILL_TIMEOUT_S, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Forgets what was used so far, so that {@link #usage} tells of a phase of the run. */
+  /** Restarts the measurement, so that {@link #usage} covers the time from now on. */
   void resetUsage() {
-    before = isAlive() ? ProcessUsage.ofProcess(process.pid()) : ProcessUsage.NONE;
-    peak = before;
+    baseline = isAlive() ? ProcessUsage.ofProcess(process.pid()) : ProcessUsage.NONE;
+    latest = baseline;
   }
 
-  /** Takes a look; the last one before the process ends counts. */
+  /** Reads the usage of the running process; the last sample before its end is kept. */
   void sampleUsage() {
     if (isAlive()) {
       ProcessUsage now = ProcessUsage.ofProcess(process.pid());
-      if (now.cpuTimeS() < peak.cpuTimeS()) {
-        before = ProcessUsage.NONE; // a new process, whose counters begin anew
+      if (now.cpuTimeS() < latest.cpuTimeS()) {
+        baseline = ProcessUsage.NONE; // a restarted process, whose counters begin at zero
       }
-      peak = now.withPeaksOf(peak);
+      latest = now.withPeaksOf(latest);
     }
   }
 
-  /** What was used since the mark, with the peaks of memory and sockets. */
+  /** Returns the usage since the last reset, with peak memory and peak socket count. */
   ProcessUsage usage() {
-    return peak.since(before);
+    return latest.since(baseline);
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/Deployment.java
+++ b/src/testbench/java/org/snowturn/testbench/Deployment.java
@@ -12,19 +12,20 @@
 import org.snowturn.simulation.LoopbackPlan;
 
 /**
- * Regions of stand-ins in this process and their controllers in processes of their own. Ends all
- * processes that it started, however this process ends.
+ * Regions with simulated workers, state service and cloud in this process, and with controllers in
+ * processes of their own. A shutdown hook kills the controllers if this process exits without
+ * closing the deployment.
  */
 final class Deployment implements AutoCloseable {
   private final List<String> command;
-  private final Path root;
+  private final Path workingDirectory;
   private final Path dir;
   private final Map<String, String> environment;
   private final List<Region> regions = new ArrayList<>();
   private final List<PeerRelay> relays = new ArrayList<>();
-  private final Thread atExit = new Thread(this::killAll, "stop");
+  private final Thread shutdownHook = new Thread(this::killControllers, "stop");
 
-  /** One region: its stand-ins, and its processes. */
+  /** One region: its simulated cluster and its controllers. */
   static final class Region {
     final LoopbackPlan plan;
     final LoopbackCluster cluster;
@@ -35,7 +36,7 @@
       this.cluster = new LoopbackCluster(plan);
     }
 
-    /** The controller of this name, or null. */
+    /** Returns the controller with this name, or null if there is none. */
     ControllerProcess findController(String name) {
       return controllers.stream()
           .filter(controller -> controller.name.equals(name))
@@ -45,29 +46,35 @@
   }
 
   /**
-   * Starts nothing yet.
+   * Creates a deployment without regions and processes.
    *
-   * @param command how a controller is started; its settings file is added
-   * @param dir for settings and logs
-   * @param environment what controllers find in their environment, beside this process's own
+   * @param command command line that starts a controller; the path of the settings file is appended
+   * @param workingDirectory working directory of the controllers
+   * @param dir directory for the controllers' settings files and logs
+   * @param environment variables added to this process's environment for the controllers
    */
-  Deployment(List<String> command, Path root, Path dir, Map<String, String> environment) {
+  Deployment(
+      List<String> command, Path workingDirectory, Path dir, Map<String, String> environment) {
     this.command = command;
-    this.root = root;
+    this.workingDirectory = workingDirectory;
     this.dir = dir;
     this.environment = environment;
   }
 
+  /** Returns the opened regions, in the order of their plans. */
   List<Region> regions() {
     return regions;
   }
 
-  /** Opens the stand-ins of the regions; machines come up. */
+  /** Opens the simulated clusters and boots their machines; controllers connect directly. */
   void open(List<LoopbackPlan> plans) throws IOException {
     open(plans, PeerAddresses.DIRECT);
   }
 
-  /** The same, with a relay that can be cut on each way between two controllers. */
+  /**
+   * Opens the simulated clusters like {@link #open(List)}, with a relay on each directed link
+   * between two controllers, so that {@link #setPeerLinkCut} can cut it.
+   */
   void openWithRelays(List<LoopbackPlan> plans) throws IOException {
     open(
         plans,
@@ -80,61 +87,69 @@
 
   private void open(List<LoopbackPlan> plans, PeerAddresses addresses) throws IOException {
     Files.createDirectories(dir);
-    Runtime.getRuntime().addShutdownHook(atExit);
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
     for (LoopbackPlan plan : plans) {
       open(new Region(plan), addresses);
     }
   }
 
-  private void open(Region part, PeerAddresses addresses) throws IOException {
-    regions.add(part);
-    LoopbackCluster.Outside outside = part.cluster.open();
-    List<String> zones = part.plan.zones();
-    for (String name : part.plan.controllers()) {
-      String zone = zones.get(part.controllers.size() % zones.size());
-      part.controllers.add(new ControllerProcess(name, zone, dir));
+  private void open(Region region, PeerAddresses addresses) throws IOException {
+    regions.add(region);
+    LoopbackCluster.Outside externalServices = region.cluster.open();
+    List<String> zones = region.plan.zones();
+    for (String name : region.plan.controllers()) {
+      String zone = zones.get(region.controllers.size() % zones.size());
+      region.controllers.add(new ControllerProcess(name, zone, dir));
     }
-    Map<String, InetSocketAddress> serving = new HashMap<>();
-    for (ControllerProcess controller : part.controllers) {
-      serving.put(controller.name, controller.servingAddress);
+    Map<String, InetSocketAddress> servingAddresses = new HashMap<>();
+    for (ControllerProcess controller : region.controllers) {
+      servingAddresses.put(controller.name, controller.servingAddress);
       controller.writeSettings(
           SettingsFile.render(
-              controller, part.controllers, part.plan, part.cluster, outside, addresses));
+              controller,
+              region.controllers,
+              region.plan,
+              region.cluster,
+              externalServices,
+              addresses));
     }
-    part.cluster.start(serving);
+    region.cluster.start(servingAddresses);
   }
 
+  /** Starts the controllers of all regions. */
   void startControllers() throws IOException {
-    for (Region p : regions) {
-      for (ControllerProcess controller : p.controllers) {
+    for (Region region : regions) {
+      for (ControllerProcess controller : region.controllers) {
         start(controller);
       }
     }
   }
 
-  /** Starts one controller, for the first time or again. */
+  /** Starts or restarts one controller. */
   void start(ControllerProcess controller) throws IOException {
-    controller.start(command, root, environment);
+    controller.start(command, workingDirectory, environment);
   }
 
-  /** Cuts the way between two controllers in one direction, or opens it again. */
-  void setPeerLinkCut(String from, String to, boolean cut) {
-    relays.stream().filter(r -> r.isFrom(from) && r.isTo(to)).forEach(r -> r.setCut(cut));
+  /** Cuts or restores the directed link between two controllers; needs relays. */
+  void setPeerLinkCut(String from, String to, boolean isCut) {
+    relays.stream()
+        .filter(relay -> relay.isFrom(from) && relay.isTo(to))
+        .forEach(relay -> relay.setCut(isCut));
   }
 
-  private void killAll() {
-    regions.forEach(p -> p.controllers.forEach(ControllerProcess::kill));
+  private void killControllers() {
+    regions.forEach(region -> region.controllers.forEach(ControllerProcess::kill));
   }
 
   @Override
   public void close() {
-    killAll();
+    killControllers();
     relays.forEach(PeerRelay::close);
-    regions.forEach(p -> p.cluster.close());
+    regions.forEach(region -> region.cluster.close());
     try {
-      Runtime.getRuntime().removeShutdownHook(atExit);
+      Runtime.getRuntime().removeShutdownHook(shutdownHook);
     } catch (IllegalStateException e) {
-      return; // already on the way out, where the hook has ended them
+      return; // this process is shutting down and runs the hook
     }
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/Failure.java
+++ b/src/testbench/java/org/snowturn/testbench/Failure.java
@@ -4,29 +4,37 @@
 import picocli.CommandLine.TypeConversionException;
 
 /**
- * What goes wrong in a scale run.
+ * The failure injected into a scale run.
  *
- * @param kind what kind of thing
- * @param workers how many workers, if they are what fails
+ * @param kind kind of failure
+ * @param workers number of workers that fail; 0 for other kinds than {@code WORKERS}
  */
 record Failure(Kind kind, int workers) {
   /** Kinds of failure. */
   enum Kind {
+    /** Nothing fails. */
     NONE,
-    /** The leading controller's process ends and is started again. */
+    /** The leader's process is killed and started again. */
     LEADER,
-    /** A zone's machines and its controller are gone for good. */
+    /** A zone's machines and controllers fail and do not come back. */
     ZONE,
-    /** All controllers of a region end; its state service is out for a while. */
+    /**
+     * All controllers of a region are killed and restarted during an outage of its state service.
+     */
     REGION,
-    /** Some machines end at once. */
+    /** The given number of machines fail at the same moment. */
     WORKERS
   }
 
+  /** The absence of a failure. */
   static final Failure NONE = new Failure(Kind.NONE, 0);
-  private static final String WORKERS = "workers=";
 
-  /** Reads {@code leader}, {@code zone}, {@code region}, {@code workers=P} or {@code none}. */
+  private static final String WORKERS_PREFIX = "workers=";
+
+  /**
+   * Converts {@code leader}, {@code zone}, {@code region}, {@code workers=COUNT} or {@code none} to
+   * a failure.
+   */
   static final class Converter implements ITypeConverter<Failure> {
     @Override
     public Failure convert(String text) {
@@ -35,22 +43,24 @@
         case "leader" -> new Failure(Kind.LEADER, 0);
         case "zone" -> new Failure(Kind.ZONE, 0);
         case "region" -> new Failure(Kind.REGION, 0);
-        default -> workers(text);
+        default -> parseWorkers(text);
       };
     }
 
-    private static Failure workers(String text) {
-      if (!text.matches(WORKERS + "[1-9][0-9]{0,5}")) {
-        throw new TypeConversionException("leader, zone, region or workers=COUNT expected");
+    private static Failure parseWorkers(String text) {
+      if (!text.matches(WORKERS_PREFIX + "[1-9][0-9]{0,5}")) {
+        throw new TypeConversionException(
+            "none, leader, zone, region or workers=COUNT expected, not " + text);
       }
-      return new Failure(Kind.WORKERS, Integer.parseInt(text.substring(WORKERS.length())));
+      return new Failure(Kind.WORKERS, Integer.parseInt(text.substring(WORKERS_PREFIX.length())));
     }
   }
 
+  /** Returns the text that {@link Converter} converts to this failure. */
   @Override
   public String toString() {
     return kind == Kind.WORKERS
-        ? WORKERS + workers
+        ? WORKERS_PREFIX + workers
         : kind.name().toLowerCase(java.util.Locale.ROOT);
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/FaultInjector.java
+++ b/src/testbench/java/org/snowturn/testbench/FaultInjector.java
@@ -8,76 +8,88 @@
 import org.snowturn.simulation.LoopbackFaults;
 import org.snowturn.testbench.Deployment.Region;
 
-/** Makes the faults of a plan happen to a deployment, each at its time, and undoes them. */
+/** Injects the faults of a plan into a region, each at its time, and ends them. */
 final class FaultInjector {
-  /** What is to be done at a time, on the soak run's thread. */
-  private record Step(long atMs, Action action) {}
+  /** An action and the time at which the soak run's thread runs it. */
+  private record ScheduledAction(long atMs, Action action) {}
 
   private interface Action {
     void run() throws IOException, InterruptedException, TimeoutException;
   }
 
-  private static final String STATE = "state";
+  private static final String STATE_SERVICE = "state";
+  private static final long NANOS_PER_MS = 1_000_000;
   private static final String CLOUD = "cloud";
 
-  /** A new leader has not finished its takeover so soon after it has won. */
-  private static final long IN_TAKEOVER_MS = 15;
+  /** Time after the election of a leader at which its takeover is still in progress. */
+  private static final long KILL_IN_TAKEOVER_DELAY_MS = 15;
 
-  /** So long somebody is waited for who leads. */
-  private static final long LONGEST_WAIT_MS = 15_000;
+  /** Maximum time that a fault waits for a new leader. */
+  private static final long LEADER_TIMEOUT_MS = 15_000;
 
-  private static final long LOOK_MS = 5;
+  private static final long POLL_INTERVAL_MS = 5;
+
+  private static final long MS_PER_S = 1_000;
 
   private final Deployment deployment;
-  private final Region part;
+  private final Region region;
   private final LoopbackFaults faults;
   private final Consumer<String> progress;
-  private final List<Step> later = new ArrayList<>();
-  private final long beganNanos = System.nanoTime();
-
-  FaultInjector(Deployment deployment, Region part, Consumer<String> progress) {
+  private final List<ScheduledAction> scheduled = new ArrayList<>();
+  private final long startNanos = System.nanoTime();
+
+  /**
+   * Creates an injector whose time starts now.
+   *
+   * @param deployment the deployment that restarts controllers and cuts peer links
+   * @param region the region in which the faults happen
+   * @param progress receives a line for each fault when it begins
+   */
+  FaultInjector(Deployment deployment, Region region, Consumer<String> progress) {
     this.deployment = deployment;
-    this.part = part;
-    this.faults = part.cluster.faults();
+    this.region = region;
+    this.faults = region.cluster.faults();
     this.progress = progress;
   }
 
   private long nowMs() {
-    return (System.nanoTime() - beganNanos) / 1_000_000;
+    return (System.nanoTime() - startNanos) / NANOS_PER_MS;
   }
 
-  /** Plays all faults; returns when the last one is over. */
-  void play(List<SoakFault> plan) throws IOException, InterruptedException, TimeoutException {
-    long end = 0;
-    for (SoakFault fault : plan) {
-      later.add(new Step(fault.atMs(), () -> begin(fault)));
-      end = Math.max(end, fault.atMs() + fault.durationMs());
+  /** Injects all faults and returns when the last one has ended. */
+  void play(List<SoakFault> plannedFaults)
+      throws IOException, InterruptedException, TimeoutException {
+    long endMs = 0;
+    for (SoakFault fault : plannedFaults) {
+      scheduled.add(new ScheduledAction(fault.atMs(), () -> inject(fault)));
+      endMs = Math.max(endMs, fault.atMs() + fault.durationMs());
     }
-    while (!later.isEmpty() || nowMs() < end) {
-      Step next = earliest();
+    while (!scheduled.isEmpty() || nowMs() < endMs) {
+      ScheduledAction next = earliest();
       if (next != null && next.atMs <= nowMs()) {
-        later.remove(next);
+        scheduled.remove(next);
         next.action.run();
       } else {
-        Thread.sleep(next == null ? LOOK_MS : Math.min(LOOK_MS, next.atMs - nowMs()));
+        Thread.sleep(
+            next == null ? POLL_INTERVAL_MS : Math.min(POLL_INTERVAL_MS, next.atMs - nowMs()));
       }
     }
   }
 
-  private Step earliest() {
-    Step first = null;
-    for (Step s : later) {
-      first = first == null || s.atMs < first.atMs ? s : first;
+  private ScheduledAction earliest() {
+    ScheduledAction first = null;
+    for (ScheduledAction candidate : scheduled) {
+      first = first == null || candidate.atMs < first.atMs ? candidate : first;
     }
     return first;
   }
 
-  private void after(long ms, Action action) {
-    later.add(new Step(nowMs() + ms, action));
+  private void schedule(long delayMs, Action action) {
+    scheduled.add(new ScheduledAction(nowMs() + delayMs, action));
   }
 
-  private void begin(SoakFault fault) throws IOException, InterruptedException, TimeoutException {
-    progress.accept(nowMs() + " " + fault.toPlanLine());
+  private void inject(SoakFault fault) throws IOException, InterruptedException, TimeoutException {
+    progress.accept(nowMs() + " ms: " + fault.toPlanLine());
     switch (fault.kind()) {
       case KILL -> targets(fault).forEach(controller -> kill(controller, fault.durationMs()));
       case KILL_LEADERS -> killLeaders((int) fault.amount(), fault.durationMs());
@@ -85,8 +97,8 @@
       case PAUSE -> pause(fault);
       case CUT_TO_WORKERS -> cut(fault, true, LoopbackFaults.WORKERS);
       case CUT_FROM_WORKERS -> cut(fault, false, LoopbackFaults.WORKERS);
-      case CUT_TO_STATE -> cut(fault, true, STATE);
-      case CUT_FROM_STATE -> cut(fault, false, STATE);
+      case CUT_TO_STATE -> cut(fault, true, STATE_SERVICE);
+      case CUT_FROM_STATE -> cut(fault, false, STATE_SERVICE);
       case CUT_CLOUD -> cut(fault, true, CLOUD);
       case CUT_TO_PEERS -> cutPeers(fault, true);
       case CUT_FROM_PEERS -> cutPeers(fault, false);
@@ -104,33 +116,36 @@
       case TAKE_WORKERS -> faults.takeWorkers((int) fault.amount());
       case SICK_WORKERS -> faults.sickWorkers((int) fault.amount(), fault.durationMs());
       case CANCEL_JOBS -> faults.cancelJobs((int) fault.amount());
-      default -> throw new IllegalStateException(fault.toString());
+      default -> throw new IllegalStateException("no injection defined for " + fault);
     }
   }
 
+  /** Returns a fault's amount, which is in seconds, in milliseconds. */
   private static long amountMs(SoakFault fault) {
-    return Math.max(1, Math.round(fault.amount() * 1000));
+    return Math.max(1, Math.round(fault.amount() * MS_PER_S));
   }
 
+  /** Returns the controllers that a fault happens to: all, the leader or the first standby. */
   private List<ControllerProcess> targets(SoakFault fault) throws TimeoutException {
-    String leader = part.cluster.leaderByKey();
+    String leader = region.cluster.leaderByKey();
     return switch (fault.target()) {
-      case SoakFault.ALL -> part.controllers;
+      case SoakFault.ALL -> region.controllers;
       case SoakFault.LEADER ->
-          part.controllers.stream().filter(controller -> controller.name.equals(leader)).toList();
+          region.controllers.stream().filter(controller -> controller.name.equals(leader)).toList();
       default ->
-          part.controllers.stream()
+          region.controllers.stream()
               .filter(controller -> !controller.name.equals(leader))
               .limit(1)
               .toList();
     };
   }
 
-  private void kill(ControllerProcess controller, long backMs) {
+  /** Kills a running controller and restarts it after the delay. */
+  private void kill(ControllerProcess controller, long restartDelayMs) {
     if (controller.isAlive()) {
       controller.kill();
-      after(
-          backMs,
+      schedule(
+          restartDelayMs,
           () -> {
             if (!controller.isAlive()) {
               deployment.start(controller);
@@ -139,49 +154,55 @@
     }
   }
 
-  private void killLeaders(int count, long backMs) throws TimeoutException {
-    String leader = part.cluster.leaderByKey();
-    ControllerProcess controller = leader == null ? null : part.findController(leader);
+  /** Kills the leader, then each of its successors, until {@code count} leaders are killed. */
+  private void killLeaders(int count, long restartDelayMs) throws TimeoutException {
+    String leader = region.cluster.leaderByKey();
+    ControllerProcess controller = leader == null ? null : region.findController(leader);
     if (controller != null) {
-      kill(controller, backMs);
+      kill(controller, restartDelayMs);
     }
     if (count > 1) {
-      after(backMs, () -> whenSomebodyElseLeads(leader, () -> killLeaders(count - 1, backMs)));
+      schedule(
+          restartDelayMs,
+          () -> runWhenLeaderChanged(leader, () -> killLeaders(count - 1, restartDelayMs)));
     }
   }
 
-  private void killInTakeover(long backMs) throws TimeoutException {
-    String old = part.cluster.leaderByKey();
-    ControllerProcess controller = old == null ? null : part.findController(old);
+  /** Kills the leader, and its successor during the takeover. */
+  private void killInTakeover(long restartDelayMs) throws TimeoutException {
+    String previousLeader = region.cluster.leaderByKey();
+    ControllerProcess controller =
+        previousLeader == null ? null : region.findController(previousLeader);
     if (controller != null) {
-      kill(controller, backMs);
+      kill(controller, restartDelayMs);
     }
-    whenSomebodyElseLeads(
-        old,
+    runWhenLeaderChanged(
+        previousLeader,
         () ->
-            after(
-                IN_TAKEOVER_MS,
+            schedule(
+                KILL_IN_TAKEOVER_DELAY_MS,
                 () -> {
-                  String leader = part.cluster.leaderByKey();
+                  String leader = region.cluster.leaderByKey();
                   if (leader != null) {
-                    kill(part.findController(leader), backMs);
+                    kill(region.findController(leader), restartDelayMs);
                   }
                 }));
   }
 
-  private void whenSomebodyElseLeads(String than, Action then) {
-    whenSomebodyElseLeads(than, nowMs() + LONGEST_WAIT_MS, then);
+  /** Runs the action once another controller leads; drops it after {@link #LEADER_TIMEOUT_MS}. */
+  private void runWhenLeaderChanged(String previousLeader, Action action) {
+    runWhenLeaderChanged(previousLeader, nowMs() + LEADER_TIMEOUT_MS, action);
   }
 
-  private void whenSomebodyElseLeads(String than, long untilMs, Action then) {
-    after(
-        LOOK_MS,
+  private void runWhenLeaderChanged(String previousLeader, long untilMs, Action action) {
+    schedule(
+        POLL_INTERVAL_MS,
         () -> {
-          String now = part.cluster.leaderByKey();
-          if (now != null && !now.equals(than)) {
-            then.run();
+          String leader = region.cluster.leaderByKey();
+          if (leader != null && !leader.equals(previousLeader)) {
+            action.run();
           } else if (nowMs() < untilMs) {
-            whenSomebodyElseLeads(than, untilMs, then);
+            runWhenLeaderChanged(previousLeader, untilMs, action);
           }
         });
   }
@@ -189,27 +210,29 @@
   private void pause(SoakFault fault) throws IOException, InterruptedException, TimeoutException {
     for (ControllerProcess controller : targets(fault)) {
       controller.setPaused(true);
-      after(fault.durationMs(), () -> controller.setPaused(false));
+      schedule(fault.durationMs(), () -> controller.setPaused(false));
     }
   }
 
-  private void cut(SoakFault fault, boolean outwards, String other) throws TimeoutException {
+  /** Cuts one direction between the targets and a service or all workers. */
+  private void cut(SoakFault fault, boolean isOutbound, String other) throws TimeoutException {
     for (ControllerProcess controller : targets(fault)) {
       faults.cut(
-          outwards ? controller.name : other,
-          outwards ? other : controller.name,
+          isOutbound ? controller.name : other,
+          isOutbound ? other : controller.name,
           fault.durationMs());
     }
   }
 
-  private void cutPeers(SoakFault fault, boolean outwards) throws TimeoutException {
+  /** Cuts one direction between the targets and each of their peers. */
+  private void cutPeers(SoakFault fault, boolean isOutbound) throws TimeoutException {
     for (ControllerProcess controller : targets(fault)) {
-      for (ControllerProcess peer : part.controllers) {
+      for (ControllerProcess peer : region.controllers) {
         if (peer != controller) {
-          String from = outwards ? controller.name : peer.name;
-          String to = outwards ? peer.name : controller.name;
+          String from = isOutbound ? controller.name : peer.name;
+          String to = isOutbound ? peer.name : controller.name;
           deployment.setPeerLinkCut(from, to, true);
-          after(fault.durationMs(), () -> deployment.setPeerLinkCut(from, to, false));
+          schedule(fault.durationMs(), () -> deployment.setPeerLinkCut(from, to, false));
         }
       }
     }
--- a/src/testbench/java/org/snowturn/testbench/MachineMemory.java
+++ b/src/testbench/java/org/snowturn/testbench/MachineMemory.java
@@ -4,16 +4,19 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** How much memory this machine has. */
+/** The physical memory of this machine, as Linux reports it. */
 final class MachineMemory {
+  private static final long KB_PER_MB = 1024;
+
   private MachineMemory() {}
 
+  /** Returns the total memory in MB, or 0 if {@code /proc/meminfo} does not say it. */
   static long totalMb() throws IOException {
     String line =
         Files.readAllLines(Path.of("/proc/meminfo")).stream()
-            .filter(l -> l.startsWith("MemTotal"))
+            .filter(entry -> entry.startsWith("MemTotal"))
             .findFirst()
             .orElse("MemTotal: 0 kB");
-    return Long.parseLong(line.replaceAll("[^0-9]", "")) / 1024;
+    return Long.parseLong(line.replaceAll("[^0-9]", "")) / KB_PER_MB;
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/PeerRelay.java
+++ b/src/testbench/java/org/snowturn/testbench/PeerRelay.java
@@ -11,112 +11,124 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The way from one controller to another: passes bytes on, or, while it is cut, lets connections be
- * made and passes nothing, as a network does that drops packets.
+ * Relay for the connections from one controller to another. It forwards bytes in this direction.
+ * While the link is cut, it accepts connections and discards what it reads, like a network that
+ * drops packets.
  */
 final class PeerRelay implements AutoCloseable {
-  private static final int BUFFER = 16 * 1024;
+  private static final int BUFFER_BYTES = 16 * 1024;
+  private static final int ACCEPT_BACKLOG = 16;
 
   private final String from;
   private final String to;
   private final InetSocketAddress target;
   private final ServerSocket server;
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+  private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
   private volatile boolean cut;
   private volatile boolean closed;
 
+  /**
+   * Opens a relay on a free loopback port.
+   *
+   * @param from name of the controller that connects
+   * @param to name of the controller that is connected to
+   * @param target address on which the controller {@code to} listens
+   */
   PeerRelay(String from, String to, InetSocketAddress target) throws IOException {
     this.from = from;
     this.to = to;
     this.target = target;
-    this.server = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
-    daemon(this::accept);
+    this.server = new ServerSocket(0, ACCEPT_BACKLOG, InetAddress.getLoopbackAddress());
+    startDaemon(this::acceptConnections);
   }
 
+  /** Returns whether this controller is the one that connects. */
   boolean isFrom(String controller) {
     return from.equals(controller);
   }
 
+  /** Returns whether this controller is the one that is connected to. */
   boolean isTo(String controller) {
     return to.equals(controller);
   }
 
+  /** Returns the address that the relay listens on. */
   InetSocketAddress address() {
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
   }
 
-  /** While it is cut, what is sent is lost; connections end when it is opened again. */
-  void setCut(boolean on) {
-    if (cut && !on) {
-      open.forEach(PeerRelay::close);
+  /** Cuts or restores the link. Restoring it closes all connections, so that they are made anew. */
+  void setCut(boolean isCut) {
+    if (cut && !isCut) {
+      openSockets.forEach(PeerRelay::close);
     }
-    cut = on;
+    cut = isCut;
   }
 
-  private void daemon(Runnable run) {
-    Thread t = new Thread(run, "relay " + from + " to " + to);
-    t.setDaemon(true);
-    t.start();
+  private void startDaemon(Runnable task) {
+    Thread thread = new Thread(task, "relay " + from + " to " + to);
+    thread.setDaemon(true);
+    thread.start();
   }
 
-  private void accept() {
+  private void acceptConnections() {
     while (!closed) {
       try {
         Socket in = server.accept();
-        open.add(in);
-        daemon(() -> pass(in));
+        openSockets.add(in);
+        startDaemon(() -> forward(in));
       } catch (IOException e) {
-        return; // closed
+        return; // the server socket is closed
       }
     }
   }
 
-  private void pass(Socket in) {
+  private void forward(Socket in) {
     try (Socket out = new Socket()) {
       if (!cut) {
         out.connect(target);
-        open.add(out);
-        // The other end writes nothing: that it can be read means that it is gone.
-        daemon(() -> closeWhenGone(out, in));
+        openSockets.add(out);
+        // The target sends nothing on this connection: its end of stream means that it has closed.
+        startDaemon(() -> closeWhenTargetCloses(out, in));
       }
       copy(in.getInputStream(), out);
     } catch (IOException e) {
-      // Either end is gone: both are.
+      // One end has failed or closed; both are closed.
     } finally {
       close(in);
-      open.remove(in);
+      openSockets.remove(in);
     }
   }
 
-  private void copy(InputStream from, Socket to) throws IOException {
-    byte[] buffer = new byte[BUFFER];
-    OutputStream sink = to.isConnected() ? to.getOutputStream() : null;
-    int n;
-    while ((n = from.read(buffer)) >= 0) {
+  private void copy(InputStream source, Socket destination) throws IOException {
+    byte[] buffer = new byte[BUFFER_BYTES];
+    OutputStream sink = destination.isConnected() ? destination.getOutputStream() : null;
+    int byteCount;
+    while ((byteCount = source.read(buffer)) >= 0) {
       if (!cut && sink != null) {
-        sink.write(buffer, 0, n);
+        sink.write(buffer, 0, byteCount);
         sink.flush();
       }
     }
   }
 
-  private void closeWhenGone(Socket out, Socket in) {
+  private void closeWhenTargetCloses(Socket out, Socket in) {
     try {
       if (out.getInputStream().read() >= 0) {
         return;
       }
     } catch (IOException e) {
-      // gone as well
+      // a failed read counts as closed, too
     }
-    open.remove(out);
+    openSockets.remove(out);
     close(in);
   }
 
-  private static void close(Socket s) {
+  private static void close(Socket socket) {
     try {
-      s.close();
+      socket.close();
     } catch (IOException e) {
-      return; // it is of no use any more in any case
+      return; // nothing is left to release
     }
   }
 
@@ -128,7 +140,7 @@
     } catch (IOException e) {
       return;
     } finally {
-      open.forEach(PeerRelay::close);
+      openSockets.forEach(PeerRelay::close);
     }
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/SettingsFile.java
+++ b/src/testbench/java/org/snowturn/testbench/SettingsFile.java
@@ -6,84 +6,94 @@
 import org.snowturn.simulation.LoopbackCluster;
 import org.snowturn.simulation.LoopbackPlan;
 
-/** Writes a controller's settings for a scale run, in the platform's form. */
+/** Generates the settings file of a controller for a scale or soak run. */
 final class SettingsFile {
   private SettingsFile() {}
 
+  /**
+   * Returns the text of a controller's settings file, in TOML.
+   *
+   * @param self the controller
+   * @param all all controllers of the region, including {@code self}
+   * @param plan zones and limits of the region
+   * @param cluster simulated cluster that defines the teams
+   * @param externalServices addresses of the cloud and the state service for each controller
+   * @param addresses addresses under which controllers connect to their peers
+   */
   static String render(
       ControllerProcess self,
       List<ControllerProcess> all,
       LoopbackPlan plan,
-      LoopbackCluster region,
-      LoopbackCluster.Outside outside,
+      LoopbackCluster cluster,
+      LoopbackCluster.Outside externalServices,
       PeerAddresses addresses)
       throws IOException {
-    StringBuilder s = new StringBuilder();
-    text(s, "node", self.name);
-    text(s, "location", self.zone);
-    text(s, "serve_on", at(self.servingAddress));
-    text(s, "peer_bind", at(self.peerBindAddress));
-    for (ControllerProcess p : all) {
-      if (p != self) {
-        s.append("[[peers]]\n");
-        text(s, "node", p.name);
-        text(s, "location", p.zone);
-        text(s, "addr", at(addresses.resolve(self, p)));
+    StringBuilder toml = new StringBuilder();
+    appendText(toml, "node", self.name);
+    appendText(toml, "location", self.zone);
+    appendText(toml, "serve_on", hostAndPort(self.servingAddress));
+    appendText(toml, "peer_bind", hostAndPort(self.peerBindAddress));
+    for (ControllerProcess peer : all) {
+      if (peer != self) {
+        toml.append("[[peers]]\n");
+        appendText(toml, "node", peer.name);
+        appendText(toml, "location", peer.zone);
+        appendText(toml, "addr", hostAndPort(addresses.resolve(self, peer)));
       }
     }
-    s.append("[outside]\n");
-    text(s, "cloud", at(outside.cloud().get(self.name)));
-    text(s, "state", at(outside.state().get(self.name)));
-    s.append("[deployment]\ninitial_size = ").append(all.size()).append('\n');
-    s.append("zones = [");
-    plan.zones().forEach(z -> s.append('"').append(z).append("\", "));
-    s.append("]\nclock_error_ms = 250.0\n");
-    for (LoopbackCluster.Team t : region.teams()) {
-      s.append("[[deployment.teams]]\n");
-      text(s, "name", t.name());
-      number(s, "cpus_max", t.mostCpus());
+    toml.append("[outside]\n");
+    appendText(toml, "cloud", hostAndPort(externalServices.cloud().get(self.name)));
+    appendText(toml, "state", hostAndPort(externalServices.state().get(self.name)));
+    toml.append("[deployment]\ninitial_size = ").append(all.size()).append('\n');
+    toml.append("zones = [");
+    plan.zones().forEach(zone -> toml.append('"').append(zone).append("\", "));
+    toml.append("]\nclock_error_ms = 250.0\n");
+    for (LoopbackCluster.Team team : cluster.teams()) {
+      toml.append("[[deployment.teams]]\n");
+      appendText(toml, "name", team.name());
+      appendNumber(toml, "cpus_max", team.mostCpus());
     }
-    objective(s, "deadline", "short", 0.99, "times = 1.0");
-    objective(s, "wait", "urgent", 0.95, "within_s = 1.3");
-    limits(s, plan);
-    return s.toString();
+    appendObjective(toml, "deadline", "short", 0.99, "times = 1.0");
+    appendObjective(toml, "wait", "urgent", 0.95, "within_s = 1.3");
+    appendLimits(toml, plan);
+    return toml.toString();
   }
 
-  private static void limits(StringBuilder text, LoopbackPlan plan) {
-    text.append("[deployment.workers]\n");
-    number(text, "report_s", plan.figures().reportS());
-    number(text, "lease_s", plan.figures().leaseS());
-    number(text, "cancel_s", plan.figures().cancelS());
-    text.append("[deployment.state]\n");
-    number(text, "rps", plan.state().rps());
-    number(text, "write_rps", plan.state().writeRps());
-    number(text, "value_kb", plan.state().valueKb());
-    text.append("txn_ops = ").append(plan.state().txnOps()).append('\n');
-    text.append("[deployment.cloud]\n");
-    number(text, "rps", plan.cloud().rps());
-    number(text, "list_lag_s", plan.cloud().listLagS());
-    text.append("[deployment.machine_limits]\n");
-    text.append("max_connections = ").append(plan.maxConnections()).append('\n');
+  private static void appendLimits(StringBuilder toml, LoopbackPlan plan) {
+    toml.append("[deployment.workers]\n");
+    appendNumber(toml, "report_s", plan.figures().reportS());
+    appendNumber(toml, "lease_s", plan.figures().leaseS());
+    appendNumber(toml, "cancel_s", plan.figures().cancelS());
+    toml.append("[deployment.state]\n");
+    appendNumber(toml, "rps", plan.state().rps());
+    appendNumber(toml, "write_rps", plan.state().writeRps());
+    appendNumber(toml, "value_kb", plan.state().valueKb());
+    toml.append("txn_ops = ").append(plan.state().txnOps()).append('\n');
+    toml.append("[deployment.cloud]\n");
+    appendNumber(toml, "rps", plan.cloud().rps());
+    appendNumber(toml, "list_lag_s", plan.cloud().listLagS());
+    toml.append("[deployment.machine_limits]\n");
+    toml.append("max_connections = ").append(plan.maxConnections()).append('\n');
   }
 
-  private static void objective(
-      StringBuilder s, String kind, String jobClass, double share, String more) {
-    s.append("[[deployment.objectives]]\n");
-    text(s, "kind", kind);
-    text(s, "class", jobClass);
-    number(s, "share", share);
-    s.append(more).append('\n');
+  private static void appendObjective(
+      StringBuilder toml, String kind, String jobClass, double share, String targetEntry) {
+    toml.append("[[deployment.objectives]]\n");
+    appendText(toml, "kind", kind);
+    appendText(toml, "class", jobClass);
+    appendNumber(toml, "share", share);
+    toml.append(targetEntry).append('\n');
   }
 
-  private static void text(StringBuilder text, String name, String value) {
-    text.append(name).append(" = \"").append(value).append("\"\n");
+  private static void appendText(StringBuilder toml, String name, String value) {
+    toml.append(name).append(" = \"").append(value).append("\"\n");
   }
 
-  private static void number(StringBuilder text, String name, double value) {
-    text.append(String.format(Locale.ROOT, "%s = %.3f%n", name, value));
+  private static void appendNumber(StringBuilder toml, String name, double value) {
+    toml.append(String.format(Locale.ROOT, "%s = %.3f%n", name, value));
   }
 
-  private static String at(java.net.InetSocketAddress a) {
-    return a.getAddress().getHostAddress() + ":" + a.getPort();
+  private static String hostAndPort(java.net.InetSocketAddress address) {
+    return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/SoakCommand.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakCommand.java
@@ -14,42 +14,42 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command {@code soak}: real controllers under drawn faults, seed after seed. */
+/** The command {@code soak}: runs real controllers under random faults, one run for each seed. */
 @Command(
     name = "soak",
     mixinStandardHelpOptions = true,
-    description = "Plays real controllers under drawn faults over loopback and checks all rules.")
+    description = "Runs real controllers under random faults over loopback and checks all rules.")
 final class SoakCommand implements Callable<Integer> {
-  private static final int BROKEN = 1;
-  private static final String RANGE = "[0-9]{1,9}(-[0-9]{1,9})?";
-  private static final int MOST_SEEDS = 10_000;
-  private static final Path DEPLOY = Path.of("deploy", "service.toml");
+  private static final int EXIT_NOT_PASSED = 1;
+  private static final String SEED_RANGE = "[0-9]{1,9}(-[0-9]{1,9})?";
+  private static final int MAX_SEEDS = 10_000;
+  private static final Path DEPLOY_FILE = Path.of("deploy", "service.toml");
 
   @Spec private CommandSpec spec;
 
-  @Option(names = "--seeds", description = "One seed, or the first and the last: A-B.")
+  @Option(names = "--seeds", description = "One seed A, or a range of seeds A-B.")
   private String seeds;
 
-  @Option(names = "--plan", description = "Plays this file's plan instead of drawing one.")
+  @Option(names = "--plan", description = "Runs the plan in this file instead of generated ones.")
   private Path planFile;
 
   @Option(
       names = "--workers",
-      description = "Hollow workers; if not given, the seed says: a few hundred now and then.")
+      description = "Simulated workers. Default: chosen by the seed, sometimes a few hundred.")
   private Integer workers;
 
   @Option(
       names = "--duration",
-      description = "Seconds within which faults begin. Default: ${DEFAULT-VALUE}.")
+      description = "Time within which faults begin, in seconds. Default: ${DEFAULT-VALUE}.")
   private int duration = 30;
 
   @Option(
       names = "--out",
-      description = "Folder for plans, logs and messages. Default: ${DEFAULT-VALUE}.")
+      description = "Directory for plans, settings, logs and verdicts. Default: ${DEFAULT-VALUE}.")
   private Path out = Path.of("target", "soak");
 
-  @Option(names = "--keep", description = "Keeps logs and messages of runs that pass as well.")
-  private boolean keep;
+  @Option(names = "--keep", description = "Also keeps the logs of runs that pass.")
+  private boolean shouldKeepLogs;
 
   @Override
   public Integer call() throws IOException, InterruptedException {
@@ -59,8 +59,8 @@
       for (SoakPlan plan : plans) {
         plan.check(memoryMb);
       }
-      Path root = Path.of("").toAbsolutePath();
-      return play(plans, LaunchCommand.read(DEPLOY, root, 0), root);
+      Path workingDirectory = Path.of("").toAbsolutePath();
+      return play(plans, LaunchCommand.read(DEPLOY_FILE, workingDirectory, 0), workingDirectory);
     } catch (InvalidInputException e) {
       throw new ParameterException(spec.commandLine(), e.getMessage());
     }
@@ -68,25 +68,31 @@
 
   private List<SoakPlan> plans() throws InvalidInputException {
     if ((planFile == null) == (seeds == null)) {
-      throw new InvalidInputException("either --seeds or --plan is needed");
+      throw new InvalidInputException("--seeds, --plan: exactly one of them is required");
     }
     if (planFile != null) {
       return List.of(SoakPlan.read(planFile));
     }
-    if (!seeds.matches(RANGE)) {
-      throw new InvalidInputException("--seeds: A or A-B expected, not " + seeds);
+    if (!seeds.matches(SEED_RANGE)) {
+      throw new InvalidInputException("--seeds: a number A or a range A-B expected, not " + seeds);
     }
-    String[] ends = seeds.split("-", -1);
-    long first = Long.parseLong(ends[0]);
-    long last = Long.parseLong(ends[ends.length - 1]);
-    if (last < first || last - first >= MOST_SEEDS) {
-      throw new InvalidInputException("--seeds: from 1 to " + MOST_SEEDS + " seeds, first to last");
+    String[] bounds = seeds.split("-", -1);
+    long first = Long.parseLong(bounds[0]);
+    long last = Long.parseLong(bounds[bounds.length - 1]);
+    if (last < first || last - first >= MAX_SEEDS) {
+      throw new InvalidInputException(
+          "--seeds: a range of 1 to "
+              + MAX_SEEDS
+              + " seeds in ascending order expected, not "
+              + seeds);
     }
     if (workers != null && workers < 1) {
-      throw new InvalidInputException("--workers: must be from 1 to " + SoakPlan.MAX_WORKERS);
+      throw new InvalidInputException(
+          "--workers: must be from 1 to " + SoakPlan.MAX_WORKERS + ", not " + workers);
     }
     if (duration < 1 || duration > SoakPlan.MAX_DURATION_S) {
-      throw new InvalidInputException("--duration: must be from 1 to " + SoakPlan.MAX_DURATION_S);
+      throw new InvalidInputException(
+          "--duration: must be from 1 to " + SoakPlan.MAX_DURATION_S + " seconds, not " + duration);
     }
     List<SoakPlan> plans = new ArrayList<>();
     for (long seed = first; seed <= last; seed++) {
@@ -95,7 +101,8 @@
     return plans;
   }
 
-  private int play(List<SoakPlan> plans, List<String> command, Path root)
+  /** Runs the plans one after the other and returns the exit code. */
+  private int play(List<SoakPlan> plans, List<String> controllerCommand, Path workingDirectory)
       throws IOException, InterruptedException, InvalidInputException {
     Map<SoakVerdict.Result, Integer> results = new EnumMap<>(SoakVerdict.Result.class);
     for (SoakPlan plan : plans) {
@@ -103,11 +110,17 @@
       Files.createDirectories(dir);
       System.out.println("seed " + plan.seed() + ", plan " + dir.resolve("plan.txt"));
       SoakVerdict verdict =
-          new SoakRun(plan, command, root, dir, keep, line -> System.err.println("  " + line))
+          new SoakRun(
+                  plan,
+                  controllerCommand,
+                  workingDirectory,
+                  dir,
+                  shouldKeepLogs,
+                  line -> System.err.println("  " + line))
               .play();
       results.merge(verdict.result(), 1, Integer::sum);
       System.out.println(verdict.summary());
-      verdict.details().forEach(d -> System.out.println("  " + d));
+      verdict.details().forEach(detail -> System.out.println("  " + detail));
     }
     int passed = results.getOrDefault(SoakVerdict.Result.PASSED, 0);
     System.out.println(
@@ -117,6 +130,6 @@
             + " failed, "
             + results.getOrDefault(SoakVerdict.Result.NOT_FINISHED, 0)
             + " not finished");
-    return passed == plans.size() ? 0 : BROKEN;
+    return passed == plans.size() ? 0 : EXIT_NOT_PASSED;
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/SoakFault.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakFault.java
@@ -3,91 +3,106 @@
 import java.util.Locale;
 
 /**
- * One thing that goes wrong in a soak run.
+ * A fault that is injected into a soak run.
  *
- * @param atMs when, after the load has begun
- * @param kind what
- * @param target whom it happens to: {@code leader}, {@code standby}, {@code all}, or nobody
- * @param durationMs how long it lasts, or how soon a process is back
- * @param amount how many, how late or how often, as the kind has it
+ * @param atMs time from the begin of the load to the fault, in ms
+ * @param kind kind of fault
+ * @param target controllers that it happens to: {@code leader}, {@code standby}, {@code all}, or
+ *     {@code -} for a kind that has no such target
+ * @param durationMs duration of the fault, or delay until a killed controller is restarted, in ms
+ * @param amount number, factor, share or delay in seconds, depending on the kind; 0 for kinds
+ *     without an amount
  */
 record SoakFault(long atMs, Kind kind, String target, long durationMs, double amount) {
-  /** What can go wrong. */
+  /** Kinds of faults. */
   enum Kind {
-    /** A controller ends and is back after a while. */
+    /** A controller is killed and restarted after the duration. */
     KILL,
-    /** Leaders end one after the other, each as soon as it leads: so many times. */
+    /**
+     * The leader and its successors are killed as soon as they lead; the amount is their number.
+     */
     KILL_LEADERS,
-    /** A new leader ends in the midst of its takeover. */
+    /** The leader is killed, and its successor during the takeover. */
     KILL_IN_TAKEOVER,
-    /** A controller's process stands still. */
+    /** A controller's process is suspended. */
     PAUSE,
-    /** Nothing gets from the controller to machines. */
+    /** Messages from the controller to workers are lost. */
     CUT_TO_WORKERS,
-    /** Nothing gets from machines to the controller. */
+    /** Messages from workers to the controller are lost. */
     CUT_FROM_WORKERS,
-    /** Nothing gets from the controller to the state service. */
+    /** Requests of the controller to the state service are lost. */
     CUT_TO_STATE,
-    /** No answer of the state service gets to the controller. */
+    /** Replies of the state service to the controller are lost. */
     CUT_FROM_STATE,
-    /** Nothing gets from the controller to the cloud, or back. */
+    /** Requests of the controller to the cloud are lost, so that it gets no replies. */
     CUT_CLOUD,
-    /** Nothing gets from the controller to its peers. */
+    /** Messages from the controller to its peers are lost. */
     CUT_TO_PEERS,
-    /** Nothing gets from the peers to the controller. */
+    /** Messages from the peers to the controller are lost. */
     CUT_FROM_PEERS,
-    /** The state service refuses the controller alone. */
+    /** The state service refuses requests of this controller only. */
     REFUSE,
-    /** The state service is out for everybody. */
+    /** The state service is unavailable to all controllers. */
     OUTAGE,
-    /** The state service is so many times slower. */
+    /** The state service is slower; the amount is the factor. */
     SLOW_STATE,
-    /** That share of the transactions is carried out without an answer. */
+    /** Transactions are executed and their replies lost; the amount is the share affected. */
     LOSE_ANSWERS,
-    /** That share of the transactions is carried out seconds later. */
+    /**
+     * Transactions are executed seconds later, without a reply; the amount is the share affected.
+     */
     LATE_TRANSACTIONS,
-    /** Direct commands are so many seconds late. */
+    /** Direct commands to workers are delayed; the amount is the minimum delay in seconds. */
     LATE_COMMANDS,
-    /** A copy of each report comes again, up to so many seconds later. */
+    /** Each heartbeat arrives a second time; the amount is the maximum delay in seconds. */
     COPY_REPORTS,
-    /** Check-ins are so many seconds late. */
+    /** Heartbeats are delayed; the amount is the delay in seconds. */
     SLOW_REPORTS,
-    /** So many machines stand still. */
+    /** Workers hang with all their tasks; the amount is their number. */
     HANG_WORKERS,
-    /** So many machines stop. */
+    /** Machines fail; the amount is their number. */
     KILL_WORKERS,
-    /** The cloud takes so many machines. */
+    /** The cloud takes machines away; the amount is their number. */
     TAKE_WORKERS,
-    /** So many machines fail whatever starts there. */
+    /** Workers fail every task that starts on them; the amount is their number. */
     SICK_WORKERS,
-    /** Users call off so many jobs that run. */
+    /** Users cancel running jobs; the amount is their number. */
     CANCEL_JOBS;
 
-    /** Whether it happens to a controller. */
+    /** Returns whether a plan names the controllers that a fault of this kind happens to. */
     boolean isControllerFault() {
       return this == KILL || this == PAUSE || this == REFUSE || name().startsWith("CUT_");
     }
 
-    /** Its name in a plan. */
+    /** Returns the name of this kind in a plan file. */
     String planName() {
       return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
   }
 
+  private static final double MS_PER_S = 1000;
+
+  /** Target: the leader. */
   static final String LEADER = "leader";
+
+  /** Target: the first controller that does not lead. */
   static final String STANDBY = "standby";
+
+  /** Target: all controllers. */
   static final String ALL = "all";
+
+  /** Target of faults whose kind does not take one. */
   static final String NO_TARGET = "-";
 
-  /** Its line in a plan. */
+  /** Returns the line for this fault in a plan file. */
   String toPlanLine() {
     return String.format(
         Locale.ROOT,
         "at %.3f %s %s for %.3f amount %.3f",
-        atMs / 1000.0,
+        atMs / MS_PER_S,
         kind.planName(),
         target,
-        durationMs / 1000.0,
+        durationMs / MS_PER_S,
         amount);
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/SoakPlan.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakPlan.java
@@ -15,83 +15,111 @@
 import org.snowturn.testbench.SoakFault.Kind;
 
 /**
- * What a soak run plays: a size, a time and faults. One seed always gives the same plan; a plan can
- * be written down and played again.
+ * The plan of a soak run: its size, duration and faults. A seed always gives the same plan. A plan
+ * can be written to a file and run again from there.
  *
- * @param seed it was drawn from; the load is drawn from it as well
- * @param workers hollow workers at the start
- * @param durationS how long faults may begin
- * @param faults in the order of their times
+ * @param seed seed of the plan and of the load
+ * @param workers number of simulated workers at the start
+ * @param durationS time within which faults begin and jobs are submitted, in seconds
+ * @param faults the faults in the order of their times
  */
 record SoakPlan(long seed, int workers, int durationS, List<SoakFault> faults) {
   private static final List<Kind> KINDS = List.of(Kind.values());
 
+  /** Maximum number of workers in a plan. */
   static final int MAX_WORKERS = 2_000;
+
+  /** Maximum duration of a plan. */
   static final int MAX_DURATION_S = 3_600;
+
+  private static final long MS_PER_S = 1_000;
   private static final int CONTROLLERS = 3;
   private static final int ZONES = 3;
   private static final int TEAMS = 2;
   private static final int TASKS_PER_WORKER = 8;
 
-  /** One seed in so many has a few hundred workers. */
-  private static final int LARGE_ONE_IN = 8;
+  /** On average one of this number of seeds gives a large fleet. */
+  private static final int LARGE_FLEET_ONE_IN = 8;
+
+  private static final int MIN_LARGE_FLEET = 200;
+  private static final int MAX_LARGE_FLEET = 400;
+  private static final int MIN_SMALL_FLEET = 18;
+  private static final int MAX_SMALL_FLEET = 60;
 
   private static final double MB_PER_WORKER = 0.5;
   private static final double MB_PER_CONTROLLER = 200;
   private static final double BASE_MB = 300;
 
-  /** Short leases, so that a run sees many of them end. */
-  private static final Settings.Workers FIGURES = new Settings.Workers(1, 8, 20);
+  /** Short report interval and leases, so that many leases expire within a run. */
+  private static final Settings.Workers WORKER_SETTINGS = new Settings.Workers(1, 8, 20);
 
-  private static final Settings.StateLimits STATE = new Settings.StateLimits(400, 150, 16, 24);
-  private static final Settings.CloudLimits CLOUD = new Settings.CloudLimits(8, 2);
-  private static final int CONNECTIONS = 4_096;
-  private static final int HIREABLE_PER_ZONE = 8;
+  private static final Settings.StateLimits STATE_LIMITS =
+      new Settings.StateLimits(400, 150, 16, 24);
+  private static final Settings.CloudLimits CLOUD_LIMITS = new Settings.CloudLimits(8, 2);
+  private static final int MAX_CONNECTIONS = 4_096;
 
-  /** Of its team's limit, in workers' worth of CPUs: it is met now and then. */
-  private static final double TEAM_SHARE = 0.4;
+  /** Machines of each kind that the cloud can rent out in each zone beyond the initial ones. */
+  private static final int RENTABLE_PER_ZONE = 8;
+
+  /** Limit of each team as a share of the initial workers' CPUs; jobs reach it now and then. */
+  private static final double TEAM_CPU_SHARE = 0.4;
 
   private static final int CPUS_PER_WORKER = 10;
 
-  /** A fault comes within this time of the one before it, as often as the share says. */
-  private static final int TOGETHER_MS = 1_500;
+  /** Maximum time between the begins of two overlapping faults. */
+  private static final int MAX_OVERLAP_DELAY_MS = 1_500;
+
+  /** Share of the faults that begin shortly after the one generated before them. */
+  private static final double OVERLAPPING_SHARE = 0.6;
 
-  private static final double TOGETHER = 0.6;
   private static final double FAULTS_PER_SECOND = 0.45;
+
+  private static final int MIN_FAULTS = 3;
   private static final Pattern HEADER =
       Pattern.compile("soak seed (\\d{1,18}) workers (\\d{1,6}) duration (\\d{1,6})");
-  private static final Pattern LINE =
+  private static final Pattern FAULT_LINE =
       Pattern.compile(
           "at (\\d{1,6}\\.?\\d{0,3}) ([a-z-]+) (leader|standby|all|-)"
               + " for (\\d{1,6}\\.?\\d{0,3}) amount (\\d{1,6}\\.?\\d{0,3})");
 
-  /** Draws the plan of a seed; {@code workers} 0 leaves the size to the seed. */
+  /**
+   * Generates the random plan of a seed.
+   *
+   * @param seed seed of the plan
+   * @param workers number of workers; 0 chooses it from the seed
+   * @param durationS time within which faults begin, in seconds
+   */
   static SoakPlan generate(long seed, int workers, int durationS) {
     SplittableRandom random = new SplittableRandom(seed);
-    boolean large = random.nextInt(LARGE_ONE_IN) == 0;
-    int drawn = large ? random.nextInt(200, 401) : random.nextInt(18, 61);
-    int size = workers > 0 ? workers : drawn;
+    boolean isLarge = random.nextInt(LARGE_FLEET_ONE_IN) == 0;
+    int randomSize =
+        isLarge
+            ? random.nextInt(MIN_LARGE_FLEET, MAX_LARGE_FLEET + 1)
+            : random.nextInt(MIN_SMALL_FLEET, MAX_SMALL_FLEET + 1);
+    int size = workers > 0 ? workers : randomSize;
     List<SoakFault> faults = new ArrayList<>();
-    int count = (int) Math.max(3, durationS * FAULTS_PER_SECOND);
-    long at = random.nextLong(1_000, 4_000);
+    int count = (int) Math.max(MIN_FAULTS, durationS * FAULTS_PER_SECOND);
+    long atMs = random.nextLong(1_000, 4_000);
     for (int i = 0; i < count; i++) {
-      boolean together = random.nextDouble() < TOGETHER;
-      at =
-          together ? at + random.nextLong(TOGETHER_MS) : random.nextLong(1_000, durationS * 1_000L);
-      at = Math.min(at, durationS * 1_000L);
-      faults.add(fault(random, at, size));
+      boolean isOverlapping = random.nextDouble() < OVERLAPPING_SHARE;
+      atMs =
+          isOverlapping
+              ? atMs + random.nextLong(MAX_OVERLAP_DELAY_MS)
+              : random.nextLong(1_000, durationS * MS_PER_S);
+      atMs = Math.min(atMs, durationS * MS_PER_S);
+      faults.add(randomFault(random, atMs, size));
     }
     faults.sort(Comparator.comparingLong(SoakFault::atMs));
     return new SoakPlan(seed, size, durationS, List.copyOf(faults));
   }
 
-  private static SoakFault fault(SplittableRandom random, long at, int workers) {
+  private static SoakFault randomFault(SplittableRandom random, long atMs, int workers) {
     Kind kind = KINDS.get(random.nextInt(KINDS.size()));
-    long lasts = random.nextLong(500, 12_000);
+    long durationMs = random.nextLong(500, 12_000);
     String target = SoakFault.NO_TARGET;
     if (kind.isControllerFault()) {
-      int who = random.nextInt(10);
-      target = who < 6 ? SoakFault.LEADER : who < 9 ? SoakFault.STANDBY : SoakFault.ALL;
+      int roll = random.nextInt(10); // 60% the leader, 30% a standby, 10% all
+      target = roll < 6 ? SoakFault.LEADER : roll < 9 ? SoakFault.STANDBY : SoakFault.ALL;
     }
     double amount =
         switch (kind) {
@@ -109,12 +137,17 @@
           default -> 0;
         };
     if (kind == Kind.KILL || kind == Kind.KILL_LEADERS || kind == Kind.KILL_IN_TAKEOVER) {
-      lasts = random.nextLong(100, 3_000); // until the process is started again
+      durationMs = random.nextLong(100, 3_000); // delay until the process is restarted
     }
-    return new SoakFault(at, kind, target, lasts, amount);
+    return new SoakFault(atMs, kind, target, durationMs, amount);
   }
 
-  /** Reads a plan that {@link #toLines} has written; says which line is damaged. */
+  /**
+   * Reads a plan file in the format of {@link #toLines}.
+   *
+   * @throws InvalidInputException if the file cannot be read or a line is malformed; the message
+   *     names the file and the line
+   */
   static SoakPlan read(Path file) throws InvalidInputException {
     List<String> lines;
     try {
@@ -124,12 +157,13 @@
     }
     Matcher header = HEADER.matcher(lines.isEmpty() ? "" : lines.get(0).trim());
     if (!header.matches()) {
-      throw new InvalidInputException(file + ":1: \"soak seed N workers N duration N\" expected");
+      throw new InvalidInputException(
+          file + ":1: \"soak seed N workers N duration N\" expected as the first line");
     }
     List<SoakFault> faults = new ArrayList<>();
     for (int i = 1; i < lines.size(); i++) {
       if (!lines.get(i).isBlank()) {
-        faults.add(fault(file + ":" + (i + 1), lines.get(i).trim()));
+        faults.add(parseFault(file + ":" + (i + 1), lines.get(i).trim()));
       }
     }
     faults.sort(Comparator.comparingLong(SoakFault::atMs));
@@ -140,30 +174,44 @@
         List.copyOf(faults));
   }
 
-  private static SoakFault fault(String place, String line) throws InvalidInputException {
-    Matcher m = LINE.matcher(line);
-    if (!m.matches()) {
+  private static SoakFault parseFault(String position, String line) throws InvalidInputException {
+    Matcher matcher = FAULT_LINE.matcher(line);
+    if (!matcher.matches()) {
       throw new InvalidInputException(
-          place + ": \"at SECONDS KIND TARGET for SECONDS amount NUMBER\" expected");
+          position
+              + ": \"at SECONDS KIND TARGET for SECONDS amount NUMBER\" expected, not \""
+              + line
+              + "\"");
     }
     for (Kind kind : Kind.values()) {
-      if (kind.planName().equals(m.group(2))) {
-        boolean aimed = !m.group(3).equals(SoakFault.NO_TARGET);
-        if (aimed != kind.isControllerFault()) {
-          throw new InvalidInputException(place + ": " + kind.planName() + " of " + m.group(3));
+      if (kind.planName().equals(matcher.group(2))) {
+        boolean hasTarget = !matcher.group(3).equals(SoakFault.NO_TARGET);
+        if (hasTarget != kind.isControllerFault()) {
+          throw new InvalidInputException(
+              position
+                  + ": "
+                  + kind.planName()
+                  + " needs "
+                  + (kind.isControllerFault() ? "leader, standby or all" : SoakFault.NO_TARGET)
+                  + " as its target, not "
+                  + matcher.group(3));
         }
         return new SoakFault(
-            ms(m.group(1)), kind, m.group(3), ms(m.group(4)), Double.parseDouble(m.group(5)));
+            toMs(matcher.group(1)),
+            kind,
+            matcher.group(3),
+            toMs(matcher.group(4)),
+            Double.parseDouble(matcher.group(5)));
       }
     }
-    throw new InvalidInputException(place + ": no such fault: " + m.group(2));
+    throw new InvalidInputException(position + ": unknown kind of fault: " + matcher.group(2));
   }
 
-  private static long ms(String seconds) {
-    return Math.round(Double.parseDouble(seconds) * 1000);
+  private static long toMs(String seconds) {
+    return Math.round(Double.parseDouble(seconds) * MS_PER_S);
   }
 
-  /** Its lines; {@link #read} takes them. */
+  /** Returns the lines of the plan file, which {@link #read} accepts. */
   List<String> toLines() {
     List<String> lines = new ArrayList<>();
     lines.add(
@@ -173,22 +221,36 @@
     return lines;
   }
 
-  /** Checks the figures; says in one line which is wrong. */
+  /**
+   * Checks the number of workers, the duration and the memory that the run needs.
+   *
+   * @param machineMemoryMb memory of this machine in MB
+   * @throws InvalidInputException if a value is out of range, or if the run needs more than half of
+   *     the memory
+   */
   void check(long machineMemoryMb) throws InvalidInputException {
     if (workers < 1 || workers > MAX_WORKERS) {
-      throw new InvalidInputException("--workers: must be from 1 to " + MAX_WORKERS);
+      throw new InvalidInputException(
+          "--workers: must be from 1 to " + MAX_WORKERS + ", not " + workers);
     }
     if (durationS < 1 || durationS > MAX_DURATION_S) {
-      throw new InvalidInputException("--duration: must be from 1 to " + MAX_DURATION_S);
+      throw new InvalidInputException(
+          "--duration: must be from 1 to " + MAX_DURATION_S + " seconds, not " + durationS);
     }
-    long needs = Math.round(BASE_MB + workers * MB_PER_WORKER + CONTROLLERS * MB_PER_CONTROLLER);
-    if (needs > machineMemoryMb / 2) {
+    long neededMb = Math.round(BASE_MB + workers * MB_PER_WORKER + CONTROLLERS * MB_PER_CONTROLLER);
+    if (neededMb > machineMemoryMb / 2) {
       throw new InvalidInputException(
-          "needs about " + needs + " MB, more than half of the machine's " + machineMemoryMb);
+          "--workers: "
+              + workers
+              + " workers need about "
+              + neededMb
+              + " MB, more than half of the machine's "
+              + machineMemoryMb
+              + " MB");
     }
   }
 
-  /** The region that it is played in. */
+  /** Returns the plan of the region in which the faults happen. */
   LoopbackPlan regionPlan() {
     List<String> zones = new ArrayList<>();
     for (int i = 0; i < ZONES; i++) {
@@ -207,11 +269,11 @@
         0,
         TEAMS,
         seed,
-        FIGURES,
-        STATE,
-        CLOUD,
-        CONNECTIONS,
-        HIREABLE_PER_ZONE,
-        Math.ceil(workers * CPUS_PER_WORKER * TEAM_SHARE));
+        WORKER_SETTINGS,
+        STATE_LIMITS,
+        CLOUD_LIMITS,
+        MAX_CONNECTIONS,
+        RENTABLE_PER_ZONE,
+        Math.ceil(workers * CPUS_PER_WORKER * TEAM_CPU_SHARE));
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/SoakRun.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakRun.java
@@ -15,74 +15,93 @@
 import org.snowturn.testbench.SoakVerdict.Result;
 
 /**
- * Plays one plan of faults on real controllers and judges it by what workers, users and the state
- * service saw. Its folder holds the plan, the controllers' settings and logs and the history of all
- * messages; of a run that passes the last two are removed.
+ * Runs one plan of faults against real controllers and checks the outcome by what the simulated
+ * workers, users and state service have seen. The directory of the run holds the plan, the
+ * controllers' settings and logs, and the log of all messages. The logs of a run that passes are
+ * removed unless they are to be kept.
  */
 final class SoakRun {
-  private static final String PLAN = "plan.txt";
-  private static final String MESSAGES = "messages.log";
-  private static final Map<String, String> LOG_ALL = Map.of("LOG_LEVEL", "debug");
-  private static final long LOOK_MS = 200;
-  private static final long READY_WITHIN_MS = 60_000;
+  private static final String PLAN_FILE = "plan.txt";
+  private static final String MESSAGE_LOG = "messages.log";
+  private static final String VERDICT_FILE = "verdict.txt";
+  private static final long MS_PER_S = 1_000;
+  private static final Map<String, String> DEBUG_LOGGING = Map.of("LOG_LEVEL", "debug");
+  private static final long POLL_INTERVAL_MS = 200;
+  private static final long READY_TIMEOUT_MS = 60_000;
 
-  /** After the last fault so long is waited for all jobs to be answered for and placed. */
-  private static final long SETTLED_WITHIN_MS = 150_000;
+  /** Maximum time after the last fault until every job is answered and running or over. */
+  private static final long SETTLE_TIMEOUT_MS = 150_000;
 
-  /** A job comes within each so many milliseconds; more often to a large fleet. */
-  private static final int JOB_EVERY_MS = 300;
+  /** Maximum time between two random jobs in a small fleet. */
+  private static final int MAX_JOB_INTERVAL_MS = 300;
 
-  private static final int LARGE_FLEET = 150;
+  /** Factor by which jobs arrive more often in a large fleet. */
+  private static final int LARGE_FLEET_JOB_FACTOR = 3;
+
+  /** Minimum number of workers of a large fleet. */
+  private static final int LARGE_FLEET_WORKERS = 150;
+
+  /** Maximum number of log lines quoted from each controller. */
+  private static final int MAX_QUOTED_LINES = 5;
 
   private final SoakPlan plan;
   private final List<String> command;
-  private final Path root;
+  private final Path workingDirectory;
   private final Path dir;
-  private final boolean keep;
+  private final boolean shouldKeepLogs;
   private final Consumer<String> progress;
 
   /**
-   * Plays nothing yet.
+   * Creates a run that {@link #play} starts.
    *
-   * @param command how a controller is started; its settings file is added
-   * @param dir for the plan, logs and messages
-   * @param keep whether logs and messages of a run that passes are kept as well
+   * @param plan size, duration and faults of the run
+   * @param command command line that starts a controller; the path of the settings file is appended
+   * @param workingDirectory working directory of the controllers
+   * @param dir directory for the plan, the settings, the logs and the verdict
+   * @param shouldKeepLogs whether the logs of a run that passes are kept
+   * @param progress receives a line for each fault when it begins
    */
   SoakRun(
       SoakPlan plan,
       List<String> command,
-      Path root,
+      Path workingDirectory,
       Path dir,
-      boolean keep,
+      boolean shouldKeepLogs,
       Consumer<String> progress) {
     this.plan = plan;
     this.command = command;
-    this.root = root;
+    this.workingDirectory = workingDirectory;
     this.dir = dir;
-    this.keep = keep;
+    this.shouldKeepLogs = shouldKeepLogs;
     this.progress = progress;
   }
 
+  /**
+   * Starts the controllers, injects the faults, waits until all jobs are settled and checks the
+   * run.
+   *
+   * @throws InvalidInputException if a controller's process ends before it is ready
+   */
   SoakVerdict play() throws IOException, InterruptedException, InvalidInputException {
     Files.createDirectories(dir);
-    Files.write(dir.resolve(PLAN), plan.toLines());
+    Files.write(dir.resolve(PLAN_FILE), plan.toLines());
     SoakVerdict verdict;
-    try (BufferedWriter messages = Files.newBufferedWriter(dir.resolve(MESSAGES));
-        Deployment deployment = new Deployment(command, root, dir, LOG_ALL)) {
+    try (BufferedWriter messages = Files.newBufferedWriter(dir.resolve(MESSAGE_LOG));
+        Deployment deployment = new Deployment(command, workingDirectory, dir, DEBUG_LOGGING)) {
       deployment.openWithRelays(List.of(plan.regionPlan()));
       deployment.regions().get(0).cluster.keepMessages(messages);
       verdict = play(deployment);
     }
     if (verdict.result() != Result.PASSED) {
-      Files.write(dir.resolve("verdict.txt"), verdict.details());
-    } else if (!keep) {
+      Files.write(dir.resolve(VERDICT_FILE), verdict.details());
+    } else if (!shouldKeepLogs) {
       removeLogs();
     }
     return verdict;
   }
 
   private void removeLogs() throws IOException {
-    Files.delete(dir.resolve(MESSAGES));
+    Files.delete(dir.resolve(MESSAGE_LOG));
     for (String node : plan.regionPlan().controllers()) {
       Files.deleteIfExists(dir.resolve(node + ".log"));
     }
@@ -90,79 +109,100 @@
 
   private SoakVerdict play(Deployment deployment)
       throws IOException, InterruptedException, InvalidInputException {
-    Region part = deployment.regions().get(0);
+    Region region = deployment.regions().get(0);
     try {
       deployment.startControllers();
-      awaitReady(part);
-      long forMs = plan.durationS() * 1000L;
-      part.cluster.randomJobs(
-          forMs, plan.workers() < LARGE_FLEET ? JOB_EVERY_MS : JOB_EVERY_MS / 3);
-      part.cluster.insistentUsers(forMs);
-      new FaultInjector(deployment, part, progress).play(plan.faults());
-      List<String> open = awaitSettled(part);
-      return judge(part, open);
+      awaitReady(region);
+      long loadMs = plan.durationS() * MS_PER_S;
+      region.cluster.randomJobs(
+          loadMs,
+          plan.workers() < LARGE_FLEET_WORKERS
+              ? MAX_JOB_INTERVAL_MS
+              : MAX_JOB_INTERVAL_MS / LARGE_FLEET_JOB_FACTOR);
+      region.cluster.insistentUsers(loadMs);
+      new FaultInjector(deployment, region, progress).play(plan.faults());
+      List<String> unsettledJobs = awaitSettled(region);
+      return judge(region, unsettledJobs);
     } catch (TimeoutException e) {
       return new SoakVerdict(
-          plan, Result.NOT_FINISHED, List.of("the stand-ins do not answer"), 0, 0, 0);
+          plan,
+          Result.NOT_FINISHED,
+          List.of(
+              "the controllers were not ready in time,"
+                  + " or the simulated cluster did not answer in time"),
+          0,
+          0,
+          0);
     }
   }
 
-  private void awaitReady(Region part)
+  private void awaitReady(Region region)
       throws InterruptedException, TimeoutException, IOException, InvalidInputException {
-    long until = System.currentTimeMillis() + READY_WITHIN_MS;
-    while (part.cluster.ready().size() < part.controllers.size()) {
-      for (ControllerProcess controller : part.controllers) {
+    long deadlineMs = System.currentTimeMillis() + READY_TIMEOUT_MS;
+    while (region.cluster.ready().size() < region.controllers.size()) {
+      for (ControllerProcess controller : region.controllers) {
         if (controller.hasEndedUnexpectedly()) {
           throw new InvalidInputException(
-              controller.name + " does not start: " + lastLine(controller.log()));
+              controller.name
+                  + " does not start; last line of "
+                  + controller.log()
+                  + ": "
+                  + lastLine(controller.log()));
         }
       }
-      if (System.currentTimeMillis() > until) {
-        throw new TimeoutException("controllers are not ready");
+      if (System.currentTimeMillis() > deadlineMs) {
+        throw new TimeoutException(
+            "some controllers are not ready after " + READY_TIMEOUT_MS + " ms");
       }
-      Thread.sleep(LOOK_MS);
+      Thread.sleep(POLL_INTERVAL_MS);
     }
   }
 
   private static String lastLine(Path log) throws IOException {
     List<String> lines = Files.readAllLines(log);
-    return lines.isEmpty() ? "no word of it" : lines.get(lines.size() - 1);
+    return lines.isEmpty() ? "(the file is empty)" : lines.get(lines.size() - 1);
   }
 
-  /** Waits until every accepted job is answered for and running or over; returns what is not. */
-  private List<String> awaitSettled(Region part) throws InterruptedException, TimeoutException {
-    long calmFrom = part.cluster.status().nowMs();
-    long until = System.currentTimeMillis() + SETTLED_WITHIN_MS;
-    List<String> open;
+  /**
+   * Waits until every accepted job is answered and running or over.
+   *
+   * @return the jobs that are not after {@link #SETTLE_TIMEOUT_MS}
+   */
+  private List<String> awaitSettled(Region region) throws InterruptedException, TimeoutException {
+    long answeredSinceMs = region.cluster.status().nowMs();
+    long deadlineMs = System.currentTimeMillis() + SETTLE_TIMEOUT_MS;
+    List<String> unsettledJobs;
     do {
-      Thread.sleep(LOOK_MS);
-      open = part.cluster.unsettled(calmFrom);
-    } while (!open.isEmpty() && System.currentTimeMillis() < until);
-    return open;
+      Thread.sleep(POLL_INTERVAL_MS);
+      unsettledJobs = region.cluster.unsettled(answeredSinceMs);
+    } while (!unsettledJobs.isEmpty() && System.currentTimeMillis() < deadlineMs);
+    return unsettledJobs;
   }
 
-  private SoakVerdict judge(Region part, List<String> open) throws TimeoutException, IOException {
-    LoopbackStatus status = part.cluster.status();
-    List<String> broken = new ArrayList<>(status.broken());
-    open.forEach(o -> broken.add("unsettled: " + o));
+  private SoakVerdict judge(Region region, List<String> unsettledJobs)
+      throws TimeoutException, IOException {
+    LoopbackStatus status = region.cluster.status();
+    List<String> violations = new ArrayList<>(status.broken());
+    unsettledJobs.forEach(job -> violations.add("unsettled: " + job));
     if (status.starts() == 0) {
-      broken.add("nothing_ran");
+      violations.add("nothing_ran");
     }
-    for (ControllerProcess controller : part.controllers) {
+    for (ControllerProcess controller : region.controllers) {
       if (controller.hasEndedUnexpectedly()) {
-        broken.add("controller_ended: " + controller.name);
+        violations.add("controller_ended: " + controller.name);
       }
       try (Stream<String> lines = Files.lines(controller.log())) {
         lines
-            .filter(l -> l.contains("invariant_violated") || l.contains("event=input_failed"))
-            .limit(5)
-            .forEach(l -> broken.add(controller.name + ": " + l));
+            .filter(
+                line -> line.contains("invariant_violated") || line.contains("event=input_failed"))
+            .limit(MAX_QUOTED_LINES)
+            .forEach(line -> violations.add(controller.name + ": " + line));
       }
     }
     return new SoakVerdict(
         plan,
-        broken.isEmpty() ? Result.PASSED : Result.FAILED,
-        broken,
+        violations.isEmpty() ? Result.PASSED : Result.FAILED,
+        violations,
         status.starts(),
         status.jobsDone(),
         Math.max(0, status.tokens() - 1));
--- a/src/testbench/java/org/snowturn/testbench/SoakVerdict.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakVerdict.java
@@ -3,13 +3,14 @@
 import java.util.List;
 
 /**
- * What came of a soak run.
+ * The outcome of a soak run.
  *
- * @param result in one word
- * @param details what was broken, by rule, with tasks, attempts, machines and times
- * @param starts tasks that were begun
- * @param finishedJobs jobs that users were told are over
- * @param leaderChanges changes of leader that machines have seen
+ * @param plan the plan of the run
+ * @param result the result as a whole
+ * @param details a line for each violation: the rule, with tasks, attempts, machines and times
+ * @param starts number of task starts
+ * @param finishedJobs number of jobs that were reported to users as over
+ * @param leaderChanges number of changes of leader that workers have seen
  */
 record SoakVerdict(
     SoakPlan plan,
@@ -18,16 +19,17 @@
     long starts,
     long finishedJobs,
     int leaderChanges) {
-  /** How a run may end. */
+  /** Results of a run. */
   enum Result {
+    /** Every check passed. */
     PASSED,
-    /** A rule was broken, or an invariant of the program's own. */
+    /** A rule of the testbench or an invariant of a controller was violated. */
     FAILED,
-    /** What was to be judged was not reached. */
+    /** A time limit was exceeded before the run could be checked. */
     NOT_FINISHED
   }
 
-  /** One line for people. */
+  /** Returns a line with the result and the main counts, for a person. */
   String summary() {
     return "seed "
         + plan.seed()
@@ -41,8 +43,8 @@
         + starts
         + " starts, "
         + finishedJobs
-        + " jobs over, "
+        + " jobs finished, "
         + leaderChanges
-        + " changes of leader";
+        + " leader changes";
   }
 }
