--- a/src/testbench/java/org/snowturn/testbench/ControllerProcess.java
+++ b/src/testbench/java/org/snowturn/testbench/ControllerProcess.java
@@ -15,14 +15,13 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 
-/** A controller that runs as a process of its own: its settings file, log and resource usage. */
+/** A controller in a process of its own, with its settings file, log and resource usage. */
 final class ControllerProcess {
   private static final int KILL_TIMEOUT_S = 5;
 
-  /** First port for controllers. */
   private static final int FIRST_PORT = 10_000;
 
-  /** Exclusive upper bound, below the ephemeral port range. */
+  /** Exclusive upper bound of the ports, below the ephemeral range. */
   private static final int END_PORT = 32_000;
 
   private static final int MAX_PORT_ATTEMPTS = 100;
@@ -34,8 +33,8 @@
   final String zone;
   final InetSocketAddress servingAddress;
   final InetSocketAddress peerBindAddress;
-  private final Path settings;
-  private final Path log;
+  private final Path settingsFile;
+  private final Path logFile;
   private Process process;
   private boolean wasKilled;
   private ProcessUsage baseline = ProcessUsage.NONE;
@@ -53,8 +52,8 @@
     this.zone = zone;
     this.servingAddress = findFreeAddress();
     this.peerBindAddress = findFreeAddress();
-    this.settings = dir.resolve(name + ".toml");
-    this.log = dir.resolve(name + ".log");
+    this.settingsFile = dir.resolve(name + ".toml");
+    this.logFile = dir.resolve(name + ".log");
   }
 
   /**
@@ -86,7 +85,7 @@
 
   /** Writes the settings file; the next start reads it. */
   void writeSettings(String toml) throws IOException {
-    Files.writeString(settings, toml);
+    Files.writeString(settingsFile, toml);
   }
 
   /**
@@ -99,12 +98,12 @@
   void start(List<String> command, Path workingDirectory, Map<String, String> environment)
       throws IOException {
     List<String> fullCommand = new ArrayList<>(command);
-    fullCommand.add(settings.toAbsolutePath().toString());
+    fullCommand.add(settingsFile.toAbsolutePath().toString());
     ProcessBuilder builder =
         new ProcessBuilder(fullCommand)
             .directory(workingDirectory.toFile())
             .redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()));
+            .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile.toFile()));
     builder.environment().putAll(environment);
     process = builder.start();
     wasKilled = false;
@@ -126,7 +125,7 @@
 
   /** Returns the file with the output of this process and its predecessors. */
   Path log() {
-    return log;
+    return logFile;
   }
 
   /** Returns whether the process has been started and is running. */
--- a/src/testbench/java/org/snowturn/testbench/FaultInjector.java
+++ b/src/testbench/java/org/snowturn/testbench/FaultInjector.java
@@ -13,13 +13,15 @@
   /** An action and the time at which the soak run's thread runs it. */
   private record ScheduledAction(long atMs, Action action) {}
 
+  /** An action that may control processes and query the simulated cluster. */
   private interface Action {
     void run() throws IOException, InterruptedException, TimeoutException;
   }
 
   private static final String STATE_SERVICE = "state";
-  private static final long NANOS_PER_MS = 1_000_000;
   private static final String CLOUD = "cloud";
+  private static final long NANOS_PER_MS = 1_000_000;
+  private static final long MS_PER_S = 1_000;
 
   /** Time after the election of a leader at which its takeover is still in progress. */
   private static final long KILL_IN_TAKEOVER_DELAY_MS = 15;
@@ -29,8 +31,6 @@
 
   private static final long POLL_INTERVAL_MS = 5;
 
-  private static final long MS_PER_S = 1_000;
-
   private final Deployment deployment;
   private final Region region;
   private final LoopbackFaults faults;
@@ -120,7 +120,7 @@
     }
   }
 
-  /** Returns a fault's amount, which is in seconds, in milliseconds. */
+  /** Returns the amount of a fault with a delay in seconds, in ms and at least 1. */
   private static long amountMs(SoakFault fault) {
     return Math.max(1, Math.round(fault.amount() * MS_PER_S));
   }
--- a/src/testbench/java/org/snowturn/testbench/MachineMemory.java
+++ b/src/testbench/java/org/snowturn/testbench/MachineMemory.java
@@ -10,7 +10,7 @@
 
   private MachineMemory() {}
 
-  /** Returns the total memory in MB, or 0 if {@code /proc/meminfo} does not say it. */
+  /** Returns the total memory in MB, or 0 if {@code /proc/meminfo} has no such entry. */
   static long totalMb() throws IOException {
     String line =
         Files.readAllLines(Path.of("/proc/meminfo")).stream()
--- a/src/testbench/java/org/snowturn/testbench/SoakFault.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakFault.java
@@ -5,7 +5,7 @@
 /**
  * A fault that is injected into a soak run.
  *
- * @param atMs time from the begin of the load to the fault, in ms
+ * @param atMs time from the start of the load to the fault, in ms
  * @param kind kind of fault
  * @param target controllers that it happens to: {@code leader}, {@code standby}, {@code all}, or
  *     {@code -} for a kind that has no such target
@@ -85,7 +85,7 @@
   /** Target: the leader. */
   static final String LEADER = "leader";
 
-  /** Target: the first controller that does not lead. */
+  /** Target: the first controller that is not the leader. */
   static final String STANDBY = "standby";
 
   /** Target: all controllers. */
--- a/src/testbench/java/org/snowturn/testbench/SoakPlan.java
+++ b/src/testbench/java/org/snowturn/testbench/SoakPlan.java
@@ -66,10 +66,10 @@
 
   private static final int CPUS_PER_WORKER = 10;
 
-  /** Maximum time between the begins of two overlapping faults. */
+  /** Maximum time between the starts of two overlapping faults. */
   private static final int MAX_OVERLAP_DELAY_MS = 1_500;
 
-  /** Share of the faults that begin shortly after the one generated before them. */
+  /** Share of the faults that start within that time after the previously generated one. */
   private static final double OVERLAPPING_SHARE = 0.6;
 
   private static final double FAULTS_PER_SECOND = 0.45;
