--- a/src/test/java/org/snowturn/testbench/ScaleRunTest.java
+++ b/src/test/java/org/snowturn/testbench/ScaleRunTest.java
@@ -49,9 +49,9 @@
     List<String> progress = new ArrayList<>();
     ScaleResult result;
     try (ScaleRun run = new ScaleRun(plan, command(), dir, dir, progress::add)) {
-      result = run.play();
+      result = run.run();
     }
-    assertEquals(List.of(), result.broken());
+    assertEquals(List.of(), result.brokenRules());
     assertTrue(progress.stream().anyMatch(l -> l.contains("fails now: leader")), "" + progress);
     for (String region : List.of("region 0", "region 1")) {
       assertTrue(figures(result, region).get("starts_in_all") > 0, region);
@@ -60,9 +60,9 @@
         6, result.rows().stream().filter(r -> r.scope().matches("(leader|standby) .*")).count());
     assertEquals(
         List.of(), ProcessHandle.current().children().filter(ScaleRunTest::isController).toList());
-    ScaleFiles.write(result, dir);
+    ScaleResultWriter.write(result, dir);
     List<String> lines = Files.readAllLines(dir.resolve("scale.csv"));
-    assertEquals(ScaleFiles.HEADER, lines.get(0));
+    assertEquals(ScaleResultWriter.HEADER, lines.get(0));
     assertFalse(lines.size() < 20);
   }
 
--- a/src/test/java/org/snowturn/testbench/TestbenchCommandsTest.java
+++ b/src/test/java/org/snowturn/testbench/TestbenchCommandsTest.java
@@ -193,10 +193,10 @@
                 row("controllers", 1_000, 8_000, 50, 3, 190, 0.2),
                 row("controllers", 1_000, 8_000, 50, 5, 190, 0.22)));
     CapacityModel model = new CapacityModel(m);
-    Slope workers = model.slope(Factor.WORKERS, "leader", "cores");
+    LinearFit workers = model.fit(Factor.WORKERS, "leader", "cores");
     assertEquals(1e-4, workers.perUnit(), 1e-9);
-    assertEquals(0.10, workers.atZero(), 1e-9);
-    assertTrue(workers.isLine());
+    assertEquals(0.10, workers.intercept(), 1e-9);
+    assertTrue(workers.isLinear());
     Map<Factor, Double> size =
         Map.of(
             Factor.WORKERS, 3_000.0,
@@ -207,6 +207,6 @@
     // 0.1, 3,000 workers, 20,000 tasks and 200 starts more. The teams' slope is a fall within its
     // spread, and two points of controllers tell nothing.
     double expected = 0.10 + 0.30 + 0.20 + 0.10;
-    assertEquals(expected, model.at(size, "leader", "cores"), 1e-9);
+    assertEquals(expected, model.predict(size, "leader", "cores"), 1e-9);
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/CapacityCommand.java
+++ b/src/testbench/java/org/snowturn/testbench/CapacityCommand.java
@@ -57,7 +57,7 @@
       for (Path dir : runs) {
         Path csv = dir.resolve("scale.csv");
         List<String> lines = Files.exists(csv) ? Files.readAllLines(csv) : List.of();
-        if (lines.isEmpty() || !lines.get(0).equals(ScaleFiles.HEADER)) {
+        if (lines.isEmpty() || !lines.get(0).equals(ScaleResultWriter.HEADER)) {
           throw new ParameterException(spec.commandLine(), csv + ": no figures of a scale run");
         }
         lines.stream().skip(1).forEach(l -> out.add(series + "," + l));
@@ -73,9 +73,9 @@
       Measurements measured = Measurements.read(in.resolve(RUNS));
       CapacityTables tables = new CapacityTables(measured, in.resolve(LIMITS));
       String text = Files.readString(page);
-      text = replaced(text, "slopes", tables.slopes());
-      text = replaced(text, "plan", tables.plan());
-      text = replaced(text, "large", tables.runs("large"));
+      text = replaced(text, "slopes", tables.slopesTable());
+      text = replaced(text, "plan", tables.planTable());
+      text = replaced(text, "large", tables.runsTable("large"));
       Files.writeString(page, text);
       plots(measured);
       return 0;
@@ -97,10 +97,10 @@
 
   private void plots(Measurements measured) throws IOException {
     for (Factor f : List.of(Factor.WORKERS, Factor.TASKS, Factor.STARTS)) {
-      Map<Double, Double> cores = measured.along(f, f.label(), "leader", "cores");
+      Map<Double, Double> cores = measured.averagesByFactor(f, f.label(), "leader", "cores");
       if (cores.size() > 1) {
         Path svg = in.resolve("leader-cores-by-" + f.label() + ".svg");
-        SlopePlot.write(cores, "Leader's processor time", f.label(), "cores", svg);
+        LinearFitPlot.write(cores, "Leader's processor time", f.label(), "cores", svg);
       }
     }
   }
--- a/src/testbench/java/org/snowturn/testbench/CapacityModel.java
+++ b/src/testbench/java/org/snowturn/testbench/CapacityModel.java
@@ -19,45 +19,48 @@
   }
 
   /** The slope along one factor, from the series that varies it alone. */
-  Slope slope(Factor factor, String role, String figure) {
-    return Slope.through(measured.along(factor, factor.label(), role, figure));
+  LinearFit fit(Factor factor, String role, String figure) {
+    return LinearFit.fit(measured.averagesByFactor(factor, factor.label(), role, figure));
   }
 
   /** A figure at a size. */
-  double at(Map<Factor, Double> size, String role, String figure) throws InvalidPlanException {
+  double predict(Map<Factor, Double> size, String role, String figure) throws InvalidPlanException {
     double sum = alongWorkers(size.get(Factor.WORKERS), role, figure);
     for (Factor f : Factor.values()) {
       if (f != Factor.WORKERS) {
-        double base = measured.common(f, Factor.WORKERS.label());
-        sum += perUnit(slope(f, role, figure)) * (size.get(f) - base);
+        double base = measured.fixedValue(f, Factor.WORKERS.label());
+        sum += perUnit(fit(f, role, figure)) * (size.get(f) - base);
       }
     }
     return sum;
   }
 
   private double alongWorkers(double workers, String role, String figure) {
-    Slope line = slope(Factor.WORKERS, role, figure);
+    LinearFit line = fit(Factor.WORKERS, role, figure);
     if (!isNoise(line)) {
-      return line.at(workers);
+      return line.predict(workers);
     }
-    return measured.along(Factor.WORKERS, Factor.WORKERS.label(), role, figure).values().stream()
+    return measured
+        .averagesByFactor(Factor.WORKERS, Factor.WORKERS.label(), role, figure)
+        .values()
+        .stream()
         .mapToDouble(Double::doubleValue)
         .average()
         .orElse(0);
   }
 
   /** A fall within the spread is taken for noise, a rise is not. */
-  private static boolean isNoise(Slope s) {
+  private static boolean isNoise(LinearFit s) {
     return s.perUnit() < 0 && -s.perUnit() <= s.spread();
   }
 
   /** Too few points tell nothing. */
-  private static double perUnit(Slope s) {
-    return s.points() < LEAST_POINTS || isNoise(s) ? 0 : s.perUnit();
+  private static double perUnit(LinearFit s) {
+    return s.pointCount() < LEAST_POINTS || isNoise(s) ? 0 : s.perUnit();
   }
 
   /** The same size so many times, but for what does not grow with the load. */
-  static Map<Factor, Double> times(Map<Factor, Double> size, double factor) {
+  static Map<Factor, Double> scaleLoad(Map<Factor, Double> size, double factor) {
     Map<Factor, Double> out = new EnumMap<>(size);
     out.replaceAll((f, v) -> f == Factor.CONTROLLERS ? v : v * factor);
     return out;
--- a/src/testbench/java/org/snowturn/testbench/CapacityTables.java
+++ b/src/testbench/java/org/snowturn/testbench/CapacityTables.java
@@ -60,15 +60,15 @@
   }
 
   /** Each figure's slope along each factor. */
-  String slopes() {
+  String slopesTable() {
     StringBuilder text = new StringBuilder();
     text.append(
         "| role | figure | along | points | per 1,000 | spread | at zero | worst residual |\n");
     text.append("| --- | --- | --- | --- | --- | --- | --- | --- |\n");
     for (String[] limit : limits) {
       for (Factor f : Factor.values()) {
-        Slope slope = model.slope(f, limit[0], limit[1]);
-        if (slope.points() > 1) {
+        LinearFit slope = model.fit(f, limit[0], limit[1]);
+        if (slope.pointCount() > 1) {
           text.append(
               String.format(
                   Locale.ROOT,
@@ -76,12 +76,12 @@
                   limit[0],
                   limit[2],
                   f.label(),
-                  slope.points(),
-                  shown(slope.perUnit() * 1000),
-                  Double.isNaN(slope.spread()) ? "-" : "± " + shown(slope.spread() * 1000),
-                  shown(slope.atZero()),
+                  slope.pointCount(),
+                  format(slope.perUnit() * 1000),
+                  Double.isNaN(slope.spread()) ? "-" : "± " + format(slope.spread() * 1000),
+                  format(slope.intercept()),
                   slope.worstResidual() * 100,
-                  slope.isLine() ? "" : ", not a line"));
+                  slope.isLinear() ? "" : ", not a line"));
         }
       }
     }
@@ -89,13 +89,13 @@
   }
 
   /** What a region of the plan needs, and at one and a half times its size. */
-  String plan() throws InvalidPlanException {
+  String planTable() throws InvalidPlanException {
     StringBuilder text = new StringBuilder();
     text.append("| role | figure | plan, a region | 1.5 times | limit | headroom | carried by |\n");
     text.append("| --- | --- | --- | --- | --- | --- | --- |\n");
     for (String[] limit : limits) {
-      double planned = model.at(REGION, limit[0], limit[1]);
-      double more = model.at(CapacityModel.times(REGION, MORE), limit[0], limit[1]);
+      double planned = model.predict(REGION, limit[0], limit[1]);
+      double more = model.predict(CapacityModel.scaleLoad(REGION, MORE), limit[0], limit[1]);
       boolean limited = !limit[3].isEmpty();
       String headroom =
           limited
@@ -107,8 +107,8 @@
               "| %s | %s | %s | %s | %s | %s | %s |%n",
               limit[0],
               limit[2],
-              shown(planned),
-              shown(more),
+              format(planned),
+              format(more),
               limited ? limit[3] : "none",
               headroom,
               limit[4]));
@@ -117,7 +117,7 @@
   }
 
   /** The runs of a series, one line each. */
-  String runs(String series) {
+  String runsTable(String series) {
     Set<String> keys = new LinkedHashSet<>();
     for (Point p : measured.points()) {
       if (p.series().equals(series)) {
@@ -148,7 +148,7 @@
               "state_changes_per_s",
               "state_refused"));
       text.append(" | ").append(cell(series, key, "one worker", "cores")).append(", ");
-      text.append(shown(sum(series, key, "one worker", "kb_in_per_s", "kb_out_per_s")))
+      text.append(format(sum(series, key, "one worker", "kb_in_per_s", "kb_out_per_s")))
           .append(" | ");
       text.append(cell(series, key, "region", "rules_broken")).append(" |\n");
     }
@@ -162,7 +162,7 @@
         p.size().get(Factor.WORKERS),
         p.size().get(Factor.TASKS),
         p.size().get(Factor.STARTS),
-        p.fail());
+        p.failure());
   }
 
   private String cells(String series, String key, String role, String... figures) {
@@ -181,7 +181,7 @@
         .mapToDouble(Point::value)
         .max()
         .stream()
-        .mapToObj(CapacityTables::shown)
+        .mapToObj(CapacityTables::format)
         .findFirst()
         .orElse("-");
   }
@@ -195,7 +195,7 @@
         .sum();
   }
 
-  static String shown(double v) {
+  static String format(double v) {
     if (v == 0) {
       return "0";
     }
--- a/src/testbench/java/org/snowturn/testbench/Slope.java
+++ b/src/testbench/java/org/snowturn/testbench/LinearFit.java
@@ -13,11 +13,12 @@
  * @param worstResidual the largest distance of a point from the line, as a share of the largest
  *     point
  */
-record Slope(int points, double perUnit, double spread, double atZero, double worstResidual) {
+record LinearFit(
+    int pointCount, double perUnit, double spread, double intercept, double worstResidual) {
   /** Beyond this the points do not lie on a line. */
   private static final double NOT_A_LINE = 0.15;
 
-  static Slope through(Map<Double, Double> points) {
+  static LinearFit fit(Map<Double, Double> points) {
     SimpleRegression line = new SimpleRegression();
     points.forEach(line::addData);
     double largest = 0;
@@ -28,14 +29,14 @@
     }
     double spread = points.size() > 2 ? line.getSlopeConfidenceInterval() : Double.NaN;
     double residual = largest == 0 ? 0 : worst / largest;
-    return new Slope(points.size(), line.getSlope(), spread, line.getIntercept(), residual);
+    return new LinearFit(points.size(), line.getSlope(), spread, line.getIntercept(), residual);
   }
 
-  double at(double x) {
-    return atZero + perUnit * x;
+  double predict(double x) {
+    return intercept + perUnit * x;
   }
 
-  boolean isLine() {
+  boolean isLinear() {
     return worstResidual <= NOT_A_LINE;
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/SlopePlot.java
+++ b/src/testbench/java/org/snowturn/testbench/LinearFitPlot.java
@@ -13,11 +13,11 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /** Draws measured points and the line through them. */
-final class SlopePlot {
+final class LinearFitPlot {
   private static final int WIDTH = 640;
   private static final int HEIGHT = 400;
 
-  private SlopePlot() {}
+  private LinearFitPlot() {}
 
   static void write(Map<Double, Double> points, String title, String x, String y, Path svg)
       throws IOException {
@@ -30,10 +30,12 @@
             .yAxisTitle(y)
             .build();
     List<Double> xs = new ArrayList<>(points.keySet());
-    Slope slope = Slope.through(points);
+    LinearFit slope = LinearFit.fit(points);
     XYSeries measured = chart.addSeries("measured", xs, new ArrayList<>(points.values()));
     measured.setXYSeriesRenderStyle(XYSeries.XYSeriesRenderStyle.Scatter);
-    chart.addSeries("line", xs, xs.stream().map(slope::at).toList()).setMarker(SeriesMarkers.NONE);
+    chart
+        .addSeries("line", xs, xs.stream().map(slope::predict).toList())
+        .setMarker(SeriesMarkers.NONE);
     VectorGraphicsEncoder.saveVectorGraphic(chart, svg.toString(), VectorGraphicsFormat.SVG);
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/Measurements.java
+++ b/src/testbench/java/org/snowturn/testbench/Measurements.java
@@ -10,7 +10,7 @@
 
 /** The committed figures of many runs: each has a series, a size, and figures by role. */
 final class Measurements {
-  static final String HEADER = "series," + ScaleFiles.HEADER;
+  static final String HEADER = "series," + ScaleResultWriter.HEADER;
   private static final int COLUMNS = HEADER.split(",").length;
   private static final int SCOPE = COLUMNS - 3;
   private static final int FIGURE = COLUMNS - 2;
@@ -44,7 +44,7 @@
   record Point(
       String series,
       Map<Factor, Double> size,
-      String fail,
+      String failure,
       String role,
       String figure,
       double value) {}
@@ -98,7 +98,7 @@
   }
 
   /** A series' runs by the size of a factor; figures of a role's processes are averaged. */
-  Map<Double, Double> along(Factor factor, String series, String role, String figure) {
+  Map<Double, Double> averagesByFactor(Factor factor, String series, String role, String figure) {
     Map<Double, List<Double>> all = new TreeMap<>();
     for (Point p : points) {
       if (p.series.equals(series) && p.role.equals(role) && p.figure.equals(figure)) {
@@ -112,7 +112,7 @@
   }
 
   /** The size that a series' runs have in common in a factor that they do not vary. */
-  double common(Factor factor, String series) throws InvalidPlanException {
+  double fixedValue(Factor factor, String series) throws InvalidPlanException {
     return points.stream()
         .filter(p -> p.series.equals(series))
         .mapToDouble(p -> p.size.get(factor))
--- a/src/testbench/java/org/snowturn/testbench/ScaleCommand.java
+++ b/src/testbench/java/org/snowturn/testbench/ScaleCommand.java
@@ -98,10 +98,10 @@
     ScaleResult result;
     Consumer<String> progress = line -> System.err.println(line);
     try (ScaleRun run = new ScaleRun(plan, command, root, out, progress)) {
-      result = run.play();
+      result = run.run();
     }
-    ScaleFiles.write(result, out);
-    ScaleFiles.print(result, System.out);
-    return result.broken().isEmpty() ? 0 : BROKEN;
+    ScaleResultWriter.write(result, out);
+    ScaleResultWriter.print(result, System.out);
+    return result.brokenRules().isEmpty() ? 0 : BROKEN;
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/ScalePlan.java
+++ b/src/testbench/java/org/snowturn/testbench/ScalePlan.java
@@ -84,9 +84,12 @@
     if (controllers * regions + 1 > MOST_PROCESSES) {
       throw new InvalidPlanException("more than " + MOST_PROCESSES + " processes");
     }
-    if (memoryMb() > machineMemoryMb / 2) {
+    if (estimatedMemoryMb() > machineMemoryMb / 2) {
       throw new InvalidPlanException(
-          "needs about " + memoryMb() + " MB, more than half of the machine's " + machineMemoryMb);
+          "needs about "
+              + estimatedMemoryMb()
+              + " MB, more than half of the machine's "
+              + machineMemoryMb);
     }
   }
 
@@ -98,7 +101,7 @@
   }
 
   /** About what all processes of the run will hold. */
-  long memoryMb() {
+  long estimatedMemoryMb() {
     double heap = heapMb > 0 ? heapMb : DEFAULT_HEAP_MB;
     return Math.round(
         BASE_MB
@@ -108,7 +111,7 @@
   }
 
   /** The regions, as even as they come; seven zones are dealt out among them. */
-  List<LoopbackPlan> parts() {
+  List<LoopbackPlan> regionPlans() {
     List<LoopbackPlan> out = new ArrayList<>();
     for (int r = 0; r < regions; r++) {
       List<String> zones = new ArrayList<>();
--- a/src/testbench/java/org/snowturn/testbench/ScaleResult.java
+++ b/src/testbench/java/org/snowturn/testbench/ScaleResult.java
@@ -38,7 +38,7 @@
   }
 
   /** Rules that were broken, and details of the first. */
-  List<String> broken() {
+  List<String> brokenRules() {
     return broken;
   }
 
@@ -58,11 +58,11 @@
       this.fillS = fillS;
     }
 
-    void lasted(double seconds) {
+    void setLoadDurationS(double seconds) {
       lastedS = seconds;
     }
 
-    void region(
+    void addRegion(
         LoopbackPlan p,
         LoopbackStatus from,
         LoopbackStatus to,
@@ -97,7 +97,7 @@
       f.put(name + "_count", (double) h.getTotalCount());
     }
 
-    void controller(int region, String name, boolean leads, ProcessUsage u) {
+    void addController(int region, String name, boolean leads, ProcessUsage u) {
       Map<String, Double> f = usage(u, lastedS);
       f.put("memory_peak_mb", u.residentMb());
       f.put("sockets_peak", (double) u.sockets());
@@ -115,7 +115,7 @@
     }
 
     /** The stand-ins' own threads; what one worker's control costs it is their part of it. */
-    Builder threads(Map<String, ProcessUsage> now) {
+    Builder addThreads(Map<String, ProcessUsage> now) {
       ProcessUsage hollow = ProcessUsage.NOTHING;
       for (var e : now.entrySet()) {
         ProcessUsage u =
--- a/src/testbench/java/org/snowturn/testbench/ScaleFiles.java
+++ b/src/testbench/java/org/snowturn/testbench/ScaleResultWriter.java
@@ -13,18 +13,18 @@
 import java.util.TreeMap;
 
 /** Writes a run's figures: a table for people, CSV and JSON for programs. */
-final class ScaleFiles {
+final class ScaleResultWriter {
   static final String HEADER =
       "workers,tasks,starts,regions,controllers,teams,duration_s,heap_mb,connections,state_changes,"
           + "fail,scope,figure,value";
 
-  private ScaleFiles() {}
+  private ScaleResultWriter() {}
 
   static void write(ScaleResult r, Path dir) throws IOException {
     List<String> lines = new ArrayList<>(List.of(HEADER));
     ObjectNode json = new ObjectMapper().createObjectNode();
     json.put("plan", r.plan().toString());
-    r.broken().forEach(json.putArray("broken")::add);
+    r.brokenRules().forEach(json.putArray("broken")::add);
     ObjectNode rows = json.putObject("rows");
     for (ScaleResult.Row row : r.rows()) {
       ObjectNode object = rows.putObject(row.scope());
@@ -75,7 +75,7 @@
       }
       out.println(line);
     }
-    r.broken().forEach(b -> out.println("BROKEN " + b));
-    out.println(r.broken().isEmpty() ? "no rule broken" : "rules were broken");
+    r.brokenRules().forEach(b -> out.println("BROKEN " + b));
+    out.println(r.brokenRules().isEmpty() ? "no rule broken" : "rules were broken");
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/ScaleRun.java
+++ b/src/testbench/java/org/snowturn/testbench/ScaleRun.java
@@ -39,8 +39,8 @@
     this.deployment = new Deployment(command, root, dir, Map.of());
   }
 
-  ScaleResult play() throws IOException, InterruptedException, TimeoutException {
-    deployment.open(plan.parts());
+  ScaleResult run() throws IOException, InterruptedException, TimeoutException {
+    deployment.open(plan.regionPlans());
     sleep(WORKERS_FIRST_S, "workers come up");
     deployment.startControllers();
     fill();
@@ -97,7 +97,7 @@
         tell("load");
       }
     }
-    result.lasted((System.nanoTime() - began) / 1e9);
+    result.setLoadDurationS((System.nanoTime() - began) / 1e9);
   }
 
   private void fail() throws IOException, InterruptedException, TimeoutException {
@@ -137,17 +137,17 @@
       LoopbackStatus now = p.region.status();
       Histogram urgent = p.region.urgentDelays();
       Histogram accepted = p.region.acceptDelays();
-      result.region(p.plan, atMark.get(p), now, urgent, accepted);
+      result.addRegion(p.plan, atMark.get(p), now, urgent, accepted);
       for (ControllerProcess controller : p.controllers) {
         controller.sample();
-        result.controller(
+        result.addController(
             p.plan.number(),
             controller.name,
             controller.name.equals(now.leader()),
             controller.used());
       }
     }
-    return result.threads(ProcessUsage.ownThreads()).build();
+    return result.addThreads(ProcessUsage.ownThreads()).build();
   }
 
   private void sleep(int seconds, String why) throws InterruptedException {
