--- a/src/test/java/org/snowturn/testbench/TestbenchCommandsTest.java
+++ b/src/test/java/org/snowturn/testbench/TestbenchCommandsTest.java
@@ -18,18 +18,21 @@
 import org.snowturn.workload.WorkloadCommand;
 import picocli.CommandLine;
 
-/** What the lab says to wrong input, and that its tables are what the measurements say. */
+/**
+ * Guards against commands that accept invalid input or report it in more than one line, and against
+ * capacity predictions that do not follow from the measurements.
+ */
 class TestbenchCommandsTest {
-  private static final int BAD_INPUT = 2;
+  private static final int EXIT_INVALID_INPUT = 2;
 
   @TempDir private Path dir;
 
   private final StringWriter errors = new StringWriter();
 
   private int run(String... args) {
-    CommandLine line = WorkloadCommand.handled(new CommandLine(new Testbench()));
-    line.setErr(new PrintWriter(errors));
-    return line.execute(args);
+    CommandLine commandLine = WorkloadCommand.handled(new CommandLine(new Testbench()));
+    commandLine.setErr(new PrintWriter(errors));
+    return commandLine.execute(args);
   }
 
   @ParameterizedTest
@@ -51,8 +54,8 @@
         "--workers 10 --nothing 1",
         "--workers ten"
       })
-  void wrongPlansAreRefusedAndStartNothing(String options) {
-    refusedInOneLine("scale", options);
+  void invalidScalePlansAreRejectedBeforeTheRunStarts(String options) {
+    assertRejectedInOneLine("scale", options);
   }
 
   @ParameterizedTest
@@ -65,13 +68,13 @@
         "--compare not-there.txt",
         "--nothing"
       })
-  void wrongDigestsAreRefusedAndPlayNothing(String options) {
-    refusedInOneLine("digest", options);
+  void invalidDigestOptionsAreRejectedBeforeTheRunStarts(String options) {
+    assertRejectedInOneLine("digest", options);
   }
 
-  private void refusedInOneLine(String command, String options) {
-    String all = command + " --out " + dir.resolve("out") + " " + options;
-    assertEquals(BAD_INPUT, run(all.trim().split(" ")), errors.toString());
+  private void assertRejectedInOneLine(String command, String options) {
+    String commandLine = command + " --out " + dir.resolve("out") + " " + options;
+    assertEquals(EXIT_INVALID_INPUT, run(commandLine.trim().split(" ")), errors.toString());
     assertEquals(1, errors.toString().lines().count(), errors.toString());
     assertTrue(Files.notExists(dir.resolve("out")));
   }
@@ -91,8 +94,8 @@
         "--seeds 1 --plan there.txt",
         "--plan not-there.txt"
       })
-  void wrongSoaksAreRefusedAndStartNothing(String options) {
-    refusedInOneLine("soak", options);
+  void invalidSoakOptionsAreRejectedBeforeTheRunStarts(String options) {
+    assertRejectedInOneLine("soak", options);
   }
 
   @ParameterizedTest
@@ -104,16 +107,16 @@
         "at 1.0 kill - for 0.2 amount 0",
         "at 1.0 outage leader for 0.2 amount 0"
       })
-  void aDamagedPlanIsNamedWithItsLine(String line) throws Exception {
+  void malformedSoakPlanIsReportedWithItsLine(String line) throws Exception {
     Path file = dir.resolve("plan.txt");
     Files.write(file, List.of("soak seed 1 workers 20 duration 5", "", line));
-    assertEquals(BAD_INPUT, run("soak", "--plan", file.toString()));
+    assertEquals(EXIT_INVALID_INPUT, run("soak", "--plan", file.toString()));
     assertTrue(errors.toString().startsWith("soak: " + file + ":3: "), errors.toString());
     assertEquals(1, errors.toString().lines().count(), errors.toString());
   }
 
   @Test
-  void aPlanBeyondHalfOfTheMemoryIsRefused() {
+  void planOfMoreThanHalfOfTheMemoryIsRejected() {
     ScalePlan large = ScaleRunTest.plan(11_000, 300_000, 3, 60, Failure.NONE);
     String message =
         assertThrows(InvalidPlanException.class, () -> large.check(4_000)).getMessage();
@@ -121,23 +124,23 @@
   }
 
   @Test
-  void aMissingJarIsNamed() throws Exception {
+  void missingJarIsNamed() throws Exception {
     Path deploy = Files.writeString(dir.resolve("service.toml"), "run = \"java -jar no.jar --c\"");
-    InvalidPlanException e =
+    InvalidPlanException thrown =
         assertThrows(InvalidPlanException.class, () -> LaunchCommand.read(deploy, dir, 0));
-    assertTrue(e.getMessage().startsWith("no.jar"), e.getMessage());
+    assertTrue(thrown.getMessage().startsWith("no.jar"), thrown.getMessage());
   }
 
   @Test
-  void anotherHeapReplacesTheRunLines() throws Exception {
+  void heapOptionReplacesTheHeapOfTheLaunchCommand() throws Exception {
     Path deploy = Files.writeString(dir.resolve("service.toml"), "run = \"java -Xms8m -Xmx80m X\"");
     assertEquals(List.of("java", "-Xms8m", "-Xmx256m", "X"), LaunchCommand.read(deploy, dir, 256));
   }
 
   private Path measurements(String... lines) throws Exception {
     StringBuilder text = new StringBuilder(Measurements.HEADER).append('\n');
-    for (String l : lines) {
-      text.append(l).append('\n');
+    for (String line : lines) {
+      text.append(line).append('\n');
     }
     return Files.writeString(dir.resolve("scale-runs.csv"), text);
   }
@@ -165,17 +168,17 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"workers,1,2", "a,b,c,d,e,f,g,h,i,j,k,l,m,n,o"})
-  void damagedMeasurementsAreRefusedWithTheirLine(String line) throws Exception {
+  void malformedMeasurementsAreReportedWithTheirLine(String line) throws Exception {
     Path file = measurements(row("workers", 500, 8_000, 0.1), line);
     String message =
         assertThrows(InvalidPlanException.class, () -> Measurements.read(file)).getMessage();
     assertTrue(message.contains(":3:"), message);
-    assertEquals(BAD_INPUT, run("capacity", "--in", dir.toString()));
+    assertEquals(EXIT_INVALID_INPUT, run("capacity", "--in", dir.toString()));
   }
 
   @Test
-  void slopesAddUpFromTheSizeAtWhichTheWorkersWereVaried() throws Exception {
-    Measurements m =
+  void predictionAddsTheSlopesToTheLineOfTheWorkers() throws Exception {
+    Measurements measured =
         Measurements.read(
             measurements(
                 row("workers", 500, 8_000, 0.15),
@@ -192,7 +195,7 @@
                 row("teams", 1_000, 8_000, 50, 3, 401, 0.2),
                 row("controllers", 1_000, 8_000, 50, 3, 190, 0.2),
                 row("controllers", 1_000, 8_000, 50, 5, 190, 0.22)));
-    CapacityModel model = new CapacityModel(m);
+    CapacityModel model = new CapacityModel(measured);
     LinearFit workers = model.fit(Factor.WORKERS, "leader", "cores");
     assertEquals(1e-4, workers.perUnit(), 1e-9);
     assertEquals(0.10, workers.intercept(), 1e-9);
@@ -204,8 +207,9 @@
             Factor.STARTS, 250.0,
             Factor.TEAMS, 290.0,
             Factor.CONTROLLERS, 5.0);
-    // 0.1, 3,000 workers, 20,000 tasks and 200 starts more. The teams' slope is a fall within its
-    // spread, and two points of controllers tell nothing.
+    // 0.1 at zero workers, then 3,000 workers, and 20,000 tasks and 200 starts more than in the
+    // workers' series. The teams' slope falls within its spread, and two points of controllers are
+    // too few for a slope: both add nothing.
     double expected = 0.10 + 0.30 + 0.20 + 0.10;
     assertEquals(expected, model.predict(size, "leader", "cores"), 1e-9);
   }
--- a/src/testbench/java/org/snowturn/testbench/CapacityCommand.java
+++ b/src/testbench/java/org/snowturn/testbench/CapacityCommand.java
@@ -15,42 +15,50 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Makes the capacity page's tables and plots from the committed measurements. */
+/**
+ * The command {@code capacity}: writes the tables of the capacity page and draws its plots from the
+ * committed measurements.
+ */
 @Command(
     name = "capacity",
     mixinStandardHelpOptions = true,
     subcommands = CapacityCommand.Add.class,
-    description = "Makes the tables and plots of the capacity page from its measurements.")
+    description =
+        "Writes the tables and plots of the capacity page from the committed measurements.")
 final class CapacityCommand implements Callable<Integer> {
-  private static final String END = "<!-- end of table -->";
-  private static final String RUNS = "scale-runs.csv";
-  private static final String LIMITS = "limits.csv";
+  private static final String TABLE_END = "<!-- end of table -->";
+  private static final String MEASUREMENTS_FILE = "scale-runs.csv";
+  private static final String LIMITS_FILE = "limits.csv";
 
   @Spec private CommandSpec spec;
 
-  @Option(names = "--in", description = "Where the measurements are. Default: ${DEFAULT-VALUE}.")
+  @Option(names = "--in", description = "Folder of the measurements. Default: ${DEFAULT-VALUE}.")
   private Path in = Path.of("docs", "capacity");
 
-  @Option(names = "--page", description = "The page. Default: ${DEFAULT-VALUE}.")
+  @Option(
+      names = "--page",
+      description = "The capacity page, which is updated. Default: ${DEFAULT-VALUE}.")
   private Path page = Path.of("docs", "CAPACITY.md");
 
-  /** Adds runs' figures to the measurements. */
-  @Command(name = "add", description = "Adds runs' figures to the measurements, as a series.")
+  /** The command {@code capacity add}: appends the figures of scale runs to the measurements. */
+  @Command(
+      name = "add",
+      description = "Appends the figures of scale runs to the measurements, as one series.")
   static final class Add implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
-    @Option(names = "--series", required = true, description = "The series' name.")
+    @Option(names = "--series", required = true, description = "Name of the series.")
     private String series;
 
-    @Option(names = "--to", description = "Default: ${DEFAULT-VALUE}.")
-    private Path to = Path.of("docs", "capacity", RUNS);
+    @Option(names = "--to", description = "File of the measurements. Default: ${DEFAULT-VALUE}.")
+    private Path to = Path.of("docs", "capacity", MEASUREMENTS_FILE);
 
-    @Parameters(arity = "1..*", paramLabel = "DIR", description = "Folders of scale runs.")
+    @Parameters(arity = "1..*", paramLabel = "DIR", description = "Output folders of scale runs.")
     private List<Path> runs;
 
     @Override
     public Integer call() throws IOException {
-      List<String> out =
+      List<String> measurements =
           Files.exists(to)
               ? new ArrayList<>(Files.readAllLines(to))
               : new ArrayList<>(List.of(Measurements.HEADER));
@@ -58,11 +66,13 @@
         Path csv = dir.resolve("scale.csv");
         List<String> lines = Files.exists(csv) ? Files.readAllLines(csv) : List.of();
         if (lines.isEmpty() || !lines.get(0).equals(ScaleResultWriter.HEADER)) {
-          throw new ParameterException(spec.commandLine(), csv + ": no figures of a scale run");
+          throw new ParameterException(
+              spec.commandLine(),
+              csv + ": missing, or its first line is not " + ScaleResultWriter.HEADER);
         }
-        lines.stream().skip(1).forEach(l -> out.add(series + "," + l));
+        lines.stream().skip(1).forEach(line -> measurements.add(series + "," + line));
       }
-      Files.write(to, out);
+      Files.write(to, measurements);
       return 0;
     }
   }
@@ -70,37 +80,39 @@
   @Override
   public Integer call() throws IOException {
     try {
-      Measurements measured = Measurements.read(in.resolve(RUNS));
-      CapacityTables tables = new CapacityTables(measured, in.resolve(LIMITS));
+      Measurements measured = Measurements.read(in.resolve(MEASUREMENTS_FILE));
+      CapacityTables tables = new CapacityTables(measured, in.resolve(LIMITS_FILE));
       String text = Files.readString(page);
-      text = replaced(text, "slopes", tables.slopesTable());
-      text = replaced(text, "plan", tables.planTable());
-      text = replaced(text, "large", tables.runsTable("large"));
+      text = replaceTable(text, "slopes", tables.slopesTable());
+      text = replaceTable(text, "plan", tables.planTable());
+      text = replaceTable(text, "large", tables.runsTable("large"));
       Files.writeString(page, text);
-      plots(measured);
+      drawPlots(measured);
       return 0;
     } catch (InvalidPlanException e) {
       throw new ParameterException(spec.commandLine(), e.getMessage());
     }
   }
 
-  private static String replaced(String page, String name, String table)
+  private static String replaceTable(String page, String tableName, String table)
       throws InvalidPlanException {
-    String begin = "<!-- table: " + name + " -->";
-    int from = page.indexOf(begin);
-    int to = from < 0 ? -1 : page.indexOf(END, from);
+    String tableBegin = "<!-- table: " + tableName + " -->";
+    int from = page.indexOf(tableBegin);
+    int to = from < 0 ? -1 : page.indexOf(TABLE_END, from);
     if (to < 0) {
-      throw new InvalidPlanException("the page has no place for the table " + name);
+      throw new InvalidPlanException(
+          "the page has no line \"" + tableBegin + "\" that is followed by \"" + TABLE_END + "\"");
     }
-    return page.substring(0, from + begin.length()) + "\n" + table + page.substring(to);
+    return page.substring(0, from + tableBegin.length()) + "\n" + table + page.substring(to);
   }
 
-  private void plots(Measurements measured) throws IOException {
-    for (Factor f : List.of(Factor.WORKERS, Factor.TASKS, Factor.STARTS)) {
-      Map<Double, Double> cores = measured.averagesByFactor(f, f.label(), "leader", "cores");
+  private void drawPlots(Measurements measured) throws IOException {
+    for (Factor factor : List.of(Factor.WORKERS, Factor.TASKS, Factor.STARTS)) {
+      Map<Double, Double> cores =
+          measured.averagesByFactor(factor, factor.label(), "leader", "cores");
       if (cores.size() > 1) {
-        Path svg = in.resolve("leader-cores-by-" + f.label() + ".svg");
-        LinearFitPlot.write(cores, "Leader's processor time", f.label(), "cores", svg);
+        Path svg = in.resolve("leader-cores-by-" + factor.label() + ".svg");
+        LinearFitPlot.write(cores, "Leader's processor time", factor.label(), "cores", svg);
       }
     }
   }
--- a/src/testbench/java/org/snowturn/testbench/CapacityModel.java
+++ b/src/testbench/java/org/snowturn/testbench/CapacityModel.java
@@ -5,37 +5,45 @@
 import org.snowturn.testbench.Measurements.Factor;
 
 /**
- * What a role needs at a size that was not run: the line along the workers, and for each other
- * factor its own slope from the size at which the workers were varied. It takes the factors to add
- * up; where runs at larger sizes say otherwise, the page says so.
+ * Linear model that predicts a figure of a role at sizes that were not measured. It starts from the
+ * line fitted to the series that varies the workers, and adds the slope of each other factor times
+ * the distance from the value which that factor has in the workers' series. The model assumes that
+ * the factors' contributions add up; the capacity page names the larger measured sizes where they
+ * do not.
  */
 final class CapacityModel {
-  private static final int LEAST_POINTS = 3;
+  private static final int MIN_POINTS = 3;
 
   private final Measurements measured;
 
+  /** Creates a model of the given measurements. */
   CapacityModel(Measurements measured) {
     this.measured = measured;
   }
 
-  /** The slope along one factor, from the series that varies it alone. */
+  /** Returns the line fitted to the series that varies only the given factor. */
   LinearFit fit(Factor factor, String role, String figure) {
     return LinearFit.fit(measured.averagesByFactor(factor, factor.label(), role, figure));
   }
 
-  /** A figure at a size. */
+  /**
+   * Returns the predicted value of a figure at the given size.
+   *
+   * @param size value of every factor
+   * @throws InvalidPlanException if the series that varies the workers was not measured
+   */
   double predict(Map<Factor, Double> size, String role, String figure) throws InvalidPlanException {
-    double sum = alongWorkers(size.get(Factor.WORKERS), role, figure);
-    for (Factor f : Factor.values()) {
-      if (f != Factor.WORKERS) {
-        double base = measured.fixedValue(f, Factor.WORKERS.label());
-        sum += perUnit(fit(f, role, figure)) * (size.get(f) - base);
+    double sum = predictByWorkers(size.get(Factor.WORKERS), role, figure);
+    for (Factor factor : Factor.values()) {
+      if (factor != Factor.WORKERS) {
+        double base = measured.fixedValue(factor, Factor.WORKERS.label());
+        sum += slopeOrZero(fit(factor, role, figure)) * (size.get(factor) - base);
       }
     }
     return sum;
   }
 
-  private double alongWorkers(double workers, String role, String figure) {
+  private double predictByWorkers(double workers, String role, String figure) {
     LinearFit line = fit(Factor.WORKERS, role, figure);
     if (!isNoise(line)) {
       return line.predict(workers);
@@ -49,20 +57,23 @@
         .orElse(0);
   }
 
-  /** A fall within the spread is taken for noise, a rise is not. */
-  private static boolean isNoise(LinearFit s) {
-    return s.perUnit() < 0 && -s.perUnit() <= s.spread();
+  /**
+   * Returns whether a falling line is within its confidence interval and so counts as noise. A
+   * rising line never counts as noise.
+   */
+  private static boolean isNoise(LinearFit line) {
+    return line.perUnit() < 0 && -line.perUnit() <= line.spread();
   }
 
-  /** Too few points tell nothing. */
-  private static double perUnit(LinearFit s) {
-    return s.pointCount() < LEAST_POINTS || isNoise(s) ? 0 : s.perUnit();
+  /** Returns the slope, or 0 if the line is noise or has too few points to show a slope. */
+  private static double slopeOrZero(LinearFit line) {
+    return line.pointCount() < MIN_POINTS || isNoise(line) ? 0 : line.perUnit();
   }
 
-  /** The same size so many times, but for what does not grow with the load. */
-  static Map<Factor, Double> scaleLoad(Map<Factor, Double> size, double factor) {
-    Map<Factor, Double> out = new EnumMap<>(size);
-    out.replaceAll((f, v) -> f == Factor.CONTROLLERS ? v : v * factor);
-    return out;
+  /** Returns the size times the multiplier, except for controllers, which do not grow with load. */
+  static Map<Factor, Double> scaleLoad(Map<Factor, Double> size, double multiplier) {
+    Map<Factor, Double> scaled = new EnumMap<>(size);
+    scaled.replaceAll((factor, value) -> factor == Factor.CONTROLLERS ? value : value * multiplier);
+    return scaled;
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/CapacityTables.java
+++ b/src/testbench/java/org/snowturn/testbench/CapacityTables.java
@@ -13,14 +13,17 @@
 import org.snowturn.testbench.Measurements.Factor;
 import org.snowturn.testbench.Measurements.Point;
 
-/** The tables of the capacity page, in Markdown, made from the measurements. */
+/** Tables of the capacity page, in Markdown, computed from the measurements. */
 final class CapacityTables {
-  private static final double MORE = 1.5;
+  private static final double GROWTH_FACTOR = 1.5;
   private static final String LIMITS_HEADER = "role,figure,label,limit,mechanism";
   private static final int LIMITS_COLUMNS = LIMITS_HEADER.split(",").length;
 
-  /** One region of the plan: a third of everything but the teams, which work in all regions. */
-  private static final Map<Factor, Double> REGION =
+  /**
+   * Planned size of one region: a third of the whole, except for the teams, which work in all
+   * regions.
+   */
+  private static final Map<Factor, Double> PLANNED_REGION =
       new EnumMap<>(
           Map.of(
               Factor.WORKERS, 3_667.0,
@@ -29,99 +32,120 @@
               Factor.TEAMS, 190.0,
               Factor.CONTROLLERS, 5.0));
 
+  /** Indexes of the columns in the file of limits. */
+  private static final int ROLE = 0;
+
+  private static final int FIGURE = 1;
+  private static final int LABEL = 2;
+  private static final int LIMIT = 3;
+  private static final int MECHANISM = 4;
+
   private final Measurements measured;
   private final CapacityModel model;
   private final List<String[]> limits;
 
+  /**
+   * Creates the tables.
+   *
+   * @param limitsFile CSV file with one row for each figure in the tables
+   * @throws InvalidPlanException if the file of limits cannot be read or is malformed
+   */
   CapacityTables(Measurements measured, Path limitsFile) throws InvalidPlanException {
     this.measured = measured;
     this.model = new CapacityModel(measured);
-    this.limits = limits(limitsFile);
+    this.limits = readLimits(limitsFile);
   }
 
-  private static List<String[]> limits(Path file) throws InvalidPlanException {
-    List<String[]> out = new ArrayList<>();
+  private static List<String[]> readLimits(Path file) throws InvalidPlanException {
+    List<String[]> limits = new ArrayList<>();
     try {
       List<String> lines = Files.readAllLines(file);
       if (lines.isEmpty() || !lines.get(0).equals(LIMITS_HEADER)) {
-        throw new InvalidPlanException(file + ": its first line is not " + LIMITS_HEADER);
+        throw new InvalidPlanException(file + ":1: expected the header " + LIMITS_HEADER);
       }
       for (String line : lines.subList(1, lines.size())) {
-        String[] words = line.split(",", -1);
-        if (words.length != LIMITS_COLUMNS || !words[3].matches("[0-9.]*")) {
-          throw new InvalidPlanException(file + ": not a limit: " + line);
+        String[] columns = line.split(",", -1);
+        if (columns.length != LIMITS_COLUMNS || !columns[LIMIT].matches("[0-9.]*")) {
+          throw new InvalidPlanException(
+              file
+                  + ": expected "
+                  + LIMITS_COLUMNS
+                  + " columns with a number or nothing as the limit, found: "
+                  + line);
         }
-        out.add(words);
+        limits.add(columns);
       }
     } catch (IOException e) {
-      throw new InvalidPlanException(file + ": cannot be read");
+      throw new InvalidPlanException(file + ": cannot be read: " + e);
     }
-    return out;
+    return limits;
   }
 
-  /** Each figure's slope along each factor. */
+  /** Returns the table with the line fitted to each figure along each factor. */
   String slopesTable() {
     StringBuilder text = new StringBuilder();
     text.append(
         "| role | figure | along | points | per 1,000 | spread | at zero | worst residual |\n");
     text.append("| --- | --- | --- | --- | --- | --- | --- | --- |\n");
     for (String[] limit : limits) {
-      for (Factor f : Factor.values()) {
-        LinearFit slope = model.fit(f, limit[0], limit[1]);
-        if (slope.pointCount() > 1) {
+      for (Factor factor : Factor.values()) {
+        LinearFit line = model.fit(factor, limit[ROLE], limit[FIGURE]);
+        if (line.pointCount() > 1) {
           text.append(
               String.format(
                   Locale.ROOT,
                   "| %s | %s | %s | %d | %s | %s | %s | %.0f%%%s |%n",
-                  limit[0],
-                  limit[2],
-                  f.label(),
-                  slope.pointCount(),
-                  format(slope.perUnit() * 1000),
-                  Double.isNaN(slope.spread()) ? "-" : "± " + format(slope.spread() * 1000),
-                  format(slope.intercept()),
-                  slope.worstResidual() * 100,
-                  slope.isLinear() ? "" : ", not a line"));
+                  limit[ROLE],
+                  limit[LABEL],
+                  factor.label(),
+                  line.pointCount(),
+                  format(line.perUnit() * 1000),
+                  Double.isNaN(line.spread()) ? "-" : "± " + format(line.spread() * 1000),
+                  format(line.intercept()),
+                  line.worstResidual() * 100,
+                  line.isLinear() ? "" : ", not a line"));
         }
       }
     }
     return text.toString();
   }
 
-  /** What a region of the plan needs, and at one and a half times its size. */
+  /** Returns the table of what a planned region needs, at its size and at 1.5 times that size. */
   String planTable() throws InvalidPlanException {
     StringBuilder text = new StringBuilder();
     text.append("| role | figure | plan, a region | 1.5 times | limit | headroom | carried by |\n");
     text.append("| --- | --- | --- | --- | --- | --- | --- |\n");
     for (String[] limit : limits) {
-      double planned = model.predict(REGION, limit[0], limit[1]);
-      double more = model.predict(CapacityModel.scaleLoad(REGION, MORE), limit[0], limit[1]);
-      boolean limited = !limit[3].isEmpty();
+      double planned = model.predict(PLANNED_REGION, limit[ROLE], limit[FIGURE]);
+      double grown =
+          model.predict(
+              CapacityModel.scaleLoad(PLANNED_REGION, GROWTH_FACTOR), limit[ROLE], limit[FIGURE]);
+      boolean isLimited = !limit[LIMIT].isEmpty();
       String headroom =
-          limited
-              ? String.format(Locale.ROOT, "%.1f", Double.parseDouble(limit[3]) / planned)
+          isLimited
+              ? String.format(Locale.ROOT, "%.1f", Double.parseDouble(limit[LIMIT]) / planned)
               : "-";
       text.append(
           String.format(
               Locale.ROOT,
               "| %s | %s | %s | %s | %s | %s | %s |%n",
-              limit[0],
-              limit[2],
+              limit[ROLE],
+              limit[LABEL],
               format(planned),
-              format(more),
-              limited ? limit[3] : "none",
+              format(grown),
+              isLimited ? limit[LIMIT] : "none",
               headroom,
-              limit[4]));
+              limit[MECHANISM]));
     }
     return text.toString();
   }
 
-  /** The runs of a series, one line each. */
+  /** Returns the table of a series, with one row for each size and failure. */
   String runsTable(String series) {
     Set<String> keys = new LinkedHashSet<>();
-    for (Point p : measured.points()) {
-      if (p.series().equals(series)) {
-        keys.add(key(p));
+    for (Point point : measured.points()) {
+      if (point.series().equals(series)) {
+        keys.add(key(point));
       }
     }
     StringBuilder text = new StringBuilder();
@@ -155,29 +179,32 @@
     return text.toString();
   }
 
-  private static String key(Point p) {
+  private static String key(Point point) {
     return String.format(
         Locale.ROOT,
         "%,.0f, %,.0f, %.0f, %s",
-        p.size().get(Factor.WORKERS),
-        p.size().get(Factor.TASKS),
-        p.size().get(Factor.STARTS),
-        p.failure());
+        point.size().get(Factor.WORKERS),
+        point.size().get(Factor.TASKS),
+        point.size().get(Factor.STARTS),
+        point.failure());
   }
 
   private String cells(String series, String key, String role, String... figures) {
-    List<String> out = new ArrayList<>();
-    for (String f : figures) {
-      out.add(cell(series, key, role, f));
+    List<String> cells = new ArrayList<>();
+    for (String figure : figures) {
+      cells.add(cell(series, key, role, figure));
     }
-    return String.join(", ", out);
+    return String.join(", ", cells);
   }
 
-  /** The largest of the role's values: of regions that are played side by side the worst counts. */
+  /**
+   * Returns the largest of the role's values, or "-" if there is none. The regions of one run are
+   * measured at the same time, and the worst of them counts.
+   */
   private String cell(String series, String key, String role, String figure) {
     return measured.points().stream()
-        .filter(p -> p.series().equals(series) && key(p).equals(key))
-        .filter(p -> p.role().equals(role) && p.figure().equals(figure))
+        .filter(point -> point.series().equals(series) && key(point).equals(key))
+        .filter(point -> point.role().equals(role) && point.figure().equals(figure))
         .mapToDouble(Point::value)
         .max()
         .stream()
@@ -189,18 +216,20 @@
   private double sum(String series, String key, String role, String... figures) {
     Set<String> wanted = Set.of(figures);
     return measured.points().stream()
-        .filter(p -> p.series().equals(series) && key(p).equals(key))
-        .filter(p -> p.role().equals(role) && wanted.contains(p.figure()))
+        .filter(point -> point.series().equals(series) && key(point).equals(key))
+        .filter(point -> point.role().equals(role) && wanted.contains(point.figure()))
         .mapToDouble(Point::value)
         .sum();
   }
 
-  static String format(double v) {
-    if (v == 0) {
+  /** Returns the value with fewer decimal places the larger it is. */
+  static String format(double value) {
+    if (value == 0) {
       return "0";
     }
-    double size = Math.abs(v);
-    String form = size >= 100 ? "%,.0f" : size >= 10 ? "%.1f" : size >= 0.1 ? "%.2f" : "%.4f";
-    return String.format(Locale.ROOT, form, v);
+    double magnitude = Math.abs(value);
+    String pattern =
+        magnitude >= 100 ? "%,.0f" : magnitude >= 10 ? "%.1f" : magnitude >= 0.1 ? "%.2f" : "%.4f";
+    return String.format(Locale.ROOT, pattern, value);
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/DigestCommand.java
+++ b/src/testbench/java/org/snowturn/testbench/DigestCommand.java
@@ -22,32 +22,39 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command {@code digest}: plays the scenarios in simulated time and writes a hash of what the
- * controllers send in each, one line a run, to be compared with the hashes of another version.
+ * The command {@code digest}: runs the scenarios in simulated time and writes one line for each run
+ * with a hash of everything that the controllers send. Equal hashes of two versions show that the
+ * controllers behave the same in these scenarios.
  */
 @Command(
     name = "digest",
     mixinStandardHelpOptions = true,
     description = "Writes or compares a digest of the controllers' behavior in each scenario.")
 final class DigestCommand implements Callable<Integer> {
-  private static final int DIFFERENT = 1;
+  private static final int EXIT_DIFFERENT = 1;
   private static final int MAX_JOBS = 64;
-  private static final int OVERLAPPING_SEEDS = 80;
-  private static final int TARGETED_SEEDS = 112;
+  private static final int OVERLAPPING_FAULT_SEEDS = 80;
+  private static final int TARGETED_FAULT_SEEDS = 112;
   private static final String SEPARATOR = ": ";
 
   @Spec private CommandSpec spec;
 
-  @Option(names = "--scenarios", description = "Folder. Default: ${DEFAULT-VALUE}.")
+  @Option(
+      names = "--scenarios",
+      description = "Folder of the scenarios. Default: ${DEFAULT-VALUE}.")
   private Path scenarios = Path.of("src", "test", "resources", "scenarios");
 
-  @Option(names = "--only", description = "Plays only runs whose names begin so.")
+  @Option(names = "--only", description = "Runs only simulations whose names begin with this.")
   private String prefix = "";
 
-  @Option(names = "--every", description = "Plays only every Nth run. Default: ${DEFAULT-VALUE}.")
+  @Option(
+      names = "--every",
+      description = "Runs only every Nth simulation. Default: ${DEFAULT-VALUE}.")
   private int every = 1;
 
-  @Option(names = "--jobs", description = "Runs at a time. Default: ${DEFAULT-VALUE}.")
+  @Option(
+      names = "--jobs",
+      description = "Simulations that run at a time. Default: ${DEFAULT-VALUE}.")
   private int jobs = 4;
 
   @Option(names = "--out", description = "Writes the digests to this file.")
@@ -60,14 +67,14 @@
   public Integer call() throws IOException, InterruptedException {
     try {
       checkOptions();
-      Map<String, String> expected = baseline == null ? Map.of() : read(baseline);
-      Map<String, String> digests = play(selected());
+      Map<String, String> expected = baseline == null ? Map.of() : readDigests(baseline);
+      Map<String, String> digests = runAll(selectSimulations());
       if (out != null) {
         List<String> lines = new ArrayList<>();
         digests.forEach((name, digest) -> lines.add(name + SEPARATOR + digest));
         Files.write(out, lines);
       }
-      return baseline == null ? summary(digests) : compare(expected, digests);
+      return baseline == null ? printSummary(digests) : printDifferences(expected, digests);
     } catch (InvalidPlanException e) {
       throw new ParameterException(spec.commandLine(), e.getMessage());
     }
@@ -85,15 +92,15 @@
     }
   }
 
-  private List<Simulation> selected() throws IOException, InvalidPlanException {
+  private List<Simulation> selectSimulations() throws IOException, InvalidPlanException {
     List<Simulation> all = new ArrayList<>();
     try {
       all.addAll(Simulation.ofFiles(scenarios));
     } catch (NotDirectoryException | java.nio.file.NoSuchFileException e) {
-      throw new InvalidPlanException("--scenarios: no folder " + scenarios);
+      throw new InvalidPlanException("--scenarios: not an existing folder: " + scenarios);
     }
-    all.addAll(Simulation.ofOverlappingFaults(1, OVERLAPPING_SEEDS));
-    all.addAll(Simulation.ofTargetedFaults(1, TARGETED_SEEDS));
+    all.addAll(Simulation.ofOverlappingFaults(1, OVERLAPPING_FAULT_SEEDS));
+    all.addAll(Simulation.ofTargetedFaults(1, TARGETED_FAULT_SEEDS));
     List<Simulation> selected = new ArrayList<>();
     for (int i = 0; i < all.size(); i += every) {
       if (all.get(i).name().startsWith(prefix)) {
@@ -101,12 +108,13 @@
       }
     }
     if (selected.isEmpty()) {
-      throw new InvalidPlanException("--only: no run begins with " + prefix);
+      throw new InvalidPlanException(
+          "--only: no selected simulation has a name that begins with " + prefix);
     }
     return selected;
   }
 
-  private Map<String, String> play(List<Simulation> simulations)
+  private Map<String, String> runAll(List<Simulation> simulations)
       throws IOException, InterruptedException {
     ExecutorService pool = Executors.newFixedThreadPool(jobs);
     try {
@@ -120,44 +128,46 @@
       }
       return digests;
     } catch (ExecutionException e) {
-      throw new IOException("a run failed: " + e.getCause(), e);
+      throw new IOException("a simulation failed: " + e.getCause(), e);
     } finally {
       pool.shutdownNow();
     }
   }
 
-  private static Map<String, String> read(Path file) throws IOException, InvalidPlanException {
+  private static Map<String, String> readDigests(Path file)
+      throws IOException, InvalidPlanException {
     if (!Files.isRegularFile(file)) {
-      throw new InvalidPlanException("--compare: no file " + file);
+      throw new InvalidPlanException("--compare: not an existing file: " + file);
     }
     Map<String, String> digests = new LinkedHashMap<>();
     for (String line : Files.readAllLines(file)) {
       int separator = line.indexOf(SEPARATOR);
       if (separator < 0) {
-        throw new InvalidPlanException("--compare: not a line of digests: " + line);
+        throw new InvalidPlanException(
+            "--compare: " + file + ": expected NAME" + SEPARATOR + "DIGEST, found: " + line);
       }
       digests.put(line.substring(0, separator), line.substring(separator + SEPARATOR.length()));
     }
     return digests;
   }
 
-  private int summary(Map<String, String> digests) {
+  private int printSummary(Map<String, String> digests) {
     spec.commandLine().getOut().println(digests.size() + " digests written to " + out);
     return 0;
   }
 
-  private int compare(Map<String, String> expected, Map<String, String> digests) {
-    int different = 0;
+  private int printDifferences(Map<String, String> expected, Map<String, String> digests) {
+    int differentCount = 0;
     for (Map.Entry<String, String> run : digests.entrySet()) {
       String before = expected.getOrDefault(run.getKey(), "none");
       if (!before.equals(run.getValue())) {
-        different++;
+        differentCount++;
         spec.commandLine().getOut().println(run.getKey() + ": " + before + " -> " + run.getValue());
       }
     }
     spec.commandLine()
         .getOut()
-        .println(digests.size() - different + " equal, " + different + " different");
-    return different == 0 ? 0 : DIFFERENT;
+        .println(digests.size() - differentCount + " equal, " + differentCount + " different");
+    return differentCount == 0 ? 0 : EXIT_DIFFERENT;
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/LinearFit.java
+++ b/src/testbench/java/org/snowturn/testbench/LinearFit.java
@@ -4,39 +4,44 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * A straight line through measured points.
+ * Straight line fitted to measured points by least squares.
  *
- * @param points how many
- * @param perUnit the slope
- * @param spread half the width of its 95% interval; NaN with fewer than three points
- * @param atZero where the line meets zero
- * @param worstResidual the largest distance of a point from the line, as a share of the largest
- *     point
+ * @param pointCount number of points
+ * @param perUnit slope of the line
+ * @param spread half the width of the slope's 95% confidence interval; NaN with fewer than three
+ *     points
+ * @param intercept value of the line at zero
+ * @param worstResidual largest vertical distance of a point from the line, as a fraction of the
+ *     largest absolute value of a point
  */
 record LinearFit(
     int pointCount, double perUnit, double spread, double intercept, double worstResidual) {
-  /** Beyond this the points do not lie on a line. */
-  private static final double NOT_A_LINE = 0.15;
+  /** Largest worst residual with which the points still count as lying on a line. */
+  private static final double MAX_LINEAR_RESIDUAL = 0.15;
 
+  /** Returns the line fitted to points, which are given as y values by x value. */
   static LinearFit fit(Map<Double, Double> points) {
     SimpleRegression line = new SimpleRegression();
     points.forEach(line::addData);
     double largest = 0;
-    double worst = 0;
-    for (var e : points.entrySet()) {
-      largest = Math.max(largest, Math.abs(e.getValue()));
-      worst = Math.max(worst, Math.abs(e.getValue() - line.predict(e.getKey())));
+    double worstDistance = 0;
+    for (var point : points.entrySet()) {
+      largest = Math.max(largest, Math.abs(point.getValue()));
+      worstDistance =
+          Math.max(worstDistance, Math.abs(point.getValue() - line.predict(point.getKey())));
     }
     double spread = points.size() > 2 ? line.getSlopeConfidenceInterval() : Double.NaN;
-    double residual = largest == 0 ? 0 : worst / largest;
+    double residual = largest == 0 ? 0 : worstDistance / largest;
     return new LinearFit(points.size(), line.getSlope(), spread, line.getIntercept(), residual);
   }
 
-  double predict(double x) {
-    return intercept + perUnit * x;
+  /** Returns the value of the line at the given x value. */
+  double predict(double xValue) {
+    return intercept + perUnit * xValue;
   }
 
+  /** Returns whether all points lie close to the line. */
   boolean isLinear() {
-    return worstResidual <= NOT_A_LINE;
+    return worstResidual <= MAX_LINEAR_RESIDUAL;
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/Measurements.java
+++ b/src/testbench/java/org/snowturn/testbench/Measurements.java
@@ -8,15 +8,18 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The committed figures of many runs: each has a series, a size, and figures by role. */
+/** Committed figures of many scale runs, grouped by series. */
 final class Measurements {
+  /** First line of a file of measurements. */
   static final String HEADER = "series," + ScaleResultWriter.HEADER;
-  private static final int COLUMNS = HEADER.split(",").length;
-  private static final int SCOPE = COLUMNS - 3;
-  private static final int FIGURE = COLUMNS - 2;
-  private static final int VALUE = COLUMNS - 1;
 
-  /** What may be varied from run to run, and the column where it stands. */
+  private static final int COLUMN_COUNT = HEADER.split(",").length;
+  private static final int FAILURE_COLUMN = COLUMN_COUNT - 4;
+  private static final int SCOPE_COLUMN = COLUMN_COUNT - 3;
+  private static final int FIGURE_COLUMN = COLUMN_COUNT - 2;
+  private static final int VALUE_COLUMN = COLUMN_COUNT - 1;
+
+  /** Parameters that vary from run to run, with the index of their column in the file. */
   enum Factor {
     WORKERS(1),
     TASKS(2),
@@ -30,6 +33,7 @@
       this.column = column;
     }
 
+    /** Returns the name of the factor in the files, which also names the series that varies it. */
     String label() {
       return name().toLowerCase(java.util.Locale.ROOT);
     }
@@ -38,8 +42,13 @@
   /**
    * One figure of one run.
    *
-   * @param size what was asked of the run, by factor
-   * @param role leader, standby, region, one worker or a stand-in
+   * @param series name of the series to which the run belongs
+   * @param size value of each factor in the plan of the run
+   * @param failure failure that was injected, or "none"
+   * @param role {@code leader}, {@code standby}, {@code region}, {@code one worker} or the thread
+   *     of a simulated service, such as {@code stand-in state}
+   * @param figure name of the figure
+   * @param value value of the figure
    */
   record Point(
       String series,
@@ -51,44 +60,58 @@
 
   private final List<Point> points = new ArrayList<>();
 
-  /** Reads a file; a damaged line ends it with the line's number. */
+  /**
+   * Reads a file of measurements.
+   *
+   * @throws InvalidPlanException if the file cannot be read, or with the number of the first
+   *     malformed line
+   */
   static Measurements read(Path file) throws InvalidPlanException {
-    Measurements out = new Measurements();
+    Measurements measurements = new Measurements();
     List<String> lines;
     try {
       lines = Files.readAllLines(file);
     } catch (IOException e) {
-      throw new InvalidPlanException(file + ": cannot be read");
+      throw new InvalidPlanException(file + ": cannot be read: " + e);
     }
     if (lines.isEmpty() || !lines.get(0).equals(HEADER)) {
-      throw new InvalidPlanException(file + ": its first line is not the header of measurements");
+      throw new InvalidPlanException(file + ":1: expected the header " + HEADER);
     }
     for (int i = 1; i < lines.size(); i++) {
-      String[] words = lines.get(i).split(",", -1);
-      if (words.length != COLUMNS) {
-        throw new InvalidPlanException(file + ":" + (i + 1) + ": " + COLUMNS + " columns expected");
+      String[] columns = lines.get(i).split(",", -1);
+      if (columns.length != COLUMN_COUNT) {
+        throw new InvalidPlanException(
+            file
+                + ":"
+                + (i + 1)
+                + ": expected "
+                + COLUMN_COUNT
+                + " columns, found "
+                + columns.length);
       }
       try {
-        out.points.add(point(words));
+        measurements.points.add(parsePoint(columns));
       } catch (NumberFormatException e) {
-        throw new InvalidPlanException(file + ":" + (i + 1) + ": a number expected");
+        throw new InvalidPlanException(
+            file + ":" + (i + 1) + ": expected a number: " + e.getMessage());
       }
     }
-    return out;
+    return measurements;
   }
 
-  private static Point point(String[] words) {
+  private static Point parsePoint(String[] columns) {
     Map<Factor, Double> size = new TreeMap<>();
-    for (Factor f : Factor.values()) {
-      size.put(f, Double.parseDouble(words[f.column]));
+    for (Factor factor : Factor.values()) {
+      size.put(factor, Double.parseDouble(columns[factor.column]));
     }
-    double value = Double.parseDouble(words[VALUE]);
-    String fail = words[SCOPE - 1];
-    return new Point(words[0], size, fail, role(words[SCOPE]), words[FIGURE], value);
+    double value = Double.parseDouble(columns[VALUE_COLUMN]);
+    String failure = columns[FAILURE_COLUMN];
+    return new Point(
+        columns[0], size, failure, roleOf(columns[SCOPE_COLUMN]), columns[FIGURE_COLUMN], value);
   }
 
-  /** "leader r0-n1" and "region 2" are the leader and the region of any run. */
-  private static String role(String scope) {
+  /** Returns the scope without a name or number: "leader r0-n1" becomes "leader". */
+  private static String roleOf(String scope) {
     String first = scope.split(" ", -1)[0];
     return List.of("leader", "standby", "region").contains(first) ? first : scope;
   }
@@ -97,27 +120,40 @@
     return points;
   }
 
-  /** A series' runs by the size of a factor; figures of a role's processes are averaged. */
+  /**
+   * Returns the values of a figure in the runs of a series by the value of the factor. Figures of
+   * all processes of the role, and of repeated runs, are averaged.
+   */
   Map<Double, Double> averagesByFactor(Factor factor, String series, String role, String figure) {
-    Map<Double, List<Double>> all = new TreeMap<>();
-    for (Point p : points) {
-      if (p.series.equals(series) && p.role.equals(role) && p.figure.equals(figure)) {
-        all.computeIfAbsent(p.size.get(factor), k -> new ArrayList<>()).add(p.value);
+    Map<Double, List<Double>> valuesByFactor = new TreeMap<>();
+    for (Point point : points) {
+      if (point.series.equals(series) && point.role.equals(role) && point.figure.equals(figure)) {
+        valuesByFactor
+            .computeIfAbsent(point.size.get(factor), key -> new ArrayList<>())
+            .add(point.value);
       }
     }
-    Map<Double, Double> out = new TreeMap<>();
-    all.forEach(
-        (x, ys) -> out.put(x, ys.stream().mapToDouble(Double::doubleValue).average().orElse(0)));
-    return out;
+    Map<Double, Double> averages = new TreeMap<>();
+    valuesByFactor.forEach(
+        (factorValue, values) ->
+            averages.put(
+                factorValue, values.stream().mapToDouble(Double::doubleValue).average().orElse(0)));
+    return averages;
   }
 
-  /** The size that a series' runs have in common in a factor that they do not vary. */
+  /**
+   * Returns the value of a factor that the series does not vary, taken from its first run.
+   *
+   * @throws InvalidPlanException if the series has no runs
+   */
   double fixedValue(Factor factor, String series) throws InvalidPlanException {
     return points.stream()
-        .filter(p -> p.series.equals(series))
-        .mapToDouble(p -> p.size.get(factor))
+        .filter(point -> point.series.equals(series))
+        .mapToDouble(point -> point.size.get(factor))
         .findFirst()
         .orElseThrow(
-            () -> new InvalidPlanException("no series " + series + " among the measurements"));
+            () ->
+                new InvalidPlanException(
+                    "the measurements contain no run of the series " + series));
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/ScaleCommand.java
+++ b/src/testbench/java/org/snowturn/testbench/ScaleCommand.java
@@ -12,62 +12,80 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command {@code scale}: real controllers and hollow workers, for a bounded time. */
+/**
+ * The command {@code scale}: runs real controllers with simulated workers for a bounded time and
+ * measures them.
+ */
 @Command(
     name = "scale",
     mixinStandardHelpOptions = true,
-    description = "Plays real controllers with hollow workers over loopback and measures them.")
+    description = "Runs real controllers with simulated workers over loopback and measures them.")
 final class ScaleCommand implements Callable<Integer> {
-  private static final int BROKEN = 1;
-  private static final Path DEPLOY = Path.of("deploy", "service.toml");
+  private static final int EXIT_RULES_BROKEN = 1;
+  private static final Path DEPLOY_FILE = Path.of("deploy", "service.toml");
+
+  /** Default of {@code --tasks}, per worker. */
+  private static final int TASKS_PER_WORKER = 27;
 
   @Spec private CommandSpec spec;
 
-  @Option(names = "--workers", required = true, description = "Hollow workers, in all.")
+  @Option(
+      names = "--workers",
+      required = true,
+      description = "Simulated workers in all regions together.")
   private int workers;
 
-  @Option(names = "--tasks", description = "Running tasks; 27 a worker if not given.")
+  @Option(names = "--tasks", description = "Tasks that run at a time. Default: 27 per worker.")
   private Integer tasks;
 
-  @Option(names = "--starts", description = "Starts a second. Default: ${DEFAULT-VALUE}.")
+  @Option(names = "--starts", description = "Task starts per second. Default: ${DEFAULT-VALUE}.")
   private double starts = 50;
 
-  @Option(names = "--regions", description = "Default: ${DEFAULT-VALUE}.")
+  @Option(names = "--regions", description = "Number of regions. Default: ${DEFAULT-VALUE}.")
   private int regions = 1;
 
-  @Option(names = "--controllers", description = "Of each region. Default: ${DEFAULT-VALUE}.")
+  @Option(
+      names = "--controllers",
+      description = "Controllers per region. Default: ${DEFAULT-VALUE}.")
   private int controllers = 3;
 
-  @Option(names = "--teams", description = "Default: ${DEFAULT-VALUE}.")
+  @Option(names = "--teams", description = "Number of teams. Default: ${DEFAULT-VALUE}.")
   private int teams = 190;
 
   @Option(names = "--duration", description = "Seconds of load. Default: ${DEFAULT-VALUE}.")
   private int duration = 60;
 
-  @Option(names = "--heap", description = "Controllers' heap in MB; 0: as in the deploy file.")
+  @Option(names = "--heap", description = "Heap of a controller in MB; 0: as in the deploy file.")
   private int heap;
 
   @Option(
       names = "--connections",
-      description = "A controller's sockets. Default: ${DEFAULT-VALUE}.")
+      description = "Maximum sockets of a controller. Default: ${DEFAULT-VALUE}.")
   private int connections = 8_192;
 
-  @Option(names = "--state-requests", description = "A second. Default: ${DEFAULT-VALUE}.")
+  @Option(
+      names = "--state-requests",
+      description = "Maximum requests per second to a state service. Default: ${DEFAULT-VALUE}.")
   private double stateRequests = 600;
 
-  @Option(names = "--state-changes", description = "A second. Default: ${DEFAULT-VALUE}.")
+  @Option(
+      names = "--state-changes",
+      description = "Maximum changes per second in a state service. Default: ${DEFAULT-VALUE}.")
   private double stateChanges = 250;
 
   @Option(
       names = "--fail",
       converter = Failure.Reader.class,
-      description = "leader, zone, region or workers=COUNT, after a third of the time.")
+      description = "What fails after a third of the time: leader, zone, region or workers=COUNT.")
   private Failure failure = Failure.NONE;
 
-  @Option(names = "--seed", description = "Default: ${DEFAULT-VALUE}.")
+  @Option(names = "--seed", description = "Seed of the load. Default: ${DEFAULT-VALUE}.")
   private long seed = 1;
 
-  @Option(names = "--out", required = true, description = "Folder for settings, logs and figures.")
+  @Option(
+      names = "--out",
+      required = true,
+      description = "Output folder for settings, logs and figures.")
   private Path out;
 
   @Override
@@ -75,7 +93,7 @@
     ScalePlan plan =
         new ScalePlan(
             workers,
-            tasks == null ? 27 * workers : tasks,
+            tasks == null ? TASKS_PER_WORKER * workers : tasks,
             starts,
             regions,
             controllers,
@@ -91,7 +109,7 @@
     Path root = Path.of("").toAbsolutePath();
     try {
       plan.check(MachineMemory.totalMb());
-      command = LaunchCommand.read(DEPLOY, root, heap);
+      command = LaunchCommand.read(DEPLOY_FILE, root, heap);
     } catch (InvalidPlanException e) {
       throw new ParameterException(spec.commandLine(), e.getMessage());
     }
@@ -102,6 +120,6 @@
     }
     ScaleResultWriter.write(result, out);
     ScaleResultWriter.print(result, System.out);
-    return result.brokenRules().isEmpty() ? 0 : BROKEN;
+    return result.brokenRules().isEmpty() ? 0 : EXIT_RULES_BROKEN;
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/ScalePlan.java
+++ b/src/testbench/java/org/snowturn/testbench/ScalePlan.java
@@ -6,21 +6,22 @@
 import org.snowturn.simulation.LoopbackPlan;
 
 /**
- * What a scale run is asked to play.
+ * Size, load and failure of a scale run. The JSON output of a run contains the text form of this
+ * record.
  *
- * @param workers hollow workers in all regions together
- * @param tasks tasks that run at a time, in all
- * @param startsPerSecond starts of tasks, in all
- * @param regions how many
- * @param controllers of each region
- * @param teams in all; every team has a part of its limit in each region
- * @param durationS how long the load lasts once the standing tasks run
- * @param heapMb heap of a controller, 0 for what the run line says
- * @param failure what goes wrong after a third of the time
- * @param seed of all that is drawn
- * @param connections sockets that a controller may use
- * @param stateRps requests of each region's state service
- * @param stateWrites changes of each region's state service
+ * @param workers number of simulated workers in all regions together
+ * @param tasks number of tasks that run at a time in all regions together
+ * @param startsPerSecond task starts per second in all regions together
+ * @param regions number of regions
+ * @param controllers number of controllers in each region
+ * @param teams number of teams; every team has a part of its limit in each region
+ * @param durationS duration of the load in seconds, after the long-running tasks have started
+ * @param heapMb heap of a controller in MB, or 0 for the heap in the launch command
+ * @param failure what fails after a third of the duration
+ * @param seed seed of all random choices
+ * @param connections maximum number of sockets of a controller
+ * @param stateRps maximum requests per second to the state service of each region
+ * @param stateWrites maximum changes per second in the state service of each region
  */
 record ScalePlan(
     int workers,
@@ -37,18 +38,20 @@
     double stateRps,
     double stateWrites) {
 
-  private static final int MOST_WORKERS = 20_000;
-  private static final int MOST_TASKS = 500_000;
-  private static final int MOST_STARTS = 2_000;
-  private static final int MOST_REGIONS = 7;
-  private static final int MOST_CONTROLLERS = 7;
-  private static final int MOST_TEAMS = 1_000;
-  private static final int LONGEST_S = 1_800;
-  private static final int MOST_PROCESSES = 300;
+  private static final int MAX_WORKERS = 20_000;
+  private static final int MAX_TASKS = 500_000;
+  private static final int MAX_STARTS_PER_SECOND = 2_000;
+  private static final int MAX_REGIONS = 7;
+  private static final int MAX_CONTROLLERS = 7;
+  private static final int MAX_TEAMS = 1_000;
+  private static final int MAX_DURATION_S = 1_800;
+  private static final int MAX_PROCESSES = 300;
   private static final int ZONES = 7;
-  private static final int MOST_HEAP_MB = 4_096;
+  private static final int MIN_CONNECTIONS = 16;
+  private static final int MAX_CONNECTIONS = 60_000;
+  private static final int MAX_HEAP_MB = 4_096;
 
-  /** What the memory of a plan is judged by: measured on runs of a thousand workers and more. */
+  /** Estimated memory per worker. The estimates hold for runs of at least 1,000 workers. */
   private static final double MB_PER_WORKER = 0.15;
 
   private static final double MB_PER_TASK = 0.003;
@@ -56,51 +59,59 @@
   private static final double BASE_MB = 300;
   private static final int DEFAULT_HEAP_MB = 80;
 
-  private static final Settings.Workers FIGURES = new Settings.Workers(5, 26.5, 56.5);
-  private static final Settings.CloudLimits CLOUD = new Settings.CloudLimits(12, 4);
-  private static final double STATE_VALUE_KB = 16;
-  private static final int STATE_TXN_OPS = 24;
+  private static final Settings.Workers WORKER_SETTINGS = new Settings.Workers(5, 26.5, 56.5);
+  private static final Settings.CloudLimits CLOUD_LIMITS = new Settings.CloudLimits(12, 4);
+  private static final double STATE_MAX_VALUE_KB = 16;
+  private static final int STATE_MAX_TXN_OPS = 24;
 
-  /** Checks all figures; says in one line which is wrong. */
+  /**
+   * Checks that all values are in range and that the run fits into half of the machine's memory.
+   *
+   * @param machineMemoryMb memory of this machine in MB
+   * @throws InvalidPlanException naming in one line the first option that is out of range
+   */
   void check(long machineMemoryMb) throws InvalidPlanException {
-    between("--workers", workers, 1, MOST_WORKERS);
-    between("--tasks", tasks, 1, MOST_TASKS);
-    between("--starts", startsPerSecond, 0, MOST_STARTS);
-    between("--regions", regions, 1, MOST_REGIONS);
-    between("--controllers", controllers, 1, MOST_CONTROLLERS);
-    between("--teams", teams, 1, MOST_TEAMS);
-    between("--duration", durationS, 1, LONGEST_S);
-    between("--heap", heapMb, 0, MOST_HEAP_MB);
-    between("--connections", connections, 16, 60_000);
+    requireInRange("--workers", workers, 1, MAX_WORKERS);
+    requireInRange("--tasks", tasks, 1, MAX_TASKS);
+    requireInRange("--starts", startsPerSecond, 0, MAX_STARTS_PER_SECOND);
+    requireInRange("--regions", regions, 1, MAX_REGIONS);
+    requireInRange("--controllers", controllers, 1, MAX_CONTROLLERS);
+    requireInRange("--teams", teams, 1, MAX_TEAMS);
+    requireInRange("--duration", durationS, 1, MAX_DURATION_S);
+    requireInRange("--heap", heapMb, 0, MAX_HEAP_MB);
+    requireInRange("--connections", connections, MIN_CONNECTIONS, MAX_CONNECTIONS);
     if (!(stateRps >= 1) || !(stateWrites >= 1)) {
-      throw new InvalidPlanException("the state service's rates must be at least 1");
+      throw new InvalidPlanException("--state-requests, --state-changes: must be at least 1");
     }
     if (workers < regions) {
-      throw new InvalidPlanException("--workers: fewer than regions");
+      throw new InvalidPlanException(
+          "--workers: must be at least the number of regions, " + regions);
     }
     if (failure.workers() > workers) {
-      throw new InvalidPlanException("--fail: more workers than there are");
+      throw new InvalidPlanException("--fail: must not exceed --workers, " + workers);
     }
-    if (controllers * regions + 1 > MOST_PROCESSES) {
-      throw new InvalidPlanException("more than " + MOST_PROCESSES + " processes");
+    if (controllers * regions + 1 > MAX_PROCESSES) {
+      throw new InvalidPlanException(
+          "--controllers, --regions: the run needs more than " + MAX_PROCESSES + " processes");
     }
     if (estimatedMemoryMb() > machineMemoryMb / 2) {
       throw new InvalidPlanException(
-          "needs about "
+          "the run needs about "
               + estimatedMemoryMb()
-              + " MB, more than half of the machine's "
-              + machineMemoryMb);
+              + " MB of memory, more than half of the machine's "
+              + machineMemoryMb
+              + " MB");
     }
   }
 
-  private static void between(String name, double value, double least, double most)
+  private static void requireInRange(String option, double value, double min, double max)
       throws InvalidPlanException {
-    if (!(value >= least && value <= most)) {
-      throw new InvalidPlanException(name + ": must be from " + least + " to " + most);
+    if (!(value >= min && value <= max)) {
+      throw new InvalidPlanException(option + ": must be from " + min + " to " + max);
     }
   }
 
-  /** About what all processes of the run will hold. */
+  /** Returns the estimated memory of all processes of the run, in MB. */
   long estimatedMemoryMb() {
     double heap = heapMb > 0 ? heapMb : DEFAULT_HEAP_MB;
     return Math.round(
@@ -110,39 +121,43 @@
             + controllers * regions * (MB_PER_CONTROLLER + heap));
   }
 
-  /** The regions, as even as they come; seven zones are dealt out among them. */
+  /**
+   * Returns the plan of each region. Workers, tasks and starts are divided evenly; zones are
+   * assigned to the regions in turn.
+   */
   List<LoopbackPlan> regionPlans() {
-    List<LoopbackPlan> out = new ArrayList<>();
-    for (int r = 0; r < regions; r++) {
+    List<LoopbackPlan> plans = new ArrayList<>();
+    for (int region = 0; region < regions; region++) {
       List<String> zones = new ArrayList<>();
-      for (int z = r; z < Math.max(ZONES, regions); z += regions) {
-        zones.add("r" + r + "-z" + zones.size());
+      for (int zone = region; zone < Math.max(ZONES, regions); zone += regions) {
+        zones.add("r" + region + "-z" + zones.size());
       }
-      List<String> names = new ArrayList<>();
-      for (int c = 0; c < controllers; c++) {
-        names.add("r" + r + "-n" + c);
+      List<String> controllerNames = new ArrayList<>();
+      for (int controller = 0; controller < controllers; controller++) {
+        controllerNames.add("r" + region + "-n" + controller);
       }
-      out.add(
+      plans.add(
           new LoopbackPlan(
-              r,
+              region,
               zones,
-              names,
-              part(workers, r),
-              Math.max(1, part(tasks, r)),
+              controllerNames,
+              regionShare(workers, region),
+              Math.max(1, regionShare(tasks, region)),
               startsPerSecond / regions,
               teams,
-              seed + r,
-              FIGURES,
-              new Settings.StateLimits(stateRps, stateWrites, STATE_VALUE_KB, STATE_TXN_OPS),
-              CLOUD,
+              seed + region,
+              WORKER_SETTINGS,
+              new Settings.StateLimits(
+                  stateRps, stateWrites, STATE_MAX_VALUE_KB, STATE_MAX_TXN_OPS),
+              CLOUD_LIMITS,
               connections,
               0,
               0));
     }
-    return out;
+    return plans;
   }
 
-  private int part(int all, int region) {
-    return all / regions + (region < all % regions ? 1 : 0);
+  private int regionShare(int total, int region) {
+    return total / regions + (region < total % regions ? 1 : 0);
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/ScaleResult.java
+++ b/src/testbench/java/org/snowturn/testbench/ScaleResult.java
@@ -8,25 +8,26 @@
 import org.snowturn.simulation.LoopbackPlan;
 import org.snowturn.simulation.LoopbackStatus;
 
-/** The figures of a played scale run, as rows of a scope and named figures. */
+/** Figures of a finished scale run, in rows that each have a scope. */
 final class ScaleResult {
-  private static final double KB = 1024;
+  private static final double BYTES_PER_KB = 1024;
 
   /**
-   * One line of the table.
+   * Figures of one scope.
    *
-   * @param scope the run, a region, or a role of processes in a region
+   * @param scope a region, a controller with its role, a simulated service or one worker
+   * @param figures values by name
    */
   record Row(String scope, Map<String, Double> figures) {}
 
   private final ScalePlan plan;
   private final List<Row> rows;
-  private final List<String> broken;
+  private final List<String> brokenRules;
 
-  private ScaleResult(ScalePlan plan, List<Row> rows, List<String> broken) {
+  private ScaleResult(ScalePlan plan, List<Row> rows, List<String> brokenRules) {
     this.plan = plan;
     this.rows = rows;
-    this.broken = broken;
+    this.brokenRules = brokenRules;
   }
 
   ScalePlan plan() {
@@ -37,104 +38,132 @@
     return rows;
   }
 
-  /** Rules that were broken, and details of the first. */
+  /** Returns the names of the broken rules, with some details. */
   List<String> brokenRules() {
-    return broken;
+    return brokenRules;
   }
 
-  /** Collects what is measured. */
+  /** Collects the figures of a run. */
   static final class Builder {
     private final ScalePlan plan;
     private final Map<String, ProcessUsage> threadsBefore;
     private final List<Row> rows = new ArrayList<>();
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> brokenRules = new ArrayList<>();
     private final double fillS;
-    private double lastedS;
-    private int workersUp;
-
+    private double loadDurationS;
+    private int reportingWorkers;
+
+    /**
+     * Creates a builder without figures.
+     *
+     * @param threadsBefore usage by thread name when the load began
+     * @param fillS time in seconds until the long-running tasks ran
+     */
     Builder(ScalePlan plan, Map<String, ProcessUsage> threadsBefore, double fillS) {
       this.plan = plan;
       this.threadsBefore = threadsBefore;
       this.fillS = fillS;
     }
 
+    /** Sets the measured duration of the load, by which totals are divided. */
     void setLoadDurationS(double seconds) {
-      lastedS = seconds;
+      loadDurationS = seconds;
     }
 
+    /**
+     * Adds the figures of a region.
+     *
+     * @param before status when the load began
+     * @param after status when the load ended
+     * @param urgent delays of tasks of urgent jobs until their start, in ms
+     * @param accepted delays of submissions until they were accepted, in ms
+     */
     void addRegion(
-        LoopbackPlan p,
-        LoopbackStatus from,
-        LoopbackStatus to,
+        LoopbackPlan regionPlan,
+        LoopbackStatus before,
+        LoopbackStatus after,
         Histogram urgent,
         Histogram accepted) {
-      broken.addAll(to.broken());
-      workersUp += to.workersUp();
-      Map<String, Double> f = new TreeMap<>();
-      f.put("workers", (double) to.workersUp());
-      f.put("running", (double) to.running());
-      f.put("starts_per_s", (to.starts() - from.starts()) / lastedS);
-      f.put("starts_in_all", (double) to.starts());
-      f.put("jobs_over_per_s", (to.jobsDone() - from.jobsDone()) / lastedS);
-      f.put("reports_per_s", (to.reports() - from.reports()) / lastedS);
-      f.put("commands_per_s", (to.commands() - from.commands()) / lastedS);
-      f.put("state_requests_per_s", (to.stateRequests() - from.stateRequests()) / lastedS);
-      f.put("state_changes_per_s", (to.stateWrites() - from.stateWrites()) / lastedS);
-      f.put("state_refused", (double) (to.stateRefused() - from.stateRefused()));
-      f.put("leader_changes", (double) (to.tokens() - from.tokens()));
-      f.put("longest_pause_s", to.longestPauseMs() / 1000.0);
-      f.put("rules_broken", (double) to.broken().size());
-      f.put("fill_s", fillS);
-      percentiles(f, "urgent", urgent);
-      percentiles(f, "accept", accepted);
-      rows.add(new Row("region " + p.number(), f));
+      brokenRules.addAll(after.broken());
+      reportingWorkers += after.workersUp();
+      Map<String, Double> figures = new TreeMap<>();
+      figures.put("workers", (double) after.workersUp());
+      figures.put("running", (double) after.running());
+      figures.put("starts_per_s", (after.starts() - before.starts()) / loadDurationS);
+      figures.put("starts_in_all", (double) after.starts());
+      figures.put("jobs_over_per_s", (after.jobsDone() - before.jobsDone()) / loadDurationS);
+      figures.put("reports_per_s", (after.reports() - before.reports()) / loadDurationS);
+      figures.put("commands_per_s", (after.commands() - before.commands()) / loadDurationS);
+      figures.put(
+          "state_requests_per_s", (after.stateRequests() - before.stateRequests()) / loadDurationS);
+      figures.put(
+          "state_changes_per_s", (after.stateWrites() - before.stateWrites()) / loadDurationS);
+      figures.put("state_refused", (double) (after.stateRefused() - before.stateRefused()));
+      figures.put("leader_changes", (double) (after.tokens() - before.tokens()));
+      figures.put("longest_pause_s", after.longestPauseMs() / 1000.0);
+      figures.put("rules_broken", (double) after.broken().size());
+      figures.put("fill_s", fillS);
+      addPercentiles(figures, "urgent", urgent);
+      addPercentiles(figures, "accept", accepted);
+      rows.add(new Row("region " + regionPlan.number(), figures));
     }
 
-    private static void percentiles(Map<String, Double> f, String name, Histogram h) {
-      f.put(name + "_p50_ms", (double) h.getValueAtPercentile(50));
-      f.put(name + "_p95_ms", (double) h.getValueAtPercentile(95));
-      f.put(name + "_p99_ms", (double) h.getValueAtPercentile(99));
-      f.put(name + "_count", (double) h.getTotalCount());
+    private static void addPercentiles(
+        Map<String, Double> figures, String name, Histogram histogram) {
+      figures.put(name + "_p50_ms", (double) histogram.getValueAtPercentile(50));
+      figures.put(name + "_p95_ms", (double) histogram.getValueAtPercentile(95));
+      figures.put(name + "_p99_ms", (double) histogram.getValueAtPercentile(99));
+      figures.put(name + "_count", (double) histogram.getTotalCount());
     }
 
-    void addController(int region, String name, boolean leads, ProcessUsage u) {
-      Map<String, Double> f = usage(u, lastedS);
-      f.put("memory_peak_mb", u.residentMb());
-      f.put("sockets_peak", (double) u.sockets());
-      rows.add(new Row((leads ? "leader " : "standby ") + name, f));
+    /** Adds the figures of a controller process. */
+    void addController(int region, String name, boolean isLeader, ProcessUsage usage) {
+      Map<String, Double> figures = usageFigures(usage, loadDurationS);
+      figures.put("memory_peak_mb", usage.residentMb());
+      figures.put("sockets_peak", (double) usage.sockets());
+      rows.add(new Row((isLeader ? "leader " : "standby ") + name, figures));
     }
 
-    private static Map<String, Double> usage(ProcessUsage u, double seconds) {
-      Map<String, Double> f = new TreeMap<>();
-      f.put("cores", u.processorS() / seconds);
-      f.put("kb_in_per_s", u.bytesIn() / KB / seconds);
-      f.put("kb_out_per_s", u.bytesOut() / KB / seconds);
-      f.put("reads_per_s", u.reads() / seconds);
-      f.put("writes_per_s", u.writes() / seconds);
-      return f;
+    private static Map<String, Double> usageFigures(ProcessUsage usage, double seconds) {
+      Map<String, Double> figures = new TreeMap<>();
+      figures.put("cores", usage.processorS() / seconds);
+      figures.put("kb_in_per_s", usage.bytesIn() / BYTES_PER_KB / seconds);
+      figures.put("kb_out_per_s", usage.bytesOut() / BYTES_PER_KB / seconds);
+      figures.put("reads_per_s", usage.reads() / seconds);
+      figures.put("writes_per_s", usage.writes() / seconds);
+      return figures;
     }
 
-    /** The stand-ins' own threads; what one worker's control costs it is their part of it. */
-    Builder addThreads(Map<String, ProcessUsage> now) {
-      ProcessUsage hollow = ProcessUsage.NOTHING;
-      for (var e : now.entrySet()) {
-        ProcessUsage u =
-            e.getValue().since(threadsBefore.getOrDefault(e.getKey(), ProcessUsage.NOTHING));
-        if (List.of("world", "state", "hollow", "report", "users").contains(e.getKey())) {
-          rows.add(new Row("stand-in " + e.getKey(), usage(u, lastedS)));
+    /**
+     * Adds the figures of the threads of the simulated services, and of one worker. The figures of
+     * one worker are those of the threads that simulate the workers, divided by the number of
+     * workers.
+     *
+     * @param threadsAfter usage by thread name when the load ended
+     */
+    Builder addThreads(Map<String, ProcessUsage> threadsAfter) {
+      ProcessUsage workerThreads = ProcessUsage.NOTHING;
+      for (var thread : threadsAfter.entrySet()) {
+        ProcessUsage usage =
+            thread
+                .getValue()
+                .since(threadsBefore.getOrDefault(thread.getKey(), ProcessUsage.NOTHING));
+        if (List.of("world", "state", "hollow", "report", "users").contains(thread.getKey())) {
+          rows.add(new Row("stand-in " + thread.getKey(), usageFigures(usage, loadDurationS)));
         }
-        if (List.of("hollow", "report").contains(e.getKey())) {
-          hollow = hollow.plus(u);
+        if (List.of("hollow", "report").contains(thread.getKey())) {
+          workerThreads = workerThreads.plus(usage);
         }
       }
-      Map<String, Double> f = usage(hollow, lastedS);
-      f.replaceAll((k, v) -> v / Math.max(1, workersUp));
-      rows.add(new Row("one worker", f));
+      Map<String, Double> figures = usageFigures(workerThreads, loadDurationS);
+      figures.replaceAll((name, value) -> value / Math.max(1, reportingWorkers));
+      rows.add(new Row("one worker", figures));
       return this;
     }
 
+    /** Returns the result with all figures that were added. */
     ScaleResult build() {
-      return new ScaleResult(plan, rows, broken);
+      return new ScaleResult(plan, rows, brokenRules);
     }
   }
 }
--- a/src/testbench/java/org/snowturn/testbench/Testbench.java
+++ b/src/testbench/java/org/snowturn/testbench/Testbench.java
@@ -5,7 +5,8 @@
 import picocli.CommandLine.Command;
 
 /**
- * Developers' tools: scale and soak runs, tables of their results, copies and draws of deployments.
+ * Entry point of the developers' tools: scale runs, soak runs, capacity tables, behavior digests
+ * and generated workloads.
  */
 @Command(
     name = "snowturn-testbench",
@@ -17,11 +18,12 @@
       DigestCommand.class,
       WorkloadCommand.class
     },
-    description = "Scale and soak runs of real controllers, tables, and days of one's own.")
+    description =
+        "Scale and soak runs of real controllers, capacity tables, behavior digests and workloads.")
 public final class Testbench {
   Testbench() {}
 
-  /** Exit status 2 stands for what the caller got wrong, in one line. */
+  /** Runs a command. Invalid input is reported in one line and ends with exit status 2. */
   public static void main(String[] args) {
     System.exit(WorkloadCommand.handled(new CommandLine(new Testbench())).execute(args));
   }
