--- a/src/test/java/org/snowturn/testbench/ScaleRunTest.java
+++ b/src/test/java/org/snowturn/testbench/ScaleRunTest.java
@@ -51,9 +51,9 @@
     List<String> progress = new ArrayList<>();
     ScaleResult result;
     try (ScaleRun run = new ScaleRun(plan, controllerCommand(), dir, dir, progress::add)) {
-      result = run.play();
+      result = run.run();
     }
-    assertEquals(List.of(), result.broken());
+    assertEquals(List.of(), result.brokenRules());
     assertTrue(
         progress.stream().anyMatch(line -> line.contains("fails now: leader")), "" + progress);
     for (String region : List.of("region 0", "region 1")) {
@@ -64,9 +64,9 @@
         result.rows().stream().filter(row -> row.scope().matches("(leader|standby) .*")).count());
     assertEquals(
         List.of(), ProcessHandle.current().children().filter(ScaleRunTest::isController).toList());
-    ScaleFiles.write(result, dir);
+    ScaleResultWriter.write(result, dir);
     List<String> lines = Files.readAllLines(dir.resolve("scale.csv"));
-    assertEquals(ScaleFiles.HEADER, lines.get(0));
+    assertEquals(ScaleResultWriter.HEADER, lines.get(0));
     assertFalse(lines.size() < 20);
   }
 
