--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -103,7 +103,7 @@
 
       @Override
       public boolean isKnownCancelled(String job) {
-        return watermark.isCancelled(job);
+        return watermark.isKnownCancelled(job);
       }
 
       @Override
--- a/src/main/java/org/snowturn/core/MonotonicTime.java
+++ b/src/main/java/org/snowturn/core/MonotonicTime.java
@@ -6,7 +6,7 @@
    * Marks an event that has not happened. The value lies far in the past, but subtracting it from
    * any time does not overflow.
    */
-  public static final long NEVER = Long.MIN_VALUE / 4;
+  public static final long UNSET = Long.MIN_VALUE / 4;
 
   private MonotonicTime() {}
 }
--- a/src/main/java/org/snowturn/core/admission/RateAllocator.java
+++ b/src/main/java/org/snowturn/core/admission/RateAllocator.java
@@ -112,7 +112,7 @@
       String name = requestClass.name().toLowerCase(Locale.ROOT);
       gauges.put(
           "snowturn.admission.requests.refused{purpose=\"" + name + "\"}",
-          (double) budget.refusedLocally(requestClass));
+          (double) budget.localRefusalCount(requestClass));
     }
     return gauges;
   }
--- a/src/main/java/org/snowturn/core/admission/StateRequestBudget.java
+++ b/src/main/java/org/snowturn/core/admission/StateRequestBudget.java
@@ -129,7 +129,7 @@
   }
 
   /** Returns the number of requests of a class that this budget refused. */
-  public long refusedLocally(RequestClass requestClass) {
+  public long localRefusalCount(RequestClass requestClass) {
     return refusedLocally.get(requestClass);
   }
 
--- a/src/main/java/org/snowturn/core/api/LiveJobCache.java
+++ b/src/main/java/org/snowturn/core/api/LiveJobCache.java
@@ -84,7 +84,7 @@
   private ArrayDeque<Waiter> waiters = new ArrayDeque<>();
   private boolean isRequestOpen;
   private long nextRequestAt;
-  private long validatedAt = MonotonicTime.NEVER;
+  private long validatedAt = MonotonicTime.UNSET;
   private long validations;
   private long loads;
 
@@ -135,7 +135,7 @@
 
   /** Requests a validation as soon as possible, even if no query is waiting. */
   public void requestValidation() {
-    validatedAt = MonotonicTime.NEVER;
+    validatedAt = MonotonicTime.UNSET;
   }
 
   /** Times out queries that have waited too long, and reads from the state service if due. */
--- a/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
+++ b/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
@@ -104,7 +104,7 @@
    *
    * @param job the job that the command names; null if it is not live
    */
-  boolean mayStart(Machine machine, Job job, Command start) {
+  boolean canStart(Machine machine, Job job, Command start) {
     String reason = startRejectionReason(machine, job, start);
     if (reason != null) {
       invariants.recordViolation(
--- a/src/main/java/org/snowturn/core/assignment/FailureHandler.java
+++ b/src/main/java/org/snowturn/core/assignment/FailureHandler.java
@@ -76,10 +76,11 @@
     if (attribution.isJobSuspected(job.index)) {
       backOffSuspect(job);
     }
-    machine.failures.setUnexplained(attribution.unexplainedFailures(machine.index));
+    machine.failures.setUnexplainedCount(attribution.unexplainedFailures(machine.index));
     quarantineIfFaulty(machine);
-    if (!machine.failures.isHealthy() && machine.failures.unexplained() > 0) {
-      int doublings = Math.min(MAX_MACHINE_BACKOFF_DOUBLINGS, machine.failures.unexplained() - 1);
+    if (!machine.failures.isHealthy() && machine.failures.unexplainedCount() > 0) {
+      int doublings =
+          Math.min(MAX_MACHINE_BACKOFF_DOUBLINGS, machine.failures.unexplainedCount() - 1);
       machine.failures.blockUntil(runtime.now() + (MIN_MACHINE_BACKOFF_MS << doublings));
     } else {
       machine.failures.blockUntil(0);
@@ -94,7 +95,7 @@
           .events()
           .info(LogEvent.MACHINE_QUARANTINED)
           .with(LogField.MACHINE, machine.id)
-          .with(LogField.FAILURES, machine.failures.unexplained())
+          .with(LogField.FAILURES, machine.failures.unexplainedCount())
           .write();
     }
   }
@@ -123,9 +124,9 @@
    */
   void onTaskStillRunning(Machine machine, Job job, int task) {
     boolean hasUnresolvedFailures =
-        machine.failures.unexplained() > 0 || (job.failures.count() > 0 && job.done() == 0);
+        machine.failures.unexplainedCount() > 0 || (job.failures.count() > 0 && job.done() == 0);
     if (hasUnresolvedFailures
-        && job.runningSince(task) != MonotonicTime.NEVER
+        && job.runningSince(task) != MonotonicTime.UNSET
         && runtime.now() - job.runningSince(task) >= MIN_HEALTHY_RUN_MS) {
       onTaskSucceeded(machine, job);
     }
@@ -136,10 +137,10 @@
    * suspect or healthy in the meantime.
    */
   public void reassess(Machine machine) {
-    if (machine.failures.unexplained() > 0) {
-      machine.failures.setUnexplained(attribution.unexplainedFailures(machine.index));
+    if (machine.failures.unexplainedCount() > 0) {
+      machine.failures.setUnexplainedCount(attribution.unexplainedFailures(machine.index));
       machine.failures.blockUntil(
-          machine.failures.unexplained() == 0 ? 0 : machine.failures.blockedUntil());
+          machine.failures.unexplainedCount() == 0 ? 0 : machine.failures.blockedUntil());
       quarantineIfFaulty(machine);
     }
   }
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatCommands.java
@@ -101,7 +101,7 @@
       Machine machine, Heartbeat heartbeat, TaskStatus status, Job job, boolean assignedHere) {
     if (cases.isQuarantined(status)) {
       // A record of the job is unreadable, but its cancellation may have been confirmed to a user.
-      return cancellations.isCancelled(status.job()) ? stopCommand(status) : null;
+      return cancellations.isKnownCancelled(status.job()) ? stopCommand(status) : null;
     }
     return switch (Reconciliation.decide(cases.caseOfListed(machine, heartbeat, status, job))) {
       case STOP -> assignedHere ? assignments.stopCommand(job, status.task()) : stopCommand(status);
@@ -121,7 +121,9 @@
   private boolean mustStopEvenIfOutdated(TaskStatus status, Job job) {
     boolean gone = job == null && !assignments.registry().isQuarantined(status.job());
     return status.state() != TaskStatus.State.ENDED
-        && (gone || cancellations.isCancelled(status.job()) || (job != null && job.isCancelled()));
+        && (gone
+            || cancellations.isKnownCancelled(status.job())
+            || (job != null && job.isCancelled()));
   }
 
   /**
@@ -149,7 +151,7 @@
       // The task may be on the machine: a newer heartbeat may have listed it.
       commands.add(assignments.stopCommand(job, task));
       return !ReconciliationCases.isStartInDoubt(machine, job.attemptOf(task), task)
-          || cancellations.leaseExpiresInTime(job.earliestConfirmationAt());
+          || cancellations.wouldLeaseExpireInTime(job.earliestConfirmationAt());
     }
     if (verdict == Verdict.START) {
       repeatStart(machine, job, task, commands);
@@ -163,7 +165,7 @@
    */
   private void repeatStart(Machine machine, Job job, int task, List<Command> commands) {
     Command start = assignments.startCommand(job, task);
-    if (!assignments.mayStart(machine, start)) {
+    if (!assignments.canStart(machine, start)) {
       return;
     }
     repeatedStarts++;
@@ -180,7 +182,8 @@
   public List<Command> stopCommands(Heartbeat heartbeat) {
     List<Command> commands = new ArrayList<>();
     for (TaskStatus status : heartbeat.tasks()) {
-      if (status.state() != TaskStatus.State.ENDED && cancellations.isCancelled(status.job())) {
+      if (status.state() != TaskStatus.State.ENDED
+          && cancellations.isKnownCancelled(status.job())) {
         commands.add(stopCommand(status));
       }
     }
--- a/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
+++ b/src/main/java/org/snowturn/core/assignment/HeartbeatProcessor.java
@@ -141,7 +141,7 @@
     if (heartbeat.agentEpoch() > machine.epoch()) {
       beginEpoch(machine, heartbeat.agentEpoch());
     }
-    if (machine.lastHeartbeatAt() == MonotonicTime.NEVER) {
+    if (machine.lastHeartbeatAt() == MonotonicTime.UNSET) {
       machine.session.setHeartbeatDueAt(runtime.now() + maxLeaderDiscoveryMs(settings));
     }
     machine.session.recordHeartbeat(
--- a/src/main/java/org/snowturn/core/assignment/KnownCancellations.java
+++ b/src/main/java/org/snowturn/core/assignment/KnownCancellations.java
@@ -6,7 +6,7 @@
    * Returns whether the job is known to be cancelled. A job for which this returns false may still
    * have been cancelled through another node.
    */
-  boolean isCancelled(String job);
+  boolean isKnownCancelled(String job);
 
   /** Returns the time before which every cancellation confirmed to a user is known to this node. */
   long knownUntil();
@@ -17,5 +17,5 @@
    *
    * @param confirmedAfter time after which the cancellation was confirmed to the user
    */
-  boolean leaseExpiresInTime(long confirmedAfter);
+  boolean wouldLeaseExpireInTime(long confirmedAfter);
 }
--- a/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
+++ b/src/main/java/org/snowturn/core/assignment/MachineRegistry.java
@@ -70,8 +70,8 @@
     /** Whether the stored page still contains removed machines. */
     private boolean hasRemovals;
 
-    private long removalsWrittenAt = MonotonicTime.NEVER;
-    private long imagesWrittenAt = MonotonicTime.NEVER;
+    private long removalsWrittenAt = MonotonicTime.UNSET;
+    private long imagesWrittenAt = MonotonicTime.UNSET;
 
     Page(PendingRecord record) {
       this.record = record;
@@ -118,14 +118,14 @@
     return Math.max(1, count);
   }
 
-  private boolean hasRoom(Page page, Machine machine) {
+  private boolean fitsOnPage(Page page, Machine machine) {
     List<Machine> extended = new ArrayList<>(page.machines);
     extended.add(machine);
     return fittingCount(extended) >= extended.size();
   }
 
   /** Returns the page with this number, which is created if it does not exist. */
-  private Page page(int number) {
+  private Page getOrCreatePage(int number) {
     while (pages.size() <= number) {
       int next = pages.size();
       pages.add(
@@ -239,12 +239,12 @@
     if (machine.registryPage() < 0) {
       put(machine, pageWithRoom(machine));
     }
-    writer.enqueue(page(machine.registryPage()).record, HIGHEST_URGENCY, onDurable);
+    writer.enqueue(getOrCreatePage(machine.registryPage()).record, HIGHEST_URGENCY, onDurable);
   }
 
   private int pageWithRoom(Machine machine) {
     int number = 0;
-    while (page(number).splitting || !hasRoom(page(number), machine)) {
+    while (getOrCreatePage(number).splitting || !fitsOnPage(getOrCreatePage(number), machine)) {
       number++;
     }
     return number;
@@ -252,7 +252,7 @@
 
   private void put(Machine machine, int number) {
     machine.setRegistryPage(number);
-    page(number).machines.add(machine);
+    getOrCreatePage(number).machines.add(machine);
   }
 
   /**
@@ -265,7 +265,7 @@
    */
   public void load(StateMessage.Entry entry, Consumer<Machine> onMachine) {
     int number = Integer.parseInt(entry.key().substring(StorageKeys.REGISTRY.length()));
-    page(number).record.setVersion(entry.version());
+    getOrCreatePage(number).record.setVersion(entry.version());
     if (!entry.value().path("m").isArray()) {
       throw new IllegalArgumentException("field m is missing or not a list of machines");
     }
--- a/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
+++ b/src/main/java/org/snowturn/core/assignment/ReportedTasks.java
@@ -65,7 +65,7 @@
   private void applyRunning(Machine machine, Job job, int task) {
     if (job.stateOf(task) != TaskState.RUNNING) {
       // The start time is unknown if an earlier leader started the task: it never counts as slow.
-      job.setRunningSince(task, job.adopted.get(task) ? MonotonicTime.NEVER : runtime.now());
+      job.setRunningSince(task, job.adopted.get(task) ? MonotonicTime.UNSET : runtime.now());
       job.setState(task, TaskState.RUNNING);
       logLateReplica(machine, job, task);
     }
@@ -112,7 +112,7 @@
   }
 
   private void handleResult(Machine machine, Job job, int task, ReportedEnded evidence) {
-    if (job.runningSince(task) != MonotonicTime.NEVER) {
+    if (job.runningSince(task) != MonotonicTime.UNSET) {
       double runTimeS = (runtime.now() - job.runningSince(task)) / 1000.0;
       job.runTimes.add(runTimeS);
       double median = job.medianRunTimeS();
@@ -186,7 +186,7 @@
     if (job.stateOf(task) != TaskState.RUNNING) {
       return 0;
     }
-    return job.runningSince(task) == MonotonicTime.NEVER
+    return job.runningSince(task) == MonotonicTime.UNSET
         ? expectedRunS
         : (runtime.now() - job.runningSince(task)) / 1000.0;
   }
--- a/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskAssignments.java
@@ -287,8 +287,8 @@
   }
 
   /** Returns whether a queued start command may still be sent to this machine. */
-  public boolean mayStart(Machine machine, Command start) {
-    return guard.mayStart(machine, registry.find(start.job()), start);
+  public boolean canStart(Machine machine, Command start) {
+    return guard.canStart(machine, registry.find(start.job()), start);
   }
 
   /** Returns the command that starts a task's attempt. */
--- a/src/main/java/org/snowturn/core/autoscaling/MachineInventory.java
+++ b/src/main/java/org/snowturn/core/autoscaling/MachineInventory.java
@@ -182,7 +182,7 @@
 
   /** Returns whether the machine should have booted and sent a heartbeat by now. */
   private boolean isOverdue(Machine machine, CloudMachine cloudMachine) {
-    return machine.lastHeartbeatAt() == MonotonicTime.NEVER
+    return machine.lastHeartbeatAt() == MonotonicTime.UNSET
         && machine.assigned.isEmpty()
         && cloudMachine.state() == CloudMachine.State.STARTING
         && machine.machineType() != null
@@ -208,7 +208,7 @@
   }
 
   private boolean isSilent(Machine machine, long now) {
-    return machine.lastHeartbeatAt() == MonotonicTime.NEVER
+    return machine.lastHeartbeatAt() == MonotonicTime.UNSET
         || now - machine.lastHeartbeatAt() > HeartbeatProcessor.leaseExpiryMs(settings);
   }
 }
--- a/src/main/java/org/snowturn/core/autoscaling/ProvisionedCapacity.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ProvisionedCapacity.java
@@ -56,7 +56,7 @@
     int onDemandNotRentedByThisTerm = 0;
     for (Machine machine : machines.present()) {
       machinesInZone[machine.zone()]++;
-      boolean isUp = machine.lastHeartbeatAt() != MonotonicTime.NEVER;
+      boolean isUp = machine.lastHeartbeatAt() != MonotonicTime.UNSET;
       if (isUp && !machine.isSpot() && !machine.isRentedInThisTerm()) {
         onDemandNotRentedByThisTerm++;
       }
@@ -76,7 +76,7 @@
         && !machine.isQuarantined()
         && !machine.isSuspected()
         && machine.machineType() != null
-        && !(machine.lastHeartbeatAt() == MonotonicTime.NEVER
+        && !(machine.lastHeartbeatAt() == MonotonicTime.UNSET
             && zoneOutages.hasOutage(machine.zone()));
   }
 
--- a/src/main/java/org/snowturn/core/autoscaling/ScaleIn.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ScaleIn.java
@@ -135,7 +135,7 @@
     for (Machine machine : machines.present()) {
       if (machine.isSpot() == spot
           && capacity.isCounted(machine)
-          && machine.lastHeartbeatAt() != MonotonicTime.NEVER
+          && machine.lastHeartbeatAt() != MonotonicTime.UNSET
           && runtime.now() - machine.firstSeenAt() > MIN_BILLED_MS / 2
           && isSurplus(machine, targetCpus)) {
         candidates.add(machine);
--- a/src/main/java/org/snowturn/core/autoscaling/ScalingPolicy.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ScalingPolicy.java
@@ -21,10 +21,10 @@
   private static final double ACHIEVABLE_LATE_SHARE = 0.05;
 
   /** Power of the strictness with which headroom grows if operators run machines themselves. */
-  private static final double STRICTNESS_EXPONENT = 5;
+  private static final double DEADLINE_STRICTNESS_EXPONENT = 5;
 
   /** Limit of the strictness if all machines are rented by this service. */
-  private static final double MAX_STRICTNESS = 10;
+  private static final double MAX_DEADLINE_STRICTNESS = 10;
 
   /** Headroom at which the fleet holds nearly all capacity that a cloud provides. */
   private static final double MAX_HEADROOM = 3;
@@ -33,7 +33,7 @@
   private static final double MIN_SHARE = 1e-3;
 
   /** Ratio of {@link #ACHIEVABLE_LATE_SHARE} to the share of arrays that may be late. */
-  private final double strictness;
+  private final double deadlineStrictness;
 
   /** The earliest start objective of each class of arrays. */
   private final Map<String, Settings.Objective> startObjectives = new HashMap<>();
@@ -47,7 +47,8 @@
       BooleanSupplier hasExternallyManagedMachines) {
     this.quickestBootS = quickestBootS;
     this.hasExternallyManagedMachines = hasExternallyManagedMachines;
-    this.strictness = ACHIEVABLE_LATE_SHARE / Math.max(MIN_SHARE, allowedLateShare(settings));
+    this.deadlineStrictness =
+        ACHIEVABLE_LATE_SHARE / Math.max(MIN_SHARE, allowedLateShare(settings));
     for (Settings.Objective objective : settings.objectives()) {
       if (objective.kind().equals("wait") && isArrayClass(settings, objective.jobClass())) {
         startObjectives.merge(objective.jobClass(), objective, ScalingPolicy::earlier);
@@ -98,8 +99,8 @@
   private double deadlineHeadroom() {
     return BASE_HEADROOM
         * (hasExternallyManagedMachines.getAsBoolean()
-            ? Math.pow(strictness, STRICTNESS_EXPONENT)
-            : Math.min(strictness, MAX_STRICTNESS));
+            ? Math.pow(deadlineStrictness, DEADLINE_STRICTNESS_EXPONENT)
+            : Math.min(deadlineStrictness, MAX_DEADLINE_STRICTNESS));
   }
 
   /** Returns the headroom for arrays, as a share of the CPUs that they need. */
--- a/src/main/java/org/snowturn/core/connectivity/Connectivity.java
+++ b/src/main/java/org/snowturn/core/connectivity/Connectivity.java
@@ -11,7 +11,7 @@
  */
 public record Connectivity(int sinceStateAnswerMs, int sinceWorkerHeardMs) {
   /** Age of a contact that has not happened yet. */
-  public static final int NEVER = -1;
+  public static final int UNSET = -1;
 
   /**
    * Maximum age of an answer of the state service at which the link to it counts as working. The
@@ -27,12 +27,12 @@
 
   /** Returns whether the state service answers the node. */
   public boolean canReachStateService() {
-    return sinceStateAnswerMs != NEVER && sinceStateAnswerMs <= MAX_STATE_ANSWER_AGE_MS;
+    return sinceStateAnswerMs != UNSET && sinceStateAnswerMs <= MAX_STATE_ANSWER_AGE_MS;
   }
 
   /** Returns whether the node receives messages from workers. */
   public boolean canReachWorkers() {
-    return sinceWorkerHeardMs != NEVER && sinceWorkerHeardMs <= MAX_WORKER_HEARD_AGE_MS;
+    return sinceWorkerHeardMs != UNSET && sinceWorkerHeardMs <= MAX_WORKER_HEARD_AGE_MS;
   }
 
   /** Returns whether the node reaches both the state service and workers, as a leader must. */
--- a/src/main/java/org/snowturn/core/connectivity/ConnectivityMatrix.java
+++ b/src/main/java/org/snowturn/core/connectivity/ConnectivityMatrix.java
@@ -30,7 +30,7 @@
       }
       long sinceWorkerHeardMs = connectivity.sinceWorkerHeardMs() + (nowMs - receivedAt);
       return !own.canReachStateService()
-          || own.sinceWorkerHeardMs() == Connectivity.NEVER
+          || own.sinceWorkerHeardMs() == Connectivity.UNSET
           || sinceWorkerHeardMs + MAX_REPORT_DELAY_MS < own.sinceWorkerHeardMs();
     }
   }
--- a/src/main/java/org/snowturn/core/connectivity/ConnectivityMonitor.java
+++ b/src/main/java/org/snowturn/core/connectivity/ConnectivityMonitor.java
@@ -33,7 +33,7 @@
   private final ConnectivityMatrix matrix = new ConnectivityMatrix();
   private List<String> sample = List.of();
   private int probeCount;
-  private long lastWorkerHeardAt = MonotonicTime.NEVER;
+  private long lastWorkerHeardAt = MonotonicTime.UNSET;
   private long nextProbeAt;
   private long nextReportAt;
   private long nextSampleAt;
@@ -44,7 +44,7 @@
    *
    * @param lastAnsweredRequestSentAt supplies the time at which this node sent the last request
    *     that the state service answered, in milliseconds of the core's clock; {@link
-   *     MonotonicTime#NEVER} if none was answered
+   *     MonotonicTime#UNSET} if none was answered
    */
   public ConnectivityMonitor(
       Settings settings, CoreRuntime runtime, LongSupplier lastAnsweredRequestSentAt) {
@@ -64,8 +64,8 @@
   }
 
   private int ageMs(long at) {
-    return at == MonotonicTime.NEVER
-        ? Connectivity.NEVER
+    return at == MonotonicTime.UNSET
+        ? Connectivity.UNSET
         : (int) Math.min(Integer.MAX_VALUE, runtime.now() - at);
   }
 
--- a/src/main/java/org/snowturn/core/dispatch/CommandQueue.java
+++ b/src/main/java/org/snowturn/core/dispatch/CommandQueue.java
@@ -63,7 +63,7 @@
     void onReadyToSend(CommandQueue queue);
 
     /** Handles a message to the machine that got no usable answer. */
-    void onUnanswered(Machine machine);
+    void onMessageUnanswered(Machine machine);
   }
 
   private final CoreRuntime runtime;
@@ -223,7 +223,7 @@
     if (runtime.now() - sentAt >= MIN_UNANSWERED_MS) {
       machine.reachability.onMessageUnanswered(runtime.now());
     }
-    host.onUnanswered(machine);
+    host.onMessageUnanswered(machine);
   }
 
   /** Handles the heartbeat in the answer. Returns whether it could be parsed. */
--- a/src/main/java/org/snowturn/core/election/CancellationWatermark.java
+++ b/src/main/java/org/snowturn/core/election/CancellationWatermark.java
@@ -56,16 +56,16 @@
 
   private final CoreRuntime runtime;
   private final String node;
-  private final long slackMs;
+  private final long maxRenewalAgeMs;
   private final long maxReportLiveAgeMs;
   private final CancellationLog log;
   private final Map<String, PeerCancellations> peers = new LinkedHashMap<>();
   private final Map<Long, Long> requestsSentAt = new LinkedHashMap<>();
   private final Map<String, Boolean> cancelled = new LruMap<>(MAX_KNOWN_CANCELLATIONS);
   private Consumer<String> listener = job -> {};
-  private long readUntil = MonotonicTime.NEVER;
+  private long readUntil = MonotonicTime.UNSET;
   private long lastRequest;
-  private long lastRequestAt = MonotonicTime.NEVER;
+  private long lastRequestAt = MonotonicTime.UNSET;
   private long malformedMessages;
 
   /**
@@ -80,7 +80,7 @@
     // Starts at a random number: a late reply to the previous process of this node must not match
     // a request of this process.
     this.lastRequest = new SplittableRandom(incarnation.hashCode()).nextLong() >>> 2;
-    this.slackMs = slackMs(settings);
+    this.maxRenewalAgeMs = maxRenewalAgeMs(settings);
     this.maxReportLiveAgeMs =
         ClockDrift.minElapsedMs(settings.workers().cancellationDeadlineS() * 1000) - MARGIN_MS;
     settings.peers().forEach(peer -> peers.put(peer.node(), new PeerCancellations()));
@@ -94,7 +94,7 @@
    * <p>If the settings leave less than {@link #MIN_SLACK_MS}, that minimum is returned, because the
    * leader could not renew any lease otherwise. The expiry is then late by the missing time.
    */
-  static long slackMs(Settings settings) {
+  static long maxRenewalAgeMs(Settings settings) {
     double leaseMs = settings.workers().leaseS() * 1000 * (1 + ClockDrift.MAX_RATE);
     double slack =
         (settings.workers().cancellationDeadlineS() * 1000 - leaseMs) * (1 - ClockDrift.MAX_RATE)
@@ -125,7 +125,7 @@
   }
 
   /** Returns whether this node knows that the job is cancelled. */
-  public boolean isCancelled(String job) {
+  public boolean isKnownCancelled(String job) {
     return cancelled.containsKey(job);
   }
 
@@ -141,7 +141,7 @@
 
   /**
    * Returns the time before which every confirmed cancellation is known, in milliseconds of the
-   * monotonic clock; {@link MonotonicTime#NEVER} if the watermark is not established.
+   * monotonic clock; {@link MonotonicTime#UNSET} if the watermark is not established.
    */
   public long knownUntil() {
     long until = runtime.now(); // this node knows all cancellations that it has confirmed itself
@@ -156,7 +156,7 @@
    * this node has peers.
    */
   boolean isEstablished() {
-    return knownUntil() != MonotonicTime.NEVER;
+    return knownUntil() != MonotonicTime.UNSET;
   }
 
   /**
@@ -167,7 +167,7 @@
    *     the monotonic clock
    */
   public boolean wouldLeaseExpireInTime(long confirmedAfter) {
-    return runtime.now() - confirmedAfter < slackMs;
+    return runtime.now() - confirmedAfter < maxRenewalAgeMs;
   }
 
   /** Returns the age of the watermark, in milliseconds. */
--- a/src/main/java/org/snowturn/core/election/Election.java
+++ b/src/main/java/org/snowturn/core/election/Election.java
@@ -90,7 +90,7 @@
 
   /**
    * Returns the time at which the latest request answered by the state service was sent, in
-   * milliseconds of the monotonic clock; {@link MonotonicTime#NEVER} if it has answered none.
+   * milliseconds of the monotonic clock; {@link MonotonicTime#UNSET} if it has answered none.
    */
   public long stateServiceAnsweredAt() {
     return stateService.answeredAt();
@@ -155,7 +155,7 @@
     state.becomeLeader(settings.node(), token);
     lease.activate();
     promises.clear();
-    status.expedite();
+    status.sendAtNextTick();
     renewal.start();
     authorityLog.logAcquired();
   }
--- a/src/main/java/org/snowturn/core/election/GivenPromises.java
+++ b/src/main/java/org/snowturn/core/election/GivenPromises.java
@@ -26,7 +26,7 @@
   private final long previousProcessBoundUntil;
   private final Set<String> standbyPeers = new HashSet<>();
   private boolean boundByPreviousProcess = true;
-  private long promisedUntil = MonotonicTime.NEVER;
+  private long promisedUntil = MonotonicTime.UNSET;
 
   /**
    * Creates the promises of a process that has made none itself but may be bound by those of the
@@ -87,6 +87,6 @@
 
   /** Ends the promises of this process after the leader has released it from them. */
   void release() {
-    promisedUntil = MonotonicTime.NEVER;
+    promisedUntil = MonotonicTime.UNSET;
   }
 }
--- a/src/main/java/org/snowturn/core/election/LeaderLease.java
+++ b/src/main/java/org/snowturn/core/election/LeaderLease.java
@@ -35,7 +35,7 @@
   private long id;
   private long requestedAt;
   private long validUntil = Long.MIN_VALUE;
-  private long renewalFailingSince = MonotonicTime.NEVER;
+  private long renewalFailingSince = MonotonicTime.UNSET;
   private boolean offered;
 
   /** Creates a lease that has not been requested yet. */
@@ -90,7 +90,7 @@
 
   /**
    * Returns the time at which the first renewal that failed since the last success was sent, in
-   * milliseconds of the monotonic clock; {@link MonotonicTime#NEVER} if the last renewal succeeded.
+   * milliseconds of the monotonic clock; {@link MonotonicTime#UNSET} if the last renewal succeeded.
    */
   long renewalFailingSince() {
     return renewalFailingSince;
@@ -98,7 +98,7 @@
 
   /** Returns whether the last renewal failed. */
   boolean isRenewalFailing() {
-    return renewalFailingSince != MonotonicTime.NEVER;
+    return renewalFailingSince != MonotonicTime.UNSET;
   }
 
   /** Records that a request for a new lease is sent now. */
@@ -124,7 +124,7 @@
    */
   void onRenewed(long sentAt) {
     validUntil = sentAt + ClockDrift.minElapsedMs((double) ttlMs) - MARGIN_MS;
-    renewalFailingSince = MonotonicTime.NEVER;
+    renewalFailingSince = MonotonicTime.UNSET;
   }
 
   /**
--- a/src/main/java/org/snowturn/core/election/LeaseHandover.java
+++ b/src/main/java/org/snowturn/core/election/LeaseHandover.java
@@ -31,9 +31,9 @@
   private final LeaderLease lease;
   private final GivenPromises givenPromises;
   private final StepDown stepDown;
-  private long lastTickAt = MonotonicTime.NEVER;
-  private long lastLateTickAt = MonotonicTime.NEVER;
-  private long offeredAt = MonotonicTime.NEVER;
+  private long lastTickAt = MonotonicTime.UNSET;
+  private long lastLateTickAt = MonotonicTime.UNSET;
+  private long offeredAt = MonotonicTime.UNSET;
 
   /** Creates a handover in which the lease has not been offered yet. */
   LeaseHandover(
@@ -56,7 +56,7 @@
   /** Records whether this process is delayed, by the interval since the previous tick. */
   void tick() {
     long now = runtime.now();
-    if (lastTickAt != MonotonicTime.NEVER && now - lastTickAt > LATE_TICK_MS) {
+    if (lastTickAt != MonotonicTime.UNSET && now - lastTickAt > LATE_TICK_MS) {
       lastLateTickAt = now;
     }
     lastTickAt = now;
--- a/src/main/java/org/snowturn/core/election/PeerCancellations.java
+++ b/src/main/java/org/snowturn/core/election/PeerCancellations.java
@@ -11,7 +11,7 @@
   private String incarnation;
   private long lastReceived;
   private long firstReplyAt = Long.MAX_VALUE;
-  private long knownUntil = MonotonicTime.NEVER;
+  private long knownUntil = MonotonicTime.UNSET;
 
   /** Returns whether the peer has ever replied. */
   boolean hasReplied() {
@@ -25,7 +25,7 @@
 
   /**
    * Returns the time before which every cancellation that the peer confirmed is known, in
-   * milliseconds of the monotonic clock; {@link MonotonicTime#NEVER} if there is no such time.
+   * milliseconds of the monotonic clock; {@link MonotonicTime#UNSET} if there is no such time.
    */
   long knownUntil() {
     return knownUntil;
--- a/src/main/java/org/snowturn/core/election/StateServiceHealth.java
+++ b/src/main/java/org/snowturn/core/election/StateServiceHealth.java
@@ -42,10 +42,10 @@
 
   private final CoreRuntime runtime;
   private final Map<String, Long> peersAnsweredAt = new HashMap<>();
-  private long leaderRenewalFailingSince = MonotonicTime.NEVER;
+  private long leaderRenewalFailingSince = MonotonicTime.UNSET;
   private long nextProbeAt;
   private boolean probeOpen;
-  private long answeredAt = MonotonicTime.NEVER;
+  private long answeredAt = MonotonicTime.UNSET;
 
   /** Creates the health of a state service that has not answered yet. */
   StateServiceHealth(CoreRuntime runtime) {
@@ -54,7 +54,7 @@
 
   /**
    * Returns the time at which the latest request answered by the state service was sent, in
-   * milliseconds of the monotonic clock; {@link MonotonicTime#NEVER} if it has answered none.
+   * milliseconds of the monotonic clock; {@link MonotonicTime#UNSET} if it has answered none.
    */
   long answeredAt() {
     return answeredAt;
@@ -105,8 +105,8 @@
    */
   void onLeaderReport(boolean isRenewalFailing) {
     if (!isRenewalFailing) {
-      leaderRenewalFailingSince = MonotonicTime.NEVER;
-    } else if (leaderRenewalFailingSince == MonotonicTime.NEVER) {
+      leaderRenewalFailingSince = MonotonicTime.UNSET;
+    } else if (leaderRenewalFailingSince == MonotonicTime.UNSET) {
       leaderRenewalFailingSince = runtime.now();
       nextProbeAt = Math.min(nextProbeAt, runtime.now());
     }
@@ -153,7 +153,7 @@
 
   /** Returns whether the leader has recently started to report failing renewals. */
   private boolean isLeaderRenewalFailing() {
-    return leaderRenewalFailingSince != MonotonicTime.NEVER
+    return leaderRenewalFailingSince != MonotonicTime.UNSET
         && runtime.now() - leaderRenewalFailingSince < MAX_RENEWAL_FAILING_MS;
   }
 }
--- a/src/main/java/org/snowturn/core/election/StatusBroadcast.java
+++ b/src/main/java/org/snowturn/core/election/StatusBroadcast.java
@@ -46,7 +46,7 @@
   }
 
   /** Makes the next message due at once. */
-  void expedite() {
+  void sendAtNextTick() {
     nextAt = runtime.now();
   }
 
--- a/src/main/java/org/snowturn/core/health/AttemptSnapshot.java
+++ b/src/main/java/org/snowturn/core/health/AttemptSnapshot.java
@@ -25,7 +25,7 @@
     long nowMs,
     long agentEpoch,
     boolean placementDurable,
-    boolean inherited,
+    boolean adopted,
     boolean stopping,
     boolean startInFlight,
     boolean machineDeleted,
--- a/src/main/java/org/snowturn/core/health/EndEvidence.java
+++ b/src/main/java/org/snowturn/core/health/EndEvidence.java
@@ -89,7 +89,7 @@
     @Override
     String rejectionReason(AttemptSnapshot attempt) {
       String reason = reportRejectionReason(attempt);
-      if (reason != null || attempt.inherited()) {
+      if (reason != null || attempt.adopted()) {
         return reason;
       }
       // The absence of an attempt of this term proves its end only once no start can arrive.
--- a/src/main/java/org/snowturn/core/health/Reachability.java
+++ b/src/main/java/org/snowturn/core/health/Reachability.java
@@ -40,18 +40,18 @@
    */
   private static final long MIN_HEARTBEAT_GAP_MS = 400;
 
-  private static final long NEVER = Long.MIN_VALUE / 4;
+  private static final long UNSET = Long.MIN_VALUE / 4;
 
   private boolean proven;
 
   /** Whether the last accepted heartbeat did not carry the present token. */
   private boolean lastHeartbeatLackedToken;
 
-  private long unprovenSince = NEVER;
-  private long heartbeatAnsweredAt = NEVER;
+  private long unprovenSince = UNSET;
+  private long heartbeatAnsweredAt = UNSET;
   private int unansweredMessages;
   private int outdatedReplies;
-  private long nextProbeAt = NEVER;
+  private long nextProbeAt = UNSET;
   private long highestSequence = -1;
 
   /**
@@ -88,9 +88,9 @@
 
   /** Revokes the proof: the machine has to show again that it receives messages. */
   public void revokeProof(long nowMs) {
-    unprovenSince = unprovenSince == NEVER ? nowMs : unprovenSince;
+    unprovenSince = unprovenSince == UNSET ? nowMs : unprovenSince;
     proven = false;
-    heartbeatAnsweredAt = NEVER;
+    heartbeatAnsweredAt = UNSET;
   }
 
   /**
@@ -131,7 +131,7 @@
   /** Records that the machine has received a message. */
   public void markProven() {
     proven = true;
-    unprovenSince = NEVER;
+    unprovenSince = UNSET;
     unansweredMessages = 0;
   }
 
@@ -169,7 +169,7 @@
     highestSequence = Math.max(highestSequence, sequence);
     long sinceAnswerMs = nowMs - heartbeatAnsweredAt;
     if (!proven
-        && heartbeatAnsweredAt != NEVER
+        && heartbeatAnsweredAt != UNSET
         && sinceAnswerMs >= MIN_HEARTBEAT_GAP_MS
         && sinceAnswerMs <= nextHeartbeatWithinMs) {
       markProven();
@@ -181,7 +181,7 @@
    * was answered since the proof was last revoked.
    */
   public long sinceHeartbeatAnswerMs(long nowMs) {
-    return heartbeatAnsweredAt == NEVER ? 0 : nowMs - heartbeatAnsweredAt;
+    return heartbeatAnsweredAt == UNSET ? 0 : nowMs - heartbeatAnsweredAt;
   }
 
   /** Records that a heartbeat is answered in a way that may renew the lease of the machine. */
--- a/src/main/java/org/snowturn/core/leader/AssignmentServices.java
+++ b/src/main/java/org/snowturn/core/leader/AssignmentServices.java
@@ -125,8 +125,8 @@
             new JobListener() {
               @Override
               public void onJobAdded(Job job) {
-                if (cancellations.isCancelled(job.spec.id())) {
-                  job.confirmCancellation(MonotonicTime.NEVER);
+                if (cancellations.isKnownCancelled(job.spec.id())) {
+                  job.confirmCancellation(MonotonicTime.UNSET);
                 }
               }
             });
@@ -135,8 +135,8 @@
   private static KnownCancellations knownCancellations(CancellationWatermark watermark) {
     return new KnownCancellations() {
       @Override
-      public boolean isCancelled(String job) {
-        return watermark.isCancelled(job);
+      public boolean isKnownCancelled(String job) {
+        return watermark.isKnownCancelled(job);
       }
 
       @Override
@@ -145,7 +145,7 @@
       }
 
       @Override
-      public boolean leaseExpiresInTime(long confirmedAfter) {
+      public boolean wouldLeaseExpireInTime(long confirmedAfter) {
         return watermark.wouldLeaseExpireInTime(confirmedAfter);
       }
     };
--- a/src/main/java/org/snowturn/core/leader/HealthSweep.java
+++ b/src/main/java/org/snowturn/core/leader/HealthSweep.java
@@ -39,7 +39,7 @@
   private final SchedulingServices scheduling;
   private final LeaderRecovery recovery;
   private final ReachabilityChecks reachability;
-  private final MachineSilence machineSilence;
+  private final MachineSilenceDetector machineSilence;
 
   /** Machines in the last sweep that have been up and are not being terminated. */
   private int lastMachineCount;
@@ -63,7 +63,7 @@
       SchedulingServices scheduling,
       LeaderRecovery recovery,
       ReachabilityChecks reachability,
-      MachineSilence machineSilence) {
+      MachineSilenceDetector machineSilence) {
     this.shared = shared;
     this.runtime = shared.runtime();
     this.settings = shared.settings();
@@ -81,7 +81,7 @@
    * @return the reason for which this node should resign its leadership, for the log; null if it
    *     should not resign
    */
-  String sweep() {
+  String checkMachines() {
     if (isCutOffFromWorkers()) {
       return "no worker reaches this node any more";
     }
@@ -92,7 +92,7 @@
         machine.setMachineType(shared.machineTypes().get(machine.type()));
       }
       services.heartbeatProcessor().releaseIfLeaseExpired(machine);
-      if (MachineSilence.hasBeenUp(machine)) {
+      if (MachineSilenceDetector.hasBeenUp(machine)) {
         checkMachine(machine);
       }
     }
@@ -125,7 +125,7 @@
   private void checkMachine(Machine machine) {
     machineCount += machine.isTerminating() ? 0 : 1;
     boolean isSilent = machineSilence.isSilent(machine);
-    boolean isHeard = MachineSilence.hasBeenHeard(machine);
+    boolean isHeard = MachineSilenceDetector.hasBeenHeard(machine);
     // A machine that has not been heard yet counts as silent once it has missed one probe. If it
     // counted only after several missed probes, the detection of zone outages would compare the
     // first machines that are found unresponsive with only the few machines heard so far.
@@ -147,7 +147,7 @@
   private void replaceUnheard(Machine machine) {
     if (machine.assigned.isEmpty()
         && machineSilence.isTermOlderThan(2 * HeartbeatProcessor.leaseExpiryMs(settings))
-        && machine.listedAt() == MonotonicTime.NEVER) {
+        && machine.listedAt() == MonotonicTime.UNSET) {
       machines.remove(machine);
     } else if (machineSilence.canReplaceUnheard(machine)) {
       scheduling.autoscaler().terminate(machine, "not heard of since the change of leader");
@@ -245,7 +245,7 @@
     List<Machine> all = size == 0 ? List.of() : machines.present();
     for (int i = 0; i < all.size(); i += Math.max(1, all.size() / size)) {
       Machine machine = all.get(i);
-      if (machine.address() != null && MachineSilence.hasBeenUp(machine)) {
+      if (machine.address() != null && MachineSilenceDetector.hasBeenUp(machine)) {
         machine.commands().probe();
       }
     }
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -55,7 +55,8 @@
     assignments = services.assignments();
     recovery = new LeaderRecovery(shared, term, services, this::loadRestartRecord);
     scheduling = SchedulingServices.create(shared, term, services, recovery::hasHeardMostMachines);
-    MachineSilence silence = new MachineSilence(shared, scheduling.zoneOutages(), recovery);
+    MachineSilenceDetector silence =
+        new MachineSilenceDetector(shared, scheduling.zoneOutages(), recovery);
     reachability = new ReachabilityChecks(shared, scheduling.autoscaler(), recovery, silence);
     healthSweep = new HealthSweep(shared, services, scheduling, recovery, reachability, silence);
     heartbeatHandler = new HeartbeatHandler(shared, term, services, recovery, reachability);
@@ -129,7 +130,7 @@
     long now = runtime.now();
     if (now >= nextSweepAt) {
       nextSweepAt = now + HealthSweep.INTERVAL_MS;
-      sweep();
+      sweepMachines();
     }
     services.dependencyGraph().update();
     if (shared.machineTypes().isLoaded() && assignments.consumeChanged()) {
@@ -140,11 +141,11 @@
     flush();
   }
 
-  private void sweep() {
+  private void sweepMachines() {
     if (shared.formatGate().isOpen() && !isFormatMigrated) {
       isFormatMigrated = !assignments.useSecondFormat();
     }
-    String resignReason = healthSweep.sweep();
+    String resignReason = healthSweep.checkMachines();
     if (resignReason != null) {
       term.resign(resignReason);
     }
@@ -243,7 +244,7 @@
 
   @Override
   public boolean canStart(Machine machine, Command start) {
-    return assignments.mayStart(machine, start);
+    return assignments.canStart(machine, start);
   }
 
   @Override
@@ -252,7 +253,7 @@
   }
 
   @Override
-  public void onUnanswered(Machine machine) {
+  public void onMessageUnanswered(Machine machine) {
     reachability.onMessageUnanswered(machine);
   }
 }
--- a/src/main/java/org/snowturn/core/leader/MachineSilence.java
+++ b/src/main/java/org/snowturn/core/leader/MachineSilenceDetector.java
@@ -12,7 +12,7 @@
  * Decides whether a machine is silent, and whether its silence is caused by the machine itself
  * rather than by this node's network or an outage of a whole zone.
  */
-final class MachineSilence {
+final class MachineSilenceDetector {
   private final CoreRuntime runtime;
   private final Settings settings;
   private final ZoneOutages zoneOutages;
@@ -20,7 +20,8 @@
   private final WorkerSilenceDetector workerSilence;
   private final long termStartedAt;
 
-  MachineSilence(LeaderDependencies shared, ZoneOutages zoneOutages, LeaderRecovery recovery) {
+  MachineSilenceDetector(
+      LeaderDependencies shared, ZoneOutages zoneOutages, LeaderRecovery recovery) {
     this.runtime = shared.runtime();
     this.settings = shared.settings();
     this.zoneOutages = zoneOutages;
@@ -37,7 +38,7 @@
 
   /** Returns whether this leader has received a heartbeat of the machine. */
   static boolean hasBeenHeard(Machine machine) {
-    return machine.lastHeartbeatAt() != MonotonicTime.NEVER;
+    return machine.lastHeartbeatAt() != MonotonicTime.UNSET;
   }
 
   /** Records that a worker has sent a heartbeat to this node or answered one of its messages. */
--- a/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
+++ b/src/main/java/org/snowturn/core/leader/ReachabilityChecks.java
@@ -37,14 +37,14 @@
   private final Autoscaler autoscaler;
   private final LeaderRecovery recovery;
   private final ConnectivityMonitor connectivity;
-  private final MachineSilence machineSilence;
+  private final MachineSilenceDetector machineSilence;
   private long staleHeartbeatCount;
 
   ReachabilityChecks(
       LeaderDependencies shared,
       Autoscaler autoscaler,
       LeaderRecovery recovery,
-      MachineSilence machineSilence) {
+      MachineSilenceDetector machineSilence) {
     this.runtime = shared.runtime();
     this.settings = shared.settings();
     this.connectivity = shared.connectivity();
@@ -142,7 +142,8 @@
           .with(LogField.UNANSWERED, machine.reachability.unansweredMessages())
           .write();
     }
-    boolean isSilent = MachineSilence.hasBeenUp(machine) && machineSilence.isSilent(machine);
+    boolean isSilent =
+        MachineSilenceDetector.hasBeenUp(machine) && machineSilence.isSilent(machine);
     if (machine.isProbing() || isSilent) {
       suspectOrReplace(machine);
     }
@@ -155,7 +156,7 @@
   private void suspectOrReplace(Machine machine) {
     machine.endProbe();
     if (machine.isSuspected()
-        && MachineSilence.hasBeenHeard(machine)
+        && MachineSilenceDetector.hasBeenHeard(machine)
         && machineSilence.canReplaceHeard()) {
       autoscaler.terminate(machine, "silent");
     }
--- a/src/main/java/org/snowturn/core/leader/RecoveryProber.java
+++ b/src/main/java/org/snowturn/core/leader/RecoveryProber.java
@@ -61,7 +61,7 @@
   private final PacedProbes probes = new PacedProbes(RETRY_DELAY_MS);
   private int initialUnheardCount;
   private long startedAt;
-  private long lastHeardAt = MonotonicTime.NEVER;
+  private long lastHeardAt = MonotonicTime.UNSET;
   private long lastTickAt;
   private long lastLateTickAt;
 
@@ -89,7 +89,7 @@
     }
     for (Machine machine : machines.present()) {
       if (machine.isRegistered() && !machine.session.isAcknowledged()) {
-        boolean sendsHeartbeats = machine.lastHeartbeatAt() != MonotonicTime.NEVER;
+        boolean sendsHeartbeats = machine.lastHeartbeatAt() != MonotonicTime.UNSET;
         long notBeforeMs = sendsHeartbeats ? runtime.now() + MAX_NEXT_HEARTBEAT_MS : 0;
         probes.add(machine.index, urgency(machine, minReplicaCpus, minBatchTaskCpus), notBeforeMs);
       }
@@ -136,7 +136,7 @@
       if (machine.isGone() || machine.isTerminating()) {
         probes.remove(next);
       } else if (machine.address() == null) {
-        probes.onUnanswered(next, runtime.now(), false);
+        probes.onProbeUnanswered(next, runtime.now(), false);
       } else {
         machine.commands().probe();
       }
@@ -181,7 +181,7 @@
    */
   void onMessageUnanswered(Machine machine) {
     boolean othersHeard = runtime.now() - lastHeardAt < OTHERS_HEARD_WINDOW_MS;
-    probes.onUnanswered(machine.index, runtime.now(), othersHeard);
+    probes.onProbeUnanswered(machine.index, runtime.now(), othersHeard);
   }
 
   /** Stops probing the machines that are being terminated. */
--- a/src/main/java/org/snowturn/core/model/AgentSession.java
+++ b/src/main/java/org/snowturn/core/model/AgentSession.java
@@ -10,8 +10,8 @@
   private long epoch;
   private long heartbeatSequence = -1;
   private long endedEpoch = -1;
-  private long lastHeartbeatAt = MonotonicTime.NEVER;
-  private long silentAt = MonotonicTime.NEVER;
+  private long lastHeartbeatAt = MonotonicTime.UNSET;
+  private long silentAt = MonotonicTime.UNSET;
   private long heartbeatDueAt = Long.MAX_VALUE;
   private long lastAnswerAt;
   private boolean acknowledged;
@@ -42,7 +42,7 @@
   }
 
   /**
-   * Returns the time at which this leader applied the newest heartbeat; {@link MonotonicTime#NEVER}
+   * Returns the time at which this leader applied the newest heartbeat; {@link MonotonicTime#UNSET}
    * if there was none.
    */
   public long lastHeartbeatAt() {
--- a/src/main/java/org/snowturn/core/model/Job.java
+++ b/src/main/java/org/snowturn/core/model/Job.java
@@ -91,13 +91,13 @@
   private Cancellation cancellation = Cancellation.NONE;
 
   /** The earliest time at which a user may have received a confirmation of the cancellation. */
-  private long earliestConfirmationAt = MonotonicTime.NEVER;
+  private long earliestConfirmationAt = MonotonicTime.UNSET;
 
   private boolean finishing;
   private int restarts;
 
   /** The time until which preemption on behalf of this job is under way; none starts before. */
-  private long preemptingUntil = MonotonicTime.NEVER;
+  private long preemptingUntil = MonotonicTime.UNSET;
 
   /** The time at which a task was last placed. */
   private long placedWallMs;
@@ -274,7 +274,7 @@
           nextPendingHint + i < tasks.size()
               ? nextPendingHint + i
               : nextPendingHint + i - tasks.size();
-      if (stateOf(task) == TaskState.PENDING && records.hasRoom(task)) {
+      if (stateOf(task) == TaskState.PENDING && records.hasSpaceForAssignment(task)) {
         nextPendingHint = task;
         return task;
       }
@@ -359,12 +359,12 @@
     return tasks.epoch(task);
   }
 
-  /** Returns the time since which the task is running; {@link MonotonicTime#NEVER} if unknown. */
+  /** Returns the time since which the task is running; {@link MonotonicTime#UNSET} if unknown. */
   public long runningSince(int task) {
     return tasks.runningSince(task);
   }
 
-  /** Sets the time since which the task is running; {@link MonotonicTime#NEVER} if unknown. */
+  /** Sets the time since which the task is running; {@link MonotonicTime#UNSET} if unknown. */
   public void setRunningSince(int task, long since) {
     tasks.setRunningSince(task, since);
   }
--- a/src/main/java/org/snowturn/core/model/JobTaskRecords.java
+++ b/src/main/java/org/snowturn/core/model/JobTaskRecords.java
@@ -70,7 +70,7 @@
   }
 
   /** Returns whether the task's record has space for one more assignment. */
-  boolean hasRoom(int task) {
+  boolean hasSpaceForAssignment(int task) {
     return !secondFormat || usedBytes[layout.recordOf(task)] + maxEntryBytes <= maxBytes;
   }
 
--- a/src/main/java/org/snowturn/core/model/Machine.java
+++ b/src/main/java/org/snowturn/core/model/Machine.java
@@ -36,7 +36,7 @@
 
   private boolean rentedInThisTerm;
 
-  private long listedAt = MonotonicTime.NEVER;
+  private long listedAt = MonotonicTime.UNSET;
   private CloudMachine.State cloudState = CloudMachine.State.STARTING;
   private long blockedUntil;
   private long idleSince;
@@ -93,13 +93,13 @@
   }
 
   /** Returns whether one more task of the job fits beside the assigned ones. */
-  public boolean hasRoom(JobSpec spec) {
-    return resources.hasRoom(spec);
+  public boolean hasCapacityFor(JobSpec spec) {
+    return resources.hasCapacityFor(spec);
   }
 
   /** Returns how many more tasks of the job fit beside the assigned ones. */
-  public int roomFor(JobSpec spec) {
-    return resources.roomFor(spec);
+  public int maxTasksThatFit(JobSpec spec) {
+    return resources.maxTasksThatFit(spec);
   }
 
   /** Returns the number of CPUs that no assigned task uses; 0 while the type is unknown. */
@@ -211,7 +211,7 @@
   }
 
   private String silenceReason(long now) {
-    if (session.lastHeartbeatAt() == MonotonicTime.NEVER) {
+    if (session.lastHeartbeatAt() == MonotonicTime.UNSET) {
       return "unheard";
     }
     if (preemptionAt != Long.MAX_VALUE) {
@@ -327,7 +327,7 @@
   }
 
   /**
-   * Returns the time at which this leader applied the newest heartbeat; {@link MonotonicTime#NEVER}
+   * Returns the time at which this leader applied the newest heartbeat; {@link MonotonicTime#UNSET}
    * if there was none.
    */
   public long lastHeartbeatAt() {
@@ -489,7 +489,7 @@
   }
 
   /**
-   * Returns the time at which the cloud last listed the machine; {@link MonotonicTime#NEVER} if it
+   * Returns the time at which the cloud last listed the machine; {@link MonotonicTime#UNSET} if it
    * was never listed.
    */
   public long listedAt() {
--- a/src/main/java/org/snowturn/core/model/MachineFailures.java
+++ b/src/main/java/org/snowturn/core/model/MachineFailures.java
@@ -2,13 +2,13 @@
 
 /** The failure history of tasks on one machine. Times are milliseconds of the core's clock. */
 public final class MachineFailures {
-  private int unexplained;
+  private int unexplainedCount;
   private boolean healthy;
   private long blockedUntil;
 
   /** Returns the number of failures since the last success that no suspected job explains. */
-  public int unexplained() {
-    return unexplained;
+  public int unexplainedCount() {
+    return unexplainedCount;
   }
 
   /** Returns whether a task has succeeded and no task of a healthy job has failed since. */
@@ -26,7 +26,7 @@
 
   /** Records that a task on the machine has succeeded or has been running for a while. */
   public void recordSuccess() {
-    unexplained = 0;
+    unexplainedCount = 0;
     healthy = true;
     blockedUntil = 0;
   }
@@ -41,8 +41,8 @@
   }
 
   /** Sets the number of failures since the last success that no suspected job explains. */
-  public void setUnexplained(int count) {
-    unexplained = count;
+  public void setUnexplainedCount(int count) {
+    unexplainedCount = count;
   }
 
   /** Sets the time before which the machine gets no new tasks; 0 ends the block. */
--- a/src/main/java/org/snowturn/core/model/ResourceUsage.java
+++ b/src/main/java/org/snowturn/core/model/ResourceUsage.java
@@ -41,7 +41,7 @@
   }
 
   /** Returns whether one more task of the job fits. */
-  boolean hasRoom(JobSpec spec) {
+  boolean hasCapacityFor(JobSpec spec) {
     return type != null
         && cpus + spec.cpus() <= type.cpus() + TOLERANCE
         && gpus + spec.gpus() <= type.gpus() + TOLERANCE
@@ -49,7 +49,7 @@
   }
 
   /** Returns how many more tasks of the job fit. */
-  int roomFor(JobSpec spec) {
+  int maxTasksThatFit(JobSpec spec) {
     if (type == null) {
       return 0;
     }
--- a/src/main/java/org/snowturn/core/model/TaskTable.java
+++ b/src/main/java/org/snowturn/core/model/TaskTable.java
@@ -74,7 +74,7 @@
     machines[task] = machine;
     attempts[task] = attempt;
     epochs[task] = epoch;
-    runningSince[task] = MonotonicTime.NEVER;
+    runningSince[task] = MonotonicTime.UNSET;
     pending--;
     assigned++;
     setState(task, state);
--- a/src/main/java/org/snowturn/core/recovery/PacedProbes.java
+++ b/src/main/java/org/snowturn/core/recovery/PacedProbes.java
@@ -167,7 +167,7 @@
    * @param nowMs the present time
    * @param countsAsSilence whether the missing reply may be due to the machine
    */
-  public void onUnanswered(int machineId, long nowMs, boolean countsAsSilence) {
+  public void onProbeUnanswered(int machineId, long nowMs, boolean countsAsSilence) {
     Probe probe = probes.get(machineId);
     if (probe == null || !probe.isOpen) {
       return;
--- a/src/main/java/org/snowturn/core/recovery/RecoveryProgress.java
+++ b/src/main/java/org/snowturn/core/recovery/RecoveryProgress.java
@@ -7,7 +7,7 @@
 public final class RecoveryProgress {
   private static final long NOT_ENTERED = -1;
 
-  private final long wonAt;
+  private final long termBeganAt;
   private final long[] phaseBeganAt = new long[RecoveryPhase.values().length];
   private RecoveryPhase currentPhase = RecoveryPhase.WON;
 
@@ -17,7 +17,7 @@
    * @param nowMs present time of the core's clock, in milliseconds
    */
   public RecoveryProgress(long nowMs) {
-    wonAt = nowMs;
+    termBeganAt = nowMs;
     Arrays.fill(phaseBeganAt, NOT_ENTERED);
     phaseBeganAt[RecoveryPhase.WON.number()] = nowMs;
   }
@@ -52,9 +52,9 @@
    * Returns the time from the beginning of the term to that of the phase, in milliseconds; -1 if
    * the phase was not entered.
    */
-  public long sinceWonMs(RecoveryPhase phase) {
+  public long sinceTermBeganMs(RecoveryPhase phase) {
     long beganAt = phaseBeganAt[phase.number()];
-    return beganAt == NOT_ENTERED ? NOT_ENTERED : beganAt - wonAt;
+    return beganAt == NOT_ENTERED ? NOT_ENTERED : beganAt - termBeganAt;
   }
 
   /** Returns the phases entered so far for the log, such as "won 0 ms, reading 2 ms". */
@@ -62,12 +62,12 @@
   public String toString() {
     StringBuilder out = new StringBuilder();
     for (RecoveryPhase phase : RecoveryPhase.values()) {
-      if (sinceWonMs(phase) != NOT_ENTERED) {
+      if (sinceTermBeganMs(phase) != NOT_ENTERED) {
         String name = phase.name().toLowerCase(Locale.ROOT);
         out.append(out.length() == 0 ? "" : ", ")
             .append(name)
             .append(' ')
-            .append(sinceWonMs(phase));
+            .append(sinceTermBeganMs(phase));
         out.append(" ms");
       }
     }
--- a/src/main/java/org/snowturn/core/scheduling/LongWaitPlacement.java
+++ b/src/main/java/org/snowturn/core/scheduling/AgedJobPlacement.java
@@ -9,7 +9,7 @@
 import org.snowturn.wire.JobSpec;
 
 /** Placement of long-waiting jobs ahead of others, with a machine reserved for one of them. */
-final class LongWaitPlacement {
+final class AgedJobPlacement {
   private final CoreRuntime runtime;
   private final TaskAssignments assignments;
   private final PlacementConstraints constraints;
@@ -19,7 +19,7 @@
   private boolean isPlacing;
 
   /** Creates a placement for the jobs that {@code aging} selects. */
-  LongWaitPlacement(
+  AgedJobPlacement(
       CoreRuntime runtime,
       TaskAssignments assignments,
       PlacementConstraints constraints,
--- a/src/main/java/org/snowturn/core/scheduling/GangScheduling.java
+++ b/src/main/java/org/snowturn/core/scheduling/GangScheduling.java
@@ -29,7 +29,7 @@
     int totalRoom = 0;
     for (Machine machine : usableMachines) {
       if (constraints.isAllowed(job, machine)) {
-        int room = machine.roomFor(job.spec);
+        int room = machine.maxTasksThatFit(job.spec);
         roomByZone[machine.zone()] += room;
         totalRoom += room;
       }
--- a/src/main/java/org/snowturn/core/scheduling/PlacementConstraints.java
+++ b/src/main/java/org/snowturn/core/scheduling/PlacementConstraints.java
@@ -25,7 +25,7 @@
    * Returns whether the machine has room for one more task of the job and the constraints allow it.
    */
   boolean fits(Job job, Machine machine) {
-    return machine.hasRoom(job.spec) && isAllowed(job, machine);
+    return machine.hasCapacityFor(job.spec) && isAllowed(job, machine);
   }
 
   /**
@@ -79,7 +79,7 @@
       boolean canStartAtOnce =
           machine != from
               && machine.isUsable(runtime.now())
-              && machine.hasRoom(job.spec)
+              && machine.hasCapacityFor(job.spec)
               && machine.images.containsKey(job.spec.image());
       if (canStartAtOnce && (machine.zone() == from.zone() || isAllowed(job, machine))) {
         return true;
--- a/src/main/java/org/snowturn/core/scheduling/PlacementScore.java
+++ b/src/main/java/org/snowturn/core/scheduling/PlacementScore.java
@@ -106,7 +106,7 @@
     score +=
         overprovisioning * (1 - freeShare)
             + (1 - overprovisioning) * BIN_PACKING_WEIGHT_S * freeShare;
-    if (machine.failures.unexplained() > 0) {
+    if (machine.failures.unexplainedCount() > 0) {
       score += FAILURE_PENALTY_S;
     }
     return score;
--- a/src/main/java/org/snowturn/core/scheduling/Speculator.java
+++ b/src/main/java/org/snowturn/core/scheduling/Speculator.java
@@ -202,7 +202,7 @@
       Job job = assignments.job(ref);
       int task = TaskAssignments.task(ref);
       if (!job.spec.isService()
-          && job.runningSince(task) != MonotonicTime.NEVER
+          && job.runningSince(task) != MonotonicTime.UNSET
           && !job.runTimes.isEmpty()) {
         work += Math.min(1, relativeRunTime(runS(job, task), expectedS(job, machine)));
       }
@@ -283,7 +283,7 @@
 
   /** Returns whether the task runs and the start of its run is known. */
   private static boolean isRunning(Job job, int task) {
-    return job.stateOf(task) == TaskState.RUNNING && job.runningSince(task) != MonotonicTime.NEVER;
+    return job.stateOf(task) == TaskState.RUNNING && job.runningSince(task) != MonotonicTime.UNSET;
   }
 
   /** Returns whether a restart on the best of the fast machines would end sufficiently sooner. */
@@ -305,7 +305,9 @@
     Machine best = null;
     double lowestScore = Double.MAX_VALUE;
     for (Machine machine : fastMachines) {
-      if (machine != current && machine.hasRoom(job.spec) && scheduler.isAllowed(job, machine)) {
+      if (machine != current
+          && machine.hasCapacityFor(job.spec)
+          && scheduler.isAllowed(job, machine)) {
         double score = scheduler.score(job, machine);
         if (score < lowestScore) {
           best = machine;
--- a/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
+++ b/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
@@ -26,7 +26,7 @@
   private final FairOrdering fairOrdering;
   private final JobPlacement jobPlacement;
   private final ProbePlacement probePlacement;
-  private final LongWaitPlacement longWaitPlacement;
+  private final AgedJobPlacement agedJobPlacement;
   private final EvaluationCounter evaluations = new EvaluationCounter();
 
   /**
@@ -61,14 +61,14 @@
             preemptor,
             this::onPlaced);
     probePlacement = new ProbePlacement(assignments, constraints, score, jobPlacement, evaluations);
-    longWaitPlacement =
-        new LongWaitPlacement(runtime, assignments, constraints, jobPlacement, aging, evaluations);
+    agedJobPlacement =
+        new AgedJobPlacement(runtime, assignments, constraints, jobPlacement, aging, evaluations);
   }
 
   /** Records the placement of a task of the job for minimum shares and aging. */
   private void onPlaced(Job job) {
     fairOrdering.recordPlacement(job, runtime.now());
-    aging.recordPlacement(job.spec.cpus(), longWaitPlacement.isPlacing(), runtime.now());
+    aging.recordPlacement(job.spec.cpus(), agedJobPlacement.isPlacing(), runtime.now());
   }
 
   /**
@@ -141,7 +141,7 @@
           && job.priority() != Priority.PRODUCTION
           && !job.isWithinGuarantee()) {
         areLongWaitsPlaced = true;
-        longWaitPlacement.place(waiting, usableMachines);
+        agedJobPlacement.place(waiting, usableMachines);
       }
       if (!jobPlacement.place(job, usableMachines)) {
         allPlaced = false;
--- a/src/test/java/org/snowturn/core/assignment/AttemptGuardTest.java
+++ b/src/test/java/org/snowturn/core/assignment/AttemptGuardTest.java
@@ -87,31 +87,31 @@
 
   @Test
   void aStartOfAnAssignedAttemptIsAllowed() {
-    assertTrue(guard.mayStart(machine, job, start(ATTEMPT)));
+    assertTrue(guard.canStart(machine, job, start(ATTEMPT)));
     assertEquals(0, violations("start_is_placed"));
   }
 
   @Test
   void aStartOfAnEndedAttemptIsRejected() {
     job.setState(0, TaskState.PENDING);
-    assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
-    assertFalse(guard.mayStart(machine, null, start(ATTEMPT)));
+    assertFalse(guard.canStart(machine, job, start(ATTEMPT)));
+    assertFalse(guard.canStart(machine, null, start(ATTEMPT)));
     assertEquals(2, violations("start_is_placed"));
     assertEquals(1, errors(), "the violation is logged once");
   }
 
   @Test
   void aStartThatDiffersFromTheDurablePlacementIsRejected() {
-    assertFalse(guard.mayStart(machine, job, start(ATTEMPT + 1)));
-    assertFalse(guard.mayStart(machines.getOrAdd("i-2"), job, start(ATTEMPT)));
+    assertFalse(guard.canStart(machine, job, start(ATTEMPT + 1)));
+    assertFalse(guard.canStart(machines.getOrAdd("i-2"), job, start(ATTEMPT)));
     machine.session.setEpoch(AGENT_EPOCH + 1);
-    assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
+    assertFalse(guard.canStart(machine, job, start(ATTEMPT)));
     machine.session.setEpoch(AGENT_EPOCH);
     job.setState(0, TaskState.PLACING);
-    assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
+    assertFalse(guard.canStart(machine, job, start(ATTEMPT)));
     job.setState(0, TaskState.STARTING);
-    job.confirmCancellation(MonotonicTime.NEVER);
-    assertFalse(guard.mayStart(machine, job, start(ATTEMPT)));
+    job.confirmCancellation(MonotonicTime.UNSET);
+    assertFalse(guard.canStart(machine, job, start(ATTEMPT)));
   }
 
   @Test
--- a/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
+++ b/src/test/java/org/snowturn/core/assignment/HeartbeatCommandsTest.java
@@ -63,7 +63,7 @@
     private long knownUntil;
 
     @Override
-    public boolean isCancelled(String job) {
+    public boolean isKnownCancelled(String job) {
       return jobs.contains(job);
     }
 
@@ -73,7 +73,7 @@
     }
 
     @Override
-    public boolean leaseExpiresInTime(long confirmedAfter) {
+    public boolean wouldLeaseExpireInTime(long confirmedAfter) {
       return now - confirmedAfter < SLACK_MS;
     }
   }
@@ -102,7 +102,7 @@
         public void onReadyToSend(CommandQueue queue) {}
 
         @Override
-        public void onUnanswered(Machine machine) {}
+        public void onMessageUnanswered(Machine machine) {}
       };
 
   HeartbeatCommandsTest() {
--- a/src/test/java/org/snowturn/core/election/CancellationWatermarkTest.java
+++ b/src/test/java/org/snowturn/core/election/CancellationWatermarkTest.java
@@ -149,7 +149,7 @@
             if (at < until) {
               knownCount++;
               assertTrue(
-                  leader().watermark.isCancelled(job),
+                  leader().watermark.isKnownCancelled(job),
                   job
                       + " confirmed at "
                       + at
@@ -227,7 +227,7 @@
   void repliesOfARestartedPeerCountOnlyAfterAReadOfTheStateService() {
     Cluster cluster = clusterWithCurrentWatermark();
     cluster.nodes.get(1).startProcess(cluster.now);
-    long slack = CancellationWatermark.slackMs(TestSettings.of(LEADER));
+    long slack = CancellationWatermark.maxRenewalAgeMs(TestSettings.of(LEADER));
     for (long t = 0; t <= slack + 1_000; t += 100) {
       step(cluster, 100);
     }
@@ -298,7 +298,7 @@
         (double) malformedReplies.size(),
         watermark.gauges().get("snowturn.cancellations.malformed"));
     assertEquals(knownUntilBefore, watermark.knownUntil());
-    assertFalse(watermark.isCancelled("wk-1"));
+    assertFalse(watermark.isKnownCancelled("wk-1"));
   }
 
   /**
--- a/src/test/java/org/snowturn/core/recovery/PacedProbesTest.java
+++ b/src/test/java/org/snowturn/core/recovery/PacedProbesTest.java
@@ -80,7 +80,7 @@
     for (int i = 0; i < PacedProbes.MIN_UNANSWERED_PROBES; i++) {
       assertEquals(List.of(7), sendProbes(now));
       assertFalse(probes.isUnresponsive(7, 2000, now));
-      probes.onUnanswered(7, now + 1000, true);
+      probes.onProbeUnanswered(7, now + 1000, true);
       now += 1500;
     }
     assertTrue(probes.isUnresponsive(7, 2000, now));
@@ -88,7 +88,7 @@
     probes.add(8, 0, now);
     for (int i = 0; i < 9; i++) {
       sendProbes(now);
-      probes.onUnanswered(8, now, false);
+      probes.onProbeUnanswered(8, now, false);
       now += 600;
     }
     assertFalse(probes.isUnresponsive(8, 2000, now));
@@ -126,8 +126,8 @@
     assertTrue(phases.enter(RecoveryPhase.PROBING, 350));
     assertFalse(phases.enter(RecoveryPhase.READING, 400));
     assertFalse(phases.enter(RecoveryPhase.PROBING, 500));
-    assertEquals(250, phases.sinceWonMs(RecoveryPhase.PROBING));
-    assertEquals(-1, phases.sinceWonMs(RecoveryPhase.READING));
+    assertEquals(250, phases.sinceTermBeganMs(RecoveryPhase.PROBING));
+    assertEquals(-1, phases.sinceTermBeganMs(RecoveryPhase.READING));
     assertEquals("won 0 ms, probing 250 ms", phases.toString());
   }
 }
--- a/src/test/java/org/snowturn/peer/PeerCodecTest.java
+++ b/src/test/java/org/snowturn/peer/PeerCodecTest.java
@@ -26,7 +26,7 @@
           new PeerMessage.Promise("n2", 7, 1L << 40, 3000, false),
           new PeerMessage.StepDown("n0", 12, 99),
           new PeerMessage.JobProgress("n0", "wk-000001", 3, 4),
-          new PeerMessage.ConnectivityReport("n1", new Connectivity(120, Connectivity.NEVER)),
+          new PeerMessage.ConnectivityReport("n1", new Connectivity(120, Connectivity.UNSET)),
           new PeerMessage.WorkerSample("n2", List.of("10.1.0.1:9000", "10.1.0.2:9000")),
           new PeerMessage.RelayRequest("n0", "n1", 5, "GET", "/kv/j/wk-000001", null, 1800),
           new PeerMessage.RelayRequest(
