--- a/src/main/java/org/snowturn/core/Outcome.java
+++ b/src/main/java/org/snowturn/core/Outcome.java
@@ -4,7 +4,7 @@
 public enum Outcome {
   /** The service executed the request; the reply's status and body tell the result. */
   ANSWERED,
-  /** The request has not been executed and will not be. */
+  /** The request was refused: it has not been executed and will not be. */
   REFUSED,
   /** No usable reply arrived; the request may have been executed, or may still be later. */
   UNKNOWN;
--- a/src/main/java/org/snowturn/core/admission/StateRequestBudget.java
+++ b/src/main/java/org/snowturn/core/admission/StateRequestBudget.java
@@ -35,13 +35,13 @@
   /** Tokens left of the guaranteed share of each class, independent of the other classes. */
   private final Map<RequestClass, Double> guaranteedTokens = new EnumMap<>(RequestClass.class);
 
-  private final Map<RequestClass, Long> refusedLocally = new EnumMap<>(RequestClass.class);
+  private final Map<RequestClass, Long> localRefusalCounts = new EnumMap<>(RequestClass.class);
   private double requestsPerSecond;
   private double tokens;
   private double rateFactor = 1;
   private long refilledAt;
   private long reducedAt = Long.MIN_VALUE / 4;
-  private long refusedByService;
+  private long serviceRefusalCount;
 
   /**
    * Creates a budget that holds the tokens of one second.
@@ -54,7 +54,7 @@
     this.refilledAt = nowMs;
     for (RequestClass requestClass : RequestClass.values()) {
       guaranteedTokens.put(requestClass, requestsPerSecond * requestClass.guaranteedShare);
-      refusedLocally.put(requestClass, 0L);
+      localRefusalCounts.put(requestClass, 0L);
     }
     tokens = requestsPerSecond;
   }
@@ -82,7 +82,7 @@
     if (requestClass != RequestClass.AUTHORITY
         && !isGuaranteed
         && tokens - 1 < allowedRate() * requestClass.headroomShare) {
-      refusedLocally.merge(requestClass, 1L, Long::sum);
+      localRefusalCounts.merge(requestClass, 1L, Long::sum);
       return false;
     }
     tokens = Math.max(tokens - 1, -allowedRate() * MAX_OVERDRAFT_S);
@@ -92,7 +92,7 @@
 
   /** Reduces the allowed rate after the service refused a request for exceeding its rate. */
   public void refusedByService(long nowMs) {
-    refusedByService++;
+    serviceRefusalCount++;
     if (nowMs - reducedAt >= MIN_REFUSAL_INTERVAL_MS) {
       refill(nowMs);
       reducedAt = nowMs;
@@ -130,11 +130,11 @@
 
   /** Returns the number of requests of a class that this budget refused. */
   public long localRefusalCount(RequestClass requestClass) {
-    return refusedLocally.get(requestClass);
+    return localRefusalCounts.get(requestClass);
   }
 
   /** Returns the number of requests that the service refused for exceeding its rate. */
   public long refusedByService() {
-    return refusedByService;
+    return serviceRefusalCount;
   }
 }
--- a/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
@@ -172,9 +172,9 @@
       int first = index * job.layout().piecesPerFirstRecord();
       int end = Math.min(first + job.layout().piecesPerFirstRecord(), job.taskRecords().length);
       int[] pendingCount = {end - first};
-      for (int piece = first; piece < end; piece++) {
+      for (int record = first; record < end; record++) {
         writer.enqueue(
-            assignments.taskRecord(job, piece),
+            assignments.taskRecord(job, record),
             urgency,
             () -> {
               if (--pendingCount[0] == 0) {
--- a/src/main/java/org/snowturn/core/autoscaling/ScalingPolicy.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ScalingPolicy.java
@@ -10,8 +10,8 @@
  * The headroom to hold, as a share of the CPUs needed. The settings give no weight to cost, but
  * they have two service-level objectives that can only be met by machines that are up beforehand: a
  * very low share of late arrays, and arrays that start sooner than a machine boots. The headroom
- * grows continuously with the strictness of both, so that a small change of one setting does not
- * turn a fleet that follows demand into one that holds all available capacity.
+ * grows continuously as either objective gets stricter, so that a small change of one setting does
+ * not turn a fleet that follows demand into one that holds all available capacity.
  */
 public final class ScalingPolicy {
   /** Headroom for services, and for arrays without demanding objectives. */
@@ -20,10 +20,13 @@
   /** Share of late arrays that is achievable by following demand; half this share is not. */
   private static final double ACHIEVABLE_LATE_SHARE = 0.05;
 
-  /** Power of the strictness with which headroom grows if operators run machines themselves. */
+  /**
+   * Power of the deadline strictness with which headroom grows if operators run machines
+   * themselves.
+   */
   private static final double DEADLINE_STRICTNESS_EXPONENT = 5;
 
-  /** Limit of the strictness if all machines are rented by this service. */
+  /** Limit of the deadline strictness if all machines are rented by this service. */
   private static final double MAX_DEADLINE_STRICTNESS = 10;
 
   /** Headroom at which the fleet holds nearly all capacity that a cloud provides. */
@@ -93,8 +96,8 @@
 
   /**
    * Returns the headroom for the deadline objectives, as a share of the CPUs needed. If this
-   * service rents all machines, the headroom grows only in proportion to the strictness, because
-   * arrays are then late in bursts that no affordable headroom covers.
+   * service rents all machines, the headroom grows only in proportion to the deadline strictness,
+   * because arrays are then late in bursts that no affordable headroom covers.
    */
   private double deadlineHeadroom() {
     return BASE_HEADROOM
--- a/src/main/java/org/snowturn/core/connectivity/Connectivity.java
+++ b/src/main/java/org/snowturn/core/connectivity/Connectivity.java
@@ -5,12 +5,12 @@
  * clock.
  *
  * @param sinceStateAnswerMs milliseconds since the node sent the last request that the state
- *     service answered; {@link #NEVER} if none was answered
+ *     service answered; {@link #UNSET} if none was answered
  * @param sinceWorkerHeardMs milliseconds since the node last received a heartbeat or an answer from
- *     any worker; {@link #NEVER} if it received none
+ *     any worker; {@link #UNSET} if it received none
  */
 public record Connectivity(int sinceStateAnswerMs, int sinceWorkerHeardMs) {
-  /** Age of a contact that has not happened yet. */
+  /** Value of an age that is not set because there was no contact yet. */
   public static final int UNSET = -1;
 
   /**
--- a/src/main/java/org/snowturn/core/connectivity/StateRequestRelay.java
+++ b/src/main/java/org/snowturn/core/connectivity/StateRequestRelay.java
@@ -18,7 +18,7 @@
  *
  * <p>The outcome of a request that the peer does not answer is {@link Outcome#UNKNOWN}, as if the
  * state service had not answered. It is {@link Outcome#REFUSED} only if the peer replies that the
- * request was not executed, or if this node did not send it.
+ * request was refused, or if this node did not send it.
  */
 public final class StateRequestRelay {
   /**
@@ -33,7 +33,7 @@
    */
   private static final int MAX_OPEN_REQUESTS = 200;
 
-  /** HTTP status of a request that was not executed. */
+  /** HTTP status of a request that was refused, and so not executed. */
   private static final int SERVICE_UNAVAILABLE = 503;
 
   private final Settings settings;
@@ -80,13 +80,13 @@
    * Makes one call to the state service. It goes through a peer if the direct link is down and a
    * peer's link is up; otherwise it goes directly.
    *
-   * @param purpose request class that a direct call is counted in
+   * @param requestClass request class that a direct call is counted in
    * @param body body of the request; null for none
    * @param timeoutMs time after which the outcome is {@link Outcome#UNKNOWN}, in milliseconds
    * @param onResult handles the result
    */
   public void callState(
-      RequestClass purpose,
+      RequestClass requestClass,
       String method,
       String path,
       JsonNode body,
@@ -94,7 +94,7 @@
       CoreRuntime.ReplyHandler onResult) {
     String peer = hasDirectLink() ? null : connectivity.peerWithStateService();
     if (peer == null) {
-      runtime.callState(purpose, method, path, body, timeoutMs, onResult);
+      runtime.callState(requestClass, method, path, body, timeoutMs, onResult);
       return;
     }
     if (isTooLong(body) || openRequests.size() >= MAX_OPEN_REQUESTS) {
--- a/src/main/java/org/snowturn/core/dispatch/CommandLog.java
+++ b/src/main/java/org/snowturn/core/dispatch/CommandLog.java
@@ -16,14 +16,14 @@
    *
    * @param path how the commands are sent: {@code direct}, or {@code answer} for the reply to a
    *     heartbeat
-   * @param session the epoch of the machine's agent that the commands are for
+   * @param agentEpoch the agent epoch of the machine that the commands are for
    * @param token the fencing token of the term
    */
   public static void write(
       CoreRuntime runtime,
       String path,
       Machine machine,
-      long session,
+      long agentEpoch,
       long token,
       List<Command> commands) {
     if (!runtime.events().debug()) {
@@ -36,7 +36,7 @@
           .with(LogField.TASK, command.job() + "/" + command.task())
           .with(LogField.ATTEMPT, command.attempt())
           .with(LogField.MACHINE, machine.id)
-          .with(LogField.AGENT_EPOCH, session)
+          .with(LogField.AGENT_EPOCH, agentEpoch)
           .with(LogField.TOKEN, token)
           .with(LogField.PATH, path)
           .with(LogField.NEWEST_HEARTBEAT, machine.session.heartbeatSequence())
--- a/src/main/java/org/snowturn/core/dispatch/CommandQueue.java
+++ b/src/main/java/org/snowturn/core/dispatch/CommandQueue.java
@@ -35,8 +35,8 @@
    */
   private static final long MIN_UNANSWERED_MS = 400;
 
-  /** Epoch of the first session of a machine's agent. */
-  private static final long FIRST_SESSION = 1;
+  /** The first agent epoch of a machine. */
+  private static final long FIRST_AGENT_EPOCH = 1;
 
   /** Factor that exceeds the number of tasks of any job. */
   private static final long ATTEMPT_KEY_FACTOR = 131_072;
@@ -169,7 +169,7 @@
 
   /**
    * Marks the attempts of all start commands as in doubt: until an answer arrives, the machine may
-   * execute them at any later time of the session. Returns the attempts that were not in doubt
+   * execute them at any later time of its agent epoch. Returns the attempts that were not in doubt
    * before.
    */
   private List<Long> markInDoubt(List<Command> commands) {
@@ -184,23 +184,24 @@
   }
 
   private void send(List<Command> commands, List<Long> newlyInDoubt) {
-    // The session is unknown for a machine on which earlier leaders placed nothing. Most such
-    // machines are in their first session; the others refuse the message and report their session.
-    long session = Math.max(FIRST_SESSION, machine.epoch());
-    CommandLog.write(runtime, "direct", machine, session, host.token(), commands);
+    // The agent epoch is unknown for a machine on which earlier leaders placed nothing. Most such
+    // machines are in their first epoch; the others refuse the message and report their epoch.
+    long agentEpoch = Math.max(FIRST_AGENT_EPOCH, machine.epoch());
+    CommandLog.write(runtime, "direct", machine, agentEpoch, host.token(), commands);
     long sentAt = runtime.now();
     runtime.call(
         Effect.Target.WORKER,
         machine.address(),
         "POST",
         "/commands",
-        Command.directCommands(host.token(), session, commands),
+        Command.directCommands(host.token(), agentEpoch, commands),
         commands.isEmpty() ? PROBE_TIMEOUT_MS : TIMEOUT_MS,
-        (outcome, status, body) -> onReply(session, sentAt, newlyInDoubt, outcome, status, body));
+        (outcome, status, body) ->
+            onReply(agentEpoch, sentAt, newlyInDoubt, outcome, status, body));
   }
 
   private void onReply(
-      long session,
+      long agentEpoch,
       long sentAt,
       List<Long> newlyInDoubt,
       Outcome outcome,
@@ -217,7 +218,7 @@
     }
     boolean hasHeartbeat =
         outcome == Outcome.ANSWERED && (status == STATUS_OK || status == STATUS_CONFLICT);
-    if (hasHeartbeat && handleHeartbeat(session, status, body)) {
+    if (hasHeartbeat && handleHeartbeat(agentEpoch, status, body)) {
       return;
     }
     if (runtime.now() - sentAt >= MIN_UNANSWERED_MS) {
@@ -227,11 +228,11 @@
   }
 
   /** Handles the heartbeat in the answer. Returns whether it could be parsed. */
-  private boolean handleHeartbeat(long session, int status, JsonNode body) {
+  private boolean handleHeartbeat(long agentEpoch, int status, JsonNode body) {
     try {
       host.onHeartbeat(Heartbeat.parse(body));
-      if (status == STATUS_CONFLICT && machine.epoch() > session) {
-        probe(); // the machine accepts the token with its session, which is known now
+      if (status == STATUS_CONFLICT && machine.epoch() > agentEpoch) {
+        probe(); // the machine accepts the token with its agentEpoch, which is known now
       }
       return true;
     } catch (MalformedException e) {
--- a/src/main/java/org/snowturn/core/effects/CoreRuntime.java
+++ b/src/main/java/org/snowturn/core/effects/CoreRuntime.java
@@ -179,13 +179,13 @@
    * Calls the state service. A call that exceeds the request budget is refused without being made.
    */
   public void callState(
-      RequestClass purpose,
+      RequestClass requestClass,
       String method,
       String path,
       JsonNode body,
       int timeoutMs,
       ReplyHandler replyHandler) {
-    if (tryAcquireBudget(purpose, replyHandler)) {
+    if (tryAcquireBudget(requestClass, replyHandler)) {
       call(Effect.Target.STATE, null, method, path, body, timeoutMs, replyHandler);
     }
   }
@@ -205,8 +205,8 @@
    * @param path the path of a key or a range, from {@link StateMessage}
    */
   public void readState(
-      RequestClass purpose, String path, int timeoutMs, Consumer<StateReply> replyHandler) {
-    callState(purpose, "GET", path, null, timeoutMs, toReplyHandler(replyHandler));
+      RequestClass requestClass, String path, int timeoutMs, Consumer<StateReply> replyHandler) {
+    callState(requestClass, "GET", path, null, timeoutMs, toReplyHandler(replyHandler));
   }
 
   /** Applies changes for a term in one transaction if all conditions hold (compare-and-swap). */
@@ -220,14 +220,14 @@
 
   /** Applies changes in one transaction if all conditions hold (compare-and-swap). */
   public void writeState(
-      RequestClass purpose,
+      RequestClass requestClass,
       List<Condition> conditions,
       List<Change> changes,
       int timeoutMs,
       Consumer<StateReply> replyHandler) {
     JsonNode body = StateMessage.transaction(conditions, changes);
     callState(
-        purpose, "POST", StateMessage.TXN_PATH, body, timeoutMs, toReplyHandler(replyHandler));
+        requestClass, "POST", StateMessage.TXN_PATH, body, timeoutMs, toReplyHandler(replyHandler));
   }
 
   private static ReplyHandler toReplyHandler(Consumer<StateReply> replyHandler) {
@@ -236,15 +236,15 @@
 
   /** Watches for changes by a long poll, which the state service may hold open. */
   public void watchState(
-      RequestClass purpose, String path, int timeoutMs, ReplyHandler replyHandler) {
-    if (tryAcquireBudget(purpose, replyHandler)) {
+      RequestClass requestClass, String path, int timeoutMs, ReplyHandler replyHandler) {
+    if (tryAcquireBudget(requestClass, replyHandler)) {
       call(Effect.Target.STATE_WATCH, null, "GET", path, null, timeoutMs, replyHandler);
     }
   }
 
   /** Takes one call out of the budget. Returns false and queues a refusal if none is left. */
-  private boolean tryAcquireBudget(RequestClass purpose, ReplyHandler replyHandler) {
-    if (budget == null || budget.tryAcquire(purpose, now)) {
+  private boolean tryAcquireBudget(RequestClass requestClass, ReplyHandler replyHandler) {
+    if (budget == null || budget.tryAcquire(requestClass, now)) {
       return true;
     }
     overBudgetHandlers.add(replyHandler);
@@ -274,12 +274,12 @@
   /**
    * Calls another service or a worker.
    *
-   * @param addr the worker's address; null for other targets
+   * @param address the worker's address; null for other targets
    * @param body the request body; null if there is none
    */
   public void call(
       Effect.Target target,
-      String addr,
+      String address,
       String method,
       String path,
       JsonNode body,
@@ -290,7 +290,7 @@
     boolean isTransaction = path.equals(StateMessage.TXN_PATH);
     boolean isStateCall = target != Effect.Target.CLOUD && target != Effect.Target.WORKER;
     openCalls.put(id, new OpenCall(replyHandler, isStateCall && !isTransaction));
-    effects.add(new Effect.Call(id, target, addr, method, path, body, timeoutMs));
+    effects.add(new Effect.Call(id, target, address, method, path, body, timeoutMs));
   }
 
   /**
--- a/src/main/java/org/snowturn/core/effects/StateReply.java
+++ b/src/main/java/org/snowturn/core/effects/StateReply.java
@@ -34,7 +34,9 @@
     return hasStatus(BAD_REQUEST);
   }
 
-  /** Returns whether the call was certainly not executed, and so may be repeated. */
+  /**
+   * Returns whether the call was refused: it was certainly not executed, and so may be repeated.
+   */
   public boolean isNotExecuted() {
     return outcome == Outcome.REFUSED;
   }
--- a/src/main/java/org/snowturn/core/election/CancellationWatermark.java
+++ b/src/main/java/org/snowturn/core/election/CancellationWatermark.java
@@ -36,8 +36,8 @@
   /** Time that a worker needs to detect the expiry of its lease and to end its tasks. */
   private static final long MARGIN_MS = 1_000;
 
-  /** Minimum of the slack, for settings in which the lease leaves less time. */
-  private static final long MIN_SLACK_MS = 2_000;
+  /** Lower bound of {@link #maxRenewalAgeMs}, for settings in which the lease leaves less time. */
+  private static final long MIN_MAX_RENEWAL_AGE_MS = 2_000;
 
   /** Interval between a leader's requests to its peers. */
   private static final long LEADER_REQUEST_INTERVAL_MS = 300;
@@ -91,15 +91,16 @@
    * renewed. A lease that is renewed within this time expires before a cancellation confirmed just
    * after the watermark must have been carried out.
    *
-   * <p>If the settings leave less than {@link #MIN_SLACK_MS}, that minimum is returned, because the
-   * leader could not renew any lease otherwise. The expiry is then late by the missing time.
+   * <p>If the settings leave less than {@link #MIN_MAX_RENEWAL_AGE_MS}, that minimum is returned,
+   * because the leader could not renew any lease otherwise. The expiry is then late by the missing
+   * time.
    */
   static long maxRenewalAgeMs(Settings settings) {
     double leaseMs = settings.workers().leaseS() * 1000 * (1 + ClockDrift.MAX_RATE);
-    double slack =
+    double maxAgeMs =
         (settings.workers().cancellationDeadlineS() * 1000 - leaseMs) * (1 - ClockDrift.MAX_RATE)
             - MARGIN_MS;
-    return (long) Math.max(MIN_SLACK_MS, slack);
+    return (long) Math.max(MIN_MAX_RENEWAL_AGE_MS, maxAgeMs);
   }
 
   /**
--- a/src/main/java/org/snowturn/core/election/StatusBroadcast.java
+++ b/src/main/java/org/snowturn/core/election/StatusBroadcast.java
@@ -45,7 +45,7 @@
     this.stateService = stateService;
   }
 
-  /** Makes the next message due at once. */
+  /** Makes the next message due at once, so that the next tick sends it. */
   void sendAtNextTick() {
     nextAt = runtime.now();
   }
--- a/src/main/java/org/snowturn/core/health/AttemptSnapshot.java
+++ b/src/main/java/org/snowturn/core/health/AttemptSnapshot.java
@@ -8,8 +8,8 @@
  * @param nowMs present time of the core's clock, in milliseconds
  * @param agentEpoch agent epoch of the machine in which the attempt was placed
  * @param placementDurable whether the placement is durable, so that a start may have been sent
- * @param inherited whether an earlier leader placed the attempt and no heartbeat under this
- *     leader's token has listed it
+ * @param adopted whether an earlier leader placed the attempt and no heartbeat under this leader's
+ *     token has listed it
  * @param stopping whether the attempt has been told to stop or is to be told
  * @param startInFlight whether a start that was sent directly got no answer, so that it may still
  *     arrive
--- a/src/main/java/org/snowturn/core/leader/Leader.java
+++ b/src/main/java/org/snowturn/core/leader/Leader.java
@@ -157,8 +157,8 @@
   }
 
   private void schedule(long now) {
-    boolean hasRoom = scheduling.scheduler().schedule();
-    if (hasRoom && now >= nextSpeculationAt) {
+    boolean hasCapacity = scheduling.scheduler().schedule();
+    if (hasCapacity && now >= nextSpeculationAt) {
       nextSpeculationAt = now + SPECULATION_INTERVAL_MS;
       scheduling.speculator().restartStraggler();
     }
--- a/src/main/java/org/snowturn/core/model/Job.java
+++ b/src/main/java/org/snowturn/core/model/Job.java
@@ -153,11 +153,12 @@
    * until the job is over.
    *
    * @param recordSizes the number of tasks per record in each format
-   * @param valueBytes the maximum size of a stored value in bytes
+   * @param maxValueBytes the maximum size of a stored value in bytes
    * @param machines the machines that tasks are assigned to
    */
-  public void useSecondFormat(TasksPerRecord recordSizes, int valueBytes, MachineIndex machines) {
-    records.useSecondFormat(recordSizes, valueBytes);
+  public void useSecondFormat(
+      TasksPerRecord recordSizes, int maxValueBytes, MachineIndex machines) {
+    records.useSecondFormat(recordSizes, maxValueBytes);
     for (int task = 0; task < tasks.size(); task++) {
       if (isAssigned(task)) {
         records.adjustSize(task, machines.get(tasks.machine(task)), 1);
--- a/src/main/java/org/snowturn/core/model/JobTaskRecords.java
+++ b/src/main/java/org/snowturn/core/model/JobTaskRecords.java
@@ -44,7 +44,7 @@
    * Changes to the second format, with empty records. The caller then adds the sizes of the present
    * assignments with {@link #adjustSize}.
    */
-  void useSecondFormat(TasksPerRecord recordSizes, int valueBytes) {
+  void useSecondFormat(TasksPerRecord recordSizes, int maxValueBytes) {
     if (records != null) {
       Arrays.stream(records).filter(Objects::nonNull).forEach(firstFormatRecords::add);
     }
@@ -52,7 +52,7 @@
     layout = TaskLayout.secondFormat(taskCount, recordSizes);
     records = new PendingRecord[layout.recordCount()];
     usedBytes = new int[layout.recordCount()];
-    maxBytes = TaskLayout.entryCapacityBytes(valueBytes, layout.tasksPerPiece());
+    maxBytes = TaskLayout.entryCapacityBytes(maxValueBytes, layout.tasksPerPiece());
   }
 
   /**
--- a/src/main/java/org/snowturn/core/model/Machine.java
+++ b/src/main/java/org/snowturn/core/model/Machine.java
@@ -9,8 +9,8 @@
 import org.snowturn.wire.Priority;
 
 /**
- * A machine as the leader sees it: its agent's session, the tasks that may be on it, and its
- * health. Times are milliseconds of the core's clock ({@link MonotonicTime}).
+ * A machine as the leader sees it: its agent's epoch and heartbeats, the tasks that may be on it,
+ * and its health. Times are milliseconds of the core's clock ({@link MonotonicTime}).
  */
 public final class Machine {
   /** The dense index of this machine among all machines of the leader's term. */
@@ -62,7 +62,7 @@
   /** The page of the stored registry that lists the machine; -1 if none does. */
   private int registryPage = -1;
 
-  /** The session of the machine's agent. */
+  /** The current epoch and the heartbeats of the machine's agent. */
   public final AgentSession session = new AgentSession();
 
   /** The failure history of tasks on the machine. */
@@ -97,7 +97,7 @@
     return resources.hasCapacityFor(spec);
   }
 
-  /** Returns how many more tasks of the job fit beside the assigned ones. */
+  /** Returns the maximum number of further tasks of the job that fit beside the assigned ones. */
   public int maxTasksThatFit(JobSpec spec) {
     return resources.maxTasksThatFit(spec);
   }
--- a/src/main/java/org/snowturn/core/model/ResourceUsage.java
+++ b/src/main/java/org/snowturn/core/model/ResourceUsage.java
@@ -8,7 +8,7 @@
   /** Tolerance for rounding errors in sums of fractions. */
   private static final double TOLERANCE = 1e-6;
 
-  /** Upper bound of {@link #roomFor}, above what any machine can run; stands for no limit. */
+  /** Upper bound of {@link #maxTasksThatFit}; no machine can run as many tasks. */
   private static final double MAX_TASKS = 1000;
 
   private MachineType type;
@@ -48,7 +48,7 @@
         && memoryGb + spec.memoryGb() <= type.memoryGb() + TOLERANCE;
   }
 
-  /** Returns how many more tasks of the job fit. */
+  /** Returns the maximum number of further tasks of the job that fit. */
   int maxTasksThatFit(JobSpec spec) {
     if (type == null) {
       return 0;
--- a/src/main/java/org/snowturn/core/model/RestartRecords.java
+++ b/src/main/java/org/snowturn/core/model/RestartRecords.java
@@ -54,15 +54,15 @@
    *
    * @param job the job
    * @param task the index of the task that would be restarted
-   * @param valueBytes the maximum size of a stored value in bytes
+   * @param maxValueBytes the maximum size of a stored value in bytes
    */
-  public static boolean fits(Job job, int task, int valueBytes) {
+  public static boolean fits(Job job, int task, int maxValueBytes) {
     int lastBit = Math.max(task, job.restarted.length());
     // Base64 turns each group of up to three bytes of the bit set into four characters.
     int tasksBytes =
         job.isSecondFormat()
             ? LISTED_TASK_BYTES * (job.restarts() + 1)
             : (lastBit / Byte.SIZE + 3) / 3 * 4;
-    return FIXED_BYTES + tasksBytes <= valueBytes;
+    return FIXED_BYTES + tasksBytes <= maxValueBytes;
   }
 }
--- a/src/main/java/org/snowturn/core/recovery/PacedProbes.java
+++ b/src/main/java/org/snowturn/core/recovery/PacedProbes.java
@@ -44,7 +44,7 @@
   private static final class Probe {
     private final int machineId;
     private final int urgency;
-    private int unanswered;
+    private int unansweredCount;
     private long notBeforeMs;
     private long firstSentAt = Long.MAX_VALUE;
     private long sentAt;
@@ -174,7 +174,7 @@
     }
     release(probe);
     probe.isOpen = false;
-    probe.unanswered += countsAsSilence ? 1 : 0;
+    probe.unansweredCount += countsAsSilence ? 1 : 0;
     probe.notBeforeMs = nowMs + retryMs;
     waiting.add(probe);
   }
@@ -214,14 +214,14 @@
   public boolean isUnresponsive(int machineId, long minSinceFirstProbeMs, long nowMs) {
     Probe probe = probes.get(machineId);
     return probe != null
-        && probe.unanswered >= MIN_UNANSWERED_PROBES
+        && probe.unansweredCount >= MIN_UNANSWERED_PROBES
         && nowMs - probe.firstSentAt >= minSinceFirstProbeMs;
   }
 
   /** Returns whether the machine left a probe unanswered and has not been heard since. */
   public boolean hasMissedProbe(int machineId) {
     Probe probe = probes.get(machineId);
-    return probe != null && probe.unanswered > 0;
+    return probe != null && probe.unansweredCount > 0;
   }
 
   /** Returns the number of machines that have not been heard. */
--- a/src/main/java/org/snowturn/core/scheduling/AgedJobPlacement.java
+++ b/src/main/java/org/snowturn/core/scheduling/AgedJobPlacement.java
@@ -54,10 +54,10 @@
       }
       int pendingBefore = job.pending();
       isPlacing = true;
-      boolean hadRoom = placement.place(job, usableMachines, Aging.batchSize(job));
+      boolean hadCapacity = placement.place(job, usableMachines, Aging.batchSize(job));
       isPlacing = false;
       job.setPreemptionProtection(job.hasPreemptionProtection() || job.pending() < pendingBefore);
-      if (!hadRoom && job.pending() == pendingBefore && aging.canReserve(now)) {
+      if (!hadCapacity && job.pending() == pendingBefore && aging.canReserve(now)) {
         aging.reserve(job, machineToReserve(job, usableMachines), now);
       }
     }
--- a/src/main/java/org/snowturn/core/scheduling/GangScheduling.java
+++ b/src/main/java/org/snowturn/core/scheduling/GangScheduling.java
@@ -25,20 +25,20 @@
     if (job.assigned() > 0) {
       return false; // only tasks of the same attempt can run together: wait until all have ended
     }
-    int[] roomByZone = new int[machines.zoneCount()];
-    int totalRoom = 0;
+    int[] fittingTasksByZone = new int[machines.zoneCount()];
+    int totalFittingTasks = 0;
     for (Machine machine : usableMachines) {
       if (constraints.isAllowed(job, machine)) {
-        int room = machine.maxTasksThatFit(job.spec);
-        roomByZone[machine.zone()] += room;
-        totalRoom += room;
+        int fittingTasks = machine.maxTasksThatFit(job.spec);
+        fittingTasksByZone[machine.zone()] += fittingTasks;
+        totalFittingTasks += fittingTasks;
       }
     }
     if (!job.spec.singleZone()) {
-      return totalRoom >= job.pending();
+      return totalFittingTasks >= job.pending();
     }
-    for (int zone = 0; zone < roomByZone.length; zone++) {
-      if (roomByZone[zone] >= job.pending()) {
+    for (int zone = 0; zone < fittingTasksByZone.length; zone++) {
+      if (fittingTasksByZone[zone] >= job.pending()) {
         job.setGangZone(zone);
         return true;
       }
--- a/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
+++ b/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
@@ -135,12 +135,10 @@
    */
   private boolean placeWaiting(List<Job> waiting, List<Machine> usableMachines) {
     boolean allPlaced = true;
-    boolean areLongWaitsPlaced = false;
+    boolean areAgedJobsPlaced = false;
     for (Job job : fairOrdering.sorted(policy.order().sorted(waiting, (double) runtime.wallMs()))) {
-      if (!areLongWaitsPlaced
-          && job.priority() != Priority.PRODUCTION
-          && !job.isWithinGuarantee()) {
-        areLongWaitsPlaced = true;
+      if (!areAgedJobsPlaced && job.priority() != Priority.PRODUCTION && !job.isWithinGuarantee()) {
+        areAgedJobsPlaced = true;
         agedJobPlacement.place(waiting, usableMachines);
       }
       if (!jobPlacement.place(job, usableMachines)) {
--- a/src/main/java/org/snowturn/core/storage/JobLookup.java
+++ b/src/main/java/org/snowturn/core/storage/JobLookup.java
@@ -66,7 +66,7 @@
   }
 
   private final CoreRuntime runtime;
-  private final RequestClass purpose;
+  private final RequestClass requestClass;
   private final List<String> prefixes;
   private final Map<String, StoredJob> found = new HashMap<>();
   private final TreeSet<String> absent = new TreeSet<>();
@@ -78,7 +78,7 @@
   /**
    * Looks up jobs by id. Every job that was ever accepted has a record.
    *
-   * @param purpose the class that the reads are budgeted under
+   * @param requestClass the request class that the reads are budgeted under
    * @param prefixes {@link #LIVE_FIRST} or {@link #FINISHED_FIRST}
    * @param ids the ids of the jobs to look up
    * @param timeLimitMs time in milliseconds after which no further range is read
@@ -86,13 +86,13 @@
    */
   public static void find(
       CoreRuntime runtime,
-      RequestClass purpose,
+      RequestClass requestClass,
       List<String> prefixes,
       Collection<String> ids,
       long timeLimitMs,
       ResultHandler handler) {
     JobLookup lookup =
-        new JobLookup(runtime, purpose, prefixes, runtime.now() + timeLimitMs, handler);
+        new JobLookup(runtime, requestClass, prefixes, runtime.now() + timeLimitMs, handler);
     if (ids.size() > MAX_SINGLE_READS) {
       lookup.readRange(0, new TreeSet<>(ids));
       return;
@@ -104,11 +104,11 @@
 
   private JobLookup(
       CoreRuntime runtime,
-      RequestClass purpose,
+      RequestClass requestClass,
       List<String> prefixes,
       long deadlineMs,
       ResultHandler handler) {
-    this.purpose = purpose;
+    this.requestClass = requestClass;
     this.runtime = runtime;
     this.prefixes = prefixes;
     this.deadlineMs = deadlineMs;
@@ -131,7 +131,7 @@
 
   private void readOne(int prefixIndex, String id) {
     runtime.readState(
-        purpose,
+        requestClass,
         StateMessage.keyPath(prefixes.get(prefixIndex) + id),
         TIMEOUT_MS,
         reply -> {
@@ -170,7 +170,7 @@
     }
     String prefix = prefixes.get(prefixIndex);
     runtime.readState(
-        purpose,
+        requestClass,
         new StateMessage.RangePath(prefix)
             .after(lastKeyBefore(prefix + wanted.first()))
             .limit(PAGE_KEYS)
--- a/src/main/java/org/snowturn/core/storage/JobRecord.java
+++ b/src/main/java/org/snowturn/core/storage/JobRecord.java
@@ -203,12 +203,12 @@
    * only starts need are left out.
    *
    * @param live the job's record before the cancellation
-   * @param valueBytes maximum size of a value
+   * @param maxValueBytes maximum size of a value
    */
-  public static ObjectNode cancelledJson(JsonNode live, int valueBytes) {
+  public static ObjectNode cancelledJson(JsonNode live, int maxValueBytes) {
     ObjectNode object = live.deepCopy();
     object.put(PHASE, JobStatus.Phase.ABORTED.wireName());
-    if (Json.bytes(object).length > valueBytes) {
+    if (Json.bytes(object).length > maxValueBytes) {
       try {
         object.set(SPEC, JobSpec.parse(object.path(SPEC)).withoutStartFields().toJson());
       } catch (MalformedException e) {
@@ -231,12 +231,12 @@
    * parameters, so that a repeated submission uses the chunks that are already stored.
    *
    * @param text the submission's JSON text
-   * @param valueBytes maximum size of a value, which the text is split by
+   * @param maxValueBytes maximum size of a value, which the text is split by
    */
-  public static String hashSubmission(String text, int valueBytes) {
+  public static String hashSubmission(String text, int maxValueBytes) {
     try {
       MessageDigest digest = MessageDigest.getInstance("SHA-256");
-      byte[] hash = digest.digest(Json.bytes(Json.array().add(text).add(valueBytes)));
+      byte[] hash = digest.digest(Json.bytes(Json.array().add(text).add(maxValueBytes)));
       return HexFormat.of().formatHex(hash, 0, SUBMISSION_HASH_BYTES);
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException(e); // every Java platform has it
@@ -247,15 +247,15 @@
    * Splits a submission into chunks that each fit in a value.
    *
    * @param text the submission's JSON text
-   * @param valueBytes maximum size of a value
+   * @param maxValueBytes maximum size of a value
    */
-  public static List<ObjectNode> split(String text, int valueBytes) {
+  public static List<ObjectNode> split(String text, int maxValueBytes) {
     List<ObjectNode> chunks = new ArrayList<>();
     int from = 0;
     while (from < text.length()) {
       // Assumes one byte per character. Escaped characters take up to six, hence the loop below.
-      int to = Math.min(text.length(), from + Math.max(1, valueBytes - CHUNK_OVERHEAD_BYTES));
-      while (to > from + 1 && Json.bytes(chunk(text, from, to)).length > valueBytes) {
+      int to = Math.min(text.length(), from + Math.max(1, maxValueBytes - CHUNK_OVERHEAD_BYTES));
+      while (to > from + 1 && Json.bytes(chunk(text, from, to)).length > maxValueBytes) {
         to = from + (to - from) * 3 / 4;
       }
       if (to < text.length() && Character.isHighSurrogate(text.charAt(to - 1))) {
--- a/src/main/java/org/snowturn/core/storage/RangeReader.java
+++ b/src/main/java/org/snowturn/core/storage/RangeReader.java
@@ -22,7 +22,7 @@
   private static final int PAGE_KEYS = 500;
 
   private final CoreRuntime runtime;
-  private final RequestClass purpose;
+  private final RequestClass requestClass;
   private final Backoff backoff;
   private final BooleanSupplier shouldStop;
 
@@ -38,11 +38,11 @@
   /**
    * Creates a reader.
    *
-   * @param purpose the class that the reads are budgeted under
+   * @param requestClass the request class that the reads are budgeted under
    * @param shouldStop supplies whether to stop retrying failed reads
    */
-  public RangeReader(CoreRuntime runtime, RequestClass purpose, BooleanSupplier shouldStop) {
-    this.purpose = purpose;
+  public RangeReader(CoreRuntime runtime, RequestClass requestClass, BooleanSupplier shouldStop) {
+    this.requestClass = requestClass;
     this.shouldStop = shouldStop;
     this.runtime = runtime;
     this.backoff = runtime.backoff();
@@ -77,7 +77,7 @@
       path.after(after);
     }
     runtime.readState(
-        purpose,
+        requestClass,
         path.toString(),
         TIMEOUT_MS,
         reply -> {
--- a/src/main/java/org/snowturn/core/storage/RecordWriter.java
+++ b/src/main/java/org/snowturn/core/storage/RecordWriter.java
@@ -174,7 +174,7 @@
    * @param priority when the transaction is sent, relative to others and to records
    * @param conditions the conditions of the transaction; the leader key's condition is added
    * @param changes the changes to make if all conditions hold
-   * @param onReply called with the reply, unless the call was not executed and is repeated, or the
+   * @param onReply called with the reply, unless the call was refused and is repeated, or the
    *     leader key has changed
    */
   public void submit(
--- a/src/main/java/org/snowturn/core/storage/TaskLayout.java
+++ b/src/main/java/org/snowturn/core/storage/TaskLayout.java
@@ -2,16 +2,16 @@
 
 /**
  * The assignment of a job's tasks to stored records. A record of the first format holds {@link
- * #tasksPerFirstRecord} consecutive tasks. In the second format these are divided into pieces of
- * equal size that fit in a smaller value, and each piece is a record. A piece therefore never spans
- * two records of the first format.
+ * #tasksPerFirstRecord} consecutive tasks. In the second format these are divided into several
+ * records of equal size that fit in a smaller value. A record of the second format therefore never
+ * spans two records of the first format.
  *
  * @param taskCount number of tasks in the job
  * @param tasksPerFirstRecord number of tasks in a record of the first format
  * @param piecesPerFirstRecord number of records that the tasks of a first-format record take; 1 in
  *     the first format
- * @param tasksPerPiece number of tasks in a piece; the last piece of a first-format record may hold
- *     fewer
+ * @param tasksPerPiece maximum number of tasks in a record; the last of the records that replace a
+ *     first-format record may hold fewer
  */
 public record TaskLayout(
     int taskCount, int tasksPerFirstRecord, int piecesPerFirstRecord, int tasksPerPiece) {
@@ -39,7 +39,7 @@
   private static final int MIN_TASKS_PER_RECORD = 4;
 
   /**
-   * Room that a record always has for assignments in addition to {@link #ENTRY_BYTES}, so that at
+   * Space that a record always has for assignments in addition to {@link #ENTRY_BYTES}, so that at
    * least one fits.
    */
   private static final int MIN_SPARE_BYTES = 200;
@@ -50,11 +50,12 @@
   /**
    * Returns the maximum number of tasks that share a record in the second format.
    *
-   * @param valueBytes maximum size of a value
+   * @param maxValueBytes maximum size of a value
    */
-  public static int tasksPerRecord(int valueBytes) {
+  public static int tasksPerRecord(int maxValueBytes) {
     return Math.max(
-        MIN_TASKS_PER_RECORD, (valueBytes - FIXED_BYTES) / (ENTRY_BYTES + TYPICAL_NAME_BYTES + 1));
+        MIN_TASKS_PER_RECORD,
+        (maxValueBytes - FIXED_BYTES) / (ENTRY_BYTES + TYPICAL_NAME_BYTES + 1));
   }
 
   /**
@@ -69,13 +70,13 @@
   /**
    * Returns the maximum total size in bytes of the assignments in a record of the second format.
    *
-   * @param valueBytes maximum size of a value
+   * @param maxValueBytes maximum size of a value
    * @param tasksPerRecord number of tasks in the record
    */
-  public static int entryCapacityBytes(int valueBytes, int tasksPerRecord) {
+  public static int entryCapacityBytes(int maxValueBytes, int tasksPerRecord) {
     return Math.max(
         ENTRY_BYTES + MIN_SPARE_BYTES,
-        valueBytes - FIXED_BYTES - tasksPerRecord / RESULTS_PER_BYTE);
+        maxValueBytes - FIXED_BYTES - tasksPerRecord / RESULTS_PER_BYTE);
   }
 
   /** Returns the layout of a job in the first format. */
@@ -85,14 +86,14 @@
 
   /** Returns the layout of a job in the second format. */
   public static TaskLayout secondFormat(int taskCount, TasksPerRecord tasksPerRecord) {
-    int pieces =
+    int records =
         (tasksPerRecord.firstFormat() + tasksPerRecord.secondFormat() - 1)
             / tasksPerRecord.secondFormat();
     return new TaskLayout(
         taskCount,
         tasksPerRecord.firstFormat(),
-        pieces,
-        (tasksPerRecord.firstFormat() + pieces - 1) / pieces);
+        records,
+        (tasksPerRecord.firstFormat() + records - 1) / records);
   }
 
   /** Returns the number of records of the job. */
@@ -114,10 +115,10 @@
 
   /** Returns the task after the last one of a record. */
   public int endTask(int record) {
-    int tasksInPiece =
+    int tasksInRecord =
         record % piecesPerFirstRecord == piecesPerFirstRecord - 1
             ? tasksPerFirstRecord - record % piecesPerFirstRecord * tasksPerPiece
             : tasksPerPiece;
-    return Math.min(taskCount, firstTask(record) + tasksInPiece);
+    return Math.min(taskCount, firstTask(record) + tasksInRecord);
   }
 }
--- a/src/main/java/org/snowturn/net/HttpCaller.java
+++ b/src/main/java/org/snowturn/net/HttpCaller.java
@@ -50,7 +50,7 @@
      * Handles the result. All parameters but the first are meaningful only for {@link
      * Outcome#ANSWERED}.
      *
-     * @param outcome whether the request was executed, was not executed, or may have been
+     * @param outcome whether the request was executed, was refused, or may have been
      * @param status HTTP status
      * @param body response body
      * @param retryAfterS value of the Retry-After header in seconds, or 0 for none
@@ -78,14 +78,14 @@
   /**
    * Creates a caller, which connects with its first call.
    *
-   * @param addr address of the server
+   * @param address address of the server
    * @param io I/O thread that the calls run on
    * @param buffers pool of the connections' buffers
    * @param maxConnections maximum number of connections at a time
    */
   public HttpCaller(
-      InetSocketAddress addr, XnioIoThread io, ByteBufferPool buffers, int maxConnections) {
-    this.host = addr.getAddress().getHostAddress() + ":" + addr.getPort();
+      InetSocketAddress address, XnioIoThread io, ByteBufferPool buffers, int maxConnections) {
+    this.host = address.getAddress().getHostAddress() + ":" + address.getPort();
     this.uri = URI.create("http://" + host);
     this.io = io;
     this.buffers = buffers;
--- a/src/main/java/org/snowturn/worker/WorkerClient.java
+++ b/src/main/java/org/snowturn/worker/WorkerClient.java
@@ -91,13 +91,13 @@
    * Returns a caller for an address, or null if the address is invalid. Workers report their own
    * addresses, which must have the form IPv4:port.
    */
-  private HttpCaller connectTo(String addr) {
-    int colon = addr.lastIndexOf(':');
+  private HttpCaller connectTo(String address) {
+    int colon = address.lastIndexOf(':');
     try {
-      if (colon > 0 && addr.substring(0, colon).matches("[0-9.]{7,15}")) {
-        int port = Integer.parseInt(addr.substring(colon + 1));
+      if (colon > 0 && address.substring(0, colon).matches("[0-9.]{7,15}")) {
+        int port = Integer.parseInt(address.substring(colon + 1));
         return new HttpCaller(
-            new InetSocketAddress(addr.substring(0, colon), port),
+            new InetSocketAddress(address.substring(0, colon), port),
             io,
             buffers,
             CONNECTIONS_PER_WORKER);
