--- a/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
+++ b/src/main/java/org/snowturn/core/assignment/TaskRecordLoader.java
@@ -169,8 +169,8 @@
       int urgency = firstFormatRecords[index].urgency();
       List<Runnable> actions = firstFormatRecords[index].durableActions();
       writer.cancelWrite(firstFormatRecords[index]);
-      int first = index * job.layout().piecesPerFirstRecord();
-      int end = Math.min(first + job.layout().piecesPerFirstRecord(), job.taskRecords().length);
+      int first = index * job.layout().recordsPerFirstRecord();
+      int end = Math.min(first + job.layout().recordsPerFirstRecord(), job.taskRecords().length);
       int[] pendingCount = {end - first};
       for (int record = first; record < end; record++) {
         writer.enqueue(
--- a/src/main/java/org/snowturn/core/effects/StateReply.java
+++ b/src/main/java/org/snowturn/core/effects/StateReply.java
@@ -37,7 +37,7 @@
   /**
    * Returns whether the call was refused: it was certainly not executed, and so may be repeated.
    */
-  public boolean isNotExecuted() {
+  public boolean isRefused() {
     return outcome == Outcome.REFUSED;
   }
 
--- a/src/main/java/org/snowturn/core/model/JobTaskRecords.java
+++ b/src/main/java/org/snowturn/core/model/JobTaskRecords.java
@@ -52,7 +52,7 @@
     layout = TaskLayout.secondFormat(taskCount, recordSizes);
     records = new PendingRecord[layout.recordCount()];
     usedBytes = new int[layout.recordCount()];
-    maxBytes = TaskLayout.entryCapacityBytes(maxValueBytes, layout.tasksPerPiece());
+    maxBytes = TaskLayout.entryCapacityBytes(maxValueBytes, layout.maxTasksPerRecord());
   }
 
   /**
--- a/src/main/java/org/snowturn/core/storage/BatchSettlement.java
+++ b/src/main/java/org/snowturn/core/storage/BatchSettlement.java
@@ -42,7 +42,7 @@
     requeue(batch);
     if (reply.isRejected()) {
       onBatchRejected(batch, reply);
-    } else if (reply.isNotExecuted()) {
+    } else if (reply.isRefused()) {
       endWrites(batch);
       budget.pauseUntil(runtime.now() + PAUSE_AFTER_REFUSAL_MS);
     } else {
--- a/src/main/java/org/snowturn/core/storage/RecordWriter.java
+++ b/src/main/java/org/snowturn/core/storage/RecordWriter.java
@@ -308,7 +308,7 @@
 
   private void onReply(Transaction transaction, StateReply reply) {
     budget.onCallEnded();
-    if (reply.isNotExecuted()) {
+    if (reply.isRefused()) {
       budget.pauseUntil(runtime.now() + PAUSE_AFTER_REFUSAL_MS);
       transactions.get(transaction.priority).addFirst(transaction);
     } else if (reply.failedKeys().contains(StorageKeys.LEADER)) {
--- a/src/main/java/org/snowturn/core/storage/TaskLayout.java
+++ b/src/main/java/org/snowturn/core/storage/TaskLayout.java
@@ -14,7 +14,7 @@
  *     first-format record may hold fewer
  */
 public record TaskLayout(
-    int taskCount, int tasksPerFirstRecord, int piecesPerFirstRecord, int tasksPerPiece) {
+    int taskCount, int tasksPerFirstRecord, int recordsPerFirstRecord, int maxTasksPerRecord) {
   /**
    * Number of low bits in an attempt's number that count the leader's attempts. The bits above hold
    * the leader's fencing token.
@@ -103,22 +103,22 @@
 
   /** Returns the number of the record that holds a task. */
   public int recordOf(int task) {
-    return task / tasksPerFirstRecord * piecesPerFirstRecord
-        + task % tasksPerFirstRecord / tasksPerPiece;
+    return task / tasksPerFirstRecord * recordsPerFirstRecord
+        + task % tasksPerFirstRecord / maxTasksPerRecord;
   }
 
   /** Returns the first task of a record. */
   public int firstTask(int record) {
-    return record / piecesPerFirstRecord * tasksPerFirstRecord
-        + record % piecesPerFirstRecord * tasksPerPiece;
+    return record / recordsPerFirstRecord * tasksPerFirstRecord
+        + record % recordsPerFirstRecord * maxTasksPerRecord;
   }
 
   /** Returns the task after the last one of a record. */
   public int endTask(int record) {
     int tasksInRecord =
-        record % piecesPerFirstRecord == piecesPerFirstRecord - 1
-            ? tasksPerFirstRecord - record % piecesPerFirstRecord * tasksPerPiece
-            : tasksPerPiece;
+        record % recordsPerFirstRecord == recordsPerFirstRecord - 1
+            ? tasksPerFirstRecord - record % recordsPerFirstRecord * maxTasksPerRecord
+            : maxTasksPerRecord;
     return Math.min(taskCount, firstTask(record) + tasksInRecord);
   }
 }
