--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -140,7 +140,7 @@
    * @param isEnabled whether these lines are written
    */
   public void setDebugLogging(boolean isEnabled) {
-    runtime.events().debug(isEnabled);
+    runtime.events().setDebugEnabled(isEnabled);
   }
 
   /**
--- a/src/main/java/org/snowturn/core/api/UserResponses.java
+++ b/src/main/java/org/snowturn/core/api/UserResponses.java
@@ -92,7 +92,7 @@
     if (status.phase() == JobStatus.Phase.ABORTED) {
       cancelled.confirm(status.id());
     }
-    if (runtime.events().debug()) {
+    if (runtime.events().isDebugEnabled()) {
       runtime
           .events()
           .debug(LogEvent.USER_ANSWER)
--- a/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
+++ b/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
@@ -61,7 +61,7 @@
       return false;
     }
     endsByEvidence.merge(evidence.kind(), 1L, Long::sum);
-    if (runtime.events().debug()) {
+    if (runtime.events().isDebugEnabled()) {
       Machine machine = machines.get(job.machineOf(task));
       runtime
           .events()
--- a/src/main/java/org/snowturn/core/connectivity/ConnectivityMatrix.java
+++ b/src/main/java/org/snowturn/core/connectivity/ConnectivityMatrix.java
@@ -42,7 +42,7 @@
    *
    * @param peer name of the peer that sent the report
    * @param connectivity connectivity that the peer reported
-   * @param nowMs present time of the core's clock, in milliseconds
+   * @param nowMs present time of the monotonic clock, in milliseconds
    * @return whether this is the peer's first row, or its links to the state service or to workers
    *     have come up or gone down
    */
--- a/src/main/java/org/snowturn/core/connectivity/ConnectivityMonitor.java
+++ b/src/main/java/org/snowturn/core/connectivity/ConnectivityMonitor.java
@@ -43,7 +43,7 @@
    * Creates a monitor without any contact or report.
    *
    * @param lastAnsweredRequestSentAt supplies the time at which this node sent the last request
-   *     that the state service answered, in milliseconds of the core's clock; {@link
+   *     that the state service answered, in milliseconds of the monotonic clock; {@link
    *     MonotonicTime#UNSET} if none was answered
    */
   public ConnectivityMonitor(
--- a/src/main/java/org/snowturn/core/connectivity/WorkerSilenceDetector.java
+++ b/src/main/java/org/snowturn/core/connectivity/WorkerSilenceDetector.java
@@ -1,10 +1,10 @@
 package org.snowturn.core.connectivity;
 
 /**
- * Detects that a leader receives no messages from any worker. In that case the leader's own network
- * is the likely fault, and it has to be detected before the leader takes its machines for dead, one
- * after the other, and deletes them. Silence is counted in health sweeps, not by the clock, since a
- * node that was paused did not receive anything during the pause.
+ * Detector for a leader that receives no messages from any worker. In that case the leader's own
+ * network is the likely fault, and it has to be detected before the leader considers its machines
+ * dead, one after the other, and deletes them. Silence is counted in health sweeps, not by the
+ * clock, since a node that was paused did not receive anything during the pause.
  */
 public final class WorkerSilenceDetector {
   /** Minimum number of consecutive sweeps without any message that counts as silence. */
@@ -64,7 +64,7 @@
    *
    * @param machinesUp number of machines that have been up, whether or not they are heard now. If
    *     only those heard now counted, an isolated node would soon expect no messages.
-   * @param nowMs present time of the core's clock, in milliseconds
+   * @param nowMs present time of the monotonic clock, in milliseconds
    */
   public void endSweep(int machinesUp, long nowMs) {
     silentSweeps = hasHeardWorkerSinceSweep ? 0 : silentSweeps + 1;
@@ -102,8 +102,8 @@
   /**
    * Returns whether the silence of a single machine is evidence about that machine. It is not
    * during a general silence and for {@link #RECOVERY_PERIOD_MS} after it. A leader keeps leading
-   * through a network partition if no peer is better connected. It would then take the machines
-   * that fall silent first for dead while messages from the others are not yet overdue.
+   * through a network partition if no peer is better connected. It would then consider the machines
+   * that fall silent first dead while messages from the others are not yet overdue.
    */
   public boolean canTrustMachineSilence(long nowMs) {
     return !hasBeenSilent || nowMs - lastSilentAt > RECOVERY_PERIOD_MS;
--- a/src/main/java/org/snowturn/core/dispatch/CommandLog.java
+++ b/src/main/java/org/snowturn/core/dispatch/CommandLog.java
@@ -26,7 +26,7 @@
       long agentEpoch,
       long token,
       List<Command> commands) {
-    if (!runtime.events().debug()) {
+    if (!runtime.events().isDebugEnabled()) {
       return;
     }
     for (Command command : commands) {
--- a/src/main/java/org/snowturn/core/dispatch/CommandQueue.java
+++ b/src/main/java/org/snowturn/core/dispatch/CommandQueue.java
@@ -232,7 +232,7 @@
     try {
       host.onHeartbeat(Heartbeat.parse(body));
       if (status == STATUS_CONFLICT && machine.epoch() > agentEpoch) {
-        probe(); // the machine accepts the token with its agentEpoch, which is known now
+        probe(); // the machine accepts the token with its agent epoch, which is known now
       }
       return true;
     } catch (MalformedException e) {
--- a/src/main/java/org/snowturn/core/effects/EventLog.java
+++ b/src/main/java/org/snowturn/core/effects/EventLog.java
@@ -25,12 +25,12 @@
   }
 
   /** Enables or disables debug lines. */
-  public void debug(boolean isEnabled) {
+  public void setDebugEnabled(boolean isEnabled) {
     isDebugEnabled = isEnabled;
   }
 
   /** Returns whether debug lines are enabled. */
-  public boolean debug() {
+  public boolean isDebugEnabled() {
     return isDebugEnabled;
   }
 
@@ -45,8 +45,8 @@
   }
 
   /**
-   * Creates a line about a single task or message. Callers check {@link #debug()} first, since this
-   * method does not.
+   * Creates a line about a single task or message. Callers check {@link #isDebugEnabled()} first,
+   * since this method does not.
    */
   public Line debug(LogEvent event) {
     return new Line(Severity.DEBUG, event);
--- a/src/main/java/org/snowturn/core/health/AttemptSnapshot.java
+++ b/src/main/java/org/snowturn/core/health/AttemptSnapshot.java
@@ -5,7 +5,7 @@
  * attempt has ended.
  *
  * @param token fencing token of the leader
- * @param nowMs present time of the core's clock, in milliseconds
+ * @param nowMs present time of the monotonic clock, in milliseconds
  * @param agentEpoch agent epoch of the machine in which the attempt was placed
  * @param placementDurable whether the placement is durable, so that a start may have been sent
  * @param adopted whether an earlier leader placed the attempt and no heartbeat under this leader's
@@ -16,7 +16,7 @@
  * @param machineDeleted whether the cloud has confirmed the deletion of the machine
  * @param machineFailed whether the cloud lists the machine as failed
  * @param leaseRenewedAt latest time at which any leader may have renewed the machine's lease, by
- *     the core's clock
+ *     the monotonic clock
  * @param leaseExpiryMs time from {@code leaseRenewedAt} until the lease has certainly expired, in
  *     milliseconds
  */
--- a/src/main/java/org/snowturn/core/health/Reachability.java
+++ b/src/main/java/org/snowturn/core/health/Reachability.java
@@ -13,7 +13,7 @@
  * </ul>
  *
  * <p>A machine that is not proven reachable gets no new tasks. Its present tasks stay assigned to
- * it until there is proof of their end. Times are in milliseconds of the core's clock.
+ * it until there is proof of their end. Times are in milliseconds of the monotonic clock.
  */
 public final class Reachability {
   /** Minimum number of consecutive unanswered messages at which a machine may be unreachable. */
--- a/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
+++ b/src/main/java/org/snowturn/core/leader/HeartbeatHandler.java
@@ -149,7 +149,7 @@
   }
 
   private void log(Heartbeat heartbeat, String result) {
-    if (runtime.events().debug()) {
+    if (runtime.events().isDebugEnabled()) {
       runtime
           .events()
           .debug(LogEvent.HEARTBEAT)
--- a/src/main/java/org/snowturn/core/leader/MachineSilenceDetector.java
+++ b/src/main/java/org/snowturn/core/leader/MachineSilenceDetector.java
@@ -9,7 +9,7 @@
 import org.snowturn.core.model.Machine;
 
 /**
- * Decides whether a machine is silent, and whether its silence is caused by the machine itself
+ * Detector of silent machines, which also decides whether a silence is caused by the machine itself
  * rather than by this node's network or an outage of a whole zone.
  */
 final class MachineSilenceDetector {
--- a/src/main/java/org/snowturn/core/model/AgentSession.java
+++ b/src/main/java/org/snowturn/core/model/AgentSession.java
@@ -4,7 +4,7 @@
 
 /**
  * The leader's view of a machine's agent: its current epoch, which the agent increments at each
- * start, and its heartbeats. Times are milliseconds of the core's clock ({@link MonotonicTime}).
+ * start, and its heartbeats. Times are milliseconds of the monotonic clock ({@link MonotonicTime}).
  */
 public final class AgentSession {
   private long epoch;
@@ -53,7 +53,7 @@
    * Records the newest heartbeat.
    *
    * @param sequence the sequence number of the heartbeat
-   * @param now the current time, in milliseconds of the core's clock
+   * @param now the current time, in milliseconds of the monotonic clock
    * @param silentAfterMs the time without another heartbeat after which the machine may be dead, in
    *     milliseconds
    */
--- a/src/main/java/org/snowturn/core/model/Job.java
+++ b/src/main/java/org/snowturn/core/model/Job.java
@@ -21,7 +21,7 @@
  *
  * <p>A task is assigned while it may be on a machine: from before its placement is written until
  * there is proof that its attempt has ended. Wall-clock times ({@code ...WallMs}) are milliseconds
- * since the epoch of the system clock; other times are those of the core's clock ({@link
+ * since the epoch of the system clock; other times are those of the monotonic clock ({@link
  * MonotonicTime}).
  */
 public final class Job {
--- a/src/main/java/org/snowturn/core/model/JobFailures.java
+++ b/src/main/java/org/snowturn/core/model/JobFailures.java
@@ -3,7 +3,7 @@
 import org.agrona.collections.Int2IntHashMap;
 import org.agrona.collections.IntHashSet;
 
-/** The failure history of one job's tasks. Times are milliseconds of the core's clock. */
+/** The failure history of one job's tasks. Times are milliseconds of the monotonic clock. */
 public final class JobFailures {
   private static final int NO_MACHINE = -1;
 
--- a/src/main/java/org/snowturn/core/model/Machine.java
+++ b/src/main/java/org/snowturn/core/model/Machine.java
@@ -10,7 +10,7 @@
 
 /**
  * A machine as the leader sees it: its agent's epoch and heartbeats, the tasks that may be on it,
- * and its health. Times are milliseconds of the core's clock ({@link MonotonicTime}).
+ * and its health. Times are milliseconds of the monotonic clock ({@link MonotonicTime}).
  */
 public final class Machine {
   /** The dense index of this machine among all machines of the leader's term. */
@@ -318,7 +318,7 @@
 
   /** Sets the machine type. */
   public void setMachineType(MachineType machineType) {
-    resources.type(machineType);
+    resources.setType(machineType);
   }
 
   /** Returns the highest known epoch of the agent; 0 if none is known. */
--- a/src/main/java/org/snowturn/core/model/MachineFailures.java
+++ b/src/main/java/org/snowturn/core/model/MachineFailures.java
@@ -1,6 +1,6 @@
 package org.snowturn.core.model;
 
-/** The failure history of tasks on one machine. Times are milliseconds of the core's clock. */
+/** The failure history of tasks on one machine. Times are milliseconds of the monotonic clock. */
 public final class MachineFailures {
   private int unexplainedCount;
   private boolean healthy;
--- a/src/main/java/org/snowturn/core/model/ResourceUsage.java
+++ b/src/main/java/org/snowturn/core/model/ResourceUsage.java
@@ -20,7 +20,7 @@
     return type;
   }
 
-  void type(MachineType newType) {
+  void setType(MachineType newType) {
     type = newType;
   }
 
--- a/src/main/java/org/snowturn/core/recovery/PacedProbes.java
+++ b/src/main/java/org/snowturn/core/recovery/PacedProbes.java
@@ -16,7 +16,7 @@
  * since many machines may be dead.
  *
  * <p>A machine that is heard without a probe is not probed. One that does not reply is probed
- * again. Times are in milliseconds of the core's clock.
+ * again. Times are in milliseconds of the monotonic clock.
  */
 public final class PacedProbes {
   /** Minimum number of unanswered probes at which a machine counts as unresponsive. */
--- a/src/main/java/org/snowturn/core/recovery/RecoveryProgress.java
+++ b/src/main/java/org/snowturn/core/recovery/RecoveryProgress.java
@@ -14,7 +14,7 @@
   /**
    * Creates the progress of a term that begins now, in {@link RecoveryPhase#WON}.
    *
-   * @param nowMs present time of the core's clock, in milliseconds
+   * @param nowMs present time of the monotonic clock, in milliseconds
    */
   public RecoveryProgress(long nowMs) {
     termBeganAt = nowMs;
@@ -36,7 +36,7 @@
    * Enters a phase if it is later than the current one.
    *
    * @param phase the phase to enter
-   * @param nowMs present time of the core's clock, in milliseconds
+   * @param nowMs present time of the monotonic clock, in milliseconds
    * @return whether the phase was entered
    */
   public boolean enter(RecoveryPhase phase, long nowMs) {
--- a/src/main/java/org/snowturn/core/scheduling/JobPlacement.java
+++ b/src/main/java/org/snowturn/core/scheduling/JobPlacement.java
@@ -28,7 +28,7 @@
   private final Consumer<Job> onPlaced;
 
   /** Specs of unconstrained jobs for which no machine had room in the current round. */
-  private final List<JobSpec> specsWithoutRoom = new ArrayList<>();
+  private final List<JobSpec> unplaceableSpecs = new ArrayList<>();
 
   /**
    * Creates a placement that has placed nothing yet.
@@ -52,7 +52,7 @@
 
   /** Starts a scheduling round and discards what is known from the last one. */
   void beginRound() {
-    specsWithoutRoom.clear();
+    unplaceableSpecs.clear();
   }
 
   /** Places all pending tasks of the job; returns false if a task found no room. */
@@ -74,7 +74,7 @@
     if (!assignments.quota().allows(job.spec)) {
       return true; // waits for its team's quota, not for room
     }
-    if (isKnownWithoutRoom(job.spec)) {
+    if (isKnownUnplaceable(job.spec)) {
       return false;
     }
     candidates.reset(job);
@@ -82,7 +82,7 @@
       candidates.offer(machine);
     }
     if (candidates.isEmpty()) {
-      recordWithoutRoom(job.spec);
+      recordUnplaceable(job.spec);
       return false;
     }
     return placeTasks(job, usableMachines, maxTasks);
@@ -119,7 +119,7 @@
     Machine best = candidates.poll(task);
     if (best == null) {
       if (candidates.isEmpty()) {
-        recordWithoutRoom(job.spec);
+        recordUnplaceable(job.spec);
       }
       return Result.NO_ROOM;
     }
@@ -139,8 +139,8 @@
    * Returns whether a job without constraints that needs the same or less of each resource found no
    * room in this round, so that this one cannot find room either.
    */
-  private boolean isKnownWithoutRoom(JobSpec spec) {
-    for (JobSpec other : specsWithoutRoom) {
+  private boolean isKnownUnplaceable(JobSpec spec) {
+    for (JobSpec other : unplaceableSpecs) {
       if (PlacementConstraints.isAtLeastAsDemanding(spec, other)) {
         return true;
       }
@@ -149,9 +149,9 @@
   }
 
   /** Records that no machine has room for such a task, unless constraints may be the cause. */
-  private void recordWithoutRoom(JobSpec spec) {
+  private void recordUnplaceable(JobSpec spec) {
     if (PlacementConstraints.isUnconstrained(spec)) {
-      specsWithoutRoom.add(spec);
+      unplaceableSpecs.add(spec);
     }
   }
 }
--- a/src/main/java/org/snowturn/core/scheduling/Preemptor.java
+++ b/src/main/java/org/snowturn/core/scheduling/Preemptor.java
@@ -100,7 +100,8 @@
       return false;
     }
     if (runtime.now() < job.preemptingUntil()) {
-      // Room may have been made for fewer replicas than wait; the others must not wait in vain.
+      // Room may have been made for only some of the waiting replicas; the others must not wait for
+      // it.
       return runtime.now() < job.preemptingUntil() - PREEMPTION_INTERVAL_MS + MAX_STOP_WAIT_MS;
     }
     List<Machine> withImage = new ArrayList<>();
--- a/src/main/java/org/snowturn/core/storage/TaskLayout.java
+++ b/src/main/java/org/snowturn/core/storage/TaskLayout.java
@@ -8,10 +8,10 @@
  *
  * @param taskCount number of tasks in the job
  * @param tasksPerFirstRecord number of tasks in a record of the first format
- * @param piecesPerFirstRecord number of records that the tasks of a first-format record take; 1 in
+ * @param recordsPerFirstRecord number of records that the tasks of a first-format record take; 1 in
  *     the first format
- * @param tasksPerPiece maximum number of tasks in a record; the last of the records that replace a
- *     first-format record may hold fewer
+ * @param maxTasksPerRecord maximum number of tasks in a record; the last of the records that
+ *     replace a first-format record may hold fewer
  */
 public record TaskLayout(
     int taskCount, int tasksPerFirstRecord, int recordsPerFirstRecord, int maxTasksPerRecord) {
