--- a/src/main/java/org/snowturn/core/assignment/FailureHandler.java
+++ b/src/main/java/org/snowturn/core/assignment/FailureHandler.java
@@ -102,7 +102,7 @@
 
   private void backOffSuspect(Job job) {
     if (!job.failures.isSuspect()) {
-      job.failures.markSuspect();
+      job.failures.markSuspected();
       runtime
           .events()
           .info(LogEvent.JOB_SUSPECTED)
--- a/src/main/java/org/snowturn/core/model/JobFailures.java
+++ b/src/main/java/org/snowturn/core/model/JobFailures.java
@@ -50,7 +50,7 @@
   }
 
   /** Marks the job as suspected, since its tasks seem to fail on every machine. */
-  public void markSuspect() {
+  public void markSuspected() {
     suspect = true;
   }
 
