--- a/src/main/java/org/snowturn/core/model/ResourceUsage.java
+++ b/src/main/java/org/snowturn/core/model/ResourceUsage.java
@@ -8,7 +8,7 @@
   /** Tolerance for rounding errors in sums of fractions. */
   private static final double TOLERANCE = 1e-6;
 
-  /** Upper bound of {@link #maxTasksThatFit}; no machine can run as many tasks. */
+  /** Upper bound of {@link #maxTasksThatFit}, above what any machine can run; means no limit. */
   private static final double MAX_TASKS = 1000;
 
   private MachineType type;
--- a/src/main/java/org/snowturn/core/scheduling/Preemptor.java
+++ b/src/main/java/org/snowturn/core/scheduling/Preemptor.java
@@ -100,8 +100,7 @@
       return false;
     }
     if (runtime.now() < job.preemptingUntil()) {
-      // Room may have been made for only some of the waiting replicas; the others must not wait for
-      // it.
+      // Room may have been made for only some waiting replicas; the others must not wait for it.
       return runtime.now() < job.preemptingUntil() - PREEMPTION_INTERVAL_MS + MAX_STOP_WAIT_MS;
     }
     List<Machine> withImage = new ArrayList<>();
