--- a/src/main/java/org/snowturn/core/Controller.java
+++ b/src/main/java/org/snowturn/core/Controller.java
@@ -103,7 +103,7 @@
 
       @Override
       public boolean isKnownCancelled(String job) {
-        return watermark.isCancelled(job);
+        return watermark.isKnownCancelled(job);
       }
 
       @Override
@@ -140,7 +140,7 @@
    * @param isEnabled whether these lines are written
    */
   public void setDebugLogging(boolean isEnabled) {
-    runtime.events().debug(isEnabled);
+    runtime.events().setDebugEnabled(isEnabled);
   }
 
   /**
--- a/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
+++ b/src/main/java/org/snowturn/core/assignment/AttemptGuard.java
@@ -61,7 +61,7 @@
       return false;
     }
     endsByEvidence.merge(evidence.kind(), 1L, Long::sum);
-    if (runtime.events().debug()) {
+    if (runtime.events().isDebugEnabled()) {
       Machine machine = machines.get(job.machineOf(task));
       runtime
           .events()
@@ -104,7 +104,7 @@
    *
    * @param job the job that the command names; null if it is not live
    */
-  boolean mayStart(Machine machine, Job job, Command start) {
+  boolean canStart(Machine machine, Job job, Command start) {
     String reason = startRejectionReason(machine, job, start);
     if (reason != null) {
       invariants.recordViolation(
--- a/src/main/java/org/snowturn/core/autoscaling/ScalingPolicy.java
+++ b/src/main/java/org/snowturn/core/autoscaling/ScalingPolicy.java
@@ -10,8 +10,8 @@
  * The headroom to hold, as a share of the CPUs needed. The settings give no weight to cost, but
  * they have two service-level objectives that can only be met by machines that are up beforehand: a
  * very low share of late arrays, and arrays that start sooner than a machine boots. The headroom
- * grows continuously with the strictness of both, so that a small change of one setting does not
- * turn a fleet that follows demand into one that holds all available capacity.
+ * grows continuously as either objective gets stricter, so that a small change of one setting does
+ * not turn a fleet that follows demand into one that holds all available capacity.
  */
 public final class ScalingPolicy {
   /** Headroom for services, and for arrays without demanding objectives. */
@@ -20,11 +20,14 @@
   /** Share of late arrays that is achievable by following demand; half this share is not. */
   private static final double ACHIEVABLE_LATE_SHARE = 0.05;
 
-  /** Power of the strictness with which headroom grows if operators run machines themselves. */
-  private static final double STRICTNESS_EXPONENT = 5;
+  /**
+   * Power of the deadline strictness with which headroom grows if operators run machines
+   * themselves.
+   */
+  private static final double DEADLINE_STRICTNESS_EXPONENT = 5;
 
-  /** Limit of the strictness if all machines are rented by this service. */
-  private static final double MAX_STRICTNESS = 10;
+  /** Limit of the deadline strictness if all machines are rented by this service. */
+  private static final double MAX_DEADLINE_STRICTNESS = 10;
 
   /** Headroom at which the fleet holds nearly all capacity that a cloud provides. */
   private static final double MAX_HEADROOM = 3;
@@ -33,7 +36,7 @@
   private static final double MIN_SHARE = 1e-3;
 
   /** Ratio of {@link #ACHIEVABLE_LATE_SHARE} to the share of arrays that may be late. */
-  private final double strictness;
+  private final double deadlineStrictness;
 
   /** The earliest start objective of each class of arrays. */
   private final Map<String, Settings.Objective> startObjectives = new HashMap<>();
@@ -47,7 +50,8 @@
       BooleanSupplier hasExternallyManagedMachines) {
     this.quickestBootS = quickestBootS;
     this.hasExternallyManagedMachines = hasExternallyManagedMachines;
-    this.strictness = ACHIEVABLE_LATE_SHARE / Math.max(MIN_SHARE, allowedLateShare(settings));
+    this.deadlineStrictness =
+        ACHIEVABLE_LATE_SHARE / Math.max(MIN_SHARE, allowedLateShare(settings));
     for (Settings.Objective objective : settings.objectives()) {
       if (objective.kind().equals("wait") && isArrayClass(settings, objective.jobClass())) {
         startObjectives.merge(objective.jobClass(), objective, ScalingPolicy::earlier);
@@ -92,14 +96,14 @@
 
   /**
    * Returns the headroom for the deadline objectives, as a share of the CPUs needed. If this
-   * service rents all machines, the headroom grows only in proportion to the strictness, because
-   * arrays are then late in bursts that no affordable headroom covers.
+   * service rents all machines, the headroom grows only in proportion to the deadline strictness,
+   * because arrays are then late in bursts that no affordable headroom covers.
    */
   private double deadlineHeadroom() {
     return BASE_HEADROOM
         * (hasExternallyManagedMachines.getAsBoolean()
-            ? Math.pow(strictness, STRICTNESS_EXPONENT)
-            : Math.min(strictness, MAX_STRICTNESS));
+            ? Math.pow(deadlineStrictness, DEADLINE_STRICTNESS_EXPONENT)
+            : Math.min(deadlineStrictness, MAX_DEADLINE_STRICTNESS));
   }
 
   /** Returns the headroom for arrays, as a share of the CPUs that they need. */
--- a/src/main/java/org/snowturn/core/connectivity/Connectivity.java
+++ b/src/main/java/org/snowturn/core/connectivity/Connectivity.java
@@ -5,13 +5,13 @@
  * clock.
  *
  * @param sinceStateAnswerMs milliseconds since the node sent the last request that the state
- *     service answered; {@link #NEVER} if none was answered
+ *     service answered; {@link #UNSET} if none was answered
  * @param sinceWorkerHeardMs milliseconds since the node last received a heartbeat or an answer from
- *     any worker; {@link #NEVER} if it received none
+ *     any worker; {@link #UNSET} if it received none
  */
 public record Connectivity(int sinceStateAnswerMs, int sinceWorkerHeardMs) {
-  /** Age of a contact that has not happened yet. */
-  public static final int NEVER = -1;
+  /** Value of an age that is not set because there was no contact yet. */
+  public static final int UNSET = -1;
 
   /**
    * Maximum age of an answer of the state service at which the link to it counts as working. The
@@ -27,12 +27,12 @@
 
   /** Returns whether the state service answers the node. */
   public boolean canReachStateService() {
-    return sinceStateAnswerMs != NEVER && sinceStateAnswerMs <= MAX_STATE_ANSWER_AGE_MS;
+    return sinceStateAnswerMs != UNSET && sinceStateAnswerMs <= MAX_STATE_ANSWER_AGE_MS;
   }
 
   /** Returns whether the node receives messages from workers. */
   public boolean canReachWorkers() {
-    return sinceWorkerHeardMs != NEVER && sinceWorkerHeardMs <= MAX_WORKER_HEARD_AGE_MS;
+    return sinceWorkerHeardMs != UNSET && sinceWorkerHeardMs <= MAX_WORKER_HEARD_AGE_MS;
   }
 
   /** Returns whether the node reaches both the state service and workers, as a leader must. */
--- a/src/main/java/org/snowturn/core/effects/StateReply.java
+++ b/src/main/java/org/snowturn/core/effects/StateReply.java
@@ -34,8 +34,10 @@
     return hasStatus(BAD_REQUEST);
   }
 
-  /** Returns whether the call was certainly not executed, and so may be repeated. */
-  public boolean isNotExecuted() {
+  /**
+   * Returns whether the call was refused: it was certainly not executed, and so may be repeated.
+   */
+  public boolean isRefused() {
     return outcome == Outcome.REFUSED;
   }
 
--- a/src/main/java/org/snowturn/core/election/StatusBroadcast.java
+++ b/src/main/java/org/snowturn/core/election/StatusBroadcast.java
@@ -45,8 +45,8 @@
     this.stateService = stateService;
   }
 
-  /** Makes the next message due at once. */
-  void expedite() {
+  /** Makes the next message due at once, so that the next tick sends it. */
+  void sendAtNextTick() {
     nextAt = runtime.now();
   }
 
--- a/src/main/java/org/snowturn/core/model/AgentSession.java
+++ b/src/main/java/org/snowturn/core/model/AgentSession.java
@@ -4,14 +4,14 @@
 
 /**
  * The leader's view of a machine's agent: its current epoch, which the agent increments at each
- * start, and its heartbeats. Times are milliseconds of the core's clock ({@link MonotonicTime}).
+ * start, and its heartbeats. Times are milliseconds of the monotonic clock ({@link MonotonicTime}).
  */
 public final class AgentSession {
   private long epoch;
   private long heartbeatSequence = -1;
   private long endedEpoch = -1;
-  private long lastHeartbeatAt = MonotonicTime.NEVER;
-  private long silentAt = MonotonicTime.NEVER;
+  private long lastHeartbeatAt = MonotonicTime.UNSET;
+  private long silentAt = MonotonicTime.UNSET;
   private long heartbeatDueAt = Long.MAX_VALUE;
   private long lastAnswerAt;
   private boolean acknowledged;
@@ -42,7 +42,7 @@
   }
 
   /**
-   * Returns the time at which this leader applied the newest heartbeat; {@link MonotonicTime#NEVER}
+   * Returns the time at which this leader applied the newest heartbeat; {@link MonotonicTime#UNSET}
    * if there was none.
    */
   public long lastHeartbeatAt() {
@@ -53,7 +53,7 @@
    * Records the newest heartbeat.
    *
    * @param sequence the sequence number of the heartbeat
-   * @param now the current time, in milliseconds of the core's clock
+   * @param now the current time, in milliseconds of the monotonic clock
    * @param silentAfterMs the time without another heartbeat after which the machine may be dead, in
    *     milliseconds
    */
--- a/src/main/java/org/snowturn/core/model/Job.java
+++ b/src/main/java/org/snowturn/core/model/Job.java
@@ -21,7 +21,7 @@
  *
  * <p>A task is assigned while it may be on a machine: from before its placement is written until
  * there is proof that its attempt has ended. Wall-clock times ({@code ...WallMs}) are milliseconds
- * since the epoch of the system clock; other times are those of the core's clock ({@link
+ * since the epoch of the system clock; other times are those of the monotonic clock ({@link
  * MonotonicTime}).
  */
 public final class Job {
@@ -91,13 +91,13 @@
   private Cancellation cancellation = Cancellation.NONE;
 
   /** The earliest time at which a user may have received a confirmation of the cancellation. */
-  private long earliestConfirmationAt = MonotonicTime.NEVER;
+  private long earliestConfirmationAt = MonotonicTime.UNSET;
 
   private boolean finishing;
   private int restarts;
 
   /** The time until which preemption on behalf of this job is under way; none starts before. */
-  private long preemptingUntil = MonotonicTime.NEVER;
+  private long preemptingUntil = MonotonicTime.UNSET;
 
   /** The time at which a task was last placed. */
   private long placedWallMs;
@@ -153,11 +153,12 @@
    * until the job is over.
    *
    * @param recordSizes the number of tasks per record in each format
-   * @param valueBytes the maximum size of a stored value in bytes
+   * @param maxValueBytes the maximum size of a stored value in bytes
    * @param machines the machines that tasks are assigned to
    */
-  public void useSecondFormat(TasksPerRecord recordSizes, int valueBytes, MachineIndex machines) {
-    records.useSecondFormat(recordSizes, valueBytes);
+  public void useSecondFormat(
+      TasksPerRecord recordSizes, int maxValueBytes, MachineIndex machines) {
+    records.useSecondFormat(recordSizes, maxValueBytes);
     for (int task = 0; task < tasks.size(); task++) {
       if (isAssigned(task)) {
         records.adjustSize(task, machines.get(tasks.machine(task)), 1);
@@ -274,7 +275,7 @@
           nextPendingHint + i < tasks.size()
               ? nextPendingHint + i
               : nextPendingHint + i - tasks.size();
-      if (stateOf(task) == TaskState.PENDING && records.hasRoom(task)) {
+      if (stateOf(task) == TaskState.PENDING && records.hasSpaceForAssignment(task)) {
         nextPendingHint = task;
         return task;
       }
@@ -359,12 +360,12 @@
     return tasks.epoch(task);
   }
 
-  /** Returns the time since which the task is running; {@link MonotonicTime#NEVER} if unknown. */
+  /** Returns the time since which the task is running; {@link MonotonicTime#UNSET} if unknown. */
   public long runningSince(int task) {
     return tasks.runningSince(task);
   }
 
-  /** Sets the time since which the task is running; {@link MonotonicTime#NEVER} if unknown. */
+  /** Sets the time since which the task is running; {@link MonotonicTime#UNSET} if unknown. */
   public void setRunningSince(int task, long since) {
     tasks.setRunningSince(task, since);
   }
--- a/src/main/java/org/snowturn/core/model/Machine.java
+++ b/src/main/java/org/snowturn/core/model/Machine.java
@@ -9,8 +9,8 @@
 import org.snowturn.wire.Priority;
 
 /**
- * A machine as the leader sees it: its agent's session, the tasks that may be on it, and its
- * health. Times are milliseconds of the core's clock ({@link MonotonicTime}).
+ * A machine as the leader sees it: its agent's epoch and heartbeats, the tasks that may be on it,
+ * and its health. Times are milliseconds of the monotonic clock ({@link MonotonicTime}).
  */
 public final class Machine {
   /** The dense index of this machine among all machines of the leader's term. */
@@ -36,7 +36,7 @@
 
   private boolean rentedInThisTerm;
 
-  private long listedAt = MonotonicTime.NEVER;
+  private long listedAt = MonotonicTime.UNSET;
   private CloudMachine.State cloudState = CloudMachine.State.STARTING;
   private long blockedUntil;
   private long idleSince;
@@ -62,7 +62,7 @@
   /** The page of the stored registry that lists the machine; -1 if none does. */
   private int registryPage = -1;
 
-  /** The session of the machine's agent. */
+  /** The current epoch and the heartbeats of the machine's agent. */
   public final AgentSession session = new AgentSession();
 
   /** The failure history of tasks on the machine. */
@@ -93,13 +93,13 @@
   }
 
   /** Returns whether one more task of the job fits beside the assigned ones. */
-  public boolean hasRoom(JobSpec spec) {
-    return resources.hasRoom(spec);
+  public boolean hasCapacityFor(JobSpec spec) {
+    return resources.hasCapacityFor(spec);
   }
 
-  /** Returns how many more tasks of the job fit beside the assigned ones. */
-  public int roomFor(JobSpec spec) {
-    return resources.roomFor(spec);
+  /** Returns the maximum number of further tasks of the job that fit beside the assigned ones. */
+  public int maxTasksThatFit(JobSpec spec) {
+    return resources.maxTasksThatFit(spec);
   }
 
   /** Returns the number of CPUs that no assigned task uses; 0 while the type is unknown. */
@@ -211,7 +211,7 @@
   }
 
   private String silenceReason(long now) {
-    if (session.lastHeartbeatAt() == MonotonicTime.NEVER) {
+    if (session.lastHeartbeatAt() == MonotonicTime.UNSET) {
       return "unheard";
     }
     if (preemptionAt != Long.MAX_VALUE) {
@@ -318,7 +318,7 @@
 
   /** Sets the machine type. */
   public void setMachineType(MachineType machineType) {
-    resources.type(machineType);
+    resources.setType(machineType);
   }
 
   /** Returns the highest known epoch of the agent; 0 if none is known. */
@@ -327,7 +327,7 @@
   }
 
   /**
-   * Returns the time at which this leader applied the newest heartbeat; {@link MonotonicTime#NEVER}
+   * Returns the time at which this leader applied the newest heartbeat; {@link MonotonicTime#UNSET}
    * if there was none.
    */
   public long lastHeartbeatAt() {
@@ -489,7 +489,7 @@
   }
 
   /**
-   * Returns the time at which the cloud last listed the machine; {@link MonotonicTime#NEVER} if it
+   * Returns the time at which the cloud last listed the machine; {@link MonotonicTime#UNSET} if it
    * was never listed.
    */
   public long listedAt() {
--- a/src/main/java/org/snowturn/core/model/ResourceUsage.java
+++ b/src/main/java/org/snowturn/core/model/ResourceUsage.java
@@ -8,7 +8,7 @@
   /** Tolerance for rounding errors in sums of fractions. */
   private static final double TOLERANCE = 1e-6;
 
-  /** Upper bound of {@link #roomFor}, above what any machine can run; stands for no limit. */
+  /** Upper bound of {@link #maxTasksThatFit}, above what any machine can run; means no limit. */
   private static final double MAX_TASKS = 1000;
 
   private MachineType type;
@@ -20,7 +20,7 @@
     return type;
   }
 
-  void type(MachineType newType) {
+  void setType(MachineType newType) {
     type = newType;
   }
 
@@ -41,15 +41,15 @@
   }
 
   /** Returns whether one more task of the job fits. */
-  boolean hasRoom(JobSpec spec) {
+  boolean hasCapacityFor(JobSpec spec) {
     return type != null
         && cpus + spec.cpus() <= type.cpus() + TOLERANCE
         && gpus + spec.gpus() <= type.gpus() + TOLERANCE
         && memoryGb + spec.memoryGb() <= type.memoryGb() + TOLERANCE;
   }
 
-  /** Returns how many more tasks of the job fit. */
-  int roomFor(JobSpec spec) {
+  /** Returns the maximum number of further tasks of the job that fit. */
+  int maxTasksThatFit(JobSpec spec) {
     if (type == null) {
       return 0;
     }
--- a/src/main/java/org/snowturn/core/recovery/PacedProbes.java
+++ b/src/main/java/org/snowturn/core/recovery/PacedProbes.java
@@ -16,7 +16,7 @@
  * since many machines may be dead.
  *
  * <p>A machine that is heard without a probe is not probed. One that does not reply is probed
- * again. Times are in milliseconds of the core's clock.
+ * again. Times are in milliseconds of the monotonic clock.
  */
 public final class PacedProbes {
   /** Minimum number of unanswered probes at which a machine counts as unresponsive. */
@@ -44,7 +44,7 @@
   private static final class Probe {
     private final int machineId;
     private final int urgency;
-    private int unanswered;
+    private int unansweredCount;
     private long notBeforeMs;
     private long firstSentAt = Long.MAX_VALUE;
     private long sentAt;
@@ -167,14 +167,14 @@
    * @param nowMs the present time
    * @param countsAsSilence whether the missing reply may be due to the machine
    */
-  public void onUnanswered(int machineId, long nowMs, boolean countsAsSilence) {
+  public void onProbeUnanswered(int machineId, long nowMs, boolean countsAsSilence) {
     Probe probe = probes.get(machineId);
     if (probe == null || !probe.isOpen) {
       return;
     }
     release(probe);
     probe.isOpen = false;
-    probe.unanswered += countsAsSilence ? 1 : 0;
+    probe.unansweredCount += countsAsSilence ? 1 : 0;
     probe.notBeforeMs = nowMs + retryMs;
     waiting.add(probe);
   }
@@ -214,14 +214,14 @@
   public boolean isUnresponsive(int machineId, long minSinceFirstProbeMs, long nowMs) {
     Probe probe = probes.get(machineId);
     return probe != null
-        && probe.unanswered >= MIN_UNANSWERED_PROBES
+        && probe.unansweredCount >= MIN_UNANSWERED_PROBES
         && nowMs - probe.firstSentAt >= minSinceFirstProbeMs;
   }
 
   /** Returns whether the machine left a probe unanswered and has not been heard since. */
   public boolean hasMissedProbe(int machineId) {
     Probe probe = probes.get(machineId);
-    return probe != null && probe.unanswered > 0;
+    return probe != null && probe.unansweredCount > 0;
   }
 
   /** Returns the number of machines that have not been heard. */
--- a/src/main/java/org/snowturn/core/scheduling/LongWaitPlacement.java
+++ b/src/main/java/org/snowturn/core/scheduling/AgedJobPlacement.java
@@ -9,7 +9,7 @@
 import org.snowturn.wire.JobSpec;
 
 /** Placement of long-waiting jobs ahead of others, with a machine reserved for one of them. */
-final class LongWaitPlacement {
+final class AgedJobPlacement {
   private final CoreRuntime runtime;
   private final TaskAssignments assignments;
   private final PlacementConstraints constraints;
@@ -19,7 +19,7 @@
   private boolean isPlacing;
 
   /** Creates a placement for the jobs that {@code aging} selects. */
-  LongWaitPlacement(
+  AgedJobPlacement(
       CoreRuntime runtime,
       TaskAssignments assignments,
       PlacementConstraints constraints,
@@ -54,10 +54,10 @@
       }
       int pendingBefore = job.pending();
       isPlacing = true;
-      boolean hadRoom = placement.place(job, usableMachines, Aging.batchSize(job));
+      boolean hadCapacity = placement.place(job, usableMachines, Aging.batchSize(job));
       isPlacing = false;
       job.setPreemptionProtection(job.hasPreemptionProtection() || job.pending() < pendingBefore);
-      if (!hadRoom && job.pending() == pendingBefore && aging.canReserve(now)) {
+      if (!hadCapacity && job.pending() == pendingBefore && aging.canReserve(now)) {
         aging.reserve(job, machineToReserve(job, usableMachines), now);
       }
     }
--- a/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
+++ b/src/main/java/org/snowturn/core/scheduling/TaskScheduler.java
@@ -26,7 +26,7 @@
   private final FairOrdering fairOrdering;
   private final JobPlacement jobPlacement;
   private final ProbePlacement probePlacement;
-  private final LongWaitPlacement longWaitPlacement;
+  private final AgedJobPlacement agedJobPlacement;
   private final EvaluationCounter evaluations = new EvaluationCounter();
 
   /**
@@ -61,14 +61,14 @@
             preemptor,
             this::onPlaced);
     probePlacement = new ProbePlacement(assignments, constraints, score, jobPlacement, evaluations);
-    longWaitPlacement =
-        new LongWaitPlacement(runtime, assignments, constraints, jobPlacement, aging, evaluations);
+    agedJobPlacement =
+        new AgedJobPlacement(runtime, assignments, constraints, jobPlacement, aging, evaluations);
   }
 
   /** Records the placement of a task of the job for minimum shares and aging. */
   private void onPlaced(Job job) {
     fairOrdering.recordPlacement(job, runtime.now());
-    aging.recordPlacement(job.spec.cpus(), longWaitPlacement.isPlacing(), runtime.now());
+    aging.recordPlacement(job.spec.cpus(), agedJobPlacement.isPlacing(), runtime.now());
   }
 
   /**
@@ -135,13 +135,11 @@
    */
   private boolean placeWaiting(List<Job> waiting, List<Machine> usableMachines) {
     boolean allPlaced = true;
-    boolean areLongWaitsPlaced = false;
+    boolean areAgedJobsPlaced = false;
     for (Job job : fairOrdering.sorted(policy.order().sorted(waiting, (double) runtime.wallMs()))) {
-      if (!areLongWaitsPlaced
-          && job.priority() != Priority.PRODUCTION
-          && !job.isWithinGuarantee()) {
-        areLongWaitsPlaced = true;
-        longWaitPlacement.place(waiting, usableMachines);
+      if (!areAgedJobsPlaced && job.priority() != Priority.PRODUCTION && !job.isWithinGuarantee()) {
+        areAgedJobsPlaced = true;
+        agedJobPlacement.place(waiting, usableMachines);
       }
       if (!jobPlacement.place(job, usableMachines)) {
         allPlaced = false;
--- a/src/test/java/org/snowturn/simulation/ElectionExplorerTest.java
+++ b/src/test/java/org/snowturn/simulation/ElectionExplorerTest.java
@@ -126,7 +126,9 @@
     cluster.after(INITIAL_FAULT_MS, () -> initialFault.action.apply(cluster));
     cluster.after(
         atMs,
-        () -> cluster.setLinkDelays((from, to) -> faulty.contains(new Direction(from, to)) ? delayMs : 0));
+        () ->
+            cluster.setLinkDelays(
+                (from, to) -> faulty.contains(new Direction(from, to)) ? delayMs : 0));
     if (crashedNode > NO_NODE) {
       cluster.after(atMs + STEP_MS / 2, () -> cluster.nodes.get(crashedNode).crash(50));
     }
--- a/src/test/java/org/snowturn/simulation/InvariantCheckerTest.java
+++ b/src/test/java/org/snowturn/simulation/InvariantCheckerTest.java
@@ -210,7 +210,8 @@
   @Test
   void unsettledJobsAreReported() {
     JobSpec spec = accepted(Map.of("cpus", "1", "team", "u"));
-    assertTrue(cluster.invariants.unsettledJobs(cluster.now).get(0).contains("last answered about"));
+    assertTrue(
+        cluster.invariants.unsettledJobs(cluster.now).get(0).contains("last answered about"));
     answerAllRequests(200, phase("queued"));
     cluster.clients.pollOnce(JOB);
     assertEquals(List.of(JOB + " runs nowhere"), cluster.invariants.unsettledJobs(cluster.now));
--- a/src/test/java/org/snowturn/simulation/JobHistoryTest.java
+++ b/src/test/java/org/snowturn/simulation/JobHistoryTest.java
@@ -56,7 +56,8 @@
       JobHistory history = new JobHistory();
       boolean isViolated = false;
       for (Answer answer : all) {
-        isViolated |= history.recordAnswer(answer.askedAtMs, answer.atMs, PHASES[answer.phase]) != null;
+        isViolated |=
+            history.recordAnswer(answer.askedAtMs, answer.atMs, PHASES[answer.phase]) != null;
       }
       assertEquals(!isConsistent(all, 0), isViolated, all.toString());
       inconsistent += isViolated ? 1 : 0;
@@ -80,7 +81,8 @@
     assertNull(history.recordAnswer(0, 10, "queued"));
     assertNull(history.recordAnswer(20, 30, "aborted"));
     assertNull(
-        history.recordAnswer(29, 40, "running"), "the request began before the other answer arrived");
+        history.recordAnswer(29, 40, "running"),
+        "the request began before the other answer arrived");
     assertEquals("went_back", history.recordAnswer(30, 41, "running"));
     assertEquals("forgotten", history.recordAnswer(10, 42, null));
   }
--- a/src/testbench/java/org/snowturn/simulation/LoopbackFaults.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackFaults.java
@@ -55,13 +55,17 @@
   /** Executes a share of the transactions but loses their replies. */
   public void loseStateReplies(double share, long ms) {
     applyTemporarily(
-        ms, () -> cluster.state.replyLossProbability = share, () -> cluster.state.replyLossProbability = 0);
+        ms,
+        () -> cluster.state.replyLossProbability = share,
+        () -> cluster.state.replyLossProbability = 0);
   }
 
   /** Executes a share of the transactions seconds late and without a reply. */
   public void delayTransactions(double share, long ms) {
     applyTemporarily(
-        ms, () -> cluster.state.lateTransactionProbability = share, () -> cluster.state.lateTransactionProbability = 0);
+        ms,
+        () -> cluster.state.lateTransactionProbability = share,
+        () -> cluster.state.lateTransactionProbability = 0);
   }
 
   /** Delays direct commands by {@code delayMs} to twice {@code delayMs}. */
--- a/src/testbench/java/org/snowturn/simulation/ScenarioEvents.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioEvents.java
@@ -59,7 +59,8 @@
         "resubmit", (cluster, line) -> line.jobIds(FIRST).forEach(cluster.clients::resubmit));
     ACTIONS.put("poll", (cluster, line) -> cluster.clients.pollOnce(line.word(FIRST)));
     ACTIONS.put(
-        "read-after-write", (cluster, line) -> cluster.clients.enableReadsAfterWrite(line.millis(FIRST)));
+        "read-after-write",
+        (cluster, line) -> cluster.clients.enableReadsAfterWrite(line.millis(FIRST)));
     ACTIONS.put(
         "invalid-requests",
         (cluster, line) -> cluster.clients.sendInvalidRequests(line.millis(FIRST)));
@@ -190,7 +191,8 @@
             manyWorkers(cluster, line).forEach(worker -> cluster.cloud.fail(worker.machine)));
     ACTIONS.put("fail", (cluster, line) -> cluster.cloud.fail(workerOfTask(cluster, line).machine));
     ACTIONS.put(
-        "reclaim", (cluster, line) -> cluster.cloud.terminate(workerOfTask(cluster, line).machine.id));
+        "reclaim",
+        (cluster, line) -> cluster.cloud.terminate(workerOfTask(cluster, line).machine.id));
     ACTIONS.put(
         "preemption-notice",
         (cluster, line) -> {
@@ -209,9 +211,11 @@
     ACTIONS.put(
         "failing-many",
         (cluster, line) -> manyWorkers(cluster, line).forEach(worker -> worker.failing = true));
-    ACTIONS.put("slow", (cluster, line) -> workerOfTask(cluster, line).runtimeFactor = line.number(SECOND));
     ACTIONS.put(
-        "slow-machine", (cluster, line) -> worker(cluster, line).runtimeFactor = line.number(SECOND));
+        "slow", (cluster, line) -> workerOfTask(cluster, line).runtimeFactor = line.number(SECOND));
+    ACTIONS.put(
+        "slow-machine",
+        (cluster, line) -> worker(cluster, line).runtimeFactor = line.number(SECOND));
     registerDropping("drop-inbound", SimulatedCluster::dropInbound);
     registerDropping("drop-outbound", ClusterFaults::dropOutbound);
   }
--- a/src/testbench/java/org/snowturn/simulation/ScenarioExpectations.java
+++ b/src/testbench/java/org/snowturn/simulation/ScenarioExpectations.java
@@ -233,7 +233,8 @@
         (cluster, line, failures) -> failures.expectAtMost(line, FIRST, cluster.lostStarts));
     CHECKS.put(
         "max-starts-unleased",
-        (cluster, line, failures) -> failures.expectAtMost(line, FIRST, cluster.startsWithoutLease));
+        (cluster, line, failures) ->
+            failures.expectAtMost(line, FIRST, cluster.startsWithoutLease));
     CHECKS.put(
         "max-probes",
         (cluster, line, failures) -> failures.expectAtMost(line, FIRST, cluster.probes));
--- a/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedClients.java
@@ -499,7 +499,8 @@
           } else if (status == 422 || status == 400) {
             submitted.refusalStatus = "" + status;
             if (submitted.accepted) {
-              cluster.invariants.reportViolation("forgotten", submitted.spec.id() + " got " + status);
+              cluster.invariants.reportViolation(
+                  "forgotten", submitted.spec.id() + " got " + status);
             }
           } else {
             retry.run();
--- a/src/testbench/java/org/snowturn/simulation/SimulatedStateService.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedStateService.java
@@ -193,10 +193,12 @@
     int operations = call.body().path("apply").size();
     boolean isInvalid =
         operations > limits.maxTransactionOps()
-            || call.body().path("when").size() > MAX_CONDITIONS_PER_CHANGE * limits.maxTransactionOps()
+            || call.body().path("when").size()
+                > MAX_CONDITIONS_PER_CHANGE * limits.maxTransactionOps()
             || Json.bytes(call.body()).length > MAX_TXN_BYTES;
     for (JsonNode node : call.body().path("apply")) {
-      isInvalid |= node.has("write") && Json.bytes(node.path("value")).length > limits.maxValueBytes();
+      isInvalid |=
+          node.has("write") && Json.bytes(node.path("value")).length > limits.maxValueBytes();
     }
     if (isInvalid) {
       return 400;
--- a/src/testbench/java/org/snowturn/testbench/CapacityModel.java
+++ b/src/testbench/java/org/snowturn/testbench/CapacityModel.java
@@ -32,7 +32,8 @@
    * @param size value of every factor
    * @throws InvalidInputException if the series that varies the workers was not measured
    */
-  double predict(Map<Factor, Double> size, String role, String figure) throws InvalidInputException {
+  double predict(Map<Factor, Double> size, String role, String figure)
+      throws InvalidInputException {
     double sum = predictByWorkers(size.get(Factor.WORKERS), role, figure);
     for (Factor factor : Factor.values()) {
       if (factor != Factor.WORKERS) {
--- a/src/testbench/java/org/snowturn/testbench/FaultInjector.java
+++ b/src/testbench/java/org/snowturn/testbench/FaultInjector.java
@@ -103,7 +103,9 @@
       case CUT_TO_PEERS -> cutPeers(fault, true);
       case CUT_FROM_PEERS -> cutPeers(fault, false);
       case REFUSE ->
-          targets(fault).forEach(controller -> faults.refuseStateRequests(controller.name, fault.durationMs()));
+          targets(fault)
+              .forEach(
+                  controller -> faults.refuseStateRequests(controller.name, fault.durationMs()));
       case OUTAGE -> faults.startStateOutage(fault.durationMs());
       case SLOW_STATE -> faults.slowStateService((int) fault.amount(), fault.durationMs());
       case LOSE_ANSWERS -> faults.loseStateReplies(fault.amount(), fault.durationMs());
--- a/src/testbench/java/org/snowturn/testbench/ScaleResult.java
+++ b/src/testbench/java/org/snowturn/testbench/ScaleResult.java
@@ -91,7 +91,8 @@
       figures.put("running", (double) after.runningTasks());
       figures.put("starts_per_s", (after.startedTasks() - before.startedTasks()) / loadDurationS);
       figures.put("starts_in_all", (double) after.startedTasks());
-      figures.put("jobs_over_per_s", (after.finishedJobs() - before.finishedJobs()) / loadDurationS);
+      figures.put(
+          "jobs_over_per_s", (after.finishedJobs() - before.finishedJobs()) / loadDurationS);
       figures.put("reports_per_s", (after.heartbeats() - before.heartbeats()) / loadDurationS);
       figures.put("commands_per_s", (after.commands() - before.commands()) / loadDurationS);
       figures.put(
@@ -145,9 +146,7 @@
       ProcessUsage workerThreads = ProcessUsage.NONE;
       for (var thread : threadsAfter.entrySet()) {
         ProcessUsage usage =
-            thread
-                .getValue()
-                .since(threadsBefore.getOrDefault(thread.getKey(), ProcessUsage.NONE));
+            thread.getValue().since(threadsBefore.getOrDefault(thread.getKey(), ProcessUsage.NONE));
         if (List.of("world", "state", "hollow", "report", "users").contains(thread.getKey())) {
           rows.add(new Row("stand-in " + thread.getKey(), usageFigures(usage, loadDurationS)));
         }
--- a/src/testbench/java/org/snowturn/testbench/ScaleRun.java
+++ b/src/testbench/java/org/snowturn/testbench/ScaleRun.java
@@ -109,7 +109,9 @@
         injectFailure();
       }
       sleep(1, null);
-      deployment.regions().forEach(part -> part.controllers.forEach(ControllerProcess::sampleUsage));
+      deployment
+          .regions()
+          .forEach(part -> part.controllers.forEach(ControllerProcess::sampleUsage));
       if ((second + 1) % PROGRESS_INTERVAL_S == 0) {
         reportProgress("load");
       }
@@ -122,7 +124,8 @@
     progress.accept("fails now: " + plan.failure());
     switch (plan.failure().kind()) {
       case LEADER -> {
-        ControllerProcess leader = firstRegion.findController(firstRegion.cluster.status().leader());
+        ControllerProcess leader =
+            firstRegion.findController(firstRegion.cluster.status().leader());
         if (leader != null) {
           leader.kill();
           Thread.sleep(RESTART_DELAY_MS);
