--- a/src/test/java/org/snowturn/testbench/TestbenchCommandsTest.java
+++ b/src/test/java/org/snowturn/testbench/TestbenchCommandsTest.java
@@ -27,7 +27,7 @@
   private final StringWriter errors = new StringWriter();
 
   private int run(String... args) {
-    CommandLine line = WorkloadCommand.handled(new CommandLine(new Testbench()));
+    CommandLine line = WorkloadCommand.withErrorHandlers(new CommandLine(new Testbench()));
     line.setErr(new PrintWriter(errors));
     return line.execute(args);
   }
--- a/src/test/java/org/snowturn/workload/WorkloadCommandTest.java
+++ b/src/test/java/org/snowturn/workload/WorkloadCommandTest.java
@@ -134,7 +134,7 @@
             .fails());
     DayReport slips =
         withChanged(object -> object.putObject("idle").putObject("slips").put("some", 2));
-    assertTrue(slips.line().contains("some=2"), slips.line());
+    assertTrue(slips.summaryLine().contains("some=2"), slips.summaryLine());
   }
 
   @Test
@@ -143,7 +143,7 @@
     assertEquals("nightly", r.leastServed().getKey());
     assertEquals(0.4, r.leastServed().getValue(), 1e-9);
     assertTrue(r.fails());
-    assertEquals(0, r.ended());
+    assertEquals(0, r.unexpectedExits());
     assertEquals(12, r.processorS(), 1e-9);
     assertEquals(1, WorkloadCommand.run("judge", HERE.resolve("report.json").toString()));
   }
--- a/src/testbench/java/org/snowturn/testbench/Testbench.java
+++ b/src/testbench/java/org/snowturn/testbench/Testbench.java
@@ -23,6 +23,6 @@
 
   /** Exit status 2 stands for what the caller got wrong, in one line. */
   public static void main(String[] args) {
-    System.exit(WorkloadCommand.handled(new CommandLine(new Testbench())).execute(args));
+    System.exit(WorkloadCommand.withErrorHandlers(new CommandLine(new Testbench())).execute(args));
   }
 }
--- a/src/testbench/java/org/snowturn/workload/DayGenerator.java
+++ b/src/testbench/java/org/snowturn/workload/DayGenerator.java
@@ -63,12 +63,12 @@
   }
 
   /** The day of a seed: always the same. */
-  ObjectNode day(long seed, double duration) throws SiteFile.BadInput {
+  ObjectNode generate(long seed, double duration) throws SiteFile.BadInput {
     SplittableRandom r = new SplittableRandom(seed);
     List<ObjectNode> faults = new ArrayList<>();
     List<String> kinds = List.copyOf(troubles.keySet());
     int n = r.nextInt(5, 11);
-    double from = site.warmup();
+    double from = site.warmupS();
     double until = Math.max(from + 20, duration - CALM_S);
     double at = r.nextDouble(from, until);
     for (int i = 0; i < n; i++) {
@@ -85,7 +85,7 @@
     }
     if (troubles.containsKey("node_crash")) {
       double crash = r.nextDouble(from, until);
-      crash(faults, crash, site.nodes());
+      crash(faults, crash, site.nodeCount());
       for (double t = crash; r.nextDouble() < AGAIN && t < until; ) {
         t += r.nextDouble(0.2, 3);
         crash(faults, t, 1);
@@ -101,7 +101,7 @@
     who(day);
     ArrayNode list = day.putArray("faults");
     for (ObjectNode f : faults) {
-      site.check(f);
+      site.checkReferences(f);
       list.add(f);
     }
     ObjectNode file = JsonNodeFactory.instance.objectNode();
@@ -132,7 +132,7 @@
 
   private void ofArrays(ObjectNode day, String field, double share) {
     ArrayNode jobs = day.withArray("/jobs");
-    for (String name : site.arrays()) {
+    for (String name : site.arrayClasses()) {
       ObjectNode found = null;
       for (JsonNode node : jobs) {
         found = node.path("name").asText().equals(name) ? (ObjectNode) node : found;
--- a/src/testbench/java/org/snowturn/workload/DayReport.java
+++ b/src/testbench/java/org/snowturn/workload/DayReport.java
@@ -35,12 +35,12 @@
     }
   }
 
-  long broken() {
+  long brokenRules() {
     return root.path("rules_broken").path("total").asLong();
   }
 
   /** Processes that ended by themselves. */
-  int ended() {
+  int unexpectedExits() {
     int n = 0;
     for (JsonNode node : root.path("node_stats")) {
       n += node.path("panics").asInt();
@@ -81,7 +81,7 @@
     return Map.entry(least, share);
   }
 
-  double answered() {
+  double answeredShare() {
     double asked = root.path("users").path("asked").asDouble();
     return asked == 0 ? 1 : 1 - root.path("users").path("asked_in_vain").asDouble() / asked;
   }
@@ -96,16 +96,16 @@
 
   /** Whether such a day fails: not by its aims, but for what the operators will not have. */
   boolean fails() {
-    return broken() > 0
-        || ended() > 0
+    return brokenRules() > 0
+        || unexpectedExits() > 0
         || leastServed().getValue() < LEAST_SERVED
-        || answered() < LEAST_SERVED
-        || neglected() > 0
+        || answeredShare() < LEAST_SERVED
+        || neglectedJobs() > 0
         || processorS() > MOST_PROCESSOR_S;
   }
 
   /** Jobs that were left waiting though a machine had room. */
-  long neglected() {
+  long neglectedJobs() {
     return root.path("idle").path("neglected").asLong();
   }
 
@@ -121,7 +121,7 @@
     return out.isEmpty() ? " none" : out.toString();
   }
 
-  int mostSockets() {
+  int maxConnections() {
     int most = 0;
     for (JsonNode node : root.path("node_stats")) {
       most = Math.max(most, node.path("connections_peak").asInt());
@@ -129,14 +129,14 @@
     return most;
   }
 
-  /** The columns of {@link #csv}. */
+  /** The columns of {@link #csvLine}. */
   static final String CSV_HEADER =
       "report,machines,submitted,accepted,submit_p95_ms,answers_503,busiest_cpu,busiest_memory_mb,"
           + "most_sockets,state_requests,state_changes,state_refused,tasks_started,arrays_done,rules_broken,"
           + "processes_s";
 
   /** One line for tables of many reports; the busiest node is the one with the largest mean. */
-  String csv() {
+  String csvLine() {
     double cpu = 0;
     double memory = 0;
     for (JsonNode node : root.path("node_stats")) {
@@ -160,17 +160,17 @@
         users.path("errors").path("503").asLong(),
         cpu,
         memory,
-        mostSockets(),
+        maxConnections(),
         state.path("requests").asLong(),
         state.path("writes").asLong(),
         state.path("refused").asLong(),
         root.path("fleet").path("tasks_started").asLong(),
         arrays,
-        broken(),
+        brokenRules(),
         root.path("spent").path("processes").path(0).asDouble());
   }
 
-  String line() {
+  String summaryLine() {
     Map.Entry<String, Double> least = leastServed();
     return String.format(
         Locale.ROOT,
@@ -178,16 +178,16 @@
             + " p95 %.0f ms, 503s %d, processor %.0f s, neglected %d, slips%s",
         name,
         fails() ? "FAILS" : "ok",
-        broken(),
-        ended(),
+        brokenRules(),
+        unexpectedExits(),
         least.getValue(),
         least.getKey(),
-        answered(),
-        mostSockets(),
+        answeredShare(),
+        maxConnections(),
         root.path("users").path("submit_ms").path("p95").asDouble(),
         root.path("users").path("errors").path("503").asLong(),
         processorS(),
-        neglected(),
+        neglectedJobs(),
         slips());
   }
 }
--- a/src/testbench/java/org/snowturn/workload/SiteFile.java
+++ b/src/testbench/java/org/snowturn/workload/SiteFile.java
@@ -77,7 +77,7 @@
   }
 
   /** Machines, jobs at the start and arrivals so many times; what the controllers have stays. */
-  void grow(double size) throws BadInput {
+  void scaleLoad(double size) throws BadInput {
     if (!(size > 0) || size > 100) {
       throw new BadInput("--size: " + size + " is no size");
     }
@@ -104,7 +104,7 @@
    * What the controllers, the state service and the cloud may do, so many times; of its core a
    * controller gets no more than all.
    */
-  void raise(double times) throws BadInput {
+  void scaleLimits(double times) throws BadInput {
     if (!(times >= 1) || times > 100) {
       throw new BadInput("--limits: " + times + " is not between 1 and 100");
     }
@@ -128,7 +128,7 @@
   }
 
   /** So long a day, for copies that are too large to be played for longer. */
-  void lasts(double seconds) throws BadInput {
+  void setDuration(double seconds) throws BadInput {
     if (!(seconds > 0)) {
       throw new BadInput("--duration: " + seconds + " s is no time");
     }
@@ -136,7 +136,7 @@
   }
 
   /** A process that ends is back after this time. */
-  void restartAfter(double seconds) throws BadInput {
+  void setRestartDelay(double seconds) throws BadInput {
     if (!(seconds >= 0)) {
       throw new BadInput("--restart: " + seconds + " s is no time");
     }
@@ -144,7 +144,7 @@
   }
 
   /** One class so many times as often, beside the others. */
-  void mix(String jobClass, double times) throws BadInput {
+  void scaleArrivals(String jobClass, double times) throws BadInput {
     boolean found = false;
     for (JsonNode node : root.path("jobs")) {
       if (node.path("name").asText().equals(jobClass)
@@ -160,7 +160,7 @@
   }
 
   /** One team's weight among the others; a team that is not there yet is added. */
-  void weigh(String team, double weight) throws BadInput {
+  void setTeamWeight(String team, double weight) throws BadInput {
     if (!(weight > 0)) {
       throw new BadInput("--team: " + weight + " is no weight");
     }
@@ -175,7 +175,7 @@
   }
 
   /** The names of classes. */
-  Set<String> classes() {
+  Set<String> jobClasses() {
     return names("jobs", "name");
   }
 
@@ -183,7 +183,7 @@
     return names("capacity", "zone");
   }
 
-  Set<String> types() {
+  Set<String> machineTypes() {
     return names("machine_types", "name");
   }
 
@@ -193,20 +193,20 @@
     return out;
   }
 
-  double duration() {
+  double durationS() {
     return root.path("duration_s").asDouble(500);
   }
 
-  double warmup() {
+  double warmupS() {
     return root.path("warmup_s").asDouble(80);
   }
 
-  int nodes() {
+  int nodeCount() {
     return root.path("nodes").path("count").asInt(3);
   }
 
   /** All troubles that its days name, by kind. */
-  Map<String, List<ObjectNode>> troubles() {
+  Map<String, List<ObjectNode>> faultsByKind() {
     Map<String, List<ObjectNode>> out = new TreeMap<>();
     for (JsonNode day : root.path("day")) {
       for (JsonNode f : day.path("faults")) {
@@ -219,7 +219,7 @@
   }
 
   /** Troubles that no site need name, of the users' page of meetings. */
-  static List<ObjectNode> more() throws IOException {
+  static List<ObjectNode> additionalFaults() throws IOException {
     List<ObjectNode> out = new ArrayList<>();
     try (InputStream in = SiteFile.class.getResourceAsStream("/days/meetings.toml")) {
       TOML.readTree(in).path("faults").forEach(f -> out.add((ObjectNode) f));
@@ -228,7 +228,7 @@
   }
 
   /** The names of classes of arrays. */
-  Set<String> arrays() {
+  Set<String> arrayClasses() {
     Set<String> out = new TreeSet<>();
     for (JsonNode node : root.path("jobs")) {
       if (node.path("kind").asText().equals("array")) {
@@ -249,13 +249,14 @@
   }
 
   /** The names that a trouble refers to, checked against this site. */
-  void check(JsonNode fault) throws BadInput {
-    check(fault, "class", classes());
-    check(fault, "zone", zones());
-    check(fault, "type", types());
+  void checkReferences(JsonNode fault) throws BadInput {
+    checkReferences(fault, "class", jobClasses());
+    checkReferences(fault, "zone", zones());
+    checkReferences(fault, "type", machineTypes());
   }
 
-  private static void check(JsonNode fault, String field, Set<String> known) throws BadInput {
+  private static void checkReferences(JsonNode fault, String field, Set<String> known)
+      throws BadInput {
     if (fault.has(field) && !known.contains(fault.path(field).asText())) {
       throw new BadInput(
           fault.path("kind").asText() + ": unknown " + field + " " + fault.path(field).asText());
--- a/src/testbench/java/org/snowturn/workload/WorkloadCommand.java
+++ b/src/testbench/java/org/snowturn/workload/WorkloadCommand.java
@@ -63,21 +63,21 @@
     @Override
     public Integer call() throws IOException, SiteFile.BadInput {
       SiteFile site = SiteFile.read(from);
-      site.grow(size);
+      site.scaleLoad(size);
       if (limits != 1) {
-        site.raise(limits);
+        site.scaleLimits(limits);
       }
       if (duration != null) {
-        site.lasts(duration);
+        site.setDuration(duration);
       }
       if (restart != null) {
-        site.restartAfter(restart);
+        site.setRestartDelay(restart);
       }
       for (var e : mix.entrySet()) {
-        site.mix(e.getKey(), e.getValue());
+        site.scaleArrivals(e.getKey(), e.getValue());
       }
       for (var e : teams.entrySet()) {
-        site.weigh(e.getKey(), e.getValue());
+        site.setTeamWeight(e.getKey(), e.getValue());
       }
       site.write(to);
       // What a site refers to lies beside it.
@@ -134,9 +134,9 @@
     @Override
     public Integer call() throws IOException, SiteFile.BadInput {
       SiteFile site = SiteFile.read(at);
-      Map<String, List<ObjectNode>> troubles = site.troubles();
+      Map<String, List<ObjectNode>> troubles = site.faultsByKind();
       for (Path p : like) {
-        for (var e : SiteFile.read(p).troubles().entrySet()) {
+        for (var e : SiteFile.read(p).faultsByKind().entrySet()) {
           // Only what names nothing that this site lacks.
           for (ObjectNode f : e.getValue()) {
             if (!f.has("class") && !f.has("zone") && !f.has("type")) {
@@ -146,7 +146,7 @@
         }
       }
       if (meetings) {
-        for (ObjectNode f : SiteFile.more()) {
+        for (ObjectNode f : SiteFile.additionalFaults()) {
           troubles.computeIfAbsent(f.path("kind").asText(), k -> new ArrayList<>()).add(f);
         }
       }
@@ -154,9 +154,9 @@
         throw new SiteFile.BadInput("nothing to draw from, or no number of days, or no size");
       }
       DayGenerator draw = new DayGenerator(site, troubles, size, flood, broken, guests, meetings);
-      double seconds = duration == null ? site.duration() : duration;
+      double seconds = duration == null ? site.durationS() : duration;
       for (long seed = first; seed < first + count; seed++) {
-        SiteFile.write(draw.day(seed, seconds), dir.resolve("drawn-" + seed + ".toml"));
+        SiteFile.write(draw.generate(seed, seconds), dir.resolve("drawn-" + seed + ".toml"));
       }
       return 0;
     }
@@ -173,7 +173,7 @@
       double least = 1;
       for (Path p : reports) {
         DayReport r = DayReport.read(p);
-        System.out.println(r.line());
+        System.out.println(r.summaryLine());
         failed += r.fails() ? 1 : 0;
         least = Math.min(least, r.leastServed().getValue());
       }
@@ -196,7 +196,7 @@
     public Integer call() throws SiteFile.BadInput {
       System.out.println(DayReport.CSV_HEADER);
       for (Path p : reports) {
-        System.out.println(DayReport.read(p).csv());
+        System.out.println(DayReport.read(p).csvLine());
       }
       return 0;
     }
@@ -207,11 +207,11 @@
 
   /** Runs a command line; the exit status is 2 for what the caller got wrong. */
   static int run(String... args) {
-    return handled(new CommandLine(new WorkloadCommand())).execute(args);
+    return withErrorHandlers(new CommandLine(new WorkloadCommand())).execute(args);
   }
 
   /** Tells of what the caller got wrong in one line, with status 2. */
-  public static CommandLine handled(CommandLine command) {
+  public static CommandLine withErrorHandlers(CommandLine command) {
     return command
         .setParameterExceptionHandler(
             (e, args) -> {
