--- a/src/test/java/org/snowturn/knownred/KnownRedTest.java
+++ b/src/test/java/org/snowturn/knownred/KnownRedTest.java
@@ -20,7 +20,7 @@
 
 /**
  * Guards against a known-red list that is malformed, or that names a test which was renamed or
- * removed and thus would excuse nothing.
+ * removed.
  */
 class KnownRedTest {
   private static final Path TESTS = Path.of("src", "test", "java");
--- a/src/test/java/org/snowturn/workload/WorkloadCommandTest.java
+++ b/src/test/java/org/snowturn/workload/WorkloadCommandTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Guards against wrong copies of sites, generated days and verdicts on reports. */
+/** Guards against wrong copies of site files, wrong generated days, and failed days that pass. */
 class WorkloadCommandTest {
   private static final Path RESOURCES = Path.of("src/test/resources/days");
   private static final String SITE = RESOURCES.resolve("site.toml").toString();
--- a/src/testbench/java/org/snowturn/workload/DayGenerator.java
+++ b/src/testbench/java/org/snowturn/workload/DayGenerator.java
@@ -50,8 +50,8 @@
    *
    * @param site the site whose classes, zones and machine types the faults refer to
    * @param faultsByKind the faults to choose from, by kind
-   * @param machineScale the factor on the number of machines that a fault affects: the number of
-   *     machines of the site relative to the sites that list the faults
+   * @param machineScale the number of machines of the site, relative to the sites that list the
+   *     faults; numbers of affected machines are multiplied by it
    * @param maxBurstFactor the largest factor by which a burst multiplies arrivals
    * @param brokenShare the share of the arrays that fail on every machine
    * @param hasGuests whether a guest team submits jobs, as on a day of the site
@@ -159,6 +159,7 @@
     }
   }
 
+  /** Sets a share for each class of arrays, and adds classes that the day does not list. */
   private void setArrayShare(ObjectNode day, String field, double share) {
     ArrayNode jobs = day.withArray("/jobs");
     for (String name : site.arrayClasses()) {
@@ -195,7 +196,8 @@
   }
 
   /**
-   * Returns a copy of a fault at another time, with its durations and numbers varied by up to half.
+   * Returns a copy of a fault at another time, with its durations, factors and number of machines
+   * varied by up to half.
    */
   private ObjectNode vary(ObjectNode original, double at, SplittableRandom random) {
     ObjectNode fault = original.deepCopy();
@@ -216,7 +218,7 @@
     return fault;
   }
 
-  /** Rounds to one decimal place, as site files have them. */
+  /** Rounds to one decimal place. */
   private static double round(double value) {
     return Math.round(value * 10) / 10.0;
   }
--- a/src/testbench/java/org/snowturn/workload/DayReport.java
+++ b/src/testbench/java/org/snowturn/workload/DayReport.java
@@ -10,10 +10,10 @@
 
 /** Report of a day that was played, with the figures that decide whether the day failed. */
 final class DayReport {
-  /** Smallest share of jobs served and of requests answered on a day that passes. */
+  /** Minimum share of jobs served and of requests answered on a day that passes. */
   private static final double MIN_SHARE = 0.5;
 
-  /** Most processor time that the processes may use on a day that passes, in seconds. */
+  /** Maximum processor time used on a day that passes, in seconds. */
   private static final double MAX_PROCESSOR_S = 400;
 
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -40,11 +40,11 @@
       }
       return new DayReport(node, String.valueOf(file.getFileName()));
     } catch (IOException e) {
-      throw new SiteFile.BadInput(file + ": cannot be read as JSON");
+      throw new SiteFile.BadInput(file + ": cannot be read, or is not JSON");
     }
   }
 
-  /** Returns the number of violations of rules, of all rules together. */
+  /** Returns the total number of rule violations. */
   long brokenRules() {
     return root.path("rules_broken").path("total").asLong();
   }
@@ -104,7 +104,7 @@
   }
 
   /**
-   * Returns the processor time that was used, without that of the simulation's turns, in seconds.
+   * Returns the sum of the processor times under {@code spent}, without {@code turns}, in seconds.
    */
   double processorS() {
     double processorS = 0;
--- a/src/testbench/java/org/snowturn/workload/SiteFile.java
+++ b/src/testbench/java/org/snowturn/workload/SiteFile.java
@@ -45,7 +45,7 @@
       return new SiteFile(object);
     } catch (IOException e) {
       String firstLine = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-      throw new BadInput(file + ": " + firstLine);
+      throw new BadInput(file + ": cannot be read as TOML: " + firstLine);
     }
   }
 
@@ -235,7 +235,7 @@
     return faults;
   }
 
-  /** Returns further faults, which sites don't list: those that strike while others last. */
+  /** Returns the faults of the resource days/meetings.toml, which site files need not list. */
   static List<ObjectNode> additionalFaults() throws IOException {
     List<ObjectNode> faults = new ArrayList<>();
     try (InputStream in = SiteFile.class.getResourceAsStream("/days/meetings.toml")) {
