--- a/src/test/java/org/snowturn/testbench/TestbenchCommandsTest.java
+++ b/src/test/java/org/snowturn/testbench/TestbenchCommandsTest.java
@@ -30,7 +30,7 @@
   private final StringWriter errors = new StringWriter();
 
   private int run(String... args) {
-    CommandLine commandLine = WorkloadCommand.handled(new CommandLine(new Testbench()));
+    CommandLine commandLine = WorkloadCommand.withErrorHandlers(new CommandLine(new Testbench()));
     commandLine.setErr(new PrintWriter(errors));
     return commandLine.execute(args);
   }
--- a/src/testbench/java/org/snowturn/testbench/Testbench.java
+++ b/src/testbench/java/org/snowturn/testbench/Testbench.java
@@ -25,6 +25,6 @@
 
   /** Runs a command. Invalid input is reported in one line and ends with exit status 2. */
   public static void main(String[] args) {
-    System.exit(WorkloadCommand.handled(new CommandLine(new Testbench())).execute(args));
+    System.exit(WorkloadCommand.withErrorHandlers(new CommandLine(new Testbench())).execute(args));
   }
 }
