--- a/src/main/java/org/snowturn/core/admission/RateAllocator.java
+++ b/src/main/java/org/snowturn/core/admission/RateAllocator.java
@@ -104,7 +104,7 @@
     Map<String, Double> gauges = new HashMap<>();
     gauges.put("snowturn.admission.requests.share", budget.allowedPerSecond());
     gauges.put("snowturn.admission.requests.demand", budget.demandPerSecond(nowMs));
-    gauges.put("snowturn.admission.requests.throttled", (double) budget.refusedByService());
+    gauges.put("snowturn.admission.requests.throttled", (double) budget.serviceRefusalCount());
     gauges.put("snowturn.admission.submissions.demand", admissionController.demandPerSecond(nowMs));
     gauges.put("snowturn.admission.submissions.pressure", admissionController.refusedShare(nowMs));
     gauges.put("snowturn.admission.peers.reporting", (double) demands.freshPeerCount(nowMs));
--- a/src/main/java/org/snowturn/core/admission/StateRequestBudget.java
+++ b/src/main/java/org/snowturn/core/admission/StateRequestBudget.java
@@ -91,7 +91,7 @@
   }
 
   /** Reduces the allowed rate after the service refused a request for exceeding its rate. */
-  public void refusedByService(long nowMs) {
+  public void onServiceRefusal(long nowMs) {
     serviceRefusalCount++;
     if (nowMs - reducedAt >= MIN_REFUSAL_INTERVAL_MS) {
       refill(nowMs);
@@ -134,7 +134,7 @@
   }
 
   /** Returns the number of requests that the service refused for exceeding its rate. */
-  public long refusedByService() {
+  public long serviceRefusalCount() {
     return serviceRefusalCount;
   }
 }
--- a/src/main/java/org/snowturn/core/effects/CoreRuntime.java
+++ b/src/main/java/org/snowturn/core/effects/CoreRuntime.java
@@ -330,7 +330,7 @@
       if (reply.status() == STATUS_TOO_MANY_REQUESTS
           && openCall.isLimitedByRequests
           && budget != null) {
-        budget.refusedByService(now);
+        budget.onServiceRefusal(now);
       }
       retryAfterMs = reply.retryAfterMs();
       openCall.replyHandler.onReply(reply.outcome(), reply.status(), reply.body());
--- a/src/test/java/org/snowturn/core/admission/StateRequestBudgetTest.java
+++ b/src/test/java/org/snowturn/core/admission/StateRequestBudgetTest.java
@@ -64,12 +64,12 @@
   void serviceRefusalsReduceTheRateWhichThenRecovers() {
     StateRequestBudget budget = new StateRequestBudget(100, 0);
     for (long now = 0; now < 3_000; now += 10) {
-      budget.refusedByService(now);
+      budget.onServiceRefusal(now);
     }
     assertEquals(40, budget.allowedPerSecond(), 1);
     budget.tryAcquire(RequestClass.WORK, 8_000);
     assertEquals(100, budget.allowedPerSecond(), 1e-6);
-    assertEquals(300, budget.refusedByService());
+    assertEquals(300, budget.serviceRefusalCount());
   }
 
   @Test
--- a/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
+++ b/src/testbench/java/org/snowturn/simulation/InvariantChecker.java
@@ -37,10 +37,7 @@
   /** Maximum time until a leader learns what its peers or the state service know. */
   private static final long MAX_PROPAGATION_MS = 1_000;
 
-  /**
-   * Maximum time between the inputs of two nodes for which both are checked for authority. Longer
-   * than the interval between two ticks of a node.
-   */
+  /** Maximum time between inputs of two nodes checked for authority; longer than a tick. */
   private static final long LEADER_OVERLAP_MS = 100;
 
   /** A task that was started on a machine and may have left it since. */
@@ -55,12 +52,9 @@
     }
   }
 
-  /** Started tasks by job. */
   private final Map<String, List<StartedTask>> startedTasksByJob = new HashMap<>();
 
-  /** Total number of tasks that have started to run. */
   long startedTasks;
-
   private final SimulatedCluster cluster;
   private long nextJobCheckAt;
   private SimulatedCluster.Node lastLeader;
@@ -127,10 +121,7 @@
     }
   }
 
-  /**
-   * Reports a start of a task while a dependency of its job is not recorded as done in the state
-   * service.
-   */
+  /** Reports a task that starts before the state service records its dependencies as done. */
   private void checkDependenciesDone(SimulatedWorker.Task task, JobSpec spec) {
     for (String id : spec.dependencies()) {
       JsonNode outcome = cluster.state.storedValue("d/" + id);
@@ -263,10 +254,8 @@
   }
 
   /**
-   * Returns whether a job may use a machine and one of its tasks fits there.
-   *
-   * @param takenCpus the CPUs taken on each machine; a task takes the larger of its CPUs and its
-   *     memory divided by {@link #MEMORY_GB_PER_CPU}, rounded up
+   * Returns whether a job may use a machine and one of its tasks fits there. A task takes the
+   * larger of its CPUs and its memory divided by {@link #MEMORY_GB_PER_CPU}, rounded up.
    */
   private static boolean hasRoom(
       SimulatedWorker worker, JobSpec spec, Map<SimulatedWorker, Integer> takenCpus) {
@@ -315,22 +304,15 @@
    * Checks at the end of a run that a minimum share of the jobs of each class, of each team and of
    * the largest jobs of each class was served, and that the largest jobs started in time. The
    * largest jobs of a class are the tenth with the most tasks, at least one job. Jobs whose
-   * cancellation was requested do not count.
-   *
-   * @param minServedShare the minimum share of the jobs served, from 0 to 1
-   * @param maxStartDelayMs the maximum delay from submission to the first start of a largest job,
-   *     in milliseconds
+   * cancellation was requested do not count. {@code maxStartDelayMs} limits the delay from
+   * submission to the first start.
    */
   void checkServed(double minServedShare, long maxStartDelayMs) {
     Map<String, List<SimulatedClients.SubmittedJob>> groups = new TreeMap<>();
-    for (SimulatedClients.SubmittedJob submitted : cluster.clients.allJobs()) {
-      if (submitted.accepted && !submitted.cancelRequested && !submitted.alwaysFails) {
-        groups
-            .computeIfAbsent("class " + submitted.spec.jobClass(), group -> new ArrayList<>())
-            .add(submitted);
-        groups
-            .computeIfAbsent("team " + submitted.spec.team(), group -> new ArrayList<>())
-            .add(submitted);
+    for (SimulatedClients.SubmittedJob job : cluster.clients.allJobs()) {
+      if (job.accepted && !job.cancelRequested && !job.alwaysFails) {
+        groups.computeIfAbsent("class " + job.spec.jobClass(), key -> new ArrayList<>()).add(job);
+        groups.computeIfAbsent("team " + job.spec.team(), key -> new ArrayList<>()).add(job);
       }
     }
     groups.forEach(
@@ -352,10 +334,8 @@
     long servedJobs =
         jobs.stream()
             .filter(
-                submitted ->
-                    submitted.spec.isService()
-                        ? submitted.firstStartAt >= 0
-                        : "done".equals(submitted.terminalPhase))
+                job ->
+                    job.spec.isService() ? job.firstStartAt >= 0 : "done".equals(job.terminalPhase))
             .count();
     if (servedJobs < minServedShare * jobs.size()) {
       reportViolation("unserved", name + ": " + servedJobs + " of " + jobs.size());
--- a/src/testbench/java/org/snowturn/simulation/LoopbackCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/LoopbackCluster.java
@@ -40,15 +40,12 @@
   private static final long QUERY_TIMEOUT_S = 30;
   private static final long MACHINE_BOOT_MS = 3_000;
   private static final double MEMORY_PER_CPU_GB = 4.5;
+  private static final int MIN_CPUS_PER_MACHINE = 8;
+  private static final int ADDRESSES_PER_OCTET = 250;
 
   /** Ratio of a machine's CPUs to its share of the concurrent tasks, which use one CPU each. */
   private static final double CPU_HEADROOM = 1.15;
 
-  private static final int MIN_CPUS_PER_MACHINE = 8;
-
-  /** Number of values used of the third and fourth octet of a machine's address. */
-  private static final int ADDRESSES_PER_OCTET = 250;
-
   /** Second octet of the machine addresses of region 0; the next region uses the next value. */
   private static final int FIRST_REGION_OCTET = 16;
 
@@ -67,22 +64,15 @@
   private long longestPauseMs;
   private boolean isTrackingPauses;
 
-  /**
-   * Addresses of the simulated services, by the name of the controller that uses them.
-   *
-   * @param state the address of the state service for each controller
-   * @param cloud the address of the cloud for each controller
-   */
+  /** Addresses of state service and cloud, by the name of the controller that uses them. */
   public record ServiceAddresses(
       Map<String, InetSocketAddress> state, Map<String, InetSocketAddress> cloud) {}
 
   /** Creates a region that does not run yet. */
   public LoopbackCluster(LoopbackPlan plan) {
     this.plan = plan;
-    double cpus =
-        Math.max(
-            MIN_CPUS_PER_MACHINE,
-            Math.ceil(plan.concurrentTasks() * CPU_HEADROOM / plan.workers()));
+    double taskCpus = plan.concurrentTasks() * CPU_HEADROOM / plan.workers();
+    double cpus = Math.max(MIN_CPUS_PER_MACHINE, Math.ceil(taskCpus));
     SimulationParameters parameters =
         new SimulationParameters(
             cpus,
@@ -127,12 +117,7 @@
         plan.maxConnections());
   }
 
-  /**
-   * A team that submits jobs.
-   *
-   * @param name the name of the team
-   * @param maxCpus the maximum number of CPUs that its tasks may use
-   */
+  /** A team that submits jobs, and the maximum number of CPUs that its tasks may use. */
   public record Team(String name, double maxCpus) {}
 
   /**
@@ -193,12 +178,7 @@
     return ioWorker;
   }
 
-  /**
-   * Starts the simulation. It rents the planned machines and sends the requests of users and
-   * workers to the controllers.
-   *
-   * @param controllerAddresses the address on which each controller serves, by its name
-   */
+  /** Rents the planned machines and starts sending requests to the controllers, given by name. */
   public void start(Map<String, InetSocketAddress> controllerAddresses) throws IOException {
     ByteBufferPool buffers =
         new DefaultByteBufferPool(false, BUFFER_BYTES, MAX_POOLED_BUFFERS, MAX_BUFFERS_PER_THREAD);
@@ -254,10 +234,7 @@
     driver.post(loadGenerator::submitStandingJobs);
   }
 
-  /**
-   * Starts the arrivals of short arrays and urgent jobs, and begins to track pauses between task
-   * starts.
-   */
+  /** Starts arrivals of short arrays and urgent jobs, and tracks pauses between task starts. */
   public void startArrivals() {
     driver.post(
         () -> {
@@ -300,12 +277,7 @@
     return new LoopbackFaults(cluster, driver, links);
   }
 
-  /**
-   * Starts submitting random jobs.
-   *
-   * @param durationMs the time for which jobs are submitted, in milliseconds
-   * @param intervalMs the maximum time between two jobs, in milliseconds
-   */
+  /** Starts submitting random jobs for a duration, at most {@code intervalMs} apart. */
   public void startRandomJobs(long durationMs, int intervalMs) {
     List<String> names = teams().stream().map(Team::name).toList();
     driver.post(
@@ -315,8 +287,6 @@
   /**
    * Starts users that read at all controllers within milliseconds after a job was accepted or
    * ended, repeat submissions, cancel finished jobs and submit jobs that can never run.
-   *
-   * @param durationMs the time for which they do so, in milliseconds
    */
   public void startStressClients(long durationMs) {
     driver.post(
@@ -332,19 +302,15 @@
   }
 
   /**
-   * Returns descriptions of the jobs that are still open after all faults have ended.
-   *
-   * @param answeredSinceMs the time since which users must have had an answer about each job, in
-   *     milliseconds of {@link LoopbackStatus#nowMs}
+   * Returns descriptions of the jobs that are still open after all faults have ended. Users must
+   * have had an answer about each job since {@code answeredSinceMs} of {@link
+   * LoopbackStatus#nowMs}.
    */
   public List<String> unsettledJobs(long answeredSinceMs) throws TimeoutException {
     return query(() -> cluster.invariants.unsettledJobs(answeredSinceMs));
   }
 
-  /**
-   * Returns the name of the controller that holds the leader key in the state service, or null if
-   * the key is absent.
-   */
+  /** Returns the controller that holds the leader key, or null if the key is absent. */
   public String leaderByKey() throws TimeoutException {
     return query(cluster.state::leader);
   }
@@ -392,10 +358,7 @@
         violations);
   }
 
-  /**
-   * Returns the name of the controller that last answered a heartbeat as leader, or null if none
-   * has.
-   */
+  /** Returns the controller that last answered a heartbeat as leader, or null if none has. */
   private String lastAnsweringController() {
     RemoteEndpoint last = null;
     for (RemoteEndpoint endpoint : endpoints) {
@@ -407,18 +370,12 @@
     return last == null || last.lastHeartbeatAnswerAt == Long.MIN_VALUE ? null : last.name;
   }
 
-  /**
-   * Returns a copy of the delays from the scheduled submission of urgent jobs to the start of their
-   * tasks, in milliseconds.
-   */
+  /** Returns the delays, in ms, from the scheduled submission of urgent jobs to task starts. */
   public Histogram urgentDelays() throws TimeoutException {
     return query(() -> loadGenerator.urgentDelays().copy());
   }
 
-  /**
-   * Returns a copy of the delays from the scheduled submission of jobs to their acceptance, in
-   * milliseconds.
-   */
+  /** Returns the delays, in ms, from the scheduled submission of jobs to their acceptance. */
   public Histogram acceptDelays() throws TimeoutException {
     return query(() -> loadGenerator.acceptDelays().copy());
   }
