--- a/src/testbench/java/org/snowturn/testbench/FaultInjector.java
+++ b/src/testbench/java/org/snowturn/testbench/FaultInjector.java
@@ -70,8 +70,9 @@
         scheduled.remove(next);
         next.action.run();
       } else {
-        Thread.sleep(
-            next == null ? POLL_INTERVAL_MS : Math.min(POLL_INTERVAL_MS, next.atMs - nowMs()));
+        long untilNextMs = next == null ? POLL_INTERVAL_MS : next.atMs - nowMs();
+        // Negative if the time of the next action has come since the check above.
+        Thread.sleep(Math.max(0, Math.min(POLL_INTERVAL_MS, untilNextMs)));
       }
     }
   }
