--- a/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
+++ b/src/testbench/java/org/snowturn/simulation/SimulatedCluster.java
@@ -30,7 +30,7 @@
   /** Interval of the controllers' ticks. */
   private static final long TICK_MS = 40;
 
-  /** Difference between the time of day and the steady clock of the controllers. */
+  /** Difference between the time of day and the monotonic clock of the controllers. */
   private static final long WALL_CLOCK_OFFSET_MS = 1_000_000;
 
   /** Minimum delay of a copied heartbeat that is not delivered at once. */
--- a/src/testbench/java/org/snowturn/testbench/PeerRelay.java
+++ b/src/testbench/java/org/snowturn/testbench/PeerRelay.java
@@ -57,7 +57,7 @@
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
   }
 
-  /** Cuts or restores the link. Restoring it closes all connections, so that they are made anew. */
+  /** Cuts or restores the link. Restoring it closes all connections, so that they are reopened. */
   void setCut(boolean isCut) {
     if (cut && !isCut) {
       openSockets.forEach(PeerRelay::close);
