--- a/src/main/java/org/snowturn/core/scheduling/ProbePlacement.java
+++ b/src/main/java/org/snowturn/core/scheduling/ProbePlacement.java
@@ -81,8 +81,8 @@
 
   /** Returns the machine's score with penalties for less informative machines. */
   private double score(Job job, Machine machine) {
-    // When nearly all machines have failures, the ones still marked sound may be faulty too, so
-    // every other probe prefers a machine that is not marked sound.
+    // When nearly all machines have failures, those still considered healthy may be faulty too. So
+    // every other probe prefers a machine that is not considered healthy.
     boolean isInformative = machine.failures.isHealthy() == (job.failures.probeCount() % 2 == 0);
     return score.score(job, machine)
         + (isInformative ? 0 : UNINFORMATIVE_PENALTY_S)
--- a/src/testbench/java/org/snowturn/workload/WorkloadCommand.java
+++ b/src/testbench/java/org/snowturn/workload/WorkloadCommand.java
@@ -131,7 +131,8 @@
     @Option(
         names = "--meetings",
         description =
-            "Adds overlapping faults: late writes and reports, deaf machines, nodes cut off twice;"
+            "Adds overlapping faults: late writes and reports, machines that receive nothing,"
+                + " nodes cut off twice;"
                 + " the state service refuses first the busiest node, then all, while users"
                 + " cancel jobs.")
     private boolean meetings;
