--- a/src/main/java/org/snowturn/config/Settings.java
+++ b/src/main/java/org/snowturn/config/Settings.java
@@ -4,10 +4,19 @@
 import java.util.List;
 
 /**
- * The platform's settings of one controller, checked.
+ * The validated platform settings of one controller.
  *
- * @param nextStateLimits what the state service's limits will be from some unknown moment on; the
- *     same as now if nothing is to change
+ * @param node name of this controller, unique among the controllers
+ * @param zone zone in which this controller runs
+ * @param listenAddress address on which the HTTP API for users and workers listens
+ * @param peerListenAddress address on which connections of other controllers are accepted
+ * @param peers the other controllers
+ * @param cloudAddress address of the cloud API
+ * @param stateServiceAddress address of the state service
+ * @param zones zones in which machines can be rented
+ * @param nextStateLimits limits that the state service will switch to at an unannounced time; equal
+ *     to {@code stateLimits} if no change is planned
+ * @param maxConnections maximum number of open sockets of this controller
  */
 public record Settings(
     String node,
@@ -26,24 +35,51 @@
     CloudLimits cloudLimits,
     int maxConnections) {
 
-  /** Another controller. */
+  /** Another controller and the address on which it accepts connections of its peers. */
   public record Peer(String node, InetSocketAddress address) {}
 
-  /** A team's guarantee and limit; a limit of 0 means none. */
+  /** A team's guaranteed and maximum resources; a maximum of 0 means unlimited. */
   public record Team(
       String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {}
 
-  /** An aim at start or finish. */
+  /**
+   * A service-level objective for the jobs of one class.
+   *
+   * @param kind what the objective measures, such as {@code wait}, {@code finished} or {@code
+   *     deadline}
+   * @param jobClass job class to which the objective applies
+   * @param share share of the jobs that have to meet the objective, from 0 to 1
+   * @param durationFactor multiple of a job's deadline within which it has to be done, for kind
+   *     {@code deadline}
+   * @param withinS maximum time in seconds until the start ({@code wait}) or the end ({@code
+   *     finished}) of a job
+   */
   public record Objective(
       String kind, String jobClass, double share, double durationFactor, double withinS) {}
 
-  /** How workers behave. */
+  /**
+   * Timing of the workers.
+   *
+   * @param heartbeatIntervalS seconds between two heartbeats of a worker
+   * @param leaseS seconds after which a worker without contact to the leader stops its tasks
+   * @param cancellationDeadlineS seconds after the confirmation of a cancellation within which all
+   *     tasks of the job have to be stopped
+   */
   public record Workers(double heartbeatIntervalS, double leaseS, double cancellationDeadlineS) {}
 
-  /** The state service's limits. */
+  /**
+   * Limits of the state service.
+   *
+   * @param maxRps maximum requests per second
+   * @param maxWriteRps maximum write requests per second
+   * @param maxValueKb maximum size of a value in KiB
+   * @param maxTransactionOps maximum number of operations in a transaction
+   */
   public record StateLimits(
       double maxRps, double maxWriteRps, double maxValueKb, int maxTransactionOps) {
-    /** Of each limit the smaller one. */
+    private static final int BYTES_PER_KB = 1024;
+
+    /** Returns limits that consist of the smaller value of each limit. */
     public StateLimits min(StateLimits other) {
       return new StateLimits(
           Math.min(maxRps, other.maxRps),
@@ -52,12 +88,17 @@
           Math.min(maxTransactionOps, other.maxTransactionOps));
     }
 
-    /** How long a value may be. */
+    /** Returns the maximum size of a value in bytes. */
     public int maxValueBytes() {
-      return (int) (maxValueKb * 1024);
+      return (int) (maxValueKb * BYTES_PER_KB);
     }
   }
 
-  /** The cloud's limits. */
+  /**
+   * Limits of the cloud.
+   *
+   * @param maxRps maximum requests per second
+   * @param listLagS maximum delay in seconds until a change appears in the list of machines
+   */
   public record CloudLimits(double maxRps, double listLagS) {}
 }
--- a/src/main/java/org/snowturn/config/SettingsException.java
+++ b/src/main/java/org/snowturn/config/SettingsException.java
@@ -1,8 +1,11 @@
 package org.snowturn.config;
 
-/** Settings that cannot be used; the message is one line that names the field. */
+/**
+ * Thrown for settings that cannot be read or are invalid. The message is one line that names the
+ * file and, where possible, the line and the field.
+ */
 public final class SettingsException extends Exception {
-  /** Says what is wrong. */
+  /** Creates an exception with a one-line message for the operator. */
   public SettingsException(String message) {
     super(message);
   }
--- a/src/main/java/org/snowturn/config/SettingsReader.java
+++ b/src/main/java/org/snowturn/config/SettingsReader.java
@@ -12,9 +12,15 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads and checks the platform's TOML file. */
+/** Reads and validates the platform's settings from a TOML file. */
 public final class SettingsReader {
-  private static final double MIN_CANCEL_MARGIN_S = 2;
+  /** Minimum time by which the cancellation deadline exceeds the worker lease. */
+  private static final double MIN_CANCELLATION_MARGIN_S = 2;
+
+  private static final int MIN_MAX_CONNECTIONS = 16;
+  private static final double DEFAULT_MAX_CONNECTIONS = 1024;
+  private static final double MAX_NUMBER = 1e12;
+  private static final int MIN_TRANSACTION_OPS = 2;
 
   private final String file;
 
@@ -22,18 +28,24 @@
     this.file = file;
   }
 
-  /** Reads a file. */
+  /**
+   * Reads and validates the settings in a file. Unknown fields are ignored.
+   *
+   * @throws SettingsException if the file cannot be read, is not valid TOML, or contains invalid
+   *     settings
+   */
   public static Settings read(Path path) throws SettingsException {
     SettingsReader reader = new SettingsReader(path.toString());
     JsonNode root;
     try {
       root = new TomlMapper().readTree(Files.readString(path));
     } catch (JacksonException e) {
-      var at = e.getLocation();
-      throw reader.bad(
-          at == null ? "" : "line " + at.getLineNr(), "not TOML: " + e.getOriginalMessage());
+      var location = e.getLocation();
+      throw reader.invalid(
+          location == null ? "" : "line " + location.getLineNr(),
+          "invalid TOML: " + e.getOriginalMessage());
     } catch (IOException e) {
-      throw reader.bad("", "cannot be read");
+      throw reader.invalid("", "cannot read the file: " + e);
     }
     return reader.settings(root);
   }
@@ -41,20 +53,20 @@
   private Settings settings(JsonNode root) throws SettingsException {
     JsonNode deployment = table(root, "deployment", "");
     JsonNode outside = table(root, "outside", "");
-    String self = text(root, "node", "");
-    List<Settings.Peer> peers = peers(root, self);
+    String ownNode = text(root, "node", "");
+    List<Settings.Peer> peers = peers(root, ownNode);
     List<String> zones = zones(deployment);
     List<Settings.Team> teams = teams(deployment);
     List<Settings.Objective> objectives = objectives(deployment);
     JsonNode workersTable = table(deployment, "workers", "deployment.");
     JsonNode stateTable = table(deployment, "state", "deployment.");
     JsonNode cloudTable = table(deployment, "cloud", "deployment.");
-    String inState = "deployment.state.";
-    String inCloud = "deployment.cloud.";
-    Settings.StateLimits limits = limits(stateTable, inState, null);
+    String statePrefix = "deployment.state.";
+    String cloudPrefix = "deployment.cloud.";
+    Settings.StateLimits limits = limits(stateTable, statePrefix, null);
     Settings.Workers workers = workers(workersTable);
     return new Settings(
-        self,
+        ownNode,
         text(root, "location", ""),
         address(root, "serve_on", ""),
         address(root, "peer_bind", ""),
@@ -67,26 +79,32 @@
         workers,
         limits,
         stateTable.has("next")
-            ? limits(table(stateTable, "next", inState), inState + "next.", limits)
+            ? limits(table(stateTable, "next", statePrefix), statePrefix + "next.", limits)
             : limits,
         new Settings.CloudLimits(
-            positive(cloudTable, "rps", inCloud),
-            number(cloudTable, "list_lag_s", inCloud, 0, null)),
+            positive(cloudTable, "rps", cloudPrefix),
+            number(cloudTable, "list_lag_s", cloudPrefix, 0, null)),
         maxConnections(deployment));
   }
 
   private int maxConnections(JsonNode deployment) throws SettingsException {
     JsonNode table = deployment.path("machine_limits");
-    return (int) number(table, "max_connections", "machine_limits.", 16, 1024.0);
+    return (int)
+        number(
+            table,
+            "max_connections",
+            "machine_limits.",
+            MIN_MAX_CONNECTIONS,
+            DEFAULT_MAX_CONNECTIONS);
   }
 
-  private List<Settings.Peer> peers(JsonNode root, String self) throws SettingsException {
-    Set<String> names = new HashSet<>(Set.of(self));
+  private List<Settings.Peer> peers(JsonNode root, String ownNode) throws SettingsException {
+    Set<String> names = new HashSet<>(Set.of(ownNode));
     List<Settings.Peer> peers = new ArrayList<>();
     for (JsonNode peer : root.path("peers")) {
       String name = text(peer, "node", "peers.");
       if (!names.add(name)) {
-        throw bad("peers.node", "named twice: " + name);
+        throw invalid("peers.node", "duplicate node name: " + name);
       }
       peers.add(new Settings.Peer(name, address(peer, "addr", "peers.")));
     }
@@ -99,119 +117,136 @@
       zones.add(zone.asText());
     }
     if (zones.isEmpty()) {
-      throw bad("deployment.zones", "missing or empty");
+      throw invalid("deployment.zones", "missing or empty, expected at least one zone");
     }
     return List.copyOf(zones);
   }
 
   private List<Settings.Team> teams(JsonNode deployment) throws SettingsException {
-    String at = "deployment.teams.";
+    String prefix = "deployment.teams.";
     List<Settings.Team> teams = new ArrayList<>();
     for (JsonNode team : deployment.path("teams")) {
       teams.add(
           new Settings.Team(
-              text(team, "name", at),
-              guarantee(team, "cpus", at),
-              number(team, "cpus_max", at, 0, 0.0),
-              guarantee(team, "gpus", at),
-              number(team, "gpus_max", at, 0, 0.0)));
+              text(team, "name", prefix),
+              guarantee(team, "cpus", prefix),
+              number(team, "cpus_max", prefix, 0, 0.0),
+              guarantee(team, "gpus", prefix),
+              number(team, "gpus_max", prefix, 0, 0.0)));
     }
     return List.copyOf(teams);
   }
 
   private List<Settings.Objective> objectives(JsonNode deployment) throws SettingsException {
-    String at = "deployment.objectives.";
+    String prefix = "deployment.objectives.";
     List<Settings.Objective> objectives = new ArrayList<>();
     for (JsonNode objective : deployment.path("objectives")) {
       objectives.add(
           new Settings.Objective(
-              text(objective, "kind", at),
-              text(objective, "class", at),
-              number(objective, "share", at, 0, 0.0),
-              number(objective, "times", at, 0, 1.0),
-              number(objective, "within_s", at, 0, 0.0)));
+              text(objective, "kind", prefix),
+              text(objective, "class", prefix),
+              number(objective, "share", prefix, 0, 0.0),
+              number(objective, "times", prefix, 0, 1.0),
+              number(objective, "within_s", prefix, 0, 0.0)));
     }
     return List.copyOf(objectives);
   }
 
   private Settings.Workers workers(JsonNode table) throws SettingsException {
-    String at = "deployment.workers.";
+    String prefix = "deployment.workers.";
     Settings.Workers workers =
         new Settings.Workers(
-            positive(table, "report_s", at),
-            positive(table, "lease_s", at),
-            positive(table, "cancel_s", at));
-    if (workers.cancellationDeadlineS() <= workers.leaseS() + MIN_CANCEL_MARGIN_S) {
-      throw bad("deployment.workers.cancel_s", "must exceed lease_s by more than 2 s");
+            positive(table, "report_s", prefix),
+            positive(table, "lease_s", prefix),
+            positive(table, "cancel_s", prefix));
+    if (workers.cancellationDeadlineS() <= workers.leaseS() + MIN_CANCELLATION_MARGIN_S) {
+      throw invalid(
+          "deployment.workers.cancel_s",
+          "must exceed lease_s by more than " + MIN_CANCELLATION_MARGIN_S + " s");
     }
     return workers;
   }
 
-  /** Limits of the state service; what a later table leaves out stays as it is now. */
-  private Settings.StateLimits limits(JsonNode table, String at, Settings.StateLimits now)
+  /**
+   * Reads the limits of the state service.
+   *
+   * @param current limits that apply where the table has no value; null if all values are required
+   */
+  private Settings.StateLimits limits(JsonNode table, String prefix, Settings.StateLimits current)
       throws SettingsException {
     return new Settings.StateLimits(
-        now != null && !table.has("rps") ? now.maxRps() : positive(table, "rps", at),
-        now != null && !table.has("write_rps")
-            ? now.maxWriteRps()
-            : positive(table, "write_rps", at),
-        now != null && !table.has("value_kb") ? now.maxValueKb() : positive(table, "value_kb", at),
+        current != null && !table.has("rps") ? current.maxRps() : positive(table, "rps", prefix),
+        current != null && !table.has("write_rps")
+            ? current.maxWriteRps()
+            : positive(table, "write_rps", prefix),
+        current != null && !table.has("value_kb")
+            ? current.maxValueKb()
+            : positive(table, "value_kb", prefix),
         (int)
-            number(table, "txn_ops", at, 2, now == null ? null : (double) now.maxTransactionOps()));
+            number(
+                table,
+                "txn_ops",
+                prefix,
+                MIN_TRANSACTION_OPS,
+                current == null ? null : (double) current.maxTransactionOps()));
   }
 
-  private JsonNode table(JsonNode in, String name, String at) throws SettingsException {
-    JsonNode node = in.path(name);
+  private JsonNode table(JsonNode parent, String name, String prefix) throws SettingsException {
+    JsonNode node = parent.path(name);
     if (!node.isObject()) {
-      throw bad(at + name, node.isMissingNode() ? "missing" : "table expected");
+      throw invalid(prefix + name, node.isMissingNode() ? "missing" : "expected a table");
     }
     return node;
   }
 
-  private String text(JsonNode in, String name, String at) throws SettingsException {
-    JsonNode node = in.path(name);
+  private String text(JsonNode parent, String name, String prefix) throws SettingsException {
+    JsonNode node = parent.path(name);
     if (!node.isTextual() || node.textValue().isBlank()) {
-      throw bad(at + name, node.isMissingNode() ? "missing" : "text expected");
+      throw invalid(
+          prefix + name, node.isMissingNode() ? "missing" : "expected a non-blank string");
     }
     return node.textValue();
   }
 
-  /** What a team is guaranteed may not be more than what it may use. */
-  private double guarantee(JsonNode team, String name, String at) throws SettingsException {
-    double guarantee = number(team, name, at, 0, 0.0);
-    double most = number(team, name + "_max", at, 0, 0.0);
-    if (most > 0 && guarantee > most) {
-      throw bad(at + name, "guarantee " + guarantee + " is above " + name + "_max " + most);
+  /** Reads a team's guarantee for a resource and checks that it does not exceed the maximum. */
+  private double guarantee(JsonNode team, String name, String prefix) throws SettingsException {
+    double guarantee = number(team, name, prefix, 0, 0.0);
+    double max = number(team, name + "_max", prefix, 0, 0.0);
+    if (max > 0 && guarantee > max) {
+      throw invalid(prefix + name, "guarantee " + guarantee + " is above " + name + "_max " + max);
     }
     return guarantee;
   }
 
-  private double positive(JsonNode in, String name, String at) throws SettingsException {
-    double value = number(in, name, at, 0, null);
+  private double positive(JsonNode parent, String name, String prefix) throws SettingsException {
+    double value = number(parent, name, prefix, 0, null);
     if (value == 0) {
-      throw bad(at + name, "must be above 0");
+      throw invalid(prefix + name, "must be greater than 0");
     }
     return value;
   }
 
-  private double number(JsonNode in, String name, String at, double min, Double absent)
+  private double number(
+      JsonNode parent, String name, String prefix, double min, Double defaultValue)
       throws SettingsException {
-    JsonNode node = in.path(name);
-    if (node.isMissingNode() && absent != null) {
-      return absent;
+    JsonNode node = parent.path(name);
+    if (node.isMissingNode() && defaultValue != null) {
+      return defaultValue;
     }
     if (!node.isNumber()) {
-      throw bad(at + name, node.isMissingNode() ? "missing" : "number expected");
+      throw invalid(prefix + name, node.isMissingNode() ? "missing" : "expected a number");
     }
     double value = node.doubleValue();
-    if (!(value >= min) || value > 1e12) {
-      throw bad(at + name, "must be at least " + min);
+    if (!(value >= min) || value > MAX_NUMBER) {
+      throw invalid(
+          prefix + name, "must be from " + min + " to " + MAX_NUMBER + ", but is " + value);
     }
     return value;
   }
 
-  private InetSocketAddress address(JsonNode in, String name, String at) throws SettingsException {
-    String text = text(in, name, at);
+  private InetSocketAddress address(JsonNode parent, String name, String prefix)
+      throws SettingsException {
+    String text = text(parent, name, prefix);
     int colon = text.lastIndexOf(':');
     try {
       int port = Integer.parseInt(text.substring(colon + 1));
@@ -219,13 +254,15 @@
         return new InetSocketAddress(text.substring(0, colon), port);
       }
     } catch (IllegalArgumentException e) {
-      // falls through to the one message below
+      // reported by the exception below
     }
-    throw bad(at + name, "IP address and port expected");
+    throw invalid(
+        prefix + name,
+        "expected an IPv4 address and a port, such as 127.0.0.1:8080, but found " + text);
   }
 
-  private SettingsException bad(String field, String what) {
+  private SettingsException invalid(String field, String problem) {
     return new SettingsException(
-        file + ": " + (field.isEmpty() ? "" : field + ": ") + what.replaceAll("\\s+", " "));
+        file + ": " + (field.isEmpty() ? "" : field + ": ") + problem.replaceAll("\\s+", " "));
   }
 }
--- a/src/main/java/org/snowturn/config/Tunables.java
+++ b/src/main/java/org/snowturn/config/Tunables.java
@@ -1,19 +1,29 @@
 package org.snowturn.config;
 
 /**
- * The operators' own figures. Those marked "design" are DESIGN-snowturn.md's starting values.
+ * The operators' tuning parameters. Each component has the name of its XML element.
  *
- * @param leaderTtlS life of the leader's lease; 0: derived from the workers' lease
- * @param speculativeCap share of running tasks that may be restarts at a time (design)
- * @param slowTaskPercentile rates below it count as slow (design)
- * @param slowNodePercentile machines below it get no restart (design)
- * @param judgeAfterS running time before a task is judged (design)
- * @param gainFactor time left must exceed this many expected runs of the target (design)
- * @param idleReturnS idle time before a spare machine is returned
- * @param bootPatience boot times waited before a machine is given up
- * @param sickErrors failures in a row, across jobs, that take a machine out of use
- * @param urgentSlackS waiting jobs with less time than this to spare for an aim go first
- * @param beginWithinS a job of which no task has been given room for so long goes first, with some
+ * @param leaderTtlS time-to-live of the leader's lease in seconds; 0 derives it from the workers'
+ *     lease
+ * @param speculation whether slow tasks are restarted speculatively
+ * @param speculativeCap maximum share of running tasks that are speculative restarts, from 0 to 1
+ * @param slowTaskPercentile percentile of the progress rates of a job's tasks below which a task is
+ *     slow
+ * @param slowNodePercentile percentile of the work done by the machines below which a machine is
+ *     not chosen for a speculative restart
+ * @param judgeAfterS minimum running time in seconds before a task can be classified as slow
+ * @param gainFactor minimum ratio of a slow task's remaining time to its expected running time on
+ *     the target machine for a speculative restart
+ * @param idleReturnS idle time in seconds after which a rented machine that is not needed is
+ *     returned
+ * @param bootPatience multiple of a machine type's boot time after which a machine that has not
+ *     reported is given up
+ * @param sickErrors number of consecutive failures, counted across jobs, after which a machine is
+ *     quarantined
+ * @param urgentSlackS slack in seconds; waiting jobs whose slack to an objective is smaller are
+ *     urgent and scheduled first
+ * @param beginWithinS waiting time in seconds after which some tasks of a job that has not been
+ *     assigned any resources are placed first
  */
 public record Tunables(
     double leaderTtlS,
@@ -29,7 +39,7 @@
     double urgentSlackS,
     double beginWithinS) {
 
-  /** The values used when the operators give none. */
+  /** Returns the values that apply where the operators set none. */
   public static Tunables defaults() {
     return new Tunables(0, true, 0.10, 25, 25, 20, 3.0, 3, 3.0, 3, 30, 90);
   }
--- a/src/main/java/org/snowturn/config/TunablesReader.java
+++ b/src/main/java/org/snowturn/config/TunablesReader.java
@@ -12,7 +12,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads and checks the operators' XML settings; a message names file, line and element. */
+/**
+ * Reads and validates the operators' tunables from an XML file. Error messages name the file, the
+ * line and the element.
+ */
 public final class TunablesReader {
   private record Range(double min, double max) {}
 
@@ -32,17 +35,23 @@
 
   private static final String SPECULATION = "speculation";
 
-  /** A setting as it is given, and its line in the file. */
-  private record Given(String text, int line) {}
+  /** The text of an element and its line in the file. */
+  private record Element(String text, int line) {}
 
   private final Path path;
-  private final Map<String, Given> given = new HashMap<>();
+  private final Map<String, Element> elements = new HashMap<>();
 
   private TunablesReader(Path path) {
     this.path = path;
   }
 
-  /** Reads a file; settings that it does not give have their defaults. */
+  /**
+   * Reads and validates the tunables in a file. Unknown elements are ignored, missing ones have
+   * their default values.
+   *
+   * @throws SettingsException if the file cannot be read, is not well-formed XML, or contains
+   *     invalid values
+   */
   public static Tunables read(Path path) throws SettingsException {
     TunablesReader reader = new TunablesReader(path);
     reader.readFile();
@@ -52,18 +61,21 @@
   private void readFile() throws SettingsException {
     try (JsonParser parser = new XmlMapper().createParser(Files.readAllBytes(path))) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
-        throw bad(1, "snowturn", "an element with settings expected");
+        throw invalid(1, "snowturn", "expected a root element that contains tunables");
       }
       Set<String> seen = new HashSet<>();
       while (parser.nextToken() == JsonToken.FIELD_NAME) {
         readElement(parser, seen);
       }
     } catch (JacksonException e) {
-      var at = e.getLocation();
+      var location = e.getLocation();
       throw new SettingsException(
-          path + ": line " + (at == null ? "?" : at.getLineNr()) + ": not well-formed XML");
+          path
+              + ": line "
+              + (location == null ? "?" : location.getLineNr())
+              + ": not well-formed XML");
     } catch (IOException e) {
-      throw new SettingsException(path + ": cannot be read");
+      throw new SettingsException(path + ": cannot read the file: " + e);
     }
   }
 
@@ -73,21 +85,21 @@
     int line = parser.currentLocation().getLineNr();
     JsonToken value = parser.nextToken();
     if (value == null || !value.isScalarValue()) {
-      throw bad(line, name, "a single value expected");
+      throw invalid(line, name, "expected a single value");
     }
     if (!seen.add(name)) {
-      throw bad(line, name, "given twice");
+      throw invalid(line, name, "duplicate element");
     }
-    if (RANGES.containsKey(name) || name.equals(SPECULATION)) { // unknown settings are ignored
-      given.put(name, new Given(parser.getText().trim(), line));
+    if (RANGES.containsKey(name) || name.equals(SPECULATION)) { // unknown elements are ignored
+      elements.put(name, new Element(parser.getText().trim(), line));
     }
   }
 
   private Tunables tunables() throws SettingsException {
     Map<String, Double> numbers = new HashMap<>();
-    for (Map.Entry<String, Given> setting : given.entrySet()) {
-      if (RANGES.containsKey(setting.getKey())) {
-        numbers.put(setting.getKey(), number(setting.getKey(), setting.getValue()));
+    for (Map.Entry<String, Element> element : elements.entrySet()) {
+      if (RANGES.containsKey(element.getKey())) {
+        numbers.put(element.getKey(), number(element.getKey(), element.getValue()));
       }
     }
     boolean speculation = speculation();
@@ -107,32 +119,35 @@
         numbers.getOrDefault("beginWithinS", defaults.beginWithinS()));
   }
 
-  private double number(String name, Given setting) throws SettingsException {
+  private double number(String name, Element element) throws SettingsException {
     Range range = RANGES.get(name);
     double value;
     try {
-      value = Double.parseDouble(setting.text);
+      value = Double.parseDouble(element.text);
     } catch (NumberFormatException e) {
-      throw bad(setting.line, name, "number expected");
+      throw invalid(element.line, name, "expected a number");
     }
     if (!(value >= range.min && value <= range.max)) {
-      throw bad(setting.line, name, "must be from " + range.min + " to " + range.max);
+      throw invalid(
+          element.line,
+          name,
+          "must be from " + range.min + " to " + range.max + ", but is " + value);
     }
     return value;
   }
 
   private boolean speculation() throws SettingsException {
-    Given setting = given.get(SPECULATION);
-    if (setting == null || setting.text.equals("true")) {
+    Element element = elements.get(SPECULATION);
+    if (element == null || element.text.equals("true")) {
       return true;
     }
-    if (!setting.text.equals("false")) {
-      throw bad(setting.line, SPECULATION, "true or false expected");
+    if (!element.text.equals("false")) {
+      throw invalid(element.line, SPECULATION, "expected true or false");
     }
     return false;
   }
 
-  private SettingsException bad(int line, String element, String what) {
-    return new SettingsException(path + ": line " + line + ": " + element + ": " + what);
+  private SettingsException invalid(int line, String element, String problem) {
+    return new SettingsException(path + ": line " + line + ": " + element + ": " + problem);
   }
 }
--- a/src/main/java/org/snowturn/config/package-info.java
+++ b/src/main/java/org/snowturn/config/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's settings (TOML) and the operators' tunables (XML), read and checked. */
+/** Reads and validates the platform's settings (TOML) and the operators' tunables (XML). */
 package org.snowturn.config;
