--- a/src/main/java/org/snowturn/config/Settings.java
+++ b/src/main/java/org/snowturn/config/Settings.java
@@ -14,6 +14,7 @@
  * @param cloudAddress address of the cloud API
  * @param stateServiceAddress address of the state service
  * @param zones zones in which machines can be rented
+ * @param stateLimits limits of the state service that apply now
  * @param nextStateLimits limits that the state service will switch to at an unannounced time; equal
  *     to {@code stateLimits} if no change is planned
  * @param maxConnections maximum number of open sockets of this controller
@@ -79,7 +80,7 @@
       double maxRps, double maxWriteRps, double maxValueKb, int maxTransactionOps) {
     private static final int BYTES_PER_KB = 1024;
 
-    /** Returns limits that consist of the smaller value of each limit. */
+    /** Returns the smaller value of each limit of this record and {@code other}. */
     public StateLimits min(StateLimits other) {
       return new StateLimits(
           Math.min(maxRps, other.maxRps),
--- a/src/main/java/org/snowturn/config/Tunables.java
+++ b/src/main/java/org/snowturn/config/Tunables.java
@@ -12,14 +12,15 @@
  * @param slowNodePercentile percentile of the work done by the machines below which a machine is
  *     not chosen for a speculative restart
  * @param judgeAfterS minimum running time in seconds before a task can be classified as slow
- * @param gainFactor minimum ratio of a slow task's remaining time to its expected running time on
- *     the target machine for a speculative restart
+ * @param gainFactor multiple of the expected running time on the target machine that a slow task's
+ *     remaining time, less the time to fetch the image there, has to exceed for a speculative
+ *     restart
  * @param idleReturnS idle time in seconds after which a rented machine that is not needed is
  *     returned
  * @param bootPatience multiple of a machine type's boot time after which a machine that has not
  *     reported is given up
- * @param sickErrors number of consecutive failures, counted across jobs, after which a machine is
- *     quarantined
+ * @param sickErrors number of consecutive task failures on a machine, counted across jobs, after
+ *     which a machine is quarantined
  * @param urgentSlackS slack in seconds; waiting jobs whose slack to an objective is smaller are
  *     urgent and scheduled first
  * @param beginWithinS waiting time in seconds after which some tasks of a job that has not been
@@ -39,7 +40,10 @@
     double urgentSlackS,
     double beginWithinS) {
 
-  /** Returns the values that apply where the operators set none. */
+  /**
+   * Returns the values that apply where the operators set none. Those for speculative restarts are
+   * the initial values of DESIGN-snowturn.md.
+   */
   public static Tunables defaults() {
     return new Tunables(0, true, 0.10, 25, 25, 20, 3.0, 3, 3.0, 3, 30, 90);
   }
--- a/src/main/java/org/snowturn/metrics/Metrics.java
+++ b/src/main/java/org/snowturn/metrics/Metrics.java
@@ -12,12 +12,14 @@
 
 /**
  * Metrics of this process: Micrometer counters and gauges, and HdrHistogram latencies. Counters can
- * be used on any thread; latencies have to be recorded and formatted on one and the same thread.
+ * be used on any thread; latencies have to be recorded and formatted on the same thread.
  */
 public final class Metrics {
   private static final long MAX_LATENCY_MICROS = 60_000_000L;
   private static final int SIGNIFICANT_DIGITS = 2;
+  private static final long NANOS_PER_MICRO = 1000;
   private static final double MICROS_PER_S = 1e6;
+  private static final int INITIAL_TEXT_CAPACITY = 2048;
   private static final double[] PERCENTILES = {50, 99, 99.9};
 
   private final SimpleMeterRegistry registry = new SimpleMeterRegistry();
@@ -32,11 +34,11 @@
         .increment();
   }
 
-  /** Records the duration of one operation, in nanoseconds, under a metric name. */
+  /** Adds the duration of one operation, in nanoseconds, to the latencies with this name. */
   public void recordLatency(String name, long nanos) {
     latencies
         .computeIfAbsent(name, key -> new Histogram(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS))
-        .recordValue(Math.max(0, Math.min(MAX_LATENCY_MICROS, nanos / 1000)));
+        .recordValue(Math.max(0, Math.min(MAX_LATENCY_MICROS, nanos / NANOS_PER_MICRO)));
   }
 
   /** Registers a gauge whose value is supplied each time the metrics are formatted. */
@@ -50,7 +52,7 @@
    * @param additionalValues values of further metrics by name
    */
   public String toText(Map<String, Double> additionalValues) {
-    StringBuilder out = new StringBuilder(2048);
+    StringBuilder out = new StringBuilder(INITIAL_TEXT_CAPACITY);
     TreeMap<String, Double> lines = new TreeMap<>();
     for (Meter meter : registry.getMeters()) {
       String kind = meter.getId().getTag("kind");
--- a/src/main/java/org/snowturn/peer/InboundLink.java
+++ b/src/main/java/org/snowturn/peer/InboundLink.java
@@ -15,7 +15,7 @@
 final class InboundLink {
   private static final Logger LOG = LoggerFactory.getLogger(InboundLink.class);
 
-  /** Version and message kind. */
+  /** Every frame contains at least a version and a message kind of one byte each. */
   private static final int MIN_FRAME_BYTES = 2;
 
   private static final int UNSIGNED_SHORT_MASK = 0xffff;
@@ -29,6 +29,7 @@
     this.onInput = onInput;
   }
 
+  /** Starts to read messages from the connection. */
   void start() {
     ConduitStreamSourceChannel source = connection.getSourceChannel();
     source.setReadListener(this::read);
--- a/src/main/java/org/snowturn/peer/PeerLinks.java
+++ b/src/main/java/org/snowturn/peer/PeerLinks.java
@@ -41,11 +41,11 @@
   }
 
   /**
-   * Starts to accept connections of peers.
+   * Starts to accept connections of peers on an address.
    *
    * @throws IOException if the address cannot be bound
    */
-  public void listen(InetSocketAddress bind) throws IOException {
+  public void listen(InetSocketAddress address) throws IOException {
     ChannelListener<AcceptingChannel<StreamConnection>> onAccept =
         server -> {
           try {
@@ -61,7 +61,7 @@
         ioThread
             .getWorker()
             .createStreamConnectionServer(
-                bind, onAccept, OptionMap.create(Options.REUSE_ADDRESSES, true));
+                address, onAccept, OptionMap.create(Options.REUSE_ADDRESSES, true));
     serverChannel.resumeAccepts();
   }
 
--- a/src/main/java/org/snowturn/wire/JobStatus.java
+++ b/src/main/java/org/snowturn/wire/JobStatus.java
@@ -18,7 +18,7 @@
     DONE,
     ABORTED;
 
-    /** Returns whether a job in this phase stays in it for good. */
+    /** Returns whether the phase is final. */
     public boolean isTerminal() {
       return this == DONE || this == ABORTED;
     }
--- a/src/main/java/org/snowturn/wire/Json.java
+++ b/src/main/java/org/snowturn/wire/Json.java
@@ -27,7 +27,7 @@
   private Json() {}
 
   /**
-   * Parses a whole document in UTF-8. Returns a missing node for an empty document.
+   * Parses a whole document. Returns a missing node for an empty document.
    *
    * @throws IOException if it is not valid JSON, is nested too deeply or is followed by other text
    */
--- a/src/main/java/org/snowturn/wire/MachineType.java
+++ b/src/main/java/org/snowturn/wire/MachineType.java
@@ -26,6 +26,13 @@
     double hourlySpotPrice,
     double bootS,
     List<String> zones) {
+  private static final double MAX_COUNT = 1e6;
+  private static final double MAX_GB = 1e9;
+  private static final double MAX_GB_PER_S = 1e9;
+  private static final double MAX_PRICE = 1e9;
+  private static final double MAX_BOOT_S = 1e9;
+  private static final double DEFAULT_FETCH_GB_PER_S = 1;
+  private static final double DEFAULT_BOOT_S = 60;
 
   /**
    * Parses the catalog.
@@ -41,14 +48,14 @@
       types.add(
           new MachineType(
               fields.text("label"),
-              fields.number("cores", 0, 1e6),
-              fields.number("cards", 0, 1e6, 0),
-              fields.number("ram_gb", 0, 1e9),
-              fields.number("local_gb", 0, 1e9, 0),
-              fields.number("pull_gb_per_s", 0, 1e9, 1),
-              fields.number("hourly", 0, 1e9, 0),
-              fields.number("market_price", 0, 1e9, 0),
-              fields.number("ready_s", 0, 1e9, 60),
+              fields.number("cores", 0, MAX_COUNT),
+              fields.number("cards", 0, MAX_COUNT, 0),
+              fields.number("ram_gb", 0, MAX_GB),
+              fields.number("local_gb", 0, MAX_GB, 0),
+              fields.number("pull_gb_per_s", 0, MAX_GB_PER_S, DEFAULT_FETCH_GB_PER_S),
+              fields.number("hourly", 0, MAX_PRICE, 0),
+              fields.number("market_price", 0, MAX_PRICE, 0),
+              fields.number("ready_s", 0, MAX_BOOT_S, DEFAULT_BOOT_S),
               List.copyOf(zones)));
     }
     return List.copyOf(types);
--- a/src/main/java/org/snowturn/wire/Priority.java
+++ b/src/main/java/org/snowturn/wire/Priority.java
@@ -15,7 +15,7 @@
     this.level = level;
   }
 
-  /** Returns the rank of the priority, starting at 0 for the highest and without gaps. */
+  /** Returns the level: 0 for the highest priority, and one more for each lower one. */
   public int level() {
     return level;
   }
